--- a/crates/foldhaven-core/src/membership.rs
+++ b/crates/foldhaven-core/src/membership.rs
@@ -20,37 +20,37 @@
 use crate::time::MonoTime;
 
 /// How many members of a data centre speak for it to other data centres.
-pub const DELEGATES: usize = 2;
+pub const DELEGATES_PER_CENTRE: usize = 2;
 
 /// How many members one daemon starts an exchange with in one round. It turns through all of them,
 /// so that what heartbeats cost does not grow with the members.
-pub const MEMBER_FAN: usize = 4;
+pub const HEARTBEAT_FANOUT: usize = 4;
 
 /// After how many calls in a row that were not answered a member gets no new work.
-const FAILED_CALLS: u32 = 2;
+const MAX_FAILED_CALLS: u32 = 2;
 /// A member is given this many turns through all members before its silence counts.
-const SILENT_TURNS: f64 = 2.5;
+const STALE_ROTATIONS: f64 = 2.5;
 
 /// The spans by which members are judged.
 #[derive(Debug, Clone, Copy)]
 pub struct MembershipTimes {
     /// Between two heartbeats to one member.
-    pub interval: Duration,
+    pub heartbeat_interval: Duration,
     /// A member not heard from, or not reached, for this long gets no new work.
-    pub suspect: Duration,
+    pub suspect_after: Duration,
     /// A member not heard from for this long is forgotten.
-    pub forget: Duration,
+    pub forget_after: Duration,
     /// A summary of another data centre older than this is not acted on.
-    pub summary: Duration,
+    pub max_summary_age: Duration,
 }
 
 impl Default for MembershipTimes {
     fn default() -> Self {
         Self {
-            interval: Duration::from_millis(500),
-            suspect: Duration::from_millis(2_000),
-            forget: Duration::from_secs(60),
-            summary: Duration::from_secs(5),
+            heartbeat_interval: Duration::from_millis(500),
+            suspect_after: Duration::from_millis(2_000),
+            forget_after: Duration::from_secs(60),
+            max_summary_age: Duration::from_secs(5),
         }
     }
 }
@@ -68,7 +68,7 @@
 
 /// What a daemon says of itself in a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct VmBeat {
+pub struct VmHeartbeat {
     /// The VM.
     pub vm: VmName,
     /// Its data centre.
@@ -90,14 +90,15 @@
     /// The upstreams that it saw leaving, with the process lifetime that leaves.
     pub leaving_upstreams: Vec<(UpstreamName, u64)>,
     /// Requests of other data centres under way here, by model.
-    pub lent: Vec<(ModelName, u32)>,
+    #[serde(rename = "lent")]
+    pub lent_requests: Vec<(ModelName, u32)>,
     /// The revision of the list of upstreams that it holds; 0 for none.
     pub list_revision: u64,
 }
 
 /// One member as others see it in a summary.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct VmBrief {
+pub struct VmContact {
     /// The VM.
     pub vm: VmName,
     /// Its process lifetime.
@@ -133,7 +134,7 @@
     /// The lowest and the highest stamp in force among its serving members.
     pub stamps: Option<(DescriptionStamp, DescriptionStamp)>,
     /// Its serving members; the first few when there are many.
-    pub vms: Vec<VmBrief>,
+    pub vms: Vec<VmContact>,
     /// How many members serve there.
     pub serving: u32,
     /// What it can do for each model.
@@ -145,7 +146,7 @@
 }
 
 /// How many members a summary names.
-pub const SUMMARY_VMS: usize = 4;
+pub const MAX_SUMMARY_VMS: usize = 4;
 
 /// How a member is judged now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -160,7 +161,7 @@
 
 #[derive(Debug, Clone)]
 struct MemberEntry {
-    beat: VmBeat,
+    beat: VmHeartbeat,
     heard: MonoTime,
     reached: MonoTime,
     failed_calls: u32,
@@ -175,7 +176,7 @@
 
 /// A summary with its present age.
 #[derive(Debug, Clone, Copy)]
-pub struct SeenSummary<'a> {
+pub struct AgedSummary<'a> {
     /// The summary.
     pub summary: &'a CentreSummary,
     /// How old its content is now.
@@ -209,7 +210,7 @@
 
     /// Takes in a heartbeat of a member of this data centre. Returns whether it was news: a beat of
     /// an ended incarnation or an older sequence is not.
-    pub fn hear(&mut self, beat: VmBeat, now: MonoTime) -> bool {
+    pub fn apply_heartbeat(&mut self, beat: VmHeartbeat, now: MonoTime) -> bool {
         if beat.vm == self.own || beat.data_centre != self.centre {
             return false;
         }
@@ -238,7 +239,7 @@
     }
 
     /// Notes that a call of ours to a member was answered.
-    pub fn note_reached(&mut self, vm: &VmName, now: MonoTime) {
+    pub fn record_reached(&mut self, vm: &VmName, now: MonoTime) {
         if let Some(entry) = self.members.get_mut(vm) {
             entry.reached = now;
             entry.failed_calls = 0;
@@ -246,28 +247,30 @@
     }
 
     /// Notes that a call of ours to a member was not answered.
-    pub fn note_failed(&mut self, vm: &VmName) {
+    pub fn record_failed_call(&mut self, vm: &VmName) {
         if let Some(entry) = self.members.get_mut(vm) {
             entry.failed_calls += 1;
         }
     }
 
-    /// The members to start an exchange with in a round: [`MEMBER_FAN`] of them, in turn.
-    pub fn round_members(&self, round: u64) -> Vec<&VmBeat> {
-        let beats: Vec<&VmBeat> = self.members.values().map(|entry| &entry.beat).collect();
-        let first = round as usize * MEMBER_FAN;
-        let count = MEMBER_FAN.min(beats.len());
+    /// The members to start an exchange with in a round: [`HEARTBEAT_FANOUT`] of them, in turn.
+    pub fn heartbeat_targets(&self, round: u64) -> Vec<&VmHeartbeat> {
+        let beats: Vec<&VmHeartbeat> = self.members.values().map(|entry| &entry.beat).collect();
+        let first = round as usize * HEARTBEAT_FANOUT;
+        let count = HEARTBEAT_FANOUT.min(beats.len());
         (0..count).map(|at| beats[(first + at) % beats.len()]).collect()
     }
 
     /// How long a member may be silent: longer where a turn through all members takes longer.
     fn silence_limit(&self) -> Duration {
-        let rounds = self.members.len().div_ceil(MEMBER_FAN) as f64;
-        self.times.suspect.max(self.times.interval.mul_f64(rounds * SILENT_TURNS))
+        let rounds = self.members.len().div_ceil(HEARTBEAT_FANOUT) as f64;
+        self.times
+            .suspect_after
+            .max(self.times.heartbeat_interval.mul_f64(rounds * STALE_ROTATIONS))
     }
 
     /// Notes that a member said it ends this process lifetime.
-    pub fn note_gone(&mut self, vm: &VmName, incarnation: IncarnationId) {
+    pub fn record_ended(&mut self, vm: &VmName, incarnation: IncarnationId) {
         let ended = self.gone.entry(vm.clone()).or_insert(incarnation);
         *ended = (*ended).max(incarnation);
         if self.members.get(vm).is_some_and(|entry| entry.beat.incarnation <= incarnation) {
@@ -276,12 +279,12 @@
     }
 
     /// Takes in a summary of another data centre. Returns whether it was news.
-    pub fn hear_summary(&mut self, summary: CentreSummary, now: MonoTime) -> bool {
+    pub fn apply_summary(&mut self, summary: CentreSummary, now: MonoTime) -> bool {
         if summary.data_centre == self.centre {
             return false;
         }
         let age = Duration::from_millis(summary.age_ms.into());
-        if age > self.times.summary {
+        if age > self.times.max_summary_age {
             return false;
         }
         let seen_since = self.seen_since(&summary.data_centre, now);
@@ -298,14 +301,14 @@
     }
 
     fn seen_since(&self, centre: &DataCentreName, now: MonoTime) -> Option<MonoTime> {
-        let fresh = |entry: &&SummaryEntry| now.since(entry.received) <= self.times.summary;
+        let fresh = |entry: &&SummaryEntry| now.since(entry.received) <= self.times.max_summary_age;
         let authors = self.summaries.get(centre)?;
         authors.values().filter(fresh).map(|entry| entry.first_seen).min()
     }
 
     /// Drops members and summaries that have been silent for too long.
-    pub fn forget_silent(&mut self, now: MonoTime) {
-        let forget = self.times.forget;
+    pub fn evict_stale(&mut self, now: MonoTime) {
+        let forget = self.times.forget_after;
         self.members.retain(|_, entry| now.since(entry.heard) < forget);
         for authors in self.summaries.values_mut() {
             authors.retain(|_, entry| now.since(entry.received) < forget);
@@ -321,7 +324,7 @@
     fn judge(&self, entry: &MemberEntry, now: MonoTime) -> MemberState {
         let limit = self.silence_limit();
         let silent = now.since(entry.heard) > limit;
-        let unreached = now.since(entry.reached) > limit || entry.failed_calls >= FAILED_CALLS;
+        let unreached = now.since(entry.reached) > limit || entry.failed_calls >= MAX_FAILED_CALLS;
         match (silent || unreached, entry.beat.leaving) {
             (true, _) => MemberState::Suspect,
             (false, true) => MemberState::Leaving,
@@ -330,7 +333,7 @@
     }
 
     /// The other members of this data centre with their last heartbeats.
-    pub fn members(&self, now: MonoTime) -> impl Iterator<Item = (&VmBeat, MemberState)> {
+    pub fn members(&self, now: MonoTime) -> impl Iterator<Item = (&VmHeartbeat, MemberState)> {
         self.members.values().map(move |entry| (&entry.beat, self.judge(entry, now)))
     }
 
@@ -348,11 +351,11 @@
     /// Whether this daemon is one of those that speak for its data centre.
     pub fn is_delegate(&self, own_serves: bool, now: MonoTime) -> bool {
         let serving = self.serving(own_serves, now);
-        serving.iter().take(DELEGATES).any(|name| *name == self.own)
+        serving.iter().take(DELEGATES_PER_CENTRE).any(|name| *name == self.own)
     }
 
     /// The freshest summary of each other data centre that is young enough to act on.
-    pub fn summaries(&self, now: MonoTime) -> Vec<SeenSummary<'_>> {
+    pub fn summaries(&self, now: MonoTime) -> Vec<AgedSummary<'_>> {
         let all = self.summaries.values();
         all.filter_map(|authors| self.freshest(authors, now)).collect()
     }
@@ -361,14 +364,14 @@
         &self,
         authors: &'a BTreeMap<VmName, SummaryEntry>,
         now: MonoTime,
-    ) -> Option<SeenSummary<'a>> {
+    ) -> Option<AgedSummary<'a>> {
         let entry = authors.values().max_by_key(|entry| entry.received)?;
         let age = now.since(entry.received);
-        if age > self.times.summary {
+        if age > self.times.max_summary_age {
             return None;
         }
         let first = authors.values().map(|entry| entry.first_seen).min()?;
-        Some(SeenSummary { summary: &entry.summary, age, seen_for: now.since(first) })
+        Some(AgedSummary { summary: &entry.summary, age, seen_for: now.since(first) })
     }
 
     /// The versions of the summaries held, to ask a peer only for newer ones.
@@ -392,7 +395,7 @@
             held.iter().map(|version| (&version.author, version.version)).collect();
         let all = self.summaries.values().flat_map(BTreeMap::values);
         let newer = |entry: &&SummaryEntry| {
-            let fresh = now.since(entry.received) <= self.times.summary;
+            let fresh = now.since(entry.received) <= self.times.max_summary_age;
             let theirs = held.get(&entry.summary.author);
             fresh && theirs.is_none_or(|version| *version < entry.summary.version)
         };
@@ -421,7 +424,7 @@
 /// The data centres with which the delegates of `own` start exchanges: those of its region, the
 /// next ones in the order of names (so that all are connected), and a few by rank (so that news
 /// needs few steps). The set stays small however many data centres there are.
-pub fn partners_of(
+pub fn exchange_partners(
     own: &DataCentreName,
     centres: &[(DataCentreName, RegionName)],
 ) -> BTreeSet<DataCentreName> {
--- a/crates/foldhaven-core/tests/testsuite/membership.rs
+++ b/crates/foldhaven-core/tests/testsuite/membership.rs
@@ -5,7 +5,8 @@
 
 use foldhaven_core::ids::{DataCentreName, IncarnationId, RegionName};
 use foldhaven_core::membership::{
-    CentreSummary, MemberState, MemberTable, MembershipTimes, VmAddresses, VmBeat, partners_of,
+    CentreSummary, MemberState, MemberTable, MembershipTimes, VmAddresses, VmHeartbeat,
+    exchange_partners,
 };
 use foldhaven_core::time::MonoTime;
 
@@ -16,9 +17,9 @@
     MemberTable::new(own.parse().unwrap(), centre, MembershipTimes::default())
 }
 
-fn beat(vm: &str, incarnation: u64, sequence: u64) -> VmBeat {
+fn beat(vm: &str, incarnation: u64, sequence: u64) -> VmHeartbeat {
     let address = "127.0.0.1:1".parse().unwrap();
-    VmBeat {
+    VmHeartbeat {
         vm: vm.parse().unwrap(),
         data_centre: "north-1".parse().unwrap(),
         incarnation: IncarnationId(incarnation),
@@ -29,7 +30,7 @@
         addresses: VmAddresses { caller: address, peer: address, control: address },
         loads: Vec::new(),
         leaving_upstreams: Vec::new(),
-        lent: Vec::new(),
+        lent_requests: Vec::new(),
         list_revision: 0,
     }
 }
@@ -57,11 +58,11 @@
 fn a_member_that_is_heard_but_not_reached_is_suspect() {
     let mut table = table("a");
     let b = "b".parse().unwrap();
-    table.hear(beat("b", 1, 1), now());
+    table.apply_heartbeat(beat("b", 1, 1), now());
     assert_eq!(table.state(&b, later(100)), Some(MemberState::Live));
-    table.hear(beat("b", 1, 2), later(2_500));
+    table.apply_heartbeat(beat("b", 1, 2), later(2_500));
     assert_eq!(table.state(&b, later(2_600)), Some(MemberState::Suspect));
-    table.note_reached(&b, later(2_600));
+    table.record_reached(&b, later(2_600));
     assert_eq!(table.state(&b, later(2_600)), Some(MemberState::Live));
 }
 
@@ -69,33 +70,33 @@
 fn an_ended_lifetime_does_not_come_back() {
     let mut table = table("a");
     let b = "b".parse().unwrap();
-    table.hear(beat("b", 5, 9), now());
-    table.note_gone(&b, IncarnationId(5));
-    assert!(!table.hear(beat("b", 5, 10), now()));
+    table.apply_heartbeat(beat("b", 5, 9), now());
+    table.record_ended(&b, IncarnationId(5));
+    assert!(!table.apply_heartbeat(beat("b", 5, 10), now()));
     assert_eq!(table.state(&b, now()), None);
-    assert!(table.hear(beat("b", 6, 1), now()));
-    assert!(!table.hear(beat("b", 5, 99), now()), "an older lifetime is no news");
+    assert!(table.apply_heartbeat(beat("b", 6, 1), now()));
+    assert!(!table.apply_heartbeat(beat("b", 5, 99), now()), "an older lifetime is no news");
 }
 
 #[test]
 fn delegates_are_the_lowest_that_serve_and_may_overlap() {
     let mut a = table("a");
-    a.hear(beat("b", 1, 1), now());
-    a.hear(beat("c", 1, 1), now());
+    a.apply_heartbeat(beat("b", 1, 1), now());
+    a.apply_heartbeat(beat("c", 1, 1), now());
     assert!(a.is_delegate(true, now()));
     let mut c = table("c");
     assert!(c.is_delegate(true, now()), "alone, it speaks for itself");
-    c.hear(beat("a", 1, 1), now());
-    c.hear(VmBeat { leaving: true, ..beat("b", 1, 1) }, now());
+    c.apply_heartbeat(beat("a", 1, 1), now());
+    c.apply_heartbeat(VmHeartbeat { leaving: true, ..beat("b", 1, 1) }, now());
     assert!(c.is_delegate(true, now()), "a leaving member does not count");
 }
 
 #[test]
 fn summaries_age_over_every_hop_and_only_newer_ones_are_taken() {
     let mut table = table("a");
-    assert!(table.hear_summary(summary("south-1", "s", 2, 300), now()));
-    assert!(!table.hear_summary(summary("south-1", "s", 1, 0), now()));
-    assert!(!table.hear_summary(summary("south-1", "t", 9, 60_000), now()), "too old");
+    assert!(table.apply_summary(summary("south-1", "s", 2, 300), now()));
+    assert!(!table.apply_summary(summary("south-1", "s", 1, 0), now()));
+    assert!(!table.apply_summary(summary("south-1", "t", 9, 60_000), now()), "too old");
     assert_eq!(table.summaries(later(100))[0].age, Duration::from_millis(400));
     let given = table.summaries_newer_than(&[], later(100));
     assert_eq!(given[0].age_ms, 400);
@@ -115,7 +116,7 @@
             .collect();
         let mut links = BTreeSet::new();
         for (own, _) in &centres {
-            let partners = partners_of(own, &centres);
+            let partners = exchange_partners(own, &centres);
             assert!(partners.len() <= 6, "{} partners", partners.len());
             for partner in partners {
                 links.insert((own.clone(), partner.clone()));
--- a/crates/foldhaven-core/tests/testsuite/routing.rs
+++ b/crates/foldhaven-core/tests/testsuite/routing.rs
@@ -7,7 +7,7 @@
 use foldhaven_core::description::{AccountConfig, ModelConfig};
 use foldhaven_core::ids::{DataCentreName, IncarnationId, UpstreamName};
 use foldhaven_core::load::{EngineView, EstimateError, RecentWork};
-use foldhaven_core::membership::{CentreSummary, ModelCapacity, VmAddresses, VmBrief};
+use foldhaven_core::membership::{CentreSummary, ModelCapacity, VmAddresses, VmContact};
 use foldhaven_core::offers::{OfferBook, OfferDemand, divide_spare};
 use foldhaven_core::planner::{
     CentreView, RouteFacts, RoutePlan, RouteQuery, RouteTarget, RouteView,
@@ -59,7 +59,7 @@
         version: (IncarnationId(1), 1),
         age_ms: 0,
         stamps: None,
-        vms: vec![VmBrief {
+        vms: vec![VmContact {
             vm: "s".parse().unwrap(),
             incarnation: IncarnationId(1),
             addresses: VmAddresses { caller: address, peer: address, control: address },
--- a/crates/foldhaven-testkit/src/fleet/mod.rs
+++ b/crates/foldhaven-testkit/src/fleet/mod.rs
@@ -11,7 +11,7 @@
 
 use foldhaven_core::description::Description;
 use foldhaven_core::ids::DataCentreName;
-use foldhaven_core::membership::{VmAddresses, partners_of};
+use foldhaven_core::membership::{VmAddresses, exchange_partners};
 use foldhaven_core::policy::PolicyKind;
 use foldhaven_wire::caller::EntriesAnswer;
 use foldhaven_wire::operator::StatusAnswer;
@@ -346,16 +346,16 @@
         status.stamp.is_some()
             && deployed
             && status.members.len() == self.options.vms - 1
-            && self.partners_of(centre).is_subset(&seen)
+            && self.exchange_partners(centre).is_subset(&seen)
             && status.centres.iter().all(full)
     }
 
     /// The data centres that the delegates of one turn to by themselves.
-    fn partners_of(&self, centre: &DataCentreName) -> BTreeSet<DataCentreName> {
+    fn exchange_partners(&self, centre: &DataCentreName) -> BTreeSet<DataCentreName> {
         let regions = self.description.regions.iter();
         let named = regions.flat_map(|it| it.data_centres.iter().map(|dc| (dc, &it.name)));
         let all: Vec<_> = named.map(|(dc, region)| (dc.clone(), region.clone())).collect();
-        partners_of(centre, &all)
+        exchange_partners(centre, &all)
     }
 
     /// What a VM tells operators.
--- a/crates/foldhaven-wire/src/control.rs
+++ b/crates/foldhaven-wire/src/control.rs
@@ -9,7 +9,7 @@
 
 use foldhaven_core::description::{DescriptionStamp, SectionDigest, SectionManifest};
 use foldhaven_core::ids::DataCentreName;
-use foldhaven_core::membership::{CentreSummary, SummaryVersion, VmBeat};
+use foldhaven_core::membership::{CentreSummary, SummaryVersion, VmHeartbeat};
 use futures::StreamExt;
 use serde::{Deserialize, Serialize};
 use tarpc::serde_transport;
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ExchangeRequest {
     /// The sender's heartbeat.
-    pub beat: VmBeat,
+    pub beat: VmHeartbeat,
     /// The summaries that the sender holds, if it asks for newer ones.
     pub held: Option<Vec<SummaryVersion>>,
     /// The sender's own summary of its data centre, if it is a delegate that talks to another one.
@@ -38,7 +38,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ExchangeReply {
     /// The receiver's heartbeat.
-    pub beat: VmBeat,
+    pub beat: VmHeartbeat,
     /// Summaries that are newer than those the sender holds.
     pub summaries: Vec<CentreSummary>,
 }
--- a/crates/foldhavend/src/control/keeper/exchanges.rs
+++ b/crates/foldhavend/src/control/keeper/exchanges.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use foldhaven_core::ids::DataCentreName;
-use foldhaven_core::membership::{VmBeat, partners_of};
+use foldhaven_core::membership::{VmHeartbeat, exchange_partners};
 use foldhaven_wire::control::{ExchangeReply, ExchangeRequest};
 use xtra::{Context, Handler};
 
@@ -20,10 +20,10 @@
 impl ControlKeeper {
     fn plan_member_exchanges(&mut self, targets: &mut Vec<ExchangeTarget>) {
         let now = self.now();
-        let named = |beat: &VmBeat| (beat.vm.clone(), beat.addresses.control);
+        let named = |beat: &VmHeartbeat| (beat.vm.clone(), beat.addresses.control);
         let members: Vec<_> = match std::mem::take(&mut self.meets_all) {
             true => self.members.members(now).map(|(beat, _)| named(beat)).collect(),
-            false => self.members.round_members(self.round).into_iter().map(named).collect(),
+            false => self.members.heartbeat_targets(self.round).into_iter().map(named).collect(),
         };
         for (at, (vm, address)) in members.into_iter().enumerate() {
             // One of them is asked for newer summaries; whoever has them passes them on.
@@ -39,7 +39,7 @@
         let regions = index.description.regions.iter();
         let named = regions.flat_map(|it| it.data_centres.iter().map(|dc| (dc, &it.name)));
         let centres: Vec<_> = named.map(|(dc, region)| (dc.clone(), region.clone())).collect();
-        partners_of(&self.shared.settings.data_centre, &centres)
+        exchange_partners(&self.shared.settings.data_centre, &centres)
     }
 
     fn plan_centre_exchanges(&mut self, targets: &mut Vec<ExchangeTarget>) {
@@ -118,7 +118,7 @@
         let mut summaries = Vec::new();
         if let Some(own) = own {
             let asker = own.data_centre.clone();
-            self.members.hear_summary(own, now);
+            self.members.apply_summary(own, now);
             if self.index.is_some() {
                 summaries.push(self.make_summary(Some(&asker)));
             }
@@ -137,15 +137,15 @@
         let now = self.now();
         let Some(reply) = message.reply else {
             if let Some(vm) = &message.target.vm {
-                self.members.note_failed(vm);
+                self.members.record_failed_call(vm);
             }
             return;
         };
         self.answered.insert(message.target.address, reply.beat.data_centre.clone());
         self.hear_beat(&reply.beat, &context.mailbox().address().try_upgrade().expect("it runs"));
-        self.members.note_reached(&reply.beat.vm, now);
+        self.members.record_reached(&reply.beat.vm, now);
         for summary in reply.summaries {
-            self.members.hear_summary(summary, now);
+            self.members.apply_summary(summary, now);
         }
     }
 }
--- a/crates/foldhavend/src/control/keeper/mod.rs
+++ b/crates/foldhavend/src/control/keeper/mod.rs
@@ -11,7 +11,7 @@
 use foldhaven_core::description::{DescriptionIndex, DescriptionStamp};
 use foldhaven_core::ids::{DataCentreName, UpstreamName};
 use foldhaven_core::load::{EngineLoad, EngineView};
-use foldhaven_core::membership::{MemberState, MemberTable, VmBeat};
+use foldhaven_core::membership::{MemberState, MemberTable, VmHeartbeat};
 use foldhaven_core::placement::{EngineOrder, due_orders, issuer_of};
 use foldhaven_core::rank::rank_by;
 use foldhaven_core::time::MonoTime;
@@ -147,14 +147,14 @@
         engines.filter(|entry| issuer_of(&entry.name, &serving) == Some(own)).collect()
     }
 
-    pub(super) fn make_beat(&mut self) -> VmBeat {
+    pub(super) fn make_beat(&mut self) -> VmHeartbeat {
         self.beats += 1;
         let now = self.now();
         let polled = self.polled_engines();
         let own_loads = polled.iter().filter_map(|entry| self.loads.get(&entry.name));
         let loads = own_loads.map(|view| aged_load(view, now)).collect();
         let settings = &self.shared.settings;
-        VmBeat {
+        VmHeartbeat {
             vm: settings.vm.clone(),
             data_centre: settings.data_centre.clone(),
             incarnation: self.shared.incarnation,
@@ -165,12 +165,12 @@
             addresses: settings.addresses.clone(),
             loads,
             leaving_upstreams: self.leaving.iter().map(|(name, it)| (name.clone(), *it)).collect(),
-            lent: self.shared.facts.lent(),
+            lent_requests: self.shared.facts.lent(),
             list_revision: self.list.as_ref().map_or(0, |list| list.revision),
         }
     }
 
-    fn hear_beat(&mut self, beat: &VmBeat, keeper: &xtra::Address<Self>) {
+    fn hear_beat(&mut self, beat: &VmHeartbeat, keeper: &xtra::Address<Self>) {
         let now = self.now();
         let source = self.shared.settings.reroute(beat.addresses.control);
         let list_revision = self.list.as_ref().map_or(0, |list| list.revision);
@@ -180,7 +180,7 @@
         if news || list_news {
             self.fetch_from(source, keeper);
         }
-        if !self.members.hear(beat.clone(), now) {
+        if !self.members.apply_heartbeat(beat.clone(), now) {
             return;
         }
         for (upstream, lifetime) in &beat.leaving_upstreams {
@@ -193,7 +193,7 @@
     }
 
     /// Forgets engines that their poller does not report any more: they do not answer it.
-    fn drop_unreported(&mut self, beat: &VmBeat) {
+    fn drop_unreported(&mut self, beat: &VmHeartbeat) {
         let serving = self.members.serving(self.serves(), self.now());
         let now = self.now();
         let is_gone = |engine: &UpstreamName, view: &EngineView| {
@@ -392,7 +392,7 @@
             tokio::spawn(fetch::refresh_after_pause(self.shared.clone(), keeper));
         }
         let now = self.now();
-        self.members.forget_silent(now);
+        self.members.evict_stale(now);
         self.publish();
         self.note_in_force();
     }
--- a/crates/foldhavend/src/control/publish.rs
+++ b/crates/foldhavend/src/control/publish.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use foldhaven_core::ids::ServiceName;
-use foldhaven_core::membership::SeenSummary;
+use foldhaven_core::membership::AgedSummary;
 use foldhaven_core::planner::{CentreView, RouteView};
 use foldhaven_core::time::MonoTime;
 use foldhaven_wire::platform::{UpstreamEntry, UpstreamKind};
@@ -94,7 +94,7 @@
     }
 
     fn member_views(&self, now: MonoTime) -> Vec<MemberView> {
-        let view = |(beat, state): (&foldhaven_core::membership::VmBeat, _)| MemberView {
+        let view = |(beat, state): (&foldhaven_core::membership::VmHeartbeat, _)| MemberView {
             vm: beat.vm.clone(),
             incarnation: beat.incarnation,
             addresses: beat.addresses.clone(),
@@ -105,6 +105,6 @@
     }
 }
 
-fn centre_view(seen: &SeenSummary<'_>, now: MonoTime) -> CentreView {
+fn centre_view(seen: &AgedSummary<'_>, now: MonoTime) -> CentreView {
     CentreView { summary: std::sync::Arc::new(seen.summary.clone()), observed: now - seen.age }
 }
--- a/crates/foldhavend/src/control/summary.rs
+++ b/crates/foldhavend/src/control/summary.rs
@@ -3,7 +3,9 @@
 use foldhaven_core::description::ModelConfig;
 use foldhaven_core::ids::{DataCentreName, ModelName};
 use foldhaven_core::load::{RecentWork, expected_wait};
-use foldhaven_core::membership::{CentreSummary, MemberState, ModelCapacity, SUMMARY_VMS, VmBrief};
+use foldhaven_core::membership::{
+    CentreSummary, MAX_SUMMARY_VMS, MemberState, ModelCapacity, VmContact,
+};
 use foldhaven_core::offers::{OfferDemand, SpareOffer, divide_spare};
 use foldhaven_wire::operator::{
     CentreStatus, DaemonState, MemberStatus, StatusAnswer, UpstreamStatus,
@@ -33,14 +35,14 @@
             vms.push(self.own_brief());
         }
         let live = self.members.members(now).filter(|(_, state)| takes_work(*state));
-        vms.extend(live.map(|(beat, _)| VmBrief {
+        vms.extend(live.map(|(beat, _)| VmContact {
             vm: beat.vm.clone(),
             incarnation: beat.incarnation,
             addresses: beat.addresses.clone(),
         }));
         vms.sort_by(|left, right| left.vm.cmp(&right.vm));
         let serving = vms.len() as u32;
-        vms.truncate(SUMMARY_VMS);
+        vms.truncate(MAX_SUMMARY_VMS);
         CentreSummary {
             data_centre: self.shared.settings.data_centre.clone(),
             author: self.shared.settings.vm.clone(),
@@ -55,8 +57,8 @@
         }
     }
 
-    fn own_brief(&self) -> VmBrief {
-        VmBrief {
+    fn own_brief(&self) -> VmContact {
+        VmContact {
             vm: self.shared.settings.vm.clone(),
             incarnation: self.shared.incarnation,
             addresses: self.shared.settings.addresses.clone(),
@@ -130,13 +132,13 @@
     fn lent_of(&self, model: &ModelName) -> u32 {
         let own = self.shared.facts.lent();
         let members = self.members.members(self.now());
-        let theirs = members.flat_map(|(beat, _)| &beat.lent);
+        let theirs = members.flat_map(|(beat, _)| &beat.lent_requests);
         own.iter().chain(theirs).filter(|(name, _)| name == model).map(|(_, count)| count).sum()
     }
 
     /// How much each other data centre would like to send here, by its own summary.
     fn demands_for(&self, model: &ModelName) -> Vec<OfferDemand> {
-        let demand = |seen: foldhaven_core::membership::SeenSummary<'_>| {
+        let demand = |seen: foldhaven_core::membership::AgedSummary<'_>| {
             let capacity = seen.summary.models.iter().find(|it| it.model == *model);
             let weight = capacity.map_or(LEAST_DEMAND, |it| {
                 let busy = 1.0 - f64::from(it.free) / f64::from(it.slots.max(1));
@@ -193,7 +195,7 @@
     }
 
     fn centre_statuses(&self) -> Vec<CentreStatus> {
-        let status = |seen: foldhaven_core::membership::SeenSummary<'_>| CentreStatus {
+        let status = |seen: foldhaven_core::membership::AgedSummary<'_>| CentreStatus {
             data_centre: seen.summary.data_centre.clone(),
             age_ms: seen.age.as_millis() as u64,
             serving: seen.summary.serving,
--- a/crates/foldhavend/src/settings.rs
+++ b/crates/foldhavend/src/settings.rs
@@ -90,9 +90,9 @@
     /// The spans by which members are judged.
     pub fn membership(&self) -> MembershipTimes {
         MembershipTimes {
-            interval: self.heartbeat.0,
-            suspect: self.suspect.0,
-            summary: (self.suspect.0 * 2).max(Duration::from_secs(1)),
+            heartbeat_interval: self.heartbeat.0,
+            suspect_after: self.suspect.0,
+            max_summary_age: (self.suspect.0 * 2).max(Duration::from_secs(1)),
             ..MembershipTimes::default()
         }
     }
--- a/crates/foldhavend/src/traffic/outgoing.rs
+++ b/crates/foldhavend/src/traffic/outgoing.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use foldhaven_core::headers;
 use foldhaven_core::ids::{AttemptId, DataCentreName, UpstreamName};
-use foldhaven_core::membership::VmBrief;
+use foldhaven_core::membership::VmContact;
 use foldhaven_core::planner::RouteOption;
 use foldhaven_core::time::MonoTime;
 use foldhaven_wire::engine::EngineRequest;
@@ -73,7 +73,7 @@
 }
 
 /// One of the VMs of another data centre, by chance.
-pub fn pick_peer<'a>(view: &'a PublishedView, centre: &DataCentreName) -> Option<&'a VmBrief> {
+pub fn pick_peer<'a>(view: &'a PublishedView, centre: &DataCentreName) -> Option<&'a VmContact> {
     let found = view.route.centres.iter().find(|it| it.summary.data_centre == *centre)?;
     let vms = &found.summary.vms;
     let at = rand::random::<u32>() as usize % vms.len().max(1);
