--- a/crates/foldhaven-core/src/load.rs
+++ b/crates/foldhaven-core/src/load.rs
@@ -125,18 +125,18 @@
 
 /// The running error of estimates: how far they are off, as a share of the estimate.
 #[derive(Debug, Clone)]
-pub struct EstimateError {
+pub struct EstimateCalibration {
     bias: f64,
     spread: f64,
 }
 
-impl Default for EstimateError {
+impl Default for EstimateCalibration {
     fn default() -> Self {
         Self { bias: 1.0, spread: 0.15 }
     }
 }
 
-impl EstimateError {
+impl EstimateCalibration {
     /// Takes in one pair of estimate and outcome.
     pub fn note(&mut self, estimate: Duration, actual: Duration) {
         const WEIGHT: f64 = 0.02;
--- a/crates/foldhaven-core/src/planner.rs
+++ b/crates/foldhaven-core/src/planner.rs
@@ -13,7 +13,9 @@
     AccountConfig, ClassConfig, DescriptionIndex, ModelConfig, ObjectiveConfig,
 };
 use crate::ids::{DataCentreName, RegionName, UpstreamName};
-use crate::load::{EngineView, EstimateError, RecentWork, WorkSize, chance_late, expected_wait};
+use crate::load::{
+    EngineView, EstimateCalibration, RecentWork, WorkSize, chance_late, expected_wait,
+};
 use crate::membership::{CentreSummary, ModelCapacity};
 use crate::residency::ResidencyRule;
 use crate::time::MonoTime;
@@ -41,7 +43,7 @@
 }
 
 /// What the traffic threads know and the view does not show yet.
-pub trait RouteFacts {
+pub trait LocalRouteState {
     /// Work dispatched to an engine since its report was true.
     fn recent_work(&self, engine: &EngineView) -> RecentWork;
     /// Tokens at the start of the prompt that the engine probably holds.
@@ -51,11 +53,11 @@
     /// Whether an upstream or data centre gets nothing for now, because calls to it failed.
     fn is_ejected(&self, target: &str, now: MonoTime) -> bool;
     /// How far estimates have been off.
-    fn estimate_error(&self) -> EstimateError;
+    fn estimate_calibration(&self) -> EstimateCalibration;
     /// The mean worth of a slot second of a model lately.
-    fn density(&self, model: &ModelConfig) -> f64;
+    fn worth_density(&self, model: &ModelConfig) -> f64;
     /// What the price of scarce capacity is to be multiplied by for an account, by what it used lately.
-    fn fair_factor(&self, account: &AccountConfig) -> f64;
+    fn fairness_factor(&self, account: &AccountConfig) -> f64;
 }
 
 /// One request, as far as the decision needs to know it.
@@ -145,7 +147,7 @@
 }
 
 /// A request that is late with this chance is refused now: its worth would not be delivered.
-pub const HOPELESS: f64 = 0.9;
+pub const MAX_CHANCE_LATE: f64 = 0.9;
 
 /// All options of one request, cheapest first, and what a refusal costs.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
@@ -157,7 +159,8 @@
     /// Whether any place was permitted by residency and held the model.
     pub any_permitted: bool,
     /// The shortest time after which asking again makes sense.
-    pub come_back: Duration,
+    #[serde(rename = "come_back")]
+    pub retry_after: Duration,
 }
 
 impl RoutePlan {
@@ -165,7 +168,7 @@
     pub fn choice(&self) -> Option<&RouteOption> {
         let taken = |option: &&RouteOption| {
             self.refusal.is_infinite()
-                || (option.price.total() < self.refusal && option.chance_late < HOPELESS)
+                || (option.price.total() < self.refusal && option.chance_late < MAX_CHANCE_LATE)
         };
         self.options.first().filter(taken)
     }
@@ -178,7 +181,7 @@
         &self,
         query: &RouteQuery<'_>,
         view: &RouteView,
-        facts: &dyn RouteFacts,
+        facts: &dyn LocalRouteState,
         now: MonoTime,
         draw: f64,
     ) -> RoutePlan;
@@ -193,11 +196,11 @@
         &self,
         query: &RouteQuery<'_>,
         view: &RouteView,
-        facts: &dyn RouteFacts,
+        facts: &dyn LocalRouteState,
         now: MonoTime,
         _draw: f64,
     ) -> RoutePlan {
-        let pricer = OptionPricer { query, view, facts, now, error: facts.estimate_error() };
+        let pricer = OptionPricer { query, view, facts, now, error: facts.estimate_calibration() };
         let (mut options, ejected) = pricer.engine_options();
         let mut any_permitted = !options.is_empty() || !ejected.is_empty();
         if query.is_origin {
@@ -210,9 +213,9 @@
             options = ejected;
         }
         options.sort_by(|left, right| left.price.total().total_cmp(&right.price.total()));
-        let come_back = come_back_time(&options, query.remaining);
+        let retry_after = come_back_time(&options, query.remaining);
         let refusal = view.index.description.objective.lateness * query.worth;
-        RoutePlan { options, refusal, any_permitted, come_back }
+        RoutePlan { options, refusal, any_permitted, retry_after }
     }
 }
 
@@ -233,9 +236,9 @@
 struct OptionPricer<'a> {
     query: &'a RouteQuery<'a>,
     view: &'a RouteView,
-    facts: &'a dyn RouteFacts,
+    facts: &'a dyn LocalRouteState,
     now: MonoTime,
-    error: EstimateError,
+    error: EstimateCalibration,
 }
 
 impl OptionPricer<'_> {
@@ -372,8 +375,8 @@
     fn pressure(&self, wait: Duration, is_away: bool) -> f64 {
         let limit = self.query.remaining.mul_f64(WAIT_LIMIT);
         let share = wait.as_secs_f64() / limit.as_secs_f64().max(1e-3);
-        let base = share * self.facts.density(self.query.model);
-        let base = base * self.facts.fair_factor(self.query.account);
+        let base = share * self.facts.worth_density(self.query.model);
+        let base = base * self.facts.fairness_factor(self.query.account);
         if is_away { base * AWAY_FACTOR } else { base }
     }
 }
--- a/crates/foldhaven-core/src/policy.rs
+++ b/crates/foldhaven-core/src/policy.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::planner::{
-    RouteFacts, RouteOption, RoutePlan, RoutePlanner, RoutePolicy, RouteQuery, RouteTarget,
+    LocalRouteState, RouteOption, RoutePlan, RoutePlanner, RoutePolicy, RouteQuery, RouteTarget,
     RouteView,
 };
 use crate::rank::rank_hash;
@@ -72,7 +72,7 @@
         &self,
         query: &RouteQuery<'_>,
         view: &RouteView,
-        facts: &dyn RouteFacts,
+        facts: &dyn LocalRouteState,
         now: MonoTime,
         draw: f64,
     ) -> RoutePlan {
@@ -118,10 +118,10 @@
 
 /// The facts as a plain policy sees them: every place may be used, and reports are taken as true.
 struct OpenFacts<'a> {
-    facts: &'a dyn RouteFacts,
+    facts: &'a dyn LocalRouteState,
 }
 
-impl RouteFacts for OpenFacts<'_> {
+impl LocalRouteState for OpenFacts<'_> {
     fn recent_work(&self, _engine: &crate::load::EngineView) -> crate::load::RecentWork {
         crate::load::RecentWork::default()
     }
@@ -144,7 +144,7 @@
         true
     }
 
-    fn density(&self, _model: &crate::description::ModelConfig) -> f64 {
+    fn worth_density(&self, _model: &crate::description::ModelConfig) -> f64 {
         0.0
     }
 
@@ -152,11 +152,11 @@
         self.facts.is_ejected(target, now)
     }
 
-    fn estimate_error(&self) -> crate::load::EstimateError {
-        crate::load::EstimateError::default()
+    fn estimate_calibration(&self) -> crate::load::EstimateCalibration {
+        crate::load::EstimateCalibration::default()
     }
 
-    fn fair_factor(&self, _account: &crate::description::AccountConfig) -> f64 {
+    fn fairness_factor(&self, _account: &crate::description::AccountConfig) -> f64 {
         1.0
     }
 }
--- a/crates/foldhaven-core/tests/testsuite/load.rs
+++ b/crates/foldhaven-core/tests/testsuite/load.rs
@@ -6,7 +6,7 @@
 use foldhaven_core::burn::{BurnEvent, BurnMeter};
 use foldhaven_core::fairness::UsageBook;
 use foldhaven_core::health::HealthBook;
-use foldhaven_core::load::{EstimateError, RecentWork, chance_late, expected_wait};
+use foldhaven_core::load::{EstimateCalibration, RecentWork, chance_late, expected_wait};
 use foldhaven_core::pause::PauseDetector;
 use foldhaven_core::prefix::{BLOCK_BYTES, PrefixIndex, block_hashes};
 use foldhaven_core::retry::RetryBudget;
@@ -44,7 +44,7 @@
 
 #[test]
 fn the_bias_of_estimates_is_learnt() {
-    let mut error = EstimateError::default();
+    let mut error = EstimateCalibration::default();
     (0..400).for_each(|_| error.note(Duration::from_millis(100), Duration::from_millis(150)));
     assert!((error.bias() - 1.5).abs() < 0.02);
     assert!(error.spread() < 0.1);
--- a/crates/foldhaven-core/tests/testsuite/routing.rs
+++ b/crates/foldhaven-core/tests/testsuite/routing.rs
@@ -6,11 +6,11 @@
 
 use foldhaven_core::description::{AccountConfig, ModelConfig};
 use foldhaven_core::ids::{DataCentreName, IncarnationId, UpstreamName};
-use foldhaven_core::load::{EngineView, EstimateError, RecentWork};
+use foldhaven_core::load::{EngineView, EstimateCalibration, RecentWork};
 use foldhaven_core::membership::{CentreSummary, ModelCapacity, VmAddresses, VmContact};
 use foldhaven_core::offers::{OfferBook, OfferDemand, divide_spare};
 use foldhaven_core::planner::{
-    CentreView, RouteFacts, RoutePlan, RouteQuery, RouteTarget, RouteView,
+    CentreView, LocalRouteState, RoutePlan, RouteQuery, RouteTarget, RouteView,
 };
 use foldhaven_core::policy::PolicyKind;
 use foldhaven_core::time::MonoTime;
@@ -26,7 +26,7 @@
     density: f64,
 }
 
-impl RouteFacts for TestFacts {
+impl LocalRouteState for TestFacts {
     fn recent_work(&self, _: &EngineView) -> RecentWork {
         RecentWork::default()
     }
@@ -36,16 +36,16 @@
     fn is_offered(&self, _: &DataCentreName, _: &ModelConfig, _: MonoTime) -> bool {
         self.offered > 0
     }
-    fn density(&self, _: &ModelConfig) -> f64 {
+    fn worth_density(&self, _: &ModelConfig) -> f64 {
         self.density
     }
     fn is_ejected(&self, name: &str, _: MonoTime) -> bool {
         self.ejected.contains(&name)
     }
-    fn estimate_error(&self) -> EstimateError {
-        EstimateError::default()
+    fn estimate_calibration(&self) -> EstimateCalibration {
+        EstimateCalibration::default()
     }
-    fn fair_factor(&self, _: &AccountConfig) -> f64 {
+    fn fairness_factor(&self, _: &AccountConfig) -> f64 {
         1.0
     }
 }
@@ -165,7 +165,7 @@
     let late = view(vec![engine("e1", 100, 200_000)], 0);
     let plan = plan(PolicyKind::Planner, "sealed", &late, &TestFacts::default(), 10.0);
     assert!(plan.choice().is_none() && plan.any_permitted);
-    assert!(plan.come_back > Duration::from_secs(1), "{:?}", plan.come_back);
+    assert!(plan.retry_after > Duration::from_secs(1), "{:?}", plan.retry_after);
 }
 
 #[test]
--- a/crates/foldhavenctl/src/cmd/explain.rs
+++ b/crates/foldhavenctl/src/cmd/explain.rs
@@ -57,7 +57,7 @@
     println!("refusing costs {:.4}", answer.plan.refusal);
     match answer.plan.choice() {
         Some(option) => println!("taken: {}", option.target.name()),
-        None => println!("refused; come back after {:?}", answer.plan.come_back),
+        None => println!("refused; come back after {:?}", answer.plan.retry_after),
     }
     Ok(())
 }
--- a/crates/foldhavend/src/traffic/facts.rs
+++ b/crates/foldhavend/src/traffic/facts.rs
@@ -9,9 +9,9 @@
 use foldhaven_core::fairness::UsageBook;
 use foldhaven_core::health::HealthBook;
 use foldhaven_core::ids::{DataCentreName, ModelName, UpstreamName};
-use foldhaven_core::load::{EngineView, EstimateError, RecentWork};
+use foldhaven_core::load::{EngineView, EstimateCalibration, RecentWork};
 use foldhaven_core::offers::{OFFER_LIFETIME, OfferBook};
-use foldhaven_core::planner::RouteFacts;
+use foldhaven_core::planner::LocalRouteState;
 use foldhaven_core::prefix::PrefixIndex;
 use foldhaven_core::retry::RetryBudget;
 use foldhaven_core::time::MonoTime;
@@ -37,7 +37,7 @@
     prefixes: PrefixIndex,
     offers: OfferBook,
     health: HealthBook,
-    error: EstimateError,
+    error: EstimateCalibration,
     usage: UsageBook,
     retries: RetryBudget,
     density: BTreeMap<ModelName, f64>,
@@ -59,7 +59,7 @@
             prefixes: PrefixIndex::new(PREFIX_BLOCKS, PREFIX_LIFETIME),
             offers: OfferBook::default(),
             health: HealthBook::default(),
-            error: EstimateError::default(),
+            error: EstimateCalibration::default(),
             usage: UsageBook::default(),
             retries: RetryBudget::new(RETRY_SHARE, RETRY_CAP),
             density: BTreeMap::new(),
@@ -192,7 +192,7 @@
     }
 }
 
-impl RouteFacts for TrafficFacts {
+impl LocalRouteState for TrafficFacts {
     fn recent_work(&self, engine: &EngineView) -> RecentWork {
         let inner = self.inner.lock();
         let Some(dispatched) = inner.dispatched.get(&engine.load.engine) else {
@@ -214,7 +214,7 @@
         self.inner.lock().offers.is_available(centre, &model.name, now)
     }
 
-    fn density(&self, model: &ModelConfig) -> f64 {
+    fn worth_density(&self, model: &ModelConfig) -> f64 {
         self.inner.lock().density.get(&model.name).copied().unwrap_or_default()
     }
 
@@ -222,11 +222,11 @@
         self.inner.lock().health.is_ejected(target, now)
     }
 
-    fn estimate_error(&self) -> EstimateError {
+    fn estimate_calibration(&self) -> EstimateCalibration {
         self.inner.lock().error.clone()
     }
 
-    fn fair_factor(&self, account: &AccountConfig) -> f64 {
+    fn fairness_factor(&self, account: &AccountConfig) -> f64 {
         self.inner.lock().usage.factor(&account.name, account.share)
     }
 }
--- a/crates/foldhavend/src/traffic/origin.rs
+++ b/crates/foldhavend/src/traffic/origin.rs
@@ -158,7 +158,7 @@
             }
             Some(option) => refusal_detail(option, job.head.remaining(self.shared().now())),
         };
-        let come_back = jittered_return(plan.come_back, rand::random());
+        let come_back = jittered_return(plan.retry_after, rand::random());
         Err(RefusalAnswer::not_run(ROUTE_STEP, reason, detail).with_retry_after(come_back))
     }
 
--- a/crates/foldhavend/src/traffic/service.rs
+++ b/crates/foldhavend/src/traffic/service.rs
@@ -9,7 +9,7 @@
 use foldhaven_core::burn::BurnEvent;
 use foldhaven_core::headers;
 use foldhaven_core::ids::{DataCentreName, ServiceName};
-use foldhaven_core::planner::{RouteFacts, RouteTarget};
+use foldhaven_core::planner::{LocalRouteState, RouteTarget};
 use foldhaven_core::refusal::{RefusalAnswer, RefusalReason, jittered_return};
 use foldhaven_core::residency::PlaceScope;
 use foldhaven_core::ticket::RequestTicket;
