--- a/crates/foldhaven-core/src/attempt.rs
+++ b/crates/foldhaven-core/src/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempt records: what is known of each try, and what may truthfully be said of the request.
+//! Attempt records: the known state of each attempt, and the request outcome that follows from it.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,15 +7,15 @@
 
 use crate::ids::AttemptId;
 
-/// What may be said of a request when it has ended.
+/// The outcome reported for a request that ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RequestOutcome {
-    /// The whole answer was handed over.
+    /// The whole answer was delivered.
     Complete,
-    /// Nothing of the request ran, and nothing of it will.
+    /// No part of the request ran, and none will.
     NotRun,
-    /// Some of the request may have run.
+    /// Part of the request may have run.
     Unknown,
 }
 
@@ -46,70 +46,71 @@
     }
 }
 
-/// What is known of one try.
+/// The known state of one attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptState {
-    /// Chosen; no byte of it has left.
+    /// The target was chosen, and no byte of the request was sent.
     Planned,
-    /// A byte of it may have left, and no more is known.
+    /// A byte of the request may have been sent, and no answer is known.
     Dispatched,
-    /// The connection was refused before any byte of the request left.
+    /// The connection failed before any byte of the request was sent.
     NotSent,
     /// The receiver recorded that it refused this attempt and will not run it.
     Refused,
-    /// It failed after a byte may have left.
+    /// The attempt failed after a byte may have been sent.
     Broken,
-    /// Its whole answer arrived and was checked.
+    /// The whole answer arrived and was checked.
     Complete,
 }
 
-/// One try with its target.
+/// One attempt with its target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AttemptRecord {
-    /// The id under which the receiver knows the try.
+    /// The id that the receiver gets for the attempt.
     pub id: AttemptId,
-    /// The upstream or peer that was tried.
+    /// The name of the upstream or peer.
     pub target: String,
-    /// What is known of it.
+    /// The known state.
     pub state: AttemptState,
 }
 
-/// All tries of one request, in order. Only the last one can be under way.
+/// All attempts of one request, in order. Only the last one can be in flight.
 ///
-/// A log that is dropped in the middle of a try says `unknown`, never `not_run`.
+/// While an attempt is in flight, the outcome is `unknown`, never `not_run`, so that a log dropped
+/// at that point does not claim too much.
 #[derive(Debug, Clone, Default)]
 pub struct AttemptLog {
     records: Vec<AttemptRecord>,
 }
 
 impl AttemptLog {
-    /// Adds a try of which nothing has left yet.
+    /// Adds a planned attempt, of which no byte was sent yet.
     pub fn plan(&mut self, id: AttemptId, target: impl Into<String>) {
         let target = target.into();
         self.records.push(AttemptRecord { id, target, state: AttemptState::Planned });
     }
 
-    /// Records what is now known of the last try.
+    /// Records the new state of the last attempt.
     ///
-    /// A try that ended stays as it is, so that late news cannot improve on what was known: only
-    /// `Planned` and `Dispatched` change, and `Dispatched` never goes back to `Planned` or to
-    /// `NotSent`.
+    /// An attempt that ended keeps its state, so that late updates cannot replace it by a more
+    /// favourable one: only `Planned` and `Dispatched` change, and `Dispatched` never goes back to
+    /// `Planned` or `NotSent`.
     pub fn record(&mut self, state: AttemptState) {
         let Some(last) = self.records.last_mut() else { return };
-        let permitted = match last.state {
+        let is_permitted = match last.state {
             AttemptState::Planned => true,
             AttemptState::Dispatched => {
                 !matches!(state, AttemptState::Planned | AttemptState::NotSent)
             }
             _ => false,
         };
-        if permitted {
+        if is_permitted {
             last.state = state;
         }
     }
 
-    /// Records that the last try, of which a byte may have left, was in fact never sent, as only
-    /// the connector can tell: the connection itself was not made.
+    /// Records that the last attempt, which was marked as dispatched, was never sent because no
+    /// connection was established. Only the connector knows this.
     pub fn record_not_connected(&mut self) {
         if let Some(last) = self.records.last_mut()
             && last.state == AttemptState::Dispatched
@@ -118,7 +119,7 @@
         }
     }
 
-    /// What may be said of the request now.
+    /// Returns the outcome of the request as known now.
     pub fn outcome(&self) -> RequestOutcome {
         if self.records.iter().any(|record| record.state == AttemptState::Complete) {
             return RequestOutcome::Complete;
@@ -133,17 +134,17 @@
         }
     }
 
-    /// Whether another try is permitted: always for a repeatable request that is not complete, and
-    /// for any other only while nothing of it can have run.
-    pub fn may_retry(&self, repeatable: bool) -> bool {
+    /// Returns whether another attempt is permitted: always for a repeatable request that is not
+    /// complete, and for any other request only while no part of it can have run.
+    pub fn may_retry(&self, is_repeatable: bool) -> bool {
         match self.outcome() {
             RequestOutcome::Complete => false,
             RequestOutcome::NotRun => true,
-            RequestOutcome::Unknown => repeatable,
+            RequestOutcome::Unknown => is_repeatable,
         }
     }
 
-    /// The tries so far.
+    /// Returns the attempts so far.
     pub fn records(&self) -> &[AttemptRecord] {
         &self.records
     }
--- a/crates/foldhaven-core/src/membership.rs
+++ b/crates/foldhaven-core/src/membership.rs
@@ -1,8 +1,9 @@
-//! Who is there: heartbeats inside a data centre, summaries between data centres.
+//! Membership: heartbeats within a data centre and summaries between data centres.
 //!
-//! Every input may be wrong. A member counts as reachable only while it is heard from *and* our
-//! own calls to it succeed, so that a one-way cut shows on both sides. Delegates are simply the
-//! lowest live names; nothing breaks when two parts of a data centre choose different ones.
+//! Every input may be wrong. A member counts as reachable only while its heartbeats arrive *and*
+//! this VM's own calls to it succeed, so that a one-way partition is detected on both sides.
+//! Delegates are the live members with the lowest names. Two partitions of a data centre may
+//! choose different delegates without harm.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -19,28 +20,29 @@
 use crate::rank::rank_by;
 use crate::time::MonoTime;
 
-/// How many members of a data centre speak for it to other data centres.
+/// Number of delegates: members of a data centre that exchange summaries with other data centres.
 pub const DELEGATES_PER_CENTRE: usize = 2;
 
-/// How many members one daemon starts an exchange with in one round. It turns through all of them,
-/// so that what heartbeats cost does not grow with the members.
+/// Number of members with which a daemon starts a heartbeat exchange in one round. The daemon
+/// rotates through all members, so that its heartbeat cost does not grow with their number.
 pub const HEARTBEAT_FANOUT: usize = 4;
 
-/// After how many calls in a row that were not answered a member gets no new work.
+/// Number of consecutive unanswered calls after which a member gets no new work.
 const MAX_FAILED_CALLS: u32 = 2;
-/// A member is given this many turns through all members before its silence counts.
+/// Number of full rotations through all members without a heartbeat after which a member is stale.
 const STALE_ROTATIONS: f64 = 2.5;
 
-/// The spans by which members are judged.
+/// Intervals and timeouts of the membership protocol.
 #[derive(Debug, Clone, Copy)]
 pub struct MembershipTimes {
-    /// Between two heartbeats to one member.
+    /// Time between two rounds of heartbeats.
     pub heartbeat_interval: Duration,
-    /// A member not heard from, or not reached, for this long gets no new work.
+    /// Time without a heartbeat from a member, or without a successful call to it, after which it
+    /// gets no new work. Longer in data centres where a rotation through all members takes longer.
     pub suspect_after: Duration,
-    /// A member not heard from for this long is forgotten.
+    /// Time without a heartbeat or summary after which a member or summary is removed.
     pub forget_after: Duration,
-    /// A summary of another data centre older than this is not acted on.
+    /// Maximum age of a summary of another data centre. Older ones are not used for decisions.
     pub max_summary_age: Duration,
 }
 
@@ -55,230 +57,245 @@
     }
 }
 
-/// The addresses at which a daemon is reached.
+/// The listening addresses of a daemon.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmAddresses {
-    /// Where callers send requests.
+    /// Address to which callers send requests.
     pub caller: SocketAddr,
-    /// Where other daemons forward requests, and operators ask.
+    /// Address to which other daemons forward requests and operators send queries.
     pub peer: SocketAddr,
-    /// Where other daemons send heartbeats and fetch descriptions.
+    /// Address to which other daemons send heartbeats and from which they fetch descriptions.
     pub control: SocketAddr,
 }
 
-/// What a daemon says of itself in a heartbeat.
+/// The state that a daemon announces about itself in a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct VmHeartbeat {
     /// The VM.
     pub vm: VmName,
-    /// Its data centre.
+    /// The VM's data centre.
     pub data_centre: DataCentreName,
-    /// Its process lifetime.
+    /// The incarnation of the daemon.
     pub incarnation: IncarnationId,
-    /// Counts up with each heartbeat.
+    /// Sequence number, incremented with each heartbeat.
     pub sequence: u64,
-    /// Whether it finishes its work and takes no more.
+    /// Whether the daemon is draining: it finishes its requests and accepts no new ones.
     pub leaving: bool,
-    /// The stamp of the description in force there.
+    /// The stamp of the description in force at the VM, `None` if it has none yet.
     pub stamp: Option<DescriptionStamp>,
-    /// How many requests are under way there.
+    /// Number of requests in flight at the VM.
     pub in_flight: u32,
-    /// Its addresses.
+    /// The VM's addresses.
     pub addresses: VmAddresses,
-    /// The engines that it polls, as it last saw them.
+    /// The last load reports of the engines that the VM polls.
     pub loads: Vec<EngineLoad>,
-    /// The upstreams that it saw leaving, with the process lifetime that leaves.
+    /// The upstreams that the VM saw leaving, each with its leaving incarnation.
     pub leaving_upstreams: Vec<(UpstreamName, u64)>,
-    /// Requests of other data centres under way here, by model.
+    /// Number of requests from other data centres in flight at the VM, by model.
     #[serde(rename = "lent")]
     pub lent_requests: Vec<(ModelName, u32)>,
-    /// The revision of the list of upstreams that it holds; 0 for none.
+    /// The revision of the VM's list of upstreams, 0 if it has none.
     pub list_revision: u64,
 }
 
-/// One member as others see it in a summary.
+/// Contact details of a member, as listed in a summary.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmContact {
     /// The VM.
     pub vm: VmName,
-    /// Its process lifetime.
+    /// The incarnation of the daemon.
     pub incarnation: IncarnationId,
-    /// Its addresses.
+    /// The VM's addresses.
     pub addresses: VmAddresses,
 }
 
-/// What a data centre can do for one model.
+/// The capacity of a data centre for one model.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ModelCapacity {
     /// The model.
     pub model: ModelName,
-    /// Slots of engines that hold it.
+    /// Number of slots of the engines that hold the model.
     pub slots: u32,
-    /// Slots not in use.
+    /// Number of those slots that are free.
     pub free: u32,
     /// The expected wait for a slot, in milliseconds.
     pub wait_ms: u32,
 }
 
-/// What a data centre says of itself to others, by one of its delegates.
+/// A data centre's state, written by one of its delegates for the other data centres.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CentreSummary {
     /// The data centre.
     pub data_centre: DataCentreName,
-    /// The delegate that wrote this.
+    /// The delegate that wrote the summary.
     pub author: VmName,
-    /// The delegate's process lifetime and count of summaries: later ones are larger.
+    /// The delegate's incarnation and its count of summaries. Later summaries have larger versions.
     pub version: (IncarnationId, u64),
-    /// How old the content is, in milliseconds, added up over the hops it took.
+    /// Age of the content in milliseconds, accumulated over all hops.
     pub age_ms: u32,
-    /// The lowest and the highest stamp in force among its serving members.
+    /// The lowest and the highest stamp in force among the serving members, `None` if no member
+    /// has a description.
     pub stamps: Option<(DescriptionStamp, DescriptionStamp)>,
-    /// Its serving members; the first few when there are many.
+    /// The serving members, at most [`MAX_SUMMARY_VMS`] of them.
     pub vms: Vec<VmContact>,
-    /// How many members serve there.
+    /// Number of serving members.
     pub serving: u32,
-    /// What it can do for each model.
+    /// The capacity for each model.
     pub models: Vec<ModelCapacity>,
-    /// The plain services of which it has instances that take work.
+    /// The plain services that have instances that accept work.
     pub services: Vec<ServiceName>,
-    /// Slices of spare capacity that it leases to others.
+    /// Slices of spare capacity leased to other data centres.
     pub offers: Vec<SpareOffer>,
 }
 
-/// How many members a summary names.
+/// Maximum number of members listed in a summary.
 pub const MAX_SUMMARY_VMS: usize = 4;
 
-/// How a member is judged now.
+/// Health of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MemberState {
-    /// Heard from and reached lately.
+    /// Heartbeats arrive and calls succeed.
     Live,
-    /// Live, but it takes no new work.
+    /// Live, but accepts no new work.
     Leaving,
-    /// Not heard from, or not reached, for a while.
+    /// Heartbeats stopped, or calls to the member fail.
     Suspect,
 }
 
 #[derive(Debug, Clone)]
 struct MemberEntry {
-    beat: VmHeartbeat,
-    heard: MonoTime,
-    reached: MonoTime,
+    heartbeat: VmHeartbeat,
+    /// When the last heartbeat was received.
+    last_received: MonoTime,
+    /// When a call to the member last succeeded.
+    last_reached: MonoTime,
+    /// Number of consecutive unanswered calls.
     failed_calls: u32,
 }
 
 #[derive(Debug, Clone)]
 struct SummaryEntry {
     summary: CentreSummary,
-    received: MonoTime,
+    /// When the summary's content was true, on this process's clock.
+    observed: MonoTime,
     first_seen: MonoTime,
 }
 
-/// A summary with its present age.
+/// A summary with its current age.
 #[derive(Debug, Clone, Copy)]
 pub struct AgedSummary<'a> {
     /// The summary.
     pub summary: &'a CentreSummary,
-    /// How old its content is now.
+    /// Current age of the content.
     pub age: Duration,
-    /// For how long this data centre has been seen without a break.
+    /// How long the data centre has been seen without interruption.
     pub seen_for: Duration,
 }
 
-/// All that one daemon knows of members and of other data centres.
+/// One daemon's view of the members of its data centre and of the other data centres.
 pub struct MemberTable {
     own: VmName,
     centre: DataCentreName,
     times: MembershipTimes,
     members: BTreeMap<VmName, MemberEntry>,
-    gone: BTreeMap<VmName, IncarnationId>,
+    /// The highest incarnation of each member that announced its end.
+    ended: BTreeMap<VmName, IncarnationId>,
     summaries: BTreeMap<DataCentreName, BTreeMap<VmName, SummaryEntry>>,
 }
 
 impl MemberTable {
-    /// A table for one daemon that knows nobody yet.
+    /// Creates an empty table.
     pub fn new(own: VmName, centre: DataCentreName, times: MembershipTimes) -> Self {
         Self {
             own,
             centre,
             times,
             members: BTreeMap::new(),
-            gone: BTreeMap::new(),
+            ended: BTreeMap::new(),
             summaries: BTreeMap::new(),
         }
     }
 
-    /// Takes in a heartbeat of a member of this data centre. Returns whether it was news: a beat of
-    /// an ended incarnation or an older sequence is not.
-    pub fn apply_heartbeat(&mut self, beat: VmHeartbeat, now: MonoTime) -> bool {
-        if beat.vm == self.own || beat.data_centre != self.centre {
+    /// Applies a heartbeat from a member of this data centre. Returns whether it updated the table:
+    /// a heartbeat with an ended incarnation or an older sequence number does not.
+    pub fn apply_heartbeat(&mut self, heartbeat: VmHeartbeat, now: MonoTime) -> bool {
+        if heartbeat.vm == self.own || heartbeat.data_centre != self.centre {
             return false;
         }
-        if self.gone.get(&beat.vm).is_some_and(|ended| beat.incarnation <= *ended) {
+        if self.ended.get(&heartbeat.vm).is_some_and(|ended| heartbeat.incarnation <= *ended) {
             return false;
         }
-        match self.members.get_mut(&beat.vm) {
+        match self.members.get_mut(&heartbeat.vm) {
             Some(entry) => {
-                let order = (beat.incarnation, beat.sequence);
-                if order <= (entry.beat.incarnation, entry.beat.sequence) {
+                let order = (heartbeat.incarnation, heartbeat.sequence);
+                if order <= (entry.heartbeat.incarnation, entry.heartbeat.sequence) {
                     return false;
                 }
-                if beat.incarnation > entry.beat.incarnation {
-                    entry.reached = now;
+                if heartbeat.incarnation > entry.heartbeat.incarnation {
+                    entry.last_reached = now;
                     entry.failed_calls = 0;
                 }
-                entry.heard = now;
-                entry.beat = beat;
+                entry.last_received = now;
+                entry.heartbeat = heartbeat;
             }
             None => {
-                let entry = MemberEntry { beat, heard: now, reached: now, failed_calls: 0 };
-                self.members.insert(entry.beat.vm.clone(), entry);
+                let entry = MemberEntry {
+                    heartbeat,
+                    last_received: now,
+                    last_reached: now,
+                    failed_calls: 0,
+                };
+                self.members.insert(entry.heartbeat.vm.clone(), entry);
             }
         }
         true
     }
 
-    /// Notes that a call of ours to a member was answered.
+    /// Records that this daemon's call to a member was answered.
     pub fn record_reached(&mut self, vm: &VmName, now: MonoTime) {
         if let Some(entry) = self.members.get_mut(vm) {
-            entry.reached = now;
+            entry.last_reached = now;
             entry.failed_calls = 0;
         }
     }
 
-    /// Notes that a call of ours to a member was not answered.
+    /// Records that this daemon's call to a member was not answered.
     pub fn record_failed_call(&mut self, vm: &VmName) {
         if let Some(entry) = self.members.get_mut(vm) {
             entry.failed_calls += 1;
         }
     }
 
-    /// The members to start an exchange with in a round: [`HEARTBEAT_FANOUT`] of them, in turn.
+    /// Returns the members with which to start a heartbeat exchange in a round:
+    /// [`HEARTBEAT_FANOUT`] of them, in rotation.
     pub fn heartbeat_targets(&self, round: u64) -> Vec<&VmHeartbeat> {
-        let beats: Vec<&VmHeartbeat> = self.members.values().map(|entry| &entry.beat).collect();
+        let members: Vec<&VmHeartbeat> =
+            self.members.values().map(|entry| &entry.heartbeat).collect();
         let first = round as usize * HEARTBEAT_FANOUT;
-        let count = HEARTBEAT_FANOUT.min(beats.len());
-        (0..count).map(|at| beats[(first + at) % beats.len()]).collect()
+        let count = HEARTBEAT_FANOUT.min(members.len());
+        (0..count).map(|at| members[(first + at) % members.len()]).collect()
     }
 
-    /// How long a member may be silent: longer where a turn through all members takes longer.
-    fn silence_limit(&self) -> Duration {
+    /// Returns the time without contact after which a member is suspect. It grows with the time of
+    /// a full rotation through all members.
+    fn staleness_limit(&self) -> Duration {
         let rounds = self.members.len().div_ceil(HEARTBEAT_FANOUT) as f64;
         self.times
             .suspect_after
             .max(self.times.heartbeat_interval.mul_f64(rounds * STALE_ROTATIONS))
     }
 
-    /// Notes that a member said it ends this process lifetime.
+    /// Records that a member announced the end of an incarnation.
     pub fn record_ended(&mut self, vm: &VmName, incarnation: IncarnationId) {
-        let ended = self.gone.entry(vm.clone()).or_insert(incarnation);
+        let ended = self.ended.entry(vm.clone()).or_insert(incarnation);
         *ended = (*ended).max(incarnation);
-        if self.members.get(vm).is_some_and(|entry| entry.beat.incarnation <= incarnation) {
+        if self.members.get(vm).is_some_and(|entry| entry.heartbeat.incarnation <= incarnation) {
             self.members.remove(vm);
         }
     }
 
-    /// Takes in a summary of another data centre. Returns whether it was news.
+    /// Applies a summary of another data centre. Returns whether it updated the table: a summary
+    /// that is too old, or not newer than the author's last one, does not.
     pub fn apply_summary(&mut self, summary: CentreSummary, now: MonoTime) -> bool {
         if summary.data_centre == self.centre {
             return false;
@@ -293,68 +310,75 @@
         if !authors.get(&summary.author).is_none_or(newer) {
             return false;
         }
-        let received = now - age;
+        let observed = now - age;
         let first_seen = seen_since.unwrap_or(now);
         let author = summary.author.clone();
-        authors.insert(author, SummaryEntry { summary, received, first_seen });
+        authors.insert(author, SummaryEntry { summary, observed, first_seen });
         true
     }
 
+    /// Returns the time since which a data centre has been seen without interruption, `None` if
+    /// there is no usable summary of it.
     fn seen_since(&self, centre: &DataCentreName, now: MonoTime) -> Option<MonoTime> {
-        let fresh = |entry: &&SummaryEntry| now.since(entry.received) <= self.times.max_summary_age;
+        let is_fresh =
+            |entry: &&SummaryEntry| now.since(entry.observed) <= self.times.max_summary_age;
         let authors = self.summaries.get(centre)?;
-        authors.values().filter(fresh).map(|entry| entry.first_seen).min()
+        authors.values().filter(is_fresh).map(|entry| entry.first_seen).min()
     }
 
-    /// Drops members and summaries that have been silent for too long.
+    /// Removes members and summaries that were not updated within
+    /// [`MembershipTimes::forget_after`].
     pub fn evict_stale(&mut self, now: MonoTime) {
-        let forget = self.times.forget_after;
-        self.members.retain(|_, entry| now.since(entry.heard) < forget);
+        let forget_after = self.times.forget_after;
+        self.members.retain(|_, entry| now.since(entry.last_received) < forget_after);
         for authors in self.summaries.values_mut() {
-            authors.retain(|_, entry| now.since(entry.received) < forget);
+            authors.retain(|_, entry| now.since(entry.observed) < forget_after);
         }
         self.summaries.retain(|_, authors| !authors.is_empty());
     }
 
-    /// How a member is judged now; nothing when it is not known.
+    /// Returns the state of a member, `None` if the member is unknown.
     pub fn state(&self, vm: &VmName, now: MonoTime) -> Option<MemberState> {
-        self.members.get(vm).map(|entry| self.judge(entry, now))
+        self.members.get(vm).map(|entry| self.classify(entry, now))
     }
 
-    fn judge(&self, entry: &MemberEntry, now: MonoTime) -> MemberState {
-        let limit = self.silence_limit();
-        let silent = now.since(entry.heard) > limit;
-        let unreached = now.since(entry.reached) > limit || entry.failed_calls >= MAX_FAILED_CALLS;
-        match (silent || unreached, entry.beat.leaving) {
+    fn classify(&self, entry: &MemberEntry, now: MonoTime) -> MemberState {
+        let limit = self.staleness_limit();
+        let is_stale = now.since(entry.last_received) > limit;
+        let is_unreachable =
+            now.since(entry.last_reached) > limit || entry.failed_calls >= MAX_FAILED_CALLS;
+        match (is_stale || is_unreachable, entry.heartbeat.leaving) {
             (true, _) => MemberState::Suspect,
             (false, true) => MemberState::Leaving,
             (false, false) => MemberState::Live,
         }
     }
 
-    /// The other members of this data centre with their last heartbeats.
+    /// Returns the other members of this data centre with their last heartbeats and states.
     pub fn members(&self, now: MonoTime) -> impl Iterator<Item = (&VmHeartbeat, MemberState)> {
-        self.members.values().map(move |entry| (&entry.beat, self.judge(entry, now)))
+        self.members.values().map(move |entry| (&entry.heartbeat, self.classify(entry, now)))
     }
 
-    /// The names of the members that serve, the own one included when `own_serves`, in order.
-    pub fn serving(&self, own_serves: bool, now: MonoTime) -> Vec<VmName> {
+    /// Returns the sorted names of the serving members. This daemon's VM is included if
+    /// `is_own_serving`.
+    pub fn serving(&self, is_own_serving: bool, now: MonoTime) -> Vec<VmName> {
         let live = self.members(now).filter(|(_, state)| *state == MemberState::Live);
-        let mut names: Vec<VmName> = live.map(|(beat, _)| beat.vm.clone()).collect();
-        if own_serves {
+        let mut names: Vec<VmName> = live.map(|(heartbeat, _)| heartbeat.vm.clone()).collect();
+        if is_own_serving {
             names.push(self.own.clone());
         }
         names.sort();
         names
     }
 
-    /// Whether this daemon is one of those that speak for its data centre.
-    pub fn is_delegate(&self, own_serves: bool, now: MonoTime) -> bool {
-        let serving = self.serving(own_serves, now);
+    /// Returns whether this daemon is a delegate of its data centre.
+    pub fn is_delegate(&self, is_own_serving: bool, now: MonoTime) -> bool {
+        let serving = self.serving(is_own_serving, now);
         serving.iter().take(DELEGATES_PER_CENTRE).any(|name| *name == self.own)
     }
 
-    /// The freshest summary of each other data centre that is young enough to act on.
+    /// Returns the freshest summary of each other data centre. Data centres whose freshest summary
+    /// exceeds [`MembershipTimes::max_summary_age`] are left out.
     pub fn summaries(&self, now: MonoTime) -> Vec<AgedSummary<'_>> {
         let all = self.summaries.values();
         all.filter_map(|authors| self.freshest(authors, now)).collect()
@@ -365,8 +389,8 @@
         authors: &'a BTreeMap<VmName, SummaryEntry>,
         now: MonoTime,
     ) -> Option<AgedSummary<'a>> {
-        let entry = authors.values().max_by_key(|entry| entry.received)?;
-        let age = now.since(entry.received);
+        let entry = authors.values().max_by_key(|entry| entry.observed)?;
+        let age = now.since(entry.observed);
         if age > self.times.max_summary_age {
             return None;
         }
@@ -374,7 +398,7 @@
         Some(AgedSummary { summary: &entry.summary, age, seen_for: now.since(first) })
     }
 
-    /// The versions of the summaries held, to ask a peer only for newer ones.
+    /// Returns the versions of the stored summaries, used to request only newer ones from a peer.
     pub fn summary_versions(&self) -> Vec<SummaryVersion> {
         let all = self.summaries.values().flat_map(BTreeMap::values);
         let version = |entry: &SummaryEntry| SummaryVersion {
@@ -384,46 +408,49 @@
         all.map(version).collect()
     }
 
-    /// The summaries held that are newer than what a peer holds, with their ages brought up to
-    /// date.
+    /// Returns the stored summaries that are newer than the versions known to a peer, with updated
+    /// ages.
     pub fn summaries_newer_than(
         &self,
-        held: &[SummaryVersion],
+        known: &[SummaryVersion],
         now: MonoTime,
     ) -> Vec<CentreSummary> {
-        let held: BTreeMap<&VmName, (IncarnationId, u64)> =
-            held.iter().map(|version| (&version.author, version.version)).collect();
+        let known: BTreeMap<&VmName, (IncarnationId, u64)> =
+            known.iter().map(|version| (&version.author, version.version)).collect();
         let all = self.summaries.values().flat_map(BTreeMap::values);
         let newer = |entry: &&SummaryEntry| {
-            let fresh = now.since(entry.received) <= self.times.max_summary_age;
-            let theirs = held.get(&entry.summary.author);
-            fresh && theirs.is_none_or(|version| *version < entry.summary.version)
+            let is_fresh = now.since(entry.observed) <= self.times.max_summary_age;
+            let peer_version = known.get(&entry.summary.author);
+            is_fresh && peer_version.is_none_or(|version| *version < entry.summary.version)
         };
         let aged = |entry: &SummaryEntry| {
-            let age_ms = now.since(entry.received).as_millis() as u32;
+            let age_ms = now.since(entry.observed).as_millis() as u32;
             CentreSummary { age_ms, ..entry.summary.clone() }
         };
         all.filter(newer).map(aged).collect()
     }
 }
 
-/// Which summary of an author a daemon holds.
+/// The version of an author's summary that a daemon holds.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SummaryVersion {
-    /// The delegate that wrote it.
+    /// The delegate that wrote the summary.
     pub author: VmName,
-    /// Its version.
+    /// The version of the summary.
     pub version: (IncarnationId, u64),
 }
 
-/// How many data centres one data centre turns to by rank, next to its neighbours.
+/// Number of exchange partners that a data centre selects by rendezvous rank.
 const RANKED_PARTNERS: usize = 2;
-/// How many data centres after its own, in the order of names, one data centre turns to.
+/// Number of exchange partners that follow a data centre in the ring of sorted names.
 const RING_PARTNERS: usize = 2;
 
-/// The data centres with which the delegates of `own` start exchanges: those of its region, the
-/// next ones in the order of names (so that all are connected), and a few by rank (so that news
-/// needs few steps). The set stays small however many data centres there are.
+/// Returns the data centres with which the delegates of `own` start exchanges.
+///
+/// These are the data centres of the same region, the next ones in the ring of sorted names (which
+/// keeps the graph connected), and a few by rank (so that updates spread in few hops). Apart from
+/// the region's own data centres, the number of partners does not grow with the number of data
+/// centres.
 pub fn exchange_partners(
     own: &DataCentreName,
     centres: &[(DataCentreName, RegionName)],
@@ -432,8 +459,8 @@
     let mut names: Vec<&DataCentreName> = centres.iter().map(|(name, _)| name).collect();
     names.sort();
     let at = names.iter().position(|name| *name == own).unwrap_or_default();
-    let near = centres.iter().filter(|(_, it)| Some(it) == region).map(|(name, _)| name.clone());
-    let mut partners: BTreeSet<DataCentreName> = near.collect();
+    let local = centres.iter().filter(|(_, it)| Some(it) == region).map(|(name, _)| name.clone());
+    let mut partners: BTreeSet<DataCentreName> = local.collect();
     let ring = (1..=RING_PARTNERS).map(|step| names[(at + step) % names.len().max(1)]);
     partners.extend(ring.cloned());
     let others = names.iter().copied().filter(|name| *name != own);
--- a/crates/foldhaven-core/src/placement.rs
+++ b/crates/foldhaven-core/src/placement.rs
@@ -1,8 +1,8 @@
-//! Which engines hold which models, and the fenced orders that bring that about.
+//! Assignment of models to engines, and the fenced orders that implement it.
 //!
-//! The assignment is a pure function of the description and the live view, the same on every
-//! daemon. Each engine has one issuer by rank; two that both believe they are it issue the same
-//! orders, and the fence puts them in order.
+//! The assignment is a pure function of the description and the live view, so every daemon computes
+//! the same one. The daemon with the highest rank for an engine is its issuer. If two daemons both
+//! act as the issuer, they issue the same orders, and the fence orders them.
 
 use std::collections::BTreeMap;
 
@@ -13,21 +13,23 @@
 use crate::load::{EngineLoad, OrderFence};
 use crate::rank::{rank_by, rank_hash};
 
-/// How many engines of one data centre may load weights at once, for the weight store's sake.
+/// Maximum number of engines of one data centre that load weights at once. It limits the load on
+/// the weight store.
 pub const MAX_LOADING_ENGINES: usize = 2;
 
-/// What an engine is to do.
+/// The action of an order to an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "action")]
 pub enum OrderAction {
-    /// Load a version of a model next to what it holds. Harmless twice and late.
+    /// Load a version of a model in addition to the models that the engine holds. Harmless if
+    /// executed twice or late.
     Load {
         /// The model.
         model: ModelName,
         /// The version of its weights.
         version: String,
     },
-    /// Drop a version of a model.
+    /// Unload a version of a model.
     Unload {
         /// The model.
         model: ModelName,
@@ -41,27 +43,27 @@
 pub struct EngineOrder {
     /// The engine.
     pub engine: UpstreamName,
-    /// The fence that puts it in order with others.
+    /// The fence, which orders this order among others to the engine.
     pub fence: OrderFence,
-    /// What to do.
+    /// The action.
     #[serde(flatten)]
     pub action: OrderAction,
 }
 
 /// Assigns each engine of a data centre at most one model.
 ///
-/// An engine that holds the model already goes first, then the one that ranks highest, so that a
-/// change of the description moves as few models as it can.
+/// Engines that already hold the model are preferred, then those with the highest rank, so that a
+/// change of the description moves as few models as possible.
 pub fn assign_models(
     index: &DescriptionIndex,
     centre: &DataCentreName,
     engines: &[EngineLoad],
 ) -> BTreeMap<UpstreamName, ModelName> {
     let mut assigned = BTreeMap::new();
-    let usable = |load: &&EngineLoad| !load.leaving;
+    let is_usable = |load: &&EngineLoad| !load.leaving;
     for deployment in index.deployments_in(centre) {
         let key = deployment.model.as_str();
-        let loads = engines.iter().filter(usable);
+        let loads = engines.iter().filter(is_usable);
         let mut ranked = rank_by(key, loads, |load| load.engine.as_str());
         let holds = |load: &EngineLoad| load.models.iter().any(|it| it.model == deployment.model);
         ranked.sort_by_key(|load| !holds(load));
@@ -74,15 +76,15 @@
     assigned
 }
 
-/// The daemon that polls an engine and gives it orders.
+/// Returns the VM whose daemon polls an engine and issues its orders, `None` if no VM serves.
 pub fn issuer_of<'a>(engine: &UpstreamName, serving: &'a [VmName]) -> Option<&'a VmName> {
     serving.iter().max_by_key(|vm| rank_hash(&[engine.as_str(), vm.as_str()]))
 }
 
-/// The orders that are due now, for the engines of which `issuer` is the issuer.
+/// Returns the orders that are due now for the engines of which `issuer` is the issuer.
 ///
-/// An engine that does not check fences is only told to load. At most [`MAX_LOADING_ENGINES`] engines of
-/// the data centre load at once.
+/// An engine that does not check fences gets load orders only. At most [`MAX_LOADING_ENGINES`]
+/// engines of the data centre load at once.
 pub fn due_orders(
     index: &DescriptionIndex,
     centre: &DataCentreName,
@@ -98,17 +100,17 @@
         let Some(model) = assigned.get(&load.engine) else { continue };
         let Some(config) = index.model(model) else { continue };
         let held = load.models.iter().find(|held| held.model == *model);
-        let current = held.is_some_and(|held| held.version == config.version);
-        let own = issuer_of(&load.engine, serving) == Some(issuer.0);
+        let is_current = held.is_some_and(|held| held.version == config.version);
+        let is_issuer = issuer_of(&load.engine, serving) == Some(issuer.0);
         let fence = next_fence(index, load, issuer.1);
-        if !current {
+        if !is_current {
             loading += 1;
-            if own && loading <= MAX_LOADING_ENGINES {
+            if is_issuer && loading <= MAX_LOADING_ENGINES {
                 let (model, version) = (model.clone(), config.version.clone());
                 let action = OrderAction::Load { model, version };
                 orders.push(EngineOrder { engine: load.engine.clone(), fence, action });
             }
-        } else if own && load.holds(config) && checks_fences(index, &load.engine) {
+        } else if is_issuer && load.holds(config) && checks_fences(index, &load.engine) {
             let surplus = load.models.iter().find(|held| {
                 held.ready && (held.model != *model || held.version != config.version)
             });
--- a/crates/foldhaven-core/src/planner.rs
+++ b/crates/foldhaven-core/src/planner.rs
@@ -1,8 +1,8 @@
-//! Where a request runs: every permitted place is priced, and the cheapest one is taken unless a
-//! refusal is cheaper.
+//! Routing of model requests: every permitted target is priced, and the cheapest one is chosen
+//! unless a refusal is cheaper.
 //!
-//! All prices are on the scale of the description's objective: worth lost to lateness, share sent
-//! away, and cost. `foldhavenctl explain` prints exactly these numbers.
+//! All prices are on the scale of the description's objective: worth lost to lateness, requests
+//! sent away from their home region, and cost. `foldhavenctl explain` prints these prices.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,47 +20,49 @@
 use crate::residency::ResidencyRule;
 use crate::time::MonoTime;
 
-/// Another data centre in the view by which requests are routed.
+/// Another data centre in the routing view.
 #[derive(Debug, Clone)]
 pub struct CentreView {
-    /// Its freshest summary.
+    /// The data centre's freshest summary.
     pub summary: Arc<CentreSummary>,
     /// When the summary's content was true, on this process's clock.
     pub observed: MonoTime,
 }
 
-/// Everything shared that a decision reads; made by the control thread, never changed.
+/// Immutable snapshot of the shared state for routing decisions, built by the control thread.
 #[derive(Debug, Clone)]
 pub struct RouteView {
     /// The description in force.
     pub index: Arc<DescriptionIndex>,
     /// This data centre.
     pub centre: DataCentreName,
-    /// The engines of this data centre that take new work.
+    /// The engines of this data centre that accept new work.
     pub engines: Vec<EngineView>,
     /// The other data centres.
     pub centres: Vec<CentreView>,
 }
 
-/// What the traffic threads know and the view does not show yet.
+/// State of this process's traffic threads that the [`RouteView`] does not contain yet.
 pub trait LocalRouteState {
-    /// Work dispatched to an engine since its report was true.
+    /// Returns the work dispatched to an engine since the engine's report was observed.
     fn recent_work(&self, engine: &EngineView) -> RecentWork;
-    /// Tokens at the start of the prompt that the engine probably holds.
+    /// Returns the number of tokens at the start of the prompt that the engine probably caches.
     fn cached_tokens(&self, engine: &UpstreamName, blocks: &[u64], now: MonoTime) -> u64;
-    /// Whether a request may be sent to another data centre now.
+    /// Returns whether an offer allows sending a request to another data centre now.
     fn is_offered(&self, centre: &DataCentreName, model: &ModelConfig, now: MonoTime) -> bool;
-    /// Whether an upstream or data centre gets nothing for now, because calls to it failed.
+    /// Returns whether an upstream or data centre is ejected: it gets no requests for now because
+    /// calls to it failed.
     fn is_ejected(&self, target: &str, now: MonoTime) -> bool;
-    /// How far estimates have been off.
+    /// Returns the observed bias and spread of estimates.
     fn estimate_calibration(&self) -> EstimateCalibration;
-    /// The mean worth of a slot second of a model lately.
+    /// Returns the moving average of the worth of one slot second of a model.
     fn worth_density(&self, model: &ModelConfig) -> f64;
-    /// What the price of scarce capacity is to be multiplied by for an account, by what it used lately.
+    /// Returns the factor by which an account's price of scarce capacity is multiplied, given its
+    /// recent usage.
     fn fairness_factor(&self, account: &AccountConfig) -> f64;
 }
 
-/// One request, as far as the decision needs to know it.
+/// The properties of a request that a routing decision depends on.
 #[derive(Debug, Clone)]
 pub struct RouteQuery<'a> {
     /// The account.
@@ -69,25 +71,26 @@
     pub class: &'a ClassConfig,
     /// The model.
     pub model: &'a ModelConfig,
-    /// The residency rule that holds.
+    /// The residency rule of the request.
     pub rule: &'a ResidencyRule,
-    /// What the request is worth when it is on time.
+    /// The worth of the request if it completes on time.
     pub worth: f64,
     /// The time until the deadline.
     pub remaining: Duration,
-    /// The tokens of the prompt.
+    /// The number of tokens of the prompt.
     pub prompt_tokens: u64,
-    /// The most tokens that the answer may have.
+    /// The maximum number of tokens of the answer.
     pub output_tokens: u64,
-    /// The prefix blocks of the prompt.
+    /// The hashes of the prompt's prefix blocks.
     pub blocks: &'a [u64],
-    /// Whether this daemon is the origin and so may send the request to another data centre.
+    /// Whether this daemon is the origin. Only the origin may send the request to another data
+    /// centre.
     pub is_origin: bool,
-    /// Targets that were tried already.
+    /// The names of targets that were tried already.
     pub excluded: &'a [String],
 }
 
-/// A place where a request can run.
+/// A target on which a request can run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RouteTarget {
@@ -98,7 +101,7 @@
 }
 
 impl RouteTarget {
-    /// The name of the engine or data centre.
+    /// Returns the name of the engine or data centre.
     pub fn name(&self) -> &str {
         match self {
             Self::Engine(name) => name.as_str(),
@@ -107,12 +110,12 @@
     }
 }
 
-/// The parts of the price of one option.
+/// The components of the price of an option.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct RoutePrice {
-    /// Worth lost to lateness: weight × worth × chance of being late.
+    /// Worth lost to lateness: weight × worth × probability of being late.
     pub lateness: f64,
-    /// Being sent away from the home region.
+    /// The price of running outside the home region.
     pub away: f64,
     /// Slot time at the price of the region.
     pub cost: f64,
@@ -121,73 +124,75 @@
 }
 
 impl RoutePrice {
-    /// The whole price.
+    /// Returns the sum of the components.
     pub fn total(&self) -> f64 {
         self.lateness + self.away + self.cost + self.pressure
     }
 }
 
-/// A priced place.
+/// A target with its estimates and its price.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RouteOption {
-    /// The place.
+    /// The target.
     pub target: RouteTarget,
-    /// The time until the whole answer is expected at the caller.
+    /// The estimated time until the caller has the whole answer.
     pub estimate: Duration,
-    /// The part of it that is spent waiting for a slot.
+    /// The estimated wait for a slot, which `estimate` includes.
     pub wait: Duration,
-    /// The time of one slot that the request needs.
+    /// The slot time that the request needs.
     pub slot_time: Duration,
-    /// Tokens of the prompt that the place probably holds.
+    /// The number of prompt tokens that the target probably caches.
     pub cached_tokens: u64,
-    /// The chance of being late, 0 to 1.
+    /// The probability of being late, 0 to 1.
     pub chance_late: f64,
     /// The price.
     pub price: RoutePrice,
 }
 
-/// A request that is late with this chance is refused now: its worth would not be delivered.
+/// Probability of being late from which a request is refused at once, since its worth would almost
+/// certainly be lost.
 pub const MAX_CHANCE_LATE: f64 = 0.9;
 
-/// All options of one request, cheapest first, and what a refusal costs.
+/// The options of a request, cheapest first, and the price of refusing it.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct RoutePlan {
     /// The options.
     pub options: Vec<RouteOption>,
-    /// The price of refusing: all worth is lost.
+    /// The price of refusing: the whole worth is lost.
     pub refusal: f64,
-    /// Whether any place was permitted by residency and held the model.
+    /// Whether any target was permitted by residency and held the model.
     pub any_permitted: bool,
-    /// The shortest time after which asking again makes sense.
+    /// The shortest time after which a retry may succeed.
     #[serde(rename = "come_back")]
     pub retry_after: Duration,
 }
 
 impl RoutePlan {
-    /// The best option, unless refusing is cheaper or it would be late almost certainly.
+    /// Returns the cheapest option, or `None` if refusing is cheaper or the option would almost
+    /// certainly be late.
     pub fn choice(&self) -> Option<&RouteOption> {
-        let taken = |option: &&RouteOption| {
+        let is_acceptable = |option: &&RouteOption| {
             self.refusal.is_infinite()
                 || (option.price.total() < self.refusal && option.chance_late < MAX_CHANCE_LATE)
         };
-        self.options.first().filter(taken)
+        self.options.first().filter(is_acceptable)
     }
 }
 
-/// Ways to decide where requests run.
+/// A routing policy for model requests.
 pub trait RoutePolicy: Send + Sync {
-    /// Prices all places for one request. `draw` is uniform in 0..1.
+    /// Prices all targets for one request. `draw` is a uniform random number in 0..1.
     fn plan(
         &self,
         query: &RouteQuery<'_>,
         view: &RouteView,
-        facts: &dyn LocalRouteState,
+        local: &dyn LocalRouteState,
         now: MonoTime,
         draw: f64,
     ) -> RoutePlan;
 }
 
-/// The policy of foldhaven.
+/// The default policy, which minimizes the price of each request.
 #[derive(Debug, Default)]
 pub struct RoutePlanner;
 
@@ -196,11 +201,12 @@
         &self,
         query: &RouteQuery<'_>,
         view: &RouteView,
-        facts: &dyn LocalRouteState,
+        local: &dyn LocalRouteState,
         now: MonoTime,
         _draw: f64,
     ) -> RoutePlan {
-        let pricer = OptionPricer { query, view, facts, now, error: facts.estimate_calibration() };
+        let pricer =
+            OptionPricer { query, view, local, now, calibration: local.estimate_calibration() };
         let (mut options, ejected) = pricer.engine_options();
         let mut any_permitted = !options.is_empty() || !ejected.is_empty();
         if query.is_origin {
@@ -209,18 +215,19 @@
             options.extend(centres);
         }
         if options.is_empty() {
-            // When everything failed lately, the requests are more likely at fault than the engines.
+            // If every engine is ejected, the requests are more likely at fault than the engines.
             options = ejected;
         }
         options.sort_by(|left, right| left.price.total().total_cmp(&right.price.total()));
-        let retry_after = come_back_time(&options, query.remaining);
+        let retry_after = retry_delay(&options, query.remaining);
         let refusal = view.index.description.objective.lateness * query.worth;
         RoutePlan { options, refusal, any_permitted, retry_after }
     }
 }
 
-/// The time after which the queue of the best option will have shrunk enough for this deadline.
-fn come_back_time(options: &[RouteOption], remaining: Duration) -> Duration {
+/// Returns the time after which the queue of the best option will have shrunk enough for the
+/// deadline.
+fn retry_delay(options: &[RouteOption], remaining: Duration) -> Duration {
     const WITHOUT_OPTIONS: Duration = Duration::from_secs(1);
     let excess = options.iter().map(|option| option.estimate.saturating_sub(remaining));
     let shortest = excess.min().unwrap_or(WITHOUT_OPTIONS);
@@ -228,17 +235,18 @@
     shortest.max(wait / 4)
 }
 
-/// The part of its time for which a request of mean worth waits before it is refused.
-const WAIT_LIMIT: f64 = 0.5;
-/// How much more requests from elsewhere pay for scarce capacity.
-const AWAY_FACTOR: f64 = 1.5;
+/// Share of its remaining time that a request of mean worth may wait for a slot; beyond it the
+/// request is refused.
+const MAX_WAIT_SHARE: f64 = 0.5;
+/// Factor on the price of scarce capacity for requests whose home is another region.
+const AWAY_FROM_HOME_FACTOR: f64 = 1.5;
 
 struct OptionPricer<'a> {
     query: &'a RouteQuery<'a>,
     view: &'a RouteView,
-    facts: &'a dyn LocalRouteState,
+    local: &'a dyn LocalRouteState,
     now: MonoTime,
-    error: EstimateCalibration,
+    calibration: EstimateCalibration,
 }
 
 impl OptionPricer<'_> {
@@ -254,7 +262,8 @@
         self.query.excluded.iter().any(|it| it == name)
     }
 
-    /// Options at engines here: those that are trusted, and those that failed lately.
+    /// Returns the options at engines of this data centre: those that are not ejected, and those
+    /// that are.
     fn engine_options(&self) -> (Vec<RouteOption>, Vec<RouteOption>) {
         let region = self.view.index.region_of(&self.view.centre);
         let Some(region) = region.filter(|region| self.permits(region)) else {
@@ -264,30 +273,31 @@
         let engines = self.view.engines.iter();
         let engines = engines.filter(|engine| engine.load.holds(self.query.model));
         let untried = engines.filter(|engine| !self.is_tried(&name(engine)));
-        let is_ejected = |engine: &&EngineView| self.facts.is_ejected(&name(engine), self.now);
-        let (ejected, trusted): (Vec<&EngineView>, Vec<&EngineView>) =
+        let is_ejected = |engine: &&EngineView| self.local.is_ejected(&name(engine), self.now);
+        let (ejected, healthy): (Vec<&EngineView>, Vec<&EngineView>) =
             untried.partition(is_ejected);
         let price = |engines: Vec<&EngineView>| {
             engines.into_iter().map(|engine| self.engine_option(engine, region)).collect()
         };
-        (price(trusted), price(ejected))
+        (price(healthy), price(ejected))
     }
 
     fn engine_option(&self, engine: &EngineView, region: &RegionName) -> RouteOption {
         let query = self.query;
         let name = &engine.load.engine;
-        let cached = self.facts.cached_tokens(name, query.blocks, self.now);
+        let cached = self.local.cached_tokens(name, query.blocks, self.now);
         let cached = cached.min(query.prompt_tokens);
-        let wait = expected_wait(engine, self.facts.recent_work(engine), self.now);
+        let wait = expected_wait(engine, self.local.recent_work(engine), self.now);
         let network = self.view.index.description.network.caller.0;
         let target = RouteTarget::Engine(name.clone());
         self.price(target, region, cached, wait, network * 2, &self.view.centre)
     }
 
-    /// Options in other data centres, and whether any was permitted at all.
+    /// Returns the options in other data centres, and whether any of these data centres was
+    /// permitted.
     fn centre_options(&self) -> (Vec<RouteOption>, bool) {
         let mut options = Vec::new();
-        let mut permitted = false;
+        let mut any_permitted = false;
         for centre in &self.view.centres {
             let name = &centre.summary.data_centre;
             let Some(region) = self.view.index.region_of(name) else { continue };
@@ -297,28 +307,28 @@
             if !self.permits(region) || centre.summary.vms.is_empty() {
                 continue;
             }
-            permitted = true;
-            let ejected = self.facts.is_ejected(name.as_str(), self.now);
-            if !self.is_tried(name.as_str()) && !ejected && self.is_offered(name) {
+            any_permitted = true;
+            let is_ejected = self.local.is_ejected(name.as_str(), self.now);
+            if !self.is_tried(name.as_str()) && !is_ejected && self.may_send_to(name) {
                 options.push(self.centre_option(name, region, capacity));
             }
         }
-        (options, permitted)
+        (options, any_permitted)
     }
 
-    /// Whether this data centre may send there now: within its lease, or because no engine
-    /// of its own can be used for the model, or because the request may not run here.
-    fn is_offered(&self, centre: &DataCentreName) -> bool {
-        if self.facts.is_offered(centre, self.query.model, self.now) {
+    /// Returns whether this data centre may send the request to `centre` now: an offer covers it,
+    /// no local engine is usable for the model, or the request may not run here.
+    fn may_send_to(&self, centre: &DataCentreName) -> bool {
+        if self.local.is_offered(centre, self.query.model, self.now) {
             return true;
         }
         let here = self.view.index.region_of(&self.view.centre);
-        let own_engine = self.view.engines.iter().any(|engine| {
+        let has_local_engine = self.view.engines.iter().any(|engine| {
             let name = engine.load.engine.as_str();
-            let is_open = !self.is_tried(name) && !self.facts.is_ejected(name, self.now);
-            is_open && engine.load.holds(self.query.model)
+            let is_usable = !self.is_tried(name) && !self.local.is_ejected(name, self.now);
+            is_usable && engine.load.holds(self.query.model)
         });
-        !own_engine || !here.is_some_and(|region| self.permits(region))
+        !has_local_engine || !here.is_some_and(|region| self.permits(region))
     }
 
     fn centre_option(
@@ -351,32 +361,32 @@
         let cold_tokens = query.prompt_tokens.saturating_sub(cached_tokens);
         let work = WorkSize { cold_tokens, output_tokens: query.output_tokens };
         let slot_time = work.slot_time(query.model);
-        let estimate = (network + wait + slot_time).mul_f64(self.error.bias());
-        let late = chance_late(estimate, query.remaining, self.error.spread());
+        let estimate = (network + wait + slot_time).mul_f64(self.calibration.bias());
+        let late = chance_late(estimate, query.remaining, self.calibration.spread());
         let objective = self.objective();
-        let is_away = *region != query.account.home;
-        let local = matches!(target, RouteTarget::Engine(_));
-        let pressure = if local { self.pressure(wait, is_away) } else { 0.0 };
+        let is_away_from_home = *region != query.account.home;
+        let is_local = matches!(target, RouteTarget::Engine(_));
+        let pressure = if is_local { self.pressure(wait, is_away_from_home) } else { 0.0 };
         let price = RoutePrice {
             lateness: objective.lateness * query.worth * late,
-            away: if is_away { objective.away } else { 0.0 },
+            away: if is_away_from_home { objective.away } else { 0.0 },
             cost: objective.cost * slot_time.as_secs_f64() * self.view.index.price_of(centre),
             pressure: pressure * slot_time.as_secs_f64(),
         };
         RouteOption { target, estimate, wait, slot_time, cached_tokens, chance_late: late, price }
     }
 
-    /// The price of a slot second that others wait for.
+    /// Returns the price of a slot second for which other requests wait.
     ///
-    /// It is in proportion to the wait: where a request would spend [`WAIT_LIMIT`] of its time
-    /// waiting, a slot second costs as much as it brings in on average, so that requests of mean
-    /// worth are refused and the queue stays that short. Accounts that used more than their part
-    /// pay more, and so do requests from elsewhere, so that these give way first.
-    fn pressure(&self, wait: Duration, is_away: bool) -> f64 {
-        let limit = self.query.remaining.mul_f64(WAIT_LIMIT);
-        let share = wait.as_secs_f64() / limit.as_secs_f64().max(1e-3);
-        let base = share * self.facts.worth_density(self.query.model);
-        let base = base * self.facts.fairness_factor(self.query.account);
-        if is_away { base * AWAY_FACTOR } else { base }
+    /// The price is proportional to the wait. Where a request would spend [`MAX_WAIT_SHARE`] of its
+    /// remaining time waiting, a slot second costs its mean worth, so that requests of mean worth
+    /// are refused and the queue grows no longer. Accounts that used more than their share pay
+    /// more, and so do requests from other regions, so that these are refused first.
+    fn pressure(&self, wait: Duration, is_away_from_home: bool) -> f64 {
+        let limit = self.query.remaining.mul_f64(MAX_WAIT_SHARE);
+        let wait_share = wait.as_secs_f64() / limit.as_secs_f64().max(1e-3);
+        let base = wait_share * self.local.worth_density(self.query.model);
+        let base = base * self.local.fairness_factor(self.query.account);
+        if is_away_from_home { base * AWAY_FROM_HOME_FACTOR } else { base }
     }
 }
--- a/crates/foldhaven-core/src/policy.rs
+++ b/crates/foldhaven-core/src/policy.rs
@@ -1,4 +1,4 @@
-//! Plain policies to compare the planner with, chosen by a setting of the daemon.
+//! Routing policies that a daemon's settings select: the planner, and baselines to compare it with.
 
 use std::fmt;
 use std::str::FromStr;
@@ -12,23 +12,23 @@
 use crate::rank::rank_hash;
 use crate::time::MonoTime;
 
-/// The policies that a daemon can be set to.
+/// The routing policies that a daemon's settings can select.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PolicyKind {
-    /// The planner of foldhaven.
+    /// The price-minimizing [`RoutePlanner`].
     #[default]
     Planner,
-    /// Always at home, on the engine with the fewest requests in its last report.
+    /// The engine of this data centre with the fewest requests per slot in its last report.
     Home,
-    /// Any permitted place with equal chance.
+    /// A permitted target chosen uniformly at random.
     Random,
-    /// The place with the fewest requests per slot in its last report.
+    /// The target with the fewest requests per slot in its last report.
     LeastLoaded,
 }
 
 impl PolicyKind {
-    /// Makes the policy.
+    /// Creates the policy.
     pub fn build(self) -> Box<dyn RoutePolicy> {
         match self {
             Self::Planner => Box::new(RoutePlanner),
@@ -48,7 +48,7 @@
     }
 }
 
-/// A text is not a policy: `planner`, `home`, `random` or `least_loaded` was expected
+/// unknown policy: expected `planner`, `home`, `random` or `least_loaded`
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub struct PolicyError;
 
@@ -61,7 +61,7 @@
     }
 }
 
-/// A policy without estimates, offers, pressure or early refusal.
+/// A baseline policy, without estimates, offers, pressure or early refusal.
 #[derive(Debug)]
 struct BaselinePolicy {
     kind: PolicyKind,
@@ -72,30 +72,30 @@
         &self,
         query: &RouteQuery<'_>,
         view: &RouteView,
-        facts: &dyn LocalRouteState,
+        local: &dyn LocalRouteState,
         now: MonoTime,
         draw: f64,
     ) -> RoutePlan {
-        let open = OpenFacts { facts };
-        let mut plan = RoutePlanner.plan(query, view, &open, now, draw);
+        let permissive = PermissiveState { local };
+        let mut plan = RoutePlanner.plan(query, view, &permissive, now, draw);
         if self.kind == PolicyKind::Home {
             plan.options.retain(|option| matches!(option.target, RouteTarget::Engine(_)));
         }
-        let rank = |option: &RouteOption| match self.kind {
-            PolicyKind::Random => random_rank(option, draw),
+        let sort_key = |option: &RouteOption| match self.kind {
+            PolicyKind::Random => random_sort_key(option, draw),
             _ => reported_load(option, view),
         };
-        plan.options.sort_by(|left, right| rank(left).total_cmp(&rank(right)));
+        plan.options.sort_by(|left, right| sort_key(left).total_cmp(&sort_key(right)));
         plan.refusal = f64::INFINITY;
         plan
     }
 }
 
-fn random_rank(option: &RouteOption, draw: f64) -> f64 {
+fn random_sort_key(option: &RouteOption, draw: f64) -> f64 {
     rank_hash(&[option.target.name(), &draw.to_bits().to_string()]) as f64
 }
 
-/// Requests per slot at a place, by its last report.
+/// Returns the requests per slot of a target, according to its last report.
 fn reported_load(option: &RouteOption, view: &RouteView) -> f64 {
     match &option.target {
         RouteTarget::Engine(name) => {
@@ -116,12 +116,13 @@
     }
 }
 
-/// The facts as a plain policy sees them: every place may be used, and reports are taken as true.
-struct OpenFacts<'a> {
-    facts: &'a dyn LocalRouteState,
+/// Wraps the local route state for baseline policies: every target may be used, and reports count
+/// as current and exact. Ejections still apply.
+struct PermissiveState<'a> {
+    local: &'a dyn LocalRouteState,
 }
 
-impl LocalRouteState for OpenFacts<'_> {
+impl LocalRouteState for PermissiveState<'_> {
     fn recent_work(&self, _engine: &crate::load::EngineView) -> crate::load::RecentWork {
         crate::load::RecentWork::default()
     }
@@ -149,7 +150,7 @@
     }
 
     fn is_ejected(&self, target: &str, now: MonoTime) -> bool {
-        self.facts.is_ejected(target, now)
+        self.local.is_ejected(target, now)
     }
 
     fn estimate_calibration(&self) -> crate::load::EstimateCalibration {
--- a/crates/foldhaven-core/src/refusal.rs
+++ b/crates/foldhaven-core/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Why a request is refused, and what the caller is told of it.
+//! Refusals: the reason why a request is not served, and the answer that the caller gets.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 
 use crate::attempt::RequestOutcome;
 
-/// Why a request is not served.
+/// The reason why a request is not served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize, displaydoc::Display)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalReason {
@@ -61,13 +61,13 @@
 }
 
 impl RefusalReason {
-    /// The name used in error bodies and metrics.
+    /// Returns the name used in error bodies and metrics.
     pub fn code(self) -> String {
         let value = serde_json::to_value(self).expect("a reason is a string");
         value.as_str().unwrap_or_default().to_owned()
     }
 
-    /// The HTTP status that goes with the reason.
+    /// Returns the HTTP status of the reason.
     pub fn status(self) -> u16 {
         use RefusalReason::*;
         match self {
@@ -86,9 +86,10 @@
         }
     }
 
-    /// The reason that a caller is given when a peer refused its request for this one.
+    /// Returns the reason to report to the caller when a peer refused the request for this one.
     ///
-    /// Residency and the path are judged by the peer for its own data centre. They say nothing of other places.
+    /// A peer checks residency and the forwarding path for its own data centre only. A refusal for
+    /// one of these does not rule out other data centres.
     pub fn for_caller(self) -> Self {
         match self {
             Self::Residency | Self::ForwardPath => Self::NoUpstream,
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Whether asking again later, or elsewhere, may succeed without a change of the request.
+    /// Returns whether the unchanged request may succeed later or at another VM.
     pub fn is_transient(self) -> bool {
         matches!(self.status(), 429 | 502 | 503)
     }
@@ -104,26 +105,26 @@
 
 /// {step} at {peer}: {reason}: {detail}
 ///
-/// The final answer to a request that is not served whole.
+/// The final answer to a request that is not served completely.
 #[derive(Debug, Clone, PartialEq, displaydoc::Display, thiserror::Error)]
 #[ignore_extra_doc_attributes]
 pub struct RefusalAnswer {
-    /// What was being done.
+    /// The processing step that failed.
     pub step: &'static str,
-    /// Whom it was done with; `-` for nobody.
+    /// The peer or upstream involved, `-` if none.
     pub peer: String,
-    /// Why it is refused.
+    /// The reason of the refusal.
     pub reason: RefusalReason,
-    /// What was expected and what was found.
+    /// Details: what was expected and what was found.
     pub detail: String,
-    /// Whether any of the request may have run.
+    /// Whether part of the request may have run.
     pub outcome: RequestOutcome,
-    /// When the caller should come back; absent when that would not help.
+    /// Time after which the caller should retry, `None` if a retry would not help.
     pub retry_after: Option<Duration>,
 }
 
 impl RefusalAnswer {
-    /// A refusal of a request of which nothing has run.
+    /// Creates a refusal of a request of which no part ran.
     pub fn not_run(step: &'static str, reason: RefusalReason, detail: impl Into<String>) -> Self {
         Self {
             step,
@@ -135,45 +136,47 @@
         }
     }
 
-    /// The HTTP status of the answer. 429 and 503 promise that nothing has run, so that callers repeat the request
-    /// elsewhere; where some of it may have, the status says that the answer was lost instead.
+    /// Returns the HTTP status of the answer.
+    ///
+    /// 429 and 503 promise that no part of the request ran, and callers then repeat it elsewhere.
+    /// If part of it may have run, the status is 502 or 504 instead: the answer was lost.
     pub fn status(&self) -> u16 {
-        const LOST: u16 = 502;
-        const LOST_TO_TIME: u16 = 504;
+        const BAD_GATEWAY: u16 = 502;
+        const GATEWAY_TIMEOUT: u16 = 504;
         match (self.reason.status(), self.outcome) {
             (status, RequestOutcome::NotRun) => status,
-            (429, _) if self.reason == RefusalReason::Deadline => LOST_TO_TIME,
-            (429 | 503, _) => LOST,
+            (429, _) if self.reason == RefusalReason::Deadline => GATEWAY_TIMEOUT,
+            (429 | 503, _) => BAD_GATEWAY,
             (status, _) => status,
         }
     }
 
-    /// The same, met at a peer.
+    /// Returns the refusal with the given peer.
     pub fn at_peer(self, name: impl Into<String>) -> Self {
         Self { peer: name.into(), ..self }
     }
 
-    /// The same with another outcome.
+    /// Returns the refusal with the given outcome.
     pub fn with_outcome(self, outcome: RequestOutcome) -> Self {
         Self { outcome, ..self }
     }
 
-    /// The same with a time to come back.
-    pub fn with_retry_after(self, span: Duration) -> Self {
-        Self { retry_after: Some(span), ..self }
+    /// Returns the refusal with the given retry delay.
+    pub fn with_retry_after(self, delay: Duration) -> Self {
+        Self { retry_after: Some(delay), ..self }
     }
 }
 
-/// Spreads a time to come back over 100% to 150% of the computed one, so that callers who were
-/// refused together do not come back together. `draw` is uniform in 0..1.
+/// Returns a retry delay jittered to 100% to 150% of the given one, so that callers that were
+/// refused together do not retry together. `draw` is a uniform random number in 0..1.
 ///
 /// ```
 /// use std::time::Duration;
 /// use foldhaven_core::refusal::jittered_return;
 /// assert_eq!(jittered_return(Duration::from_secs(2), 0.5), Duration::from_millis(2500));
 /// ```
-pub fn jittered_retry_delay(wait: Duration, draw: f64) -> Duration {
-    const SHORTEST: Duration = Duration::from_millis(50);
-    const LONGEST: Duration = Duration::from_secs(60);
-    wait.clamp(SHORTEST, LONGEST).mul_f64(1.0 + 0.5 * draw.clamp(0.0, 1.0))
+pub fn jittered_retry_delay(delay: Duration, draw: f64) -> Duration {
+    const MIN_DELAY: Duration = Duration::from_millis(50);
+    const MAX_DELAY: Duration = Duration::from_secs(60);
+    delay.clamp(MIN_DELAY, MAX_DELAY).mul_f64(1.0 + 0.5 * draw.clamp(0.0, 1.0))
 }
--- a/crates/foldhaven-core/src/residency.rs
+++ b/crates/foldhaven-core/src/residency.rs
@@ -1,4 +1,4 @@
-//! Residency: in which regions a request may run, and whether a forwarded one may be run here.
+//! Residency: the regions in which a request may run, and the checks of a forwarded request.
 
 use std::collections::BTreeSet;
 
@@ -6,7 +6,7 @@
 use crate::ids::{DataCentreName, RegionName};
 use crate::refusal::RefusalReason;
 
-/// A residency rule, ready for look-ups.
+/// A residency rule, prepared for lookups.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ResidencyRule {
     regions: BTreeSet<RegionName>,
@@ -14,40 +14,40 @@
 }
 
 impl ResidencyRule {
-    /// Prepares a rule of the description.
+    /// Creates the rule from its configuration in the description.
     pub fn new(config: &ResidencyConfig) -> Self {
         Self { regions: config.regions.iter().cloned().collect(), home: config.home }
     }
 
-    /// Whether a request of an account with this home may run in `region`.
+    /// Returns whether a request of an account with home region `home` may run in `region`.
     pub fn permits(&self, home: &RegionName, region: &RegionName) -> bool {
         (self.home && home == region) || self.regions.contains(region)
     }
 }
 
-/// Where a place is looked for.
+/// The scope in which a target for a request was searched.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SearchScope<'a> {
-    /// In every region, as the origin of a request does.
+    /// Every region, as at the origin of a request.
     Anywhere,
-    /// In one data centre, as the receiver of a forwarded request does.
+    /// One data centre, as at the receiver of a forwarded request.
     DataCentre(&'a DataCentreName),
 }
 
-/// A request for which no place was found.
+/// A request for which no target was found.
 #[derive(Debug, Clone, Copy)]
 pub struct UnroutableRequest<'a> {
-    /// The residency rule that holds.
+    /// The residency rule of the request.
     pub rule: &'a ResidencyRule,
-    /// The home of its account.
+    /// The home region of the request's account.
     pub home: &'a RegionName,
-    /// Where a place was looked for.
+    /// The scope in which a target was searched.
     pub scope: SearchScope<'a>,
 }
 
 impl UnroutableRequest<'_> {
-    /// Whether the description forbids the request wherever a place was looked for. A data centre that it does not name
-    /// is not forbidden: this may be an old description.
+    /// Returns whether the description forbids the request in the whole search scope. A data centre
+    /// that the description does not name is not forbidden, since the description may be outdated.
     pub fn is_forbidden(&self, index: &DescriptionIndex) -> bool {
         let permits = |region: &RegionName| self.rule.permits(self.home, region);
         match self.scope {
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Why it is refused. [`RefusalReason::Residency`] tells a caller not to come back, so it is never given for a lack of
-    /// engines, instances or reports.
+    /// Returns the reason of the refusal. [`RefusalReason::Residency`] tells a caller not to retry,
+    /// so it is never returned for a lack of engines, instances or reports.
     pub fn reason(&self, index: &DescriptionIndex) -> RefusalReason {
         match self.is_forbidden(index) {
             true => RefusalReason::Residency,
@@ -70,16 +70,16 @@
     }
 }
 
-/// What a forwarded request says of its path.
+/// The path of a forwarded request, from its headers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ForwardPath {
-    /// The data centres that the request has been in, the origin's first.
+    /// The data centres that the request passed through, the origin's first.
     pub visited: Vec<DataCentreName>,
-    /// The stamp of the description that the sender decided by.
+    /// The stamp of the description by which the sender routed the request.
     pub stamp: DescriptionStamp,
 }
 
-/// Why a receiver refuses a forwarded request.
+/// The reason why a receiver refuses a forwarded request.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum ForwardFault {
     /// the request says of no data centre that it came from one
@@ -99,13 +99,13 @@
 
 /// Checks the path of a forwarded request against this data centre and the description in force.
 ///
-/// A request that passes may still be refused by residency, which the receiver checks against its
-/// own description: that is the newer of the two, or the same.
+/// A request that passes may still be refused for residency, which the receiver checks against its
+/// own description: the same as the sender's, or a newer one.
 ///
 /// # Errors
 ///
-/// The first fault found. [`ForwardFault::SenderNewer`] goes away once the receiver has the
-/// sender's description.
+/// Returns the first fault found. [`ForwardFault::SenderNewer`] is resolved once the receiver has
+/// the sender's description.
 pub fn check_forward(
     path: &ForwardPath,
     here: &DataCentreName,
--- a/crates/foldhaven-core/src/retry.rs
+++ b/crates/foldhaven-core/src/retry.rs
@@ -1,37 +1,37 @@
-//! The retry budget: retries are a bounded share of successes, so that they cannot keep an
-//! overload alive.
+//! The retry budget: retries are a bounded share of successes, so that they cannot sustain an
+//! overload.
 
-/// Counts successes in and retries out.
+/// A budget into which successes deposit and from which retries withdraw.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
-    share: f64,
-    cap: f64,
-    tokens: f64,
+    retries_per_success: f64,
+    capacity: f64,
+    balance: f64,
 }
 
 impl RetryBudget {
-    /// A budget that earns `share` of a retry with each success and saves at most `cap` retries.
-    /// It starts full, so that a fault met first can be retried.
-    pub fn new(share: f64, cap: f64) -> Self {
-        Self { share, cap, tokens: cap }
+    /// Creates a budget that gains `retries_per_success` with each success, up to `capacity`
+    /// retries. The budget starts full, so that a failure before the first success can be retried.
+    pub fn new(retries_per_success: f64, capacity: f64) -> Self {
+        Self { retries_per_success, capacity, balance: capacity }
     }
 
-    /// Earns for one success.
+    /// Credits one success.
     pub fn deposit(&mut self) {
-        self.tokens = (self.tokens + self.share).min(self.cap);
+        self.balance = (self.balance + self.retries_per_success).min(self.capacity);
     }
 
-    /// Takes one retry out, if there is one.
+    /// Withdraws one retry. Returns whether one was available.
     pub fn try_withdraw(&mut self) -> bool {
-        if self.tokens < 1.0 {
+        if self.balance < 1.0 {
             return false;
         }
-        self.tokens -= 1.0;
+        self.balance -= 1.0;
         true
     }
 
-    /// The retries that could be taken now.
+    /// Returns the number of available retries, which may be fractional.
     pub fn available(&self) -> f64 {
-        self.tokens
+        self.balance
     }
 }
--- a/crates/foldhaven-core/src/ticket.rs
+++ b/crates/foldhaven-core/src/ticket.rs
@@ -1,7 +1,7 @@
-//! Tickets: how a request that is not repeatable runs at most once without shared state.
+//! Tickets: at-most-once execution of non-repeatable requests without shared state.
 //!
-//! A ticket names the one process lifetime that may run a request. That process records a ticket
-//! as spent before the first byte of the request leaves, and no other process may run it.
+//! A ticket names the only process incarnation that may run a request. That process records the
+//! ticket as spent before it sends the first byte of the request, and no other process may run it.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -14,22 +14,23 @@
 use crate::ids::{IncarnationId, VmName};
 use crate::time::MonoTime;
 
-/// How many tickets of one process may be alive at once.
+/// Maximum number of unexpired tickets of one process.
 pub const MAX_LIVE_TICKETS: usize = 65_536;
 
 const TAG_BYTES: usize = 16;
 
-/// A permission to run one request once, at one process lifetime of one VM.
+/// Permission to run one request once, at one incarnation of one VM.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct RequestTicket {
     /// The VM that may run the request.
     pub owner: VmName,
-    /// The process lifetime that may run it.
+    /// The owner's incarnation that may run the request.
     pub incarnation: IncarnationId,
-    /// The number of the ticket within that lifetime.
+    /// The sequence number of the ticket within that incarnation.
     pub sequence: u64,
-    /// When it ends, on the owner's clock.
+    /// Expiry time, on the owner's clock.
     pub expires: MonoTime,
+    /// Truncated HMAC of `sequence` and `expires` under the owner's key.
     tag: [u8; TAG_BYTES],
 }
 
@@ -41,7 +42,7 @@
     }
 }
 
-/// A text is not a ticket
+/// invalid ticket: expected `OWNER/INCARNATION/SEQUENCE/EXPIRES/TAG`
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub struct TicketError;
 
@@ -75,20 +76,20 @@
     Ok(tag)
 }
 
-/// What the owner makes of a ticket that arrives with a request.
+/// The result of redeeming a ticket that arrives with a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TicketVerdict<A> {
-    /// First use: the ticket is now spent, and the request is to be run once.
+    /// First use: the ticket is now spent, and the request must be run once.
     Run,
-    /// The request is running or has run: this is what stands for its answer.
+    /// The request is running or has run. Contains the handle of its answer.
     Join(A),
-    /// The ticket was spent on a request with other content; this one has not run.
+    /// The ticket was spent on a request with different content. This request has not run.
     OtherRequest,
-    /// The ticket is not of this process lifetime, or was not issued by it.
+    /// The ticket belongs to another process or incarnation, or was forged.
     Foreign,
-    /// The ticket has ended. Whether it was spent may have been forgotten.
+    /// The ticket expired. The record of whether it was spent may be gone.
     Expired,
-    /// The process is leaving and the ticket was never spent; it now never will be.
+    /// The process is leaving, and the ticket was never spent. It can no longer be spent.
     Closed,
 }
 
@@ -99,47 +100,59 @@
     answer: A,
 }
 
-/// The owner's record of tickets: which were issued and which are spent.
+/// The owner's record of issued and spent tickets.
 ///
-/// `A` is what stands for an answer, such as a handle on which later arrivals wait.
+/// `A` is the handle of an answer, on which later arrivals with the same ticket wait.
 pub struct TicketLedger<A> {
     owner: VmName,
     incarnation: IncarnationId,
     key: [u8; 32],
-    next: u64,
+    next_sequence: u64,
+    /// Spent tickets by sequence number.
     spent: BTreeMap<u64, SpentTicket<A>>,
+    /// Expiry times of issued tickets that have not expired, by sequence number.
     live: BTreeMap<u64, MonoTime>,
-    issues: bool,
-    closed: bool,
+    is_issuing: bool,
+    is_closed: bool,
 }
 
 impl<A: Clone> TicketLedger<A> {
-    /// An empty ledger. `key` is random and never leaves the process.
+    /// Creates an empty ledger. `key` must be random and never leave the process.
     pub fn new(owner: VmName, incarnation: IncarnationId, key: [u8; 32]) -> Self {
         let spent = BTreeMap::new();
         let live = BTreeMap::new();
-        Self { owner, incarnation, key, next: 1, spent, live, issues: true, closed: false }
+        Self {
+            owner,
+            incarnation,
+            key,
+            next_sequence: 1,
+            spent,
+            live,
+            is_issuing: true,
+            is_closed: false,
+        }
     }
 
-    /// Issues a ticket that holds for `span`, unless too many are alive or the process is leaving.
-    pub fn issue(&mut self, now: MonoTime, span: Duration) -> Option<RequestTicket> {
-        self.forget(now);
-        if !self.issues || self.live.len() >= MAX_LIVE_TICKETS {
+    /// Issues a ticket that is valid for `ttl`. Returns `None` if [`MAX_LIVE_TICKETS`] is reached
+    /// or the process is leaving.
+    pub fn issue(&mut self, now: MonoTime, ttl: Duration) -> Option<RequestTicket> {
+        self.remove_expired(now);
+        if !self.is_issuing || self.live.len() >= MAX_LIVE_TICKETS {
             return None;
         }
-        let sequence = self.next;
-        self.next += 1;
-        let expires = now + span;
+        let sequence = self.next_sequence;
+        self.next_sequence += 1;
+        let expires = now + ttl;
         self.live.insert(sequence, expires);
         let owner = self.owner.clone();
         let tag = self.tag(sequence, expires);
         Some(RequestTicket { owner, incarnation: self.incarnation, sequence, expires, tag })
     }
 
-    /// Judges a ticket, and spends it if this is its first use.
+    /// Checks a ticket and spends it if this is its first use.
     ///
-    /// `fingerprint` stands for the content of the request. `answer` is asked for only when the
-    /// verdict is [`TicketVerdict::Run`]; later arrivals join it.
+    /// `fingerprint` identifies the content of the request. `answer` is called only if the verdict
+    /// is [`TicketVerdict::Run`]; later arrivals get a clone of its result.
     pub fn redeem(
         &mut self,
         ticket: &RequestTicket,
@@ -159,7 +172,7 @@
         if now >= ticket.expires {
             return TicketVerdict::Expired;
         }
-        if self.closed {
+        if self.is_closed {
             return TicketVerdict::Closed;
         }
         let expires = ticket.expires;
@@ -168,30 +181,31 @@
         TicketVerdict::Run
     }
 
-    /// Takes back the spending of a ticket whose request certainly was not run, so that the caller
-    /// may use it again.
+    /// Marks a ticket as unspent, so that the caller may use it again. Only valid if the ticket's
+    /// request certainly did not run.
     pub fn restore(&mut self, ticket: &RequestTicket) {
         self.spent.remove(&ticket.sequence);
     }
 
-    /// Ends the issue of tickets. Those that callers hold can still be used: a caller asks for one
-    /// just before it uses it.
+    /// Stops issuing tickets. Issued tickets can still be redeemed, because callers request a
+    /// ticket right before they use it.
     pub fn stop_issuing(&mut self) {
-        self.issues = false;
+        self.is_issuing = false;
     }
 
-    /// Ends the issue and the first use of tickets; spent ones can still be joined.
+    /// Stops issuing tickets and rejects the first use of issued ones. Spent tickets can still be
+    /// joined.
     pub fn close(&mut self) {
-        self.issues = false;
-        self.closed = true;
+        self.is_issuing = false;
+        self.is_closed = true;
     }
 
-    /// Whether a ticket names this process lifetime as its owner.
+    /// Returns whether a ticket names this process's VM and incarnation as its owner.
     pub fn names_this_process(&self, ticket: &RequestTicket) -> bool {
         ticket.owner == self.owner && ticket.incarnation == self.incarnation
     }
 
-    /// How many tickets are issued and not ended.
+    /// Returns the number of issued tickets that have not expired, as of the last issue.
     pub fn live(&self) -> usize {
         self.live.len()
     }
@@ -210,10 +224,11 @@
         tag
     }
 
-    /// Forgets tickets that ended a while ago. One that comes back later is answered `Expired`.
-    fn forget(&mut self, now: MonoTime) {
-        const KEPT_AFTER_EXPIRY: Duration = Duration::from_secs(60);
+    /// Removes the records of expired tickets, those of spent tickets only some time after the
+    /// expiry. A ticket without a record that arrives later gets [`TicketVerdict::Expired`].
+    fn remove_expired(&mut self, now: MonoTime) {
+        const RETENTION_AFTER_EXPIRY: Duration = Duration::from_secs(60);
         self.live.retain(|_, expires| *expires > now);
-        self.spent.retain(|_, spent| spent.expires + KEPT_AFTER_EXPIRY > now);
+        self.spent.retain(|_, spent| spent.expires + RETENTION_AFTER_EXPIRY > now);
     }
 }
