--- a/crates/foldhaven-core/src/burn.rs
+++ b/crates/foldhaven-core/src/burn.rs
@@ -1,4 +1,4 @@
-//! Service-level burn: how fast each account and class uses up its error budget.
+//! Service-level burn rates: how fast each account and class uses up its error budget.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,21 +13,21 @@
 /// The long window.
 pub const LONG_WINDOW: Duration = Duration::from_secs(3_600);
 
-const BUCKET: Duration = Duration::from_secs(30);
+const BUCKET_SPAN: Duration = Duration::from_secs(30);
 const BUCKETS: usize = 120;
 
-/// Requests of one account and class, over a window.
+/// Counts of the requests of one account and class over a window.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct BurnCount {
-    /// Requests that ended.
+    /// Number of requests that ended.
     pub total: u64,
-    /// Those that were not whole and on time.
+    /// Number of requests that were not complete and on time, including refused ones.
     pub bad: u64,
-    /// Those that were refused; they are bad too.
+    /// Number of refused requests.
     pub refused: u64,
-    /// Worth of all of them.
+    /// Total worth of the requests.
     pub worth: f64,
-    /// Worth that was lost.
+    /// Worth of the bad requests.
     pub lost: f64,
 }
 
@@ -41,8 +41,8 @@
         self.lost += other.lost;
     }
 
-    /// How many times faster than allowed the error budget is used up; 1 is just allowed.
-    /// `target` is the share that is to be good.
+    /// Returns the burn rate: the share of bad requests relative to the error budget. At 1 the
+    /// budget is used up exactly. `target` is the share of requests that must be good.
     pub fn burn_rate(&self, target: f64) -> f64 {
         let budget = (1.0 - target).max(1e-6);
         if self.total == 0 {
@@ -51,7 +51,7 @@
         (self.bad as f64 / self.total as f64) / budget
     }
 
-    /// The part of the error budget that is left over this window; negative when overdrawn.
+    /// Returns the remaining share of the error budget in this window, negative if it is exceeded.
     pub fn budget_left(&self, target: f64) -> f64 {
         1.0 - self.burn_rate(target)
     }
@@ -60,22 +60,23 @@
 /// How one request ended, for its account and class.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BurnEvent {
-    /// Whole and on time.
+    /// Complete and on time.
     Good,
-    /// Whole and late, or not whole.
+    /// Late or incomplete.
     Bad,
     /// Refused.
     Refused,
 }
 
-/// The counts of one kind of requests over the long window, in a ring of buckets.
+/// Ring buffer of buckets that counts requests over the long window.
 #[derive(Debug, Clone)]
 pub struct BurnRing {
     buckets: Vec<BurnCount>,
-    at: u64,
+    /// Number of the current bucket, counted from the zero of the clock.
+    current: u64,
 }
 
-/// The counts of one daemon, in a ring of buckets per account and class.
+/// Burn counts of one daemon, per account and class.
 #[derive(Debug, Default)]
 pub struct BurnMeter {
     rings: BTreeMap<(AccountName, ClassName), BurnRing>,
@@ -88,14 +89,14 @@
     pub account: AccountName,
     /// The class.
     pub class: ClassName,
-    /// Over the short window.
+    /// Counts over the short window.
     pub short: BurnCount,
-    /// Over the long window.
+    /// Counts over the long window.
     pub long: BurnCount,
 }
 
 impl BurnMeter {
-    /// Notes how one request ended.
+    /// Records how one request ended.
     pub fn record(
         &mut self,
         account: &AccountName,
@@ -108,7 +109,7 @@
         self.rings.entry(key).or_insert_with(|| BurnRing::new(now)).record(event, worth, now);
     }
 
-    /// The rows of all accounts and classes that had requests in the long window.
+    /// Returns the rows of all accounts and classes that had requests in the long window.
     pub fn rows(&mut self, now: MonoTime) -> Vec<BurnRow> {
         let mut rows = Vec::new();
         for ((account, class), ring) in &mut self.rings {
@@ -122,21 +123,21 @@
 }
 
 fn bucket_number(now: MonoTime) -> u64 {
-    now.0 / BUCKET.as_micros() as u64
+    now.0 / BUCKET_SPAN.as_micros() as u64
 }
 
 impl BurnRing {
-    /// An empty ring.
+    /// Creates an empty ring.
     pub fn new(now: MonoTime) -> Self {
-        Self { buckets: vec![BurnCount::default(); BUCKETS], at: bucket_number(now) }
+        Self { buckets: vec![BurnCount::default(); BUCKETS], current: bucket_number(now) }
     }
 
-    /// Notes how one request ended.
+    /// Records how one request ended.
     pub fn record(&mut self, event: BurnEvent, worth: f64, now: MonoTime) {
-        let slot = bucket_number(now);
-        self.turn_to(slot);
+        let bucket = bucket_number(now);
+        self.advance_to(bucket);
         let lost = if event == BurnEvent::Good { 0.0 } else { worth };
-        self.buckets[slot as usize % BUCKETS].add(&BurnCount {
+        self.buckets[bucket as usize % BUCKETS].add(&BurnCount {
             total: 1,
             bad: u64::from(event != BurnEvent::Good),
             refused: u64::from(event == BurnEvent::Refused),
@@ -145,27 +146,28 @@
         });
     }
 
-    /// The counts over the short and the long window.
+    /// Returns the counts over the short and the long window.
     pub fn counts(&mut self, now: MonoTime) -> (BurnCount, BurnCount) {
-        self.turn_to(bucket_number(now));
-        let short = (SHORT_WINDOW.as_secs() / BUCKET.as_secs()) as usize;
+        self.advance_to(bucket_number(now));
+        let short = (SHORT_WINDOW.as_secs() / BUCKET_SPAN.as_secs()) as usize;
         (self.sum(short), self.sum(BUCKETS))
     }
 
-    /// Empties the buckets that time has passed over.
-    fn turn_to(&mut self, slot: u64) {
-        let passed = slot.saturating_sub(self.at).min(BUCKETS as u64);
+    /// Advances the ring to a bucket and clears the buckets that it passes.
+    fn advance_to(&mut self, bucket: u64) {
+        let passed = bucket.saturating_sub(self.current).min(BUCKETS as u64);
         for step in 1..=passed {
-            let at = slot - passed + step;
+            let at = bucket - passed + step;
             self.buckets[at as usize % BUCKETS] = BurnCount::default();
         }
-        self.at = self.at.max(slot);
+        self.current = self.current.max(bucket);
     }
 
+    /// Returns the sum of the last `count` buckets.
     fn sum(&self, count: usize) -> BurnCount {
         let mut sum = BurnCount::default();
-        for back in 0..count.min(self.at as usize + 1) {
-            let at = (self.at as usize - back) % BUCKETS;
+        for back in 0..count.min(self.current as usize + 1) {
+            let at = (self.current as usize - back) % BUCKETS;
             sum.add(&self.buckets[at]);
         }
         sum
--- a/crates/foldhaven-core/src/fairness.rs
+++ b/crates/foldhaven-core/src/fairness.rs
@@ -1,4 +1,4 @@
-//! What each account used lately, against its part of scarce capacity.
+//! Fairness between accounts: each account's recent usage, compared to its share of scarce capacity.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,17 +8,20 @@
 
 const HALF_LIFE: Duration = Duration::from_secs(10);
 
-/// Slot time used per account, decaying.
+/// Slot time used per account, with exponential decay.
 #[derive(Debug, Default)]
 pub struct UsageTracker {
+    /// Decayed slot seconds of each active account.
     usage: BTreeMap<AccountName, f64>,
+    /// Sum of `usage`.
     total: f64,
+    /// Configured shares of the active accounts.
     shares: BTreeMap<AccountName, f64>,
-    decayed: MonoTime,
+    last_decay: MonoTime,
 }
 
 impl UsageTracker {
-    /// Notes that a request of an account was given so much slot time.
+    /// Records that a request of an account was given `slot_time`.
     pub fn record(
         &mut self,
         account: &AccountName,
@@ -33,12 +36,14 @@
         self.total += used;
     }
 
-    /// What the price of scarce capacity is to be multiplied by for an account: 1 when it used its
-    /// part of what the active accounts used, more when it used more, within 0.25 to 4.
+    /// Returns the factor by which an account's price of scarce capacity is multiplied.
+    ///
+    /// This is the account's part of the active accounts' usage divided by its part of their
+    /// shares, limited to 0.25 to 4. It is 1 if the account used exactly its share.
     pub fn price_factor(&self, account: &AccountName, share: f64) -> f64 {
         let shares: f64 = self.shares.values().sum();
-        let known = self.shares.contains_key(account);
-        let shares = if known { shares } else { shares + share };
+        let is_active = self.shares.contains_key(account);
+        let shares = if is_active { shares } else { shares + share };
         if self.total <= 0.0 || shares <= 0.0 || share <= 0.0 {
             return 1.0;
         }
@@ -49,11 +54,11 @@
     fn decay(&mut self, now: MonoTime) {
         const STEP: Duration = Duration::from_millis(500);
         const NEGLIGIBLE: f64 = 1e-3;
-        let passed = now.since(self.decayed);
+        let passed = now.since(self.last_decay);
         if passed < STEP {
             return;
         }
-        self.decayed = now;
+        self.last_decay = now;
         let factor = 0.5f64.powf(passed.as_secs_f64() / HALF_LIFE.as_secs_f64());
         for used in self.usage.values_mut() {
             *used *= factor;
--- a/crates/foldhaven-core/src/load.rs
+++ b/crates/foldhaven-core/src/load.rs
@@ -1,4 +1,4 @@
-//! Load of engines: lagged reports, corrected by what was dispatched since, and estimates from it.
+//! Load of engines: delayed reports, corrected by the work dispatched since, and wait estimates.
 
 use std::time::Duration;
 
@@ -8,16 +8,17 @@
 use crate::ids::{ModelName, UpstreamName};
 use crate::time::MonoTime;
 
-/// The fence of an order to an engine. An engine refuses orders with a smaller one than its last.
+/// Fencing token of an order to an engine. An engine refuses an order whose fence is smaller than
+/// that of the last order it accepted.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct OrderFence {
-    /// The generation of the description that the order follows from.
+    /// The generation of the description from which the order was derived.
     pub generation: u64,
-    /// Counts up over all issuers: each takes one more than the engine last reported.
+    /// Sequence number across all issuers: one more than the engine's last reported one.
     pub sequence: u64,
-    /// The process lifetime of the issuer, which orders two issuers with the same sequence.
+    /// The incarnation of the issuer, which breaks ties between issuers with the same sequence.
     pub incarnation: u64,
 }
 
@@ -28,37 +29,37 @@
     pub model: ModelName,
     /// The version of its weights.
     pub version: String,
-    /// Whether it can serve already.
+    /// Whether the engine can already serve the model.
     pub ready: bool,
 }
 
-/// What an engine reports of its load.
+/// The load that an engine reports.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EngineLoad {
     /// The engine.
     pub engine: UpstreamName,
-    /// The engine's process lifetime.
+    /// The engine's incarnation.
     pub incarnation: u64,
-    /// How old the content is, in milliseconds.
+    /// Age of the report in milliseconds.
     pub age_ms: u32,
-    /// Requests that it batches now.
+    /// Number of requests in the current batch.
     pub running: u32,
-    /// Requests that wait for a slot.
+    /// Number of requests that wait for a slot.
     pub queued: u32,
-    /// The work that is left, in milliseconds of one slot.
+    /// Remaining work, in milliseconds of slot time.
     pub backlog_ms: u32,
-    /// The slots over which it batches.
+    /// Number of slots, the maximum batch size.
     pub slots: u32,
-    /// The models it holds.
+    /// The models that the engine holds or is loading.
     pub models: Vec<HeldModel>,
-    /// The fence of the last order that it took.
+    /// The fence of the last accepted order.
     pub fence: OrderFence,
-    /// Whether it takes no new work.
+    /// Whether the engine is leaving and accepts no new work.
     pub leaving: bool,
 }
 
 impl EngineLoad {
-    /// Whether the engine can serve this version of a model.
+    /// Returns whether the engine can serve the model in the configured version.
     pub fn holds(&self, model: &ModelConfig) -> bool {
         let serves = |held: &HeldModel| {
             held.ready && held.model == model.name && held.version == model.version
@@ -67,47 +68,47 @@
     }
 }
 
-/// One engine in the view by which requests are routed.
+/// An engine in the routing view.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineView {
-    /// Its last report.
+    /// The engine's last report.
     pub load: EngineLoad,
     /// When the report's content was true, on this process's clock.
     pub observed: MonoTime,
 }
 
-/// Work that this daemon dispatched and that a report does not show yet.
+/// Work that was dispatched to an engine and is not in its last report yet.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct RecentWork {
-    /// How many requests.
+    /// Number of requests. Fractional, since it may be an estimate for several VMs.
     pub requests: f64,
-    /// How much work, in time of one slot.
+    /// Total work, as slot time.
     pub work: Duration,
 }
 
-/// What is to be done for one request at one engine.
+/// The size of a request's work at one engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WorkSize {
-    /// Tokens of the prompt that are not in the engine's cache.
+    /// Number of prompt tokens that are not in the engine's cache.
     pub cold_tokens: u64,
-    /// Tokens of the answer.
+    /// Number of tokens of the answer.
     pub output_tokens: u64,
 }
 
 impl WorkSize {
-    /// The time that one slot needs.
+    /// Returns the slot time of the request: prefill and decode.
     pub fn slot_time(&self, model: &ModelConfig) -> Duration {
         self.prefill_time(model) + model.decode.time_for(self.output_tokens)
     }
 
-    /// The time until the first token leaves a free slot.
+    /// Returns the prefill time, after which a free slot emits the first token.
     pub fn prefill_time(&self, model: &ModelConfig) -> Duration {
         model.prefill.time_for(self.cold_tokens)
     }
 }
 
-/// The expected wait for a slot of an engine, from its report, the time that has passed since, and
-/// the work that was dispatched since.
+/// Returns the expected wait for a slot of an engine, from its last report, the time that has passed
+/// since, and the work that was dispatched since.
 pub fn expected_wait(engine: &EngineView, recent: RecentWork, now: MonoTime) -> Duration {
     let load = &engine.load;
     let slots = f64::from(load.slots.max(1));
@@ -119,14 +120,16 @@
         return Duration::ZERO;
     }
     let mean = backlog / busy.max(1.0);
-    let ahead = (busy - slots + 1.0) * mean / slots;
-    Duration::from_secs_f64(ahead)
+    let wait = (busy - slots + 1.0) * mean / slots;
+    Duration::from_secs_f64(wait)
 }
 
-/// The running error of estimates: how far they are off, as a share of the estimate.
+/// Moving averages of the bias and the spread of time estimates.
 #[derive(Debug, Clone)]
 pub struct EstimateCalibration {
+    /// Mean ratio of actual to estimated time.
     bias: f64,
+    /// Mean absolute deviation of that ratio from `bias`.
     spread: f64,
 }
 
@@ -137,28 +140,30 @@
 }
 
 impl EstimateCalibration {
-    /// Takes in one pair of estimate and outcome.
+    /// Records an estimated and the actual time.
     pub fn record(&mut self, estimate: Duration, actual: Duration) {
         const WEIGHT: f64 = 0.02;
         let ratio = actual.as_secs_f64() / estimate.as_secs_f64().max(1e-3);
         let ratio = ratio.clamp(0.1, 10.0);
-        let off = (ratio - self.bias).abs();
+        let deviation = (ratio - self.bias).abs();
         self.bias += WEIGHT * (ratio - self.bias);
-        self.spread += WEIGHT * (off - self.spread);
+        self.spread += WEIGHT * (deviation - self.spread);
     }
 
-    /// What estimates are to be multiplied by.
+    /// Returns the factor by which estimates must be multiplied, 0.5 to 3.
     pub fn bias(&self) -> f64 {
         self.bias.clamp(0.5, 3.0)
     }
 
-    /// The mean distance of outcomes from corrected estimates, as a share of the estimate.
+    /// Returns the mean absolute deviation from corrected estimates, as a share of the uncorrected
+    /// estimate, 0.05 to 1.
     pub fn spread(&self) -> f64 {
         self.spread.clamp(0.05, 1.0)
     }
 }
 
-/// The chance that a request is late, for an estimate that is off by `spread` of itself on average.
+/// Returns the probability that a request misses its deadline, for an estimate whose mean absolute
+/// error is `spread` times the estimate.
 pub fn chance_late(estimate: Duration, deadline: Duration, spread: f64) -> f64 {
     let width = (estimate.as_secs_f64() * spread / 2.0).max(0.002);
     let slack = (deadline.as_secs_f64() - estimate.as_secs_f64()) / width;
--- a/crates/foldhaven-core/src/rank.rs
+++ b/crates/foldhaven-core/src/rank.rs
@@ -1,8 +1,9 @@
-//! Rendezvous hashing: every daemon ranks the same candidates in the same order without talking.
+//! Rendezvous hashing: every daemon ranks the same candidates in the same order without
+//! communication.
 
 use xxhash_rust::xxh3::Xxh3;
 
-/// The hash of some texts, the same on every daemon and in every version.
+/// Returns the hash of a sequence of strings. It is the same on every daemon and in every version.
 pub fn rank_hash(parts: &[&str]) -> u64 {
     let mut hasher = Xxh3::new();
     for part in parts {
@@ -12,9 +13,9 @@
     hasher.digest()
 }
 
-/// The candidates in the order of their rank for `key`, highest first.
+/// Returns the candidates in the order of their rank for `key`, highest first.
 ///
-/// Taking a candidate away leaves the order of the others as it was.
+/// Removing a candidate does not change the order of the others.
 pub fn rank_by<'a, T>(
     key: &str,
     candidates: impl IntoIterator<Item = &'a T>,
--- a/crates/foldhaven-core/src/waits.rs
+++ b/crates/foldhaven-core/src/waits.rs
@@ -1,4 +1,5 @@
-//! Which description waiting requests were last checked by: what a VM may say is in force.
+//! Tracks by which description each waiting request was last checked, to determine the description
+//! that a VM may report as in force.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,53 +7,58 @@
 use crate::description::DescriptionStamp;
 use crate::time::MonoTime;
 
-/// How long a call that was given up may take to be cancelled at its upstream: until its connection is
-/// closed there, a request that waits in the upstream's queue can still begin.
+/// Time that the cancellation of an abandoned call may take to reach its upstream. Until the
+/// upstream has closed the connection, a request that waits in its queue can still start.
 pub const CANCEL_GRACE: Duration = Duration::from_millis(100);
 
-/// Counts waiting requests by the description that they were last checked by.
+/// Counts waiting requests by the description by which they were last checked.
 ///
-/// A description is adopted in a moment, but requests that wait at upstreams were placed by the one before.
-/// Whoever is told that a rule is in force must be able to rely on it: so it is told only once no such
-/// request is left. What is told never goes back, since requests enter with the newest description.
+/// A description is adopted at once, but requests that wait at upstreams were routed by the previous
+/// one. A description is reported as in force only once no such request is left, so that operators
+/// can rely on its rules. The reported description never goes back, since requests enter with the
+/// newest one.
 #[derive(Debug, Default)]
 pub struct WaitLedger {
     newest: Option<DescriptionStamp>,
+    /// Number of waiting requests by the stamp by which they were last checked.
     waiting: BTreeMap<Option<DescriptionStamp>, u32>,
-    left: BTreeMap<Option<DescriptionStamp>, MonoTime>,
+    /// When the last request left, by the stamp by which it was last checked.
+    last_left: BTreeMap<Option<DescriptionStamp>, MonoTime>,
 }
 
 impl WaitLedger {
-    /// Notes a description by which requests are placed from now on.
+    /// Records a description by which requests are routed from now on.
     pub fn adopt(&mut self, stamp: DescriptionStamp) {
         self.newest = self.newest.max(Some(stamp));
     }
 
-    /// Counts a request that is about to be placed, and returns what it counts as checked by.
+    /// Adds a request that is about to be routed, and returns the stamp by which it counts as
+    /// checked.
     ///
-    /// It must be placed by a view that is read afterwards.
+    /// The request must be routed by a view that is read after this call.
     pub fn enter(&mut self) -> Option<DescriptionStamp> {
         *self.waiting.entry(self.newest).or_default() += 1;
         self.newest
     }
 
-    /// Notes that a waiting request is permitted by a later description as well.
+    /// Records that a waiting request is also permitted by a later description.
     pub fn recheck(&mut self, from: Option<DescriptionStamp>, to: Option<DescriptionStamp>) {
         self.remove(from);
         *self.waiting.entry(to).or_default() += 1;
     }
 
-    /// Takes out a request that has begun, ended or was called back.
+    /// Removes a request that started, ended or was cancelled.
     pub fn leave(&mut self, checked: Option<DescriptionStamp>, now: MonoTime) {
         self.remove(checked);
-        self.left.insert(checked, now);
+        self.last_left.insert(checked, now);
     }
 
-    /// The description that holds for every request that can still begin.
+    /// Returns the description that applies to every request that can still start, `None` if there
+    /// is none.
     pub fn in_force(&mut self, now: MonoTime) -> Option<DescriptionStamp> {
-        self.left.retain(|_, at| now.since(*at) < CANCEL_GRACE);
+        self.last_left.retain(|_, at| now.since(*at) < CANCEL_GRACE);
         let oldest_waiting = self.waiting.keys().next().copied();
-        let oldest_left = self.left.keys().next().copied();
+        let oldest_left = self.last_left.keys().next().copied();
         [oldest_waiting, oldest_left].into_iter().flatten().fold(self.newest, Ord::min)
     }
 
