--- a/crates/foldhaven-core/src/burn.rs
+++ b/crates/foldhaven-core/src/burn.rs
@@ -72,7 +72,7 @@
 #[derive(Debug, Clone)]
 pub struct BurnRing {
     buckets: Vec<BurnCount>,
-    /// Number of the current bucket, counted from the zero of the clock.
+    /// Number of the current bucket, counted from the clock's origin.
     current: u64,
 }
 
--- a/crates/foldhaven-core/src/description/index.rs
+++ b/crates/foldhaven-core/src/description/index.rs
@@ -1,4 +1,4 @@
-//! Look-ups over one adopted description, made once when it is adopted.
+//! Lookup tables for a description, built once when it is adopted.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,16 +11,16 @@
 use crate::ids::{AccountName, ClassName, DataCentreName, ModelName, RegionName, RuleName};
 use crate::residency::ResidencyRule;
 
-/// A description with its stamp, its sections and its look-ups.
+/// A description with its stamp, sections and lookup tables.
 #[derive(Debug)]
 pub struct DescriptionIndex {
     /// The description itself.
     pub description: Description,
-    /// The stamp that orders it.
+    /// The description's stamp.
     pub stamp: DescriptionStamp,
-    /// The manifest of its sections.
+    /// The manifest of the description's sections.
     pub manifest: SectionManifest,
-    /// The contents of its sections.
+    /// The contents of the sections.
     pub sections: SectionSet,
     accounts: BTreeMap<AccountName, usize>,
     classes: BTreeMap<ClassName, usize>,
@@ -30,17 +30,17 @@
 }
 
 impl DescriptionIndex {
-    /// Indexes a description that has passed its checks.
+    /// Indexes a description that was validated before.
     pub fn new(description: Description) -> Arc<Self> {
         let (manifest, sections) = SectionSet::split(&description);
         Self::with_sections(description, manifest, sections)
     }
 
-    /// Joins sections that came from the platform or from a peer and indexes the result.
+    /// Assembles a description from sections fetched from the platform or a peer and indexes it.
     ///
     /// # Errors
     ///
-    /// As [`SectionSet::join`].
+    /// Returns the errors of [`SectionSet::join`].
     pub fn from_sections(
         manifest: SectionManifest,
         mut sections: SectionSet,
@@ -86,23 +86,23 @@
         })
     }
 
-    /// The account of that name.
+    /// Returns the account with the name.
     pub fn account(&self, name: &AccountName) -> Option<&AccountConfig> {
         self.accounts.get(name).map(|at| &self.description.accounts[*at])
     }
 
-    /// The class of that name.
+    /// Returns the class with the name.
     pub fn class(&self, name: &ClassName) -> Option<&ClassConfig> {
         self.classes.get(name).map(|at| &self.description.classes[*at])
     }
 
-    /// The first class that runs on that model.
+    /// Returns the first class that runs on the model.
     pub fn class_of_model(&self, model: &ModelName) -> Option<&ClassConfig> {
         let runs_on = |class: &&ClassConfig| class.model.as_ref() == Some(model);
         self.description.classes.iter().find(runs_on)
     }
 
-    /// The first class that runs on a plain service of that name.
+    /// Returns the first class that runs on the plain service.
     pub fn class_of_service(&self, service: &str) -> Option<&ClassConfig> {
         self.description.classes.iter().find(|class| {
             class.kind == ClassKind::Service
@@ -110,28 +110,28 @@
         })
     }
 
-    /// The model of that name.
+    /// Returns the model with the name.
     pub fn model(&self, name: &ModelName) -> Option<&ModelConfig> {
         self.models.get(name).map(|at| &self.description.models[*at])
     }
 
-    /// The region of a data centre.
+    /// Returns the region of a data centre.
     pub fn region_of(&self, centre: &DataCentreName) -> Option<&RegionName> {
         self.regions.get(centre)
     }
 
-    /// The price of one slot second in a data centre; 1 where it is not known.
+    /// Returns the price of one slot second in a data centre, 1 if the data centre is unknown.
     pub fn price_of(&self, centre: &DataCentreName) -> f64 {
-        let holds = |region: &&RegionConfig| region.data_centres.contains(centre);
-        self.description.regions.iter().find(holds).map_or(1.0, |region| region.price)
+        let contains = |region: &&RegionConfig| region.data_centres.contains(centre);
+        self.description.regions.iter().find(contains).map_or(1.0, |region| region.price)
     }
 
-    /// The data centres in the order of the description.
+    /// Returns the data centres in the order of the description.
     pub fn data_centres(&self) -> impl Iterator<Item = &DataCentreName> {
         self.description.regions.iter().flat_map(|region| &region.data_centres)
     }
 
-    /// The deployments of one data centre.
+    /// Returns the deployments in a data centre.
     pub fn deployments_in(
         &self,
         centre: &DataCentreName,
@@ -139,7 +139,8 @@
         self.description.deployments.iter().filter(move |it| it.data_centre == *centre)
     }
 
-    /// The rule that holds for an account's request of a class: the account's own goes first.
+    /// Returns the residency rule for an account's requests of a class. The account's own rule takes
+    /// precedence over the rule of the class.
     pub fn residency_of(
         &self,
         account: &AccountConfig,
--- a/crates/foldhaven-core/src/description/mod.rs
+++ b/crates/foldhaven-core/src/description/mod.rs
@@ -1,4 +1,4 @@
-//! The declarative description: its shape, its checks, its order and its sections.
+//! The declarative description of a deployment: its schema, validation, versions and sections.
 
 mod check;
 mod difference;
--- a/crates/foldhaven-core/src/description/sections.rs
+++ b/crates/foldhaven-core/src/description/sections.rs
@@ -1,4 +1,4 @@
-//! Content-addressed sections of a description, so that only changed ones travel.
+//! Content-addressed sections of a description, so that only changed sections are transferred.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -14,7 +14,7 @@
 use super::stamp::{DescriptionStamp, StampError};
 use crate::rank::rank_hash;
 
-/// How many sections the accounts are spread over.
+/// Number of sections over which the accounts are distributed.
 const ACCOUNT_SECTIONS: u64 = 32;
 const ACCOUNTS: &str = "accounts";
 const ACCOUNT_PREFIX: &str = "accounts/";
@@ -24,12 +24,12 @@
 pub struct SectionDigest([u8; 16]);
 
 impl SectionDigest {
-    /// The digest of some bytes.
+    /// Returns the digest of the bytes.
     pub fn of(bytes: &[u8]) -> Self {
-        let whole = Sha256::digest(bytes);
-        let mut short = [0; 16];
-        short.copy_from_slice(&whole[..16]);
-        Self(short)
+        let full = Sha256::digest(bytes);
+        let mut truncated = [0; 16];
+        truncated.copy_from_slice(&full[..16]);
+        Self(truncated)
     }
 }
 
@@ -55,7 +55,7 @@
     }
 }
 
-/// Why sections do not make a description.
+/// An error in assembling a description from its sections.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum SectionsError {
     /// section {0} is missing
@@ -68,17 +68,17 @@
     Check(CheckFault),
 }
 
-/// The sections that a description is made of, by digest.
+/// The list of a description's sections with their digests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SectionManifest {
     /// The generation of the description.
     pub generation: u64,
-    /// Name and digest of each section, in the order of names.
+    /// Name and digest of each section, sorted by name.
     pub sections: Vec<(String, SectionDigest)>,
 }
 
 impl SectionManifest {
-    /// The stamp of the description that this manifest names.
+    /// Returns the stamp of the manifest's description.
     pub fn stamp(&self) -> DescriptionStamp {
         let mut text = format!("{}\n", self.generation);
         for (name, digest) in &self.sections {
@@ -87,14 +87,14 @@
         DescriptionStamp { generation: self.generation, digest: SectionDigest::of(text.as_bytes()) }
     }
 
-    /// The sections whose content `held` does not have.
-    pub fn missing_from(&self, held: &SectionSet) -> Vec<SectionDigest> {
-        let lacks = |digest: &SectionDigest| held.get(digest).is_none();
-        self.sections.iter().map(|(_, digest)| *digest).filter(lacks).collect()
+    /// Returns the digests of the sections whose content `sections` does not contain.
+    pub fn missing_from(&self, sections: &SectionSet) -> Vec<SectionDigest> {
+        let is_missing = |digest: &SectionDigest| sections.get(digest).is_none();
+        self.sections.iter().map(|(_, digest)| *digest).filter(is_missing).collect()
     }
 }
 
-/// Section contents by digest.
+/// Contents of sections, by digest.
 #[derive(Debug, Clone, Default)]
 pub struct SectionSet {
     contents: BTreeMap<SectionDigest, Arc<str>>,
@@ -113,48 +113,50 @@
         (SectionManifest { generation, sections }, set)
     }
 
-    /// Adds one section's content and returns its digest.
+    /// Adds a section's content and returns its digest.
     pub fn insert(&mut self, content: Arc<str>) -> SectionDigest {
         let digest = SectionDigest::of(content.as_bytes());
         self.contents.insert(digest, content);
         digest
     }
 
-    /// The content with that digest.
+    /// Returns the content with the digest.
     pub fn get(&self, digest: &SectionDigest) -> Option<&Arc<str>> {
         self.contents.get(digest)
     }
 
-    /// Drops every section that the manifest does not name.
+    /// Removes every section that the manifest does not list.
     pub fn retain(&mut self, manifest: &SectionManifest) {
-        let named = |digest: &SectionDigest| manifest.sections.iter().any(|(_, it)| it == digest);
-        self.contents.retain(|digest, _| named(digest));
+        let is_listed =
+            |digest: &SectionDigest| manifest.sections.iter().any(|(_, it)| it == digest);
+        self.contents.retain(|digest, _| is_listed(digest));
     }
 
-    /// The bytes held.
+    /// Returns the total size of the contents, in bytes.
     pub fn bytes(&self) -> usize {
         self.contents.values().map(|content| content.len()).sum()
     }
 
-    /// Puts a description together again and checks it.
+    /// Assembles the manifest's description from its sections and validates it.
     ///
     /// # Errors
     ///
-    /// When a section is missing or altered, or the whole does not pass the checks.
+    /// Returns an error if a section is missing or malformed, or if the description does not pass
+    /// its checks.
     pub fn join(&self, manifest: &SectionManifest) -> Result<Description, SectionsError> {
-        let mut whole = Map::new();
+        let mut fields = Map::new();
         let mut accounts = Vec::new();
         for (name, digest) in &manifest.sections {
             let content = self.get(digest).ok_or_else(|| SectionsError::Missing(name.clone()))?;
             let value: Value = serde_json::from_str(content)
                 .map_err(|error| SectionsError::Shape(error.to_string()))?;
             match (name.strip_prefix(ACCOUNT_PREFIX), value) {
-                (Some(_), Value::Array(part)) => accounts.extend(part),
-                (_, value) => drop(whole.insert(name.clone(), value)),
+                (Some(_), Value::Array(bucket)) => accounts.extend(bucket),
+                (_, value) => drop(fields.insert(name.clone(), value)),
             }
         }
-        whole.insert(ACCOUNTS.to_owned(), Value::Array(accounts));
-        let description: Description = serde_json::from_value(Value::Object(whole))
+        fields.insert(ACCOUNTS.to_owned(), Value::Array(accounts));
+        let description: Description = serde_json::from_value(Value::Object(fields))
             .map_err(|error| SectionsError::Shape(error.to_string()))?;
         match check_description(&description).into_iter().next() {
             None => Ok(description),
@@ -163,12 +165,12 @@
     }
 }
 
-/// The sections of a description as JSON values, in the order of their names.
+/// Returns the sections of a description as JSON values, sorted by name.
 fn section_values(description: &Description) -> BTreeMap<String, Value> {
-    let whole = serde_json::to_value(description).expect("a description is JSON");
-    let Value::Object(whole) = whole else { unreachable!("a description is an object") };
+    let object = serde_json::to_value(description).expect("a description serializes to JSON");
+    let Value::Object(fields) = object else { unreachable!("a description is a JSON object") };
     let mut values = BTreeMap::new();
-    for (name, value) in whole {
+    for (name, value) in fields {
         match (name.as_str(), value) {
             (ACCOUNTS, Value::Array(accounts)) => split_accounts(accounts, &mut values),
             (_, value) => drop(values.insert(name, value)),
@@ -184,8 +186,8 @@
         let bucket = rank_hash(&[name]) % ACCOUNT_SECTIONS;
         buckets.entry(format!("{ACCOUNT_PREFIX}{bucket:02}")).or_default().push(account);
     }
-    for (name, mut part) in buckets {
-        part.sort_by(|left, right| left["name"].as_str().cmp(&right["name"].as_str()));
-        values.insert(name, Value::Array(part));
+    for (name, mut bucket) in buckets {
+        bucket.sort_by(|left, right| left["name"].as_str().cmp(&right["name"].as_str()));
+        values.insert(name, Value::Array(bucket));
     }
 }
--- a/crates/foldhaven-core/src/description/stamp.rs
+++ b/crates/foldhaven-core/src/description/stamp.rs
@@ -1,4 +1,4 @@
-//! The order of descriptions: generation first, then digest.
+//! Versions of descriptions, ordered by generation, then by digest.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,15 +7,15 @@
 
 use super::sections::SectionDigest;
 
-/// What a description is called in the order of descriptions.
+/// The version of a description.
 ///
-/// Of two descriptions the one with the larger stamp is in force. Two operators who publish the
-/// same generation get different digests, so that every daemon prefers the same one.
+/// Of two descriptions, the one with the larger stamp is in force. If two operators publish the
+/// same generation, the digests differ, so that every daemon prefers the same description.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct DescriptionStamp {
-    /// The generation that the operator's tool counted up.
+    /// The generation, incremented by the operator's tool with each edit.
     pub generation: u64,
-    /// The digest of the content, the parent's stamp included.
+    /// The digest of the content, including the parent's stamp.
     pub digest: SectionDigest,
 }
 
--- a/crates/foldhaven-core/src/ids.rs
+++ b/crates/foldhaven-core/src/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers as newtypes, so that a name of one kind cannot be passed for another.
+//! Identifiers as newtypes, so that different kinds of names cannot be mixed up.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,27 +6,27 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The longest name that an identifier may have, in bytes.
+/// Maximum length of a name, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// The longest request id that a caller may choose, in bytes.
+/// Maximum length of a request id, in bytes.
 pub const MAX_REQUEST_ID_BYTES: usize = 96;
 
-/// Why a text is not an identifier.
+/// An error in parsing an identifier.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum IdError {
     /// a {kind} must have 1 to {max} bytes, got {got}
     Length {
-        /// What the text should have named.
+        /// The kind of identifier expected.
         kind: &'static str,
-        /// The longest permitted length in bytes.
+        /// The maximum length in bytes.
         max: usize,
-        /// The length found, in bytes.
+        /// The actual length in bytes.
         got: usize,
     },
     /// a {kind} may hold letters, digits, '-', '_' and '.', got {got:?}
     Character {
-        /// What the text should have named.
+        /// The kind of identifier expected.
         kind: &'static str,
         /// The first character that is not permitted.
         got: char,
@@ -38,8 +38,8 @@
         let got = text.len();
         return Err(IdError::Length { kind, max, got });
     }
-    let permitted = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    match text.chars().find(|c| !permitted(*c)) {
+    let is_permitted = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
+    match text.chars().find(|c| !is_permitted(*c)) {
         Some(got) => Err(IdError::Character { kind, got }),
         None => Ok(()),
     }
@@ -53,7 +53,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The identifier as text.
+            /// Returns the identifier as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -95,7 +95,7 @@
     AccountName, "account name", MAX_NAME_BYTES
 );
 name_id!(
-    /// A region, which holds one or more data centres.
+    /// A region, which contains one or more data centres.
     RegionName, "region name", MAX_NAME_BYTES
 );
 name_id!(
@@ -107,7 +107,7 @@
     VmName, "VM name", MAX_NAME_BYTES
 );
 name_id!(
-    /// An upstream: a model engine or a plain service instance.
+    /// An upstream: a model engine or an instance of a plain service.
     UpstreamName, "upstream name", MAX_NAME_BYTES
 );
 name_id!(
@@ -131,13 +131,13 @@
     RouteName, "route name", MAX_NAME_BYTES
 );
 name_id!(
-    /// A request, as the caller or else the origin daemon named it.
+    /// A request id, chosen by the caller, or else by the origin daemon.
     RequestId, "request id", MAX_REQUEST_ID_BYTES
 );
 
-/// One process lifetime of a daemon: its start time in milliseconds since the epoch.
+/// An incarnation of a daemon: the start time of its process in milliseconds since the epoch.
 ///
-/// A later start of the same VM has a larger incarnation.
+/// A later incarnation of the same VM has a larger value.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -158,10 +158,11 @@
     }
 }
 
-/// When a process of an upstream started, in milliseconds since the epoch by its own clock.
+/// The start time of an upstream's process, in milliseconds since the epoch by the upstream's clock.
 ///
-/// A process that starts again may have the name of the one before it; its birth differs. Births are compared for equality
-/// only, since clocks are set back. 0 stands for an upstream that names none.
+/// A restarted process may have the same name as the previous one, but its start time differs.
+/// Start times are compared for equality only, since clocks may be set back. 0 means that the
+/// upstream reports no start time.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -182,7 +183,7 @@
     }
 }
 
-/// One try to run a request at one upstream or peer, unique over all daemons.
+/// An attempt to run a request at an upstream or peer, unique across all daemons.
 ///
 /// ```
 /// use foldhaven_core::ids::AttemptId;
@@ -191,13 +192,13 @@
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AttemptId {
-    /// The request that is tried.
+    /// The request.
     pub request: RequestId,
-    /// The daemon that decided on the try.
+    /// The VM whose daemon started the attempt.
     pub origin: VmName,
-    /// The process lifetime of that daemon.
+    /// The incarnation of that daemon.
     pub incarnation: IncarnationId,
-    /// The number of the try within that process lifetime.
+    /// The sequence number of the attempt within that incarnation.
     pub number: u64,
 }
 
--- a/crates/foldhaven-core/src/lib.rs
+++ b/crates/foldhaven-core/src/lib.rs
@@ -1,7 +1,7 @@
-//! The decisions of foldhaven, without sockets, files, timers or a clock.
+//! The decision logic of foldhaven, without sockets, files, timers or a clock.
 //!
-//! Everything in this crate is a value or a state machine: time, random draws and messages are
-//! passed in, and typed results come out. `foldhavend` supplies the sockets and timers around it.
+//! Everything in this crate is a value or a state machine: callers pass in time, random numbers and
+//! messages, and get typed results. The binaries, such as `foldhavend`, provide sockets and timers.
 
 pub mod attempt;
 pub mod burn;
--- a/crates/foldhaven-core/src/time.rs
+++ b/crates/foldhaven-core/src/time.rs
@@ -1,4 +1,4 @@
-//! Monotonic time as a plain number, so that the core needs no clock of its own.
+//! Monotonic time as a number, so that this crate does not read a clock.
 
 use std::fmt;
 use std::ops::{Add, Sub};
@@ -6,21 +6,21 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A reading of one process's monotonic clock, in microseconds since that process chose its zero.
+/// A reading of a process's monotonic clock, in microseconds since an origin that the process chose.
 ///
-/// Readings of two processes cannot be compared; messages carry ages instead.
+/// Readings of different processes are not comparable. Messages carry ages instead.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct MonoTime(pub u64);
 
 impl MonoTime {
-    /// A reading that many milliseconds after the zero of the clock.
+    /// Creates a reading from milliseconds since the clock's origin.
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis * 1_000)
     }
 
-    /// The time since an earlier reading; zero when `earlier` is in fact later.
+    /// Returns the time since an earlier reading, zero if `earlier` is later than `self`.
     pub fn since(self, earlier: MonoTime) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
--- a/crates/foldhaven-core/src/units.rs
+++ b/crates/foldhaven-core/src/units.rs
@@ -1,4 +1,4 @@
-//! Sizes, rates and spans of time as they stand in YAML, each with `Display` and `FromStr`.
+//! Sizes, rates and durations as written in YAML, each with `Display` and `FromStr`.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,14 +6,14 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Why a text is not a quantity.
+/// An error in parsing a quantity.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum UnitError {
     /// expected a number followed by one of {expected}, got {got:?}
     Unit {
-        /// The units that are understood.
+        /// The supported units.
         expected: &'static str,
-        /// The text found.
+        /// The actual text.
         got: String,
     },
     /// expected a quantity of at least zero within range, got {0:?}
@@ -23,8 +23,8 @@
 fn split_number<'a>(text: &'a str, expected: &'static str) -> Result<(f64, &'a str), UnitError> {
     let end = text.find(|c: char| !c.is_ascii_digit() && c != '.').unwrap_or(text.len());
     let (number, unit) = text.split_at(end);
-    let wrong = || UnitError::Unit { expected, got: text.to_owned() };
-    let value: f64 = number.parse().map_err(|_| wrong())?;
+    let unit_error = || UnitError::Unit { expected, got: text.to_owned() };
+    let value: f64 = number.parse().map_err(|_| unit_error())?;
     if !value.is_finite() {
         return Err(UnitError::Range(text.to_owned()));
     }
@@ -49,7 +49,7 @@
     };
 }
 
-/// A span of time, written `250ms`, `20s`, `5m` or `1h`.
+/// A duration, written `1500us`, `250ms`, `20s`, `5m` or `1h`.
 ///
 /// ```
 /// use foldhaven_core::units::TimeSpan;
@@ -61,12 +61,12 @@
 pub struct TimeSpan(pub Duration);
 
 impl TimeSpan {
-    /// A span of so many milliseconds.
+    /// Creates a duration from milliseconds.
     pub const fn from_millis(millis: u64) -> Self {
         Self(Duration::from_millis(millis))
     }
 
-    /// A span of so many seconds.
+    /// Creates a duration from seconds.
     pub const fn from_secs(secs: u64) -> Self {
         Self(Duration::from_secs(secs))
     }
@@ -146,13 +146,13 @@
 
 string_serde!(ByteSize);
 
-/// A rate in tokens a second, written `4000tok/s`.
+/// A rate in tokens per second, written `4000tok/s`.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct TokenRate(pub f64);
 
 impl TokenRate {
-    /// The time that this rate needs for so many tokens.
+    /// Returns the time needed to process the tokens at this rate.
     pub fn time_for(self, tokens: u64) -> Duration {
         Duration::from_secs_f64(tokens as f64 / self.0)
     }
@@ -182,7 +182,7 @@
 
 string_serde!(TokenRate);
 
-/// A rate in requests a second, written `2.5req/s`.
+/// A rate in requests per second, written `2.5req/s`.
 ///
 /// ```
 /// use foldhaven_core::units::RequestRate;
@@ -194,22 +194,22 @@
 pub struct RequestRate(f64);
 
 impl RequestRate {
-    /// The highest rate that is told apart, in requests a second.
-    const MOST_PER_S: f64 = 1e9;
+    /// Maximum rate, in requests per second.
+    const MAX_PER_S: f64 = 1e9;
 
-    /// So many requests a second.
+    /// Creates a rate from requests per second.
     ///
     /// # Errors
     ///
-    /// When it is not a number of at least zero within range.
+    /// Returns an error if the number is negative, not a number, or too large.
     pub fn from_per_s(per_s: f64) -> Result<Self, UnitError> {
-        match (0.0..=Self::MOST_PER_S).contains(&per_s) {
+        match (0.0..=Self::MAX_PER_S).contains(&per_s) {
             true => Ok(Self(per_s)),
             false => Err(UnitError::Range(per_s.to_string())),
         }
     }
 
-    /// The requests a second.
+    /// Returns the requests per second.
     pub fn per_s(self) -> f64 {
         self.0
     }
@@ -265,7 +265,7 @@
 
 string_serde!(ShareRatio);
 
-/// A part of a processor, in thousandths of a core, written in cores: `0.12`.
+/// An amount of processor time, in thousandths of a core, written in cores: `0.12`.
 ///
 /// ```
 /// use foldhaven_core::units::CoreShare;
@@ -277,22 +277,23 @@
 pub struct CoreShare(u32);
 
 impl CoreShare {
-    /// A whole core.
+    /// One full core.
     pub const ONE: Self = Self(1_000);
-    /// The most that is told apart, in cores.
-    const MOST_CORES: f64 = 1_000_000.0;
+    /// Maximum amount, in cores.
+    const MAX_CORES: f64 = 1_000_000.0;
 
-    /// So many cores, rounded to thousandths; less than none is none.
+    /// Creates an amount from a number of cores, limited to the valid range and rounded to
+    /// thousandths.
     pub fn from_cores(cores: f64) -> Self {
-        Self((cores.clamp(0.0, Self::MOST_CORES) * 1_000.0).round() as u32)
+        Self((cores.clamp(0.0, Self::MAX_CORES) * 1_000.0).round() as u32)
     }
 
-    /// The same in cores.
+    /// Returns the amount as a number of cores.
     pub fn as_cores(self) -> f64 {
         f64::from(self.0) / 1_000.0
     }
 
-    /// These and others.
+    /// Returns the sum of two amounts, saturating at the maximum that can be represented.
     pub fn saturating_add(self, other: Self) -> Self {
         Self(self.0.saturating_add(other.0))
     }
@@ -320,7 +321,7 @@
     type Error = UnitError;
 
     fn try_from(cores: f64) -> Result<Self, UnitError> {
-        match (0.0..=Self::MOST_CORES).contains(&cores) {
+        match (0.0..=Self::MAX_CORES).contains(&cores) {
             true => Ok(Self::from_cores(cores)),
             false => Err(UnitError::Range(cores.to_string())),
         }
