--- a/crates/foldhaven-core/src/description/check.rs
+++ b/crates/foldhaven-core/src/description/check.rs
@@ -1,52 +1,53 @@
-//! Reads a description from YAML and checks it as a whole.
+//! Parses a description from YAML and validates it as a whole.
 
 use std::collections::BTreeSet;
 use std::fmt::Display;
 
 use super::model::{ClassConfig, ClassKind, Description};
 
-/// The largest description that the platform can hold, in bytes.
+/// Maximum size of a description that the platform can store, in bytes.
 pub const MAX_DESCRIPTION_BYTES: usize = 1 << 20;
 
-/// One fault in a description, with the place where it stands.
+/// A fault in a description, with its location.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum CheckFault {
     /// {file}: {message}
     Syntax {
-        /// The file, as the operator named it.
+        /// The file name given by the operator.
         file: String,
-        /// Line, column and what was expected.
+        /// The position and the expected content.
         message: String,
     },
     /// {file}:{line}: {field}: {message}
     Field {
-        /// The file, as the operator named it.
+        /// The file name given by the operator.
         file: String,
-        /// The line on which the part stands, counted from 1; 0 when it is not known.
+        /// The line number, counted from 1, or 0 if unknown.
         line: usize,
         /// The path of the field.
         field: String,
-        /// What was expected, and what was found.
+        /// The expected and the actual value.
         message: String,
     },
     /// {file}: a description holds at most {max} bytes, got {got}
     Oversize {
-        /// The file, as the operator named it.
+        /// The file name given by the operator.
         file: String,
-        /// The limit in bytes.
+        /// The maximum size in bytes.
         max: usize,
-        /// The size found in bytes.
+        /// The actual size in bytes.
         got: usize,
     },
 }
 
-/// Reads a description from YAML text and checks it as a whole.
+/// Parses a description from YAML text and validates it as a whole.
 ///
-/// `file` is the name used in faults.
+/// `file` is the file name used in faults.
 ///
 /// # Errors
 ///
-/// All faults found, at least one. A text that is not YAML of the right shape gives one fault.
+/// Returns all faults found. Text that is not valid YAML, or does not match the schema, gives a
+/// single fault.
 pub fn parse_description(file: &str, text: &str) -> Result<Description, Vec<CheckFault>> {
     if text.len() > MAX_DESCRIPTION_BYTES {
         let fault = CheckFault::Oversize {
@@ -69,9 +70,9 @@
     Err(faults)
 }
 
-/// Checks the references and values of a description that already has the right shape.
+/// Checks the references and values of a parsed description.
 ///
-/// Faults name no file and no line; [`parse_description`] adds them.
+/// The faults contain no file name or line; [`parse_description`] adds these.
 pub fn check_description(description: &Description) -> Vec<CheckFault> {
     let mut checker = DescriptionChecker::new(description);
     checker.check_names();
@@ -111,7 +112,7 @@
         }
     }
 
-    fn fault(&mut self, field: impl Into<String>, message: impl Into<String>) {
+    fn add_fault(&mut self, field: impl Into<String>, message: impl Into<String>) {
         self.faults.push(CheckFault::Field {
             file: String::new(),
             line: 0,
@@ -122,21 +123,21 @@
 
     fn check_names(&mut self) {
         let description = self.description;
-        self.check_unique("regions", description.regions.iter().map(|part| &part.name));
+        self.check_unique("regions", description.regions.iter().map(|item| &item.name));
         let centres = description.regions.iter().flat_map(|region| &region.data_centres);
         self.check_unique("data_centres", centres);
-        self.check_unique("models", description.models.iter().map(|part| &part.name));
-        self.check_unique("services", description.services.iter().map(|part| &part.name));
-        self.check_unique("residency", description.residency.iter().map(|part| &part.name));
-        self.check_unique("classes", description.classes.iter().map(|part| &part.name));
-        self.check_unique("accounts", description.accounts.iter().map(|part| &part.name));
+        self.check_unique("models", description.models.iter().map(|item| &item.name));
+        self.check_unique("services", description.services.iter().map(|item| &item.name));
+        self.check_unique("residency", description.residency.iter().map(|item| &item.name));
+        self.check_unique("classes", description.classes.iter().map(|item| &item.name));
+        self.check_unique("accounts", description.accounts.iter().map(|item| &item.name));
         if description.regions.is_empty() {
-            self.fault("regions", "expected at least one region");
+            self.add_fault("regions", "expected at least one region");
         }
         for region in &description.regions {
             if region.data_centres.is_empty() {
                 let field = format!("regions[{}].data_centres", region.name);
-                self.fault(field, "expected at least one data centre");
+                self.add_fault(field, "expected at least one data centre");
             }
         }
     }
@@ -145,7 +146,10 @@
         let mut seen = BTreeSet::new();
         for name in names.map(|name| name.to_string()) {
             if seen.contains(&name) {
-                self.fault(format!("{field}[{name}]"), "expected the name once, found it again");
+                self.add_fault(
+                    format!("{field}[{name}]"),
+                    "expected the name once, found it again",
+                );
             }
             seen.insert(name);
         }
@@ -165,7 +169,7 @@
 
     fn check_number(&mut self, field: &str, value: f64) {
         if !value.is_finite() || value < 0.0 {
-            self.fault(field, format!("expected a number of at least zero, got {value}"));
+            self.add_fault(field, format!("expected a number of at least zero, got {value}"));
         }
     }
 
@@ -174,7 +178,7 @@
         for model in &description.models {
             if model.slots == 0 {
                 let field = format!("models[{}].slots", model.name);
-                self.fault(field, "expected at least one slot, got 0");
+                self.add_fault(field, "expected at least one slot, got 0");
             }
         }
         for deployment in &description.deployments {
@@ -187,91 +191,95 @@
 
     fn check_known(
         &mut self,
-        part: &str,
+        path: &str,
         field: &str,
         name: &str,
-        known: impl Fn(&Self) -> &BTreeSet<&'a str>,
+        known_names: impl Fn(&Self) -> &BTreeSet<&'a str>,
     ) {
-        if known(self).contains(name) {
+        if known_names(self).contains(name) {
             return;
         }
-        let names: Vec<&str> = known(self).iter().copied().take(8).collect();
+        let names: Vec<&str> = known_names(self).iter().copied().take(8).collect();
         let expected = names.join(", ");
-        self.fault(format!("{part}.{field}"), format!("expected one of {expected}, got {name}"));
+        self.add_fault(
+            format!("{path}.{field}"),
+            format!("expected one of {expected}, got {name}"),
+        );
     }
 
     fn check_residency(&mut self) {
         for rule in &self.description.residency {
-            let part = format!("residency[{}]", rule.name);
+            let path = format!("residency[{}]", rule.name);
             if rule.regions.is_empty() && !rule.home {
-                self.fault(format!("{part}.regions"), "expected a region, or `home: true`");
+                self.add_fault(format!("{path}.regions"), "expected a region, or `home: true`");
             }
             for region in &rule.regions {
-                self.check_known(&part, "regions", region.as_str(), |it| &it.regions);
+                self.check_known(&path, "regions", region.as_str(), |it| &it.regions);
             }
         }
     }
 
     fn check_classes(&mut self) {
         for class in &self.description.classes {
-            let part = format!("classes[{}]", class.name);
-            self.check_known(&part, "residency", class.residency.as_str(), |it| &it.rules);
-            self.check_number(&format!("{part}.worth"), class.worth);
-            self.check_class_target(&part, class);
+            let path = format!("classes[{}]", class.name);
+            self.check_known(&path, "residency", class.residency.as_str(), |it| &it.rules);
+            self.check_number(&format!("{path}.worth"), class.worth);
+            self.check_class_target(&path, class);
             if class.deadline.0.is_zero() || class.deadline > self.description.limits.deadline {
                 let limit = self.description.limits.deadline;
                 let message = format!("expected 1ms to {limit}, got {}", class.deadline);
-                self.fault(format!("{part}.deadline"), message);
+                self.add_fault(format!("{path}.deadline"), message);
             }
         }
     }
 
-    fn check_class_target(&mut self, part: &str, class: &ClassConfig) {
+    fn check_class_target(&mut self, path: &str, class: &ClassConfig) {
         match (class.kind, &class.model, &class.service) {
             (ClassKind::Model, Some(model), None) => {
-                self.check_known(part, "model", model.as_str(), |it| &it.models);
+                self.check_known(path, "model", model.as_str(), |it| &it.models);
                 if class.max_output_tokens == 0 {
-                    let field = format!("{part}.max_output_tokens");
-                    self.fault(field, "expected at least one token, got 0");
+                    let field = format!("{path}.max_output_tokens");
+                    self.add_fault(field, "expected at least one token, got 0");
                 }
                 if !class.repeatable {
-                    let field = format!("{part}.repeatable");
-                    self.fault(field, "expected true for a class of kind model, got false");
+                    let field = format!("{path}.repeatable");
+                    self.add_fault(field, "expected true for a class of kind model, got false");
                 }
             }
             (ClassKind::Service, None, Some(service)) => {
-                self.check_known(part, "service", service.as_str(), |it| &it.services);
+                self.check_known(path, "service", service.as_str(), |it| &it.services);
             }
             (ClassKind::Model, ..) => {
-                self.fault(format!("{part}.model"), "expected `model` and no `service`");
+                self.add_fault(format!("{path}.model"), "expected `model` and no `service`");
             }
             (ClassKind::Service, ..) => {
-                self.fault(format!("{part}.service"), "expected `service` and no `model`");
+                self.add_fault(format!("{path}.service"), "expected `service` and no `model`");
             }
         }
     }
 
     fn check_accounts(&mut self) {
         for account in &self.description.accounts {
-            let part = format!("accounts[{}]", account.name);
-            self.check_known(&part, "home", account.home.as_str(), |it| &it.regions);
+            let path = format!("accounts[{}]", account.name);
+            self.check_known(&path, "home", account.home.as_str(), |it| &it.regions);
             if let Some(rule) = &account.residency {
-                self.check_known(&part, "residency", rule.as_str(), |it| &it.rules);
+                self.check_known(&path, "residency", rule.as_str(), |it| &it.rules);
             }
-            self.check_number(&format!("{part}.share"), account.share);
+            self.check_number(&format!("{path}.share"), account.share);
         }
     }
 }
 
-/// Adds the file and the line of the named part to a fault.
-fn locate_fault(fault: &mut CheckFault, in_file: &str, text: &str) {
+/// Sets the file name and the line of a fault.
+fn locate_fault(fault: &mut CheckFault, file_name: &str, text: &str) {
     if let CheckFault::Field { file, line, field, .. } = fault {
-        *file = in_file.to_owned();
+        *file = file_name.to_owned();
         *line = find_line(field, text);
     }
 }
 
-/// Finds the line of `section[name].field`, as far as the text shows it.
+/// Returns the line of `section[name].field`, counted from 1. If the text search does not find the
+/// field, it returns the line of the item or the section, or 0 if there is none.
 fn find_line(field: &str, text: &str) -> usize {
     let section = field.split(['[', '.']).next().unwrap_or(field);
     let name = field.split_once('[').and_then(|(_, rest)| rest.split_once(']'));
@@ -281,8 +289,9 @@
     let Some(mut at) = start else { return 0 };
     let mut end = block_end(&lines, at, |line| !line.starts_with([' ', '#']));
     if let Some((name, _)) = name {
-        let named = |line: &&str| names_part(line, "name", name) || names_part(line, "model", name);
-        at += lines[at..end].iter().position(named).unwrap_or(0);
+        let names_item =
+            |line: &&str| has_value(line, "name", name) || has_value(line, "model", name);
+        at += lines[at..end].iter().position(names_item).unwrap_or(0);
         end = block_end(&lines, at, |line| line.trim_start().starts_with("- "));
     }
     if let Some(leaf) = leaf {
@@ -292,14 +301,15 @@
     at + 1
 }
 
-/// The first line after `at` that begins something else.
-fn block_end(lines: &[&str], at: usize, begins: impl Fn(&str) -> bool) -> usize {
-    let rest = lines[at + 1..].iter().position(|line| !line.is_empty() && begins(line));
+/// Returns the index of the first line after `at` that begins another block, or the number of lines
+/// if there is none.
+fn block_end(lines: &[&str], at: usize, begins_block: impl Fn(&str) -> bool) -> usize {
+    let rest = lines[at + 1..].iter().position(|line| !line.is_empty() && begins_block(line));
     rest.map_or(lines.len(), |length| at + 1 + length)
 }
 
-/// Whether a line gives `key` the value `name`.
-fn names_part(line: &str, key: &str, name: &str) -> bool {
+/// Returns whether a line assigns the value `name` to `key`.
+fn has_value(line: &str, key: &str, name: &str) -> bool {
     let Some((_, value)) = line.split_once(&format!("{key}: ")) else { return false };
     let rest = value.trim_start_matches('"').strip_prefix(name);
     rest.is_some_and(|rest| !rest.starts_with(|c: char| c.is_alphanumeric() || "-_.".contains(c)))
--- a/crates/foldhaven-core/src/description/difference.rs
+++ b/crates/foldhaven-core/src/description/difference.rs
@@ -1,4 +1,4 @@
-//! What would change if one description took the place of another.
+//! Differences between two descriptions.
 
 use std::fmt;
 
@@ -7,15 +7,16 @@
 
 use super::model::Description;
 
-/// One part that differs between two descriptions.
+/// A value that differs between two descriptions.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct DescriptionChange {
-    /// The path of the part, such as `classes[digest].deadline`.
-    pub part: String,
-    /// The value before, as JSON; absent when the part is new.
+    /// The path of the value, such as `classes[digest].deadline`.
+    #[serde(rename = "part")]
+    pub path: String,
+    /// The old value as JSON, `None` if the value was added.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub before: Option<String>,
-    /// The value after, as JSON; absent when the part is gone.
+    /// The new value as JSON, `None` if the value was removed.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub after: Option<String>,
 }
@@ -24,26 +25,27 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match (&self.before, &self.after) {
             (Some(before), Some(after)) => {
-                write!(formatter, "~ {}: {before} -> {after}", self.part)
+                write!(formatter, "~ {}: {before} -> {after}", self.path)
             }
-            (None, Some(after)) => write!(formatter, "+ {}: {after}", self.part),
-            (Some(before), None) => write!(formatter, "- {}: {before}", self.part),
-            (None, None) => write!(formatter, "  {}", self.part),
+            (None, Some(after)) => write!(formatter, "+ {}: {after}", self.path),
+            (Some(before), None) => write!(formatter, "- {}: {before}", self.path),
+            (None, None) => write!(formatter, "  {}", self.path),
         }
     }
 }
 
-/// Lists the parts that differ, in the order of their paths; the generation and parent are left
-/// out, since each edit changes them.
+/// Returns the values that differ, ordered by path. The generation and the parent are left out,
+/// since each edit changes them.
 pub fn describe_changes(before: &Description, after: &Description) -> Vec<DescriptionChange> {
     let mut changes = Vec::new();
-    let old = serde_json::to_value(before).expect("a description is JSON");
-    let new = serde_json::to_value(after).expect("a description is JSON");
+    let old = serde_json::to_value(before).expect("a description serializes to JSON");
+    let new = serde_json::to_value(after).expect("a description serializes to JSON");
     compare_values(String::new(), Some(&old), Some(&new), &mut changes);
-    changes.retain(|change| change.part != "generation" && change.part != "parent");
+    changes.retain(|change| change.path != "generation" && change.path != "parent");
     changes
 }
 
+/// Appends the differences between two values at `path` to `changes`.
 fn compare_values(
     path: String,
     before: Option<&Value>,
@@ -60,40 +62,42 @@
             keys.dedup();
             for key in keys {
                 let dot = if path.is_empty() { "" } else { "." };
-                let part = format!("{path}{dot}{key}");
-                compare_values(part, old.get(key), new.get(key), changes);
+                let field_path = format!("{path}{dot}{key}");
+                compare_values(field_path, old.get(key), new.get(key), changes);
             }
         }
-        (Some(Value::Array(old)), Some(Value::Array(new))) if is_named(old, new) => {
-            let mut names: Vec<String> = old.iter().chain(new).map(part_name).collect();
+        (Some(Value::Array(old)), Some(Value::Array(new))) if have_named_items(old, new) => {
+            let mut names: Vec<String> = old.iter().chain(new).map(item_name).collect();
             names.sort();
             names.dedup();
             for name in names {
-                let find = |parts: &'_ [Value]| -> Option<Value> {
-                    parts.iter().find(|part| part_name(part) == name).cloned()
+                let find = |items: &'_ [Value]| -> Option<Value> {
+                    items.iter().find(|item| item_name(item) == name).cloned()
                 };
-                let part = format!("{path}[{name}]");
-                compare_values(part, find(old).as_ref(), find(new).as_ref(), changes);
+                let item_path = format!("{path}[{name}]");
+                compare_values(item_path, find(old).as_ref(), find(new).as_ref(), changes);
             }
         }
         _ => changes.push(DescriptionChange {
-            part: path,
+            path,
             before: before.map(Value::to_string),
             after: after.map(Value::to_string),
         }),
     }
 }
 
-fn is_named(old: &[Value], new: &[Value]) -> bool {
-    old.iter().chain(new).all(|part| !part_name(part).is_empty())
+/// Returns whether all items of two lists have names, so that they can be matched by name.
+fn have_named_items(old: &[Value], new: &[Value]) -> bool {
+    old.iter().chain(new).all(|item| !item_name(item).is_empty())
 }
 
-/// The name of a part of a list: its `name`, or model and data centre for a deployment.
-fn part_name(part: &Value) -> String {
-    if let Some(name) = part["name"].as_str() {
+/// Returns the name of a list item: its `name`, or model and data centre for a deployment. Empty if
+/// it has neither.
+fn item_name(item: &Value) -> String {
+    if let Some(name) = item["name"].as_str() {
         return name.to_owned();
     }
-    match (part["model"].as_str(), part["data_centre"].as_str()) {
+    match (item["model"].as_str(), item["data_centre"].as_str()) {
         (Some(model), Some(centre)) => format!("{model}@{centre}"),
         _ => String::new(),
     }
--- a/crates/foldhaven-core/src/description/model.rs
+++ b/crates/foldhaven-core/src/description/model.rs
@@ -1,4 +1,4 @@
-//! The typed shape of a description, as operators write it in YAML.
+//! The schema of a description, as operators write it in YAML.
 
 use serde::{Deserialize, Serialize};
 
@@ -14,35 +14,35 @@
 pub struct Description {
     /// The name of the deployment.
     pub name: String,
-    /// Counts up by one with each accepted edit.
+    /// The generation, incremented by one with each accepted edit.
     pub generation: u64,
-    /// The stamp of the description that this one was edited from, if any.
+    /// The stamp of the description from which this one was edited, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub parent: Option<String>,
-    /// What the users weigh.
+    /// The weights of the routing objective.
     #[serde(default)]
     pub objective: ObjectiveConfig,
-    /// One-way times of the network between parts.
+    /// One-way network latencies.
     #[serde(default)]
     pub network: NetworkConfig,
-    /// Limits on what callers may send.
+    /// Limits on requests of callers.
     #[serde(default)]
     pub limits: LimitsConfig,
-    /// Which engines check the fence of an order.
+    /// The engines that do not check the fences of orders.
     #[serde(default)]
     pub fences: FenceConfig,
-    /// The regions with their data centres.
+    /// The regions and their data centres.
     pub regions: Vec<RegionConfig>,
-    /// The models that engines can hold.
+    /// The models that engines can serve.
     #[serde(default)]
     pub models: Vec<ModelConfig>,
-    /// How many engines of a data centre hold a model.
+    /// The number of engines per data centre and model.
     #[serde(default)]
     pub deployments: Vec<DeploymentConfig>,
     /// The plain services.
     #[serde(default)]
     pub services: Vec<ServiceConfig>,
-    /// The rules on where requests may run.
+    /// The residency rules, which restrict the regions in which requests may run.
     pub residency: Vec<ResidencyConfig>,
     /// The request classes.
     pub classes: Vec<ClassConfig>,
@@ -50,15 +50,15 @@
     pub accounts: Vec<AccountConfig>,
 }
 
-/// What one unit of each thing that the users measure is worth, on one scale.
+/// Weights of the routing objective, on a common price scale.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ObjectiveConfig {
-    /// The price of losing one unit of worth to lateness.
+    /// The price of losing one unit of worth to lateness. Default: 1.
     pub lateness: f64,
-    /// The price of sending one request away from its home region.
+    /// The price of sending one request away from its home region. Default: 0.1.
     pub away: f64,
-    /// The price of one second of an engine slot.
+    /// The price of one second of an engine slot. Default: 0.01.
     pub cost: f64,
 }
 
@@ -68,15 +68,15 @@
     }
 }
 
-/// One-way times of the network, used in estimates.
+/// One-way network latencies, used in estimates.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct NetworkConfig {
-    /// Between two VMs of data centres in one region.
+    /// Between VMs in data centres of the same region. Default: 1 ms.
     pub same_region: TimeSpan,
-    /// Between two regions.
+    /// Between two regions. Default: 55 ms.
     pub cross_region: TimeSpan,
-    /// Between a caller and its entry VM.
+    /// Between a caller and its entry VM. Default: 3 ms.
     pub caller: TimeSpan,
 }
 
@@ -90,17 +90,17 @@
     }
 }
 
-/// Limits on what callers may send.
+/// Limits on requests of callers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LimitsConfig {
-    /// The largest request body.
+    /// Maximum size of a request body. Default: 1 MiB.
     pub body: ByteSize,
-    /// The longest deadline that a caller may ask for.
+    /// Maximum deadline that a caller may request. Default: 600 s.
     pub deadline: TimeSpan,
-    /// The longest time between two parts of a request body.
+    /// Maximum time between two chunks of a request body. Default: 5 s.
     pub body_pause: TimeSpan,
-    /// How long a ticket for a request that is not repeatable holds.
+    /// Validity of a ticket for a non-repeatable request. Default: 60 s.
     pub ticket: TimeSpan,
 }
 
@@ -115,23 +115,23 @@
     }
 }
 
-/// Which engines check the fence of an order.
+/// Configuration of order fences.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FenceConfig {
-    /// Engines that do not check fences; they get only orders that are harmless when late.
+    /// Engines that do not check fences. They get only orders that are harmless if late.
     pub unchecked: Vec<UpstreamName>,
 }
 
-/// One region.
+/// A region.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RegionConfig {
     /// The name of the region.
     pub name: RegionName,
-    /// Its data centres.
+    /// The region's data centres.
     pub data_centres: Vec<DataCentreName>,
-    /// The price of one second of an engine slot here, against other regions.
+    /// The relative price of one second of an engine slot in this region. Default: 1.
     #[serde(default = "default_price")]
     pub price: f64,
 }
@@ -140,26 +140,26 @@
     1.0
 }
 
-/// One model that engines can hold.
+/// A model that engines can serve.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelConfig {
-    /// The name by which callers ask for the model.
+    /// The name by which callers request the model.
     pub name: ModelName,
     /// The version of its weights.
     pub version: String,
-    /// The rate at which one engine reads a prompt.
+    /// The prefill rate of one engine.
     pub prefill: TokenRate,
-    /// The rate at which one engine slot writes an answer.
+    /// The decode rate of one engine slot.
     pub decode: TokenRate,
-    /// How many requests one engine batches.
+    /// The number of requests that one engine batches.
     pub slots: u32,
     /// The size of the weights.
     #[serde(default)]
     pub weights: ByteSize,
 }
 
-/// How many engines of one data centre are to hold a model.
+/// The number of engines in a data centre that must serve a model.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DeploymentConfig {
@@ -171,30 +171,30 @@
     pub engines: u32,
 }
 
-/// One plain service; its instances stand in the platform's list.
+/// A plain service. Its instances are in the platform's list of upstreams.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceConfig {
-    /// The name, which is the first part of the path after `/service/`.
+    /// The name, which is the first segment of the request path after `/service/`.
     pub name: ServiceName,
 }
 
-/// One rule on where requests may run.
+/// A residency rule, which restricts the regions in which requests may run.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ResidencyConfig {
     /// The name of the rule.
     pub name: RuleName,
-    /// The regions that are permitted. The account's home region is permitted only if listed here
-    /// or by `home`.
+    /// The permitted regions. The account's home region is permitted only if it is listed here or
+    /// `home` is true.
     #[serde(default)]
     pub regions: Vec<RegionName>,
-    /// Whether the account's home region is permitted.
+    /// Whether the account's home region is permitted. Default: false.
     #[serde(default)]
     pub home: bool,
 }
 
-/// What kind of upstream a class runs on.
+/// The kind of upstream that serves a class.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClassKind {
@@ -204,13 +204,13 @@
     Service,
 }
 
-/// One request class.
+/// A request class.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassConfig {
     /// The name of the class.
     pub name: ClassName,
-    /// What it runs on.
+    /// The kind of upstream that serves the class.
     pub kind: ClassKind,
     /// The model, for a class of kind `model`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -218,19 +218,19 @@
     /// The service, for a class of kind `service`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub service: Option<ServiceName>,
-    /// The deadline when the caller gives none.
+    /// The deadline of requests that specify none.
     pub deadline: TimeSpan,
-    /// What one request delivered whole and on time is worth.
+    /// The worth of a request that completes on time.
     pub worth: f64,
     /// The residency rule.
     pub residency: RuleName,
-    /// The longest answer, in tokens.
+    /// Maximum length of an answer, in tokens.
     #[serde(default)]
     pub max_output_tokens: u64,
-    /// The share of requests that are to be whole and on time.
+    /// The service level objective: the share of requests that must complete on time. Default: 99%.
     #[serde(default = "default_target")]
     pub target: ShareRatio,
-    /// Whether a request of this class may be run twice.
+    /// Whether requests of this class may run more than once. Default: true.
     #[serde(default = "default_repeatable")]
     pub repeatable: bool,
 }
@@ -243,18 +243,18 @@
     true
 }
 
-/// One client account.
+/// A client account.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AccountConfig {
     /// The name of the account.
     pub name: AccountName,
-    /// Its home region.
+    /// The account's home region.
     pub home: RegionName,
-    /// A residency rule that goes before the one of the class.
+    /// A residency rule that takes precedence over the rule of the class.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub residency: Option<RuleName>,
-    /// The account's part of scarce capacity, against the other accounts.
+    /// The account's share of scarce capacity, relative to the other accounts. Default: 1.
     #[serde(default = "default_share")]
     pub share: f64,
 }
