--- a/crates/foldhaven-core/src/planner.rs
+++ b/crates/foldhaven-core/src/planner.rs
@@ -228,9 +228,9 @@
 /// Returns the time after which the queue of the best option will have shrunk enough for the
 /// deadline.
 fn retry_delay(options: &[RouteOption], remaining: Duration) -> Duration {
-    const WITHOUT_OPTIONS: Duration = Duration::from_secs(1);
+    const DELAY_WITHOUT_OPTIONS: Duration = Duration::from_secs(1);
     let excess = options.iter().map(|option| option.estimate.saturating_sub(remaining));
-    let shortest = excess.min().unwrap_or(WITHOUT_OPTIONS);
+    let shortest = excess.min().unwrap_or(DELAY_WITHOUT_OPTIONS);
     let wait = options.iter().map(|option| option.wait).min().unwrap_or_default();
     shortest.max(wait / 4)
 }
--- a/crates/foldhaven-core/tests/testsuite/attempts.rs
+++ b/crates/foldhaven-core/tests/testsuite/attempts.rs
@@ -1,4 +1,4 @@
-//! What may be said of a request after any sequence of news about its tries.
+//! Tests of the outcome reported for a request after any sequence of updates of its attempts.
 
 use foldhaven_core::attempt::{AttemptLog, AttemptState, RequestOutcome};
 use foldhaven_core::ids::AttemptId;
@@ -20,13 +20,13 @@
 }
 
 proptest! {
-    /// `not_run` is said only when no try was left dispatched, broken or complete.
+    /// The outcome is `not_run` only if no attempt is dispatched, broken or complete.
     #[test]
-    fn not_run_is_never_said_of_what_may_have_run(
-        tries in proptest::collection::vec(proptest::collection::vec(any_state(), 0..5), 0..5)
+    fn a_request_that_may_have_run_is_never_reported_as_not_run(
+        attempts in proptest::collection::vec(proptest::collection::vec(any_state(), 0..5), 0..5)
     ) {
         let mut log = AttemptLog::default();
-        for (number, states) in tries.iter().enumerate() {
+        for (number, states) in attempts.iter().enumerate() {
             log.plan(attempt(number as u64), "target");
             states.iter().for_each(|state| log.record(*state));
         }
@@ -40,9 +40,9 @@
         }
     }
 
-    /// What ended stays as it ended, whatever news arrives late.
+    /// An attempt that ended keeps its state, whatever updates arrive late.
     #[test]
-    fn late_news_changes_nothing(late in proptest::collection::vec(any_state(), 0..6)) {
+    fn late_updates_change_nothing(late in proptest::collection::vec(any_state(), 0..6)) {
         for end in [AttemptState::Refused, AttemptState::Broken, AttemptState::Complete] {
             let mut log = AttemptLog::default();
             log.plan(attempt(1), "target");
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_dispatched_try_is_not_unsent_by_news_of_another_kind() {
+fn a_dispatched_attempt_becomes_not_sent_only_by_a_failed_connection() {
     let mut log = AttemptLog::default();
     log.plan(attempt(1), "target");
     log.record(AttemptState::Dispatched);
--- a/crates/foldhaven-core/tests/testsuite/descriptions.rs
+++ b/crates/foldhaven-core/tests/testsuite/descriptions.rs
@@ -1,4 +1,4 @@
-//! Reading, checking, ordering, splitting and comparing descriptions.
+//! Tests of parsing, validating, ordering, splitting and comparing descriptions.
 
 use foldhaven_core::description::{
     DescriptionIndex, SectionSet, SectionsError, describe_changes, parse_description,
@@ -8,11 +8,11 @@
 
 use crate::support::{TEXT, description};
 
-/// The faults of the small description after one replacement, a line each.
+/// Returns the faults of the small description after one replacement, one per line.
 fn faults_after(from: &str, to: &str) -> String {
-    assert!(TEXT.contains(from), "nothing to replace");
+    assert!(TEXT.contains(from), "the text to replace does not occur");
     let text = TEXT.replacen(from, to, 1);
-    let faults = parse_description("small.yaml", &text).expect_err("the text is bad");
+    let faults = parse_description("small.yaml", &text).expect_err("the description is invalid");
     let lines: Vec<String> = faults.iter().map(|fault| fault.to_string()).collect();
     lines.join("\n")
 }
@@ -72,7 +72,10 @@
 #[case::bad_name("name: bar", "name: \"b a r\"")]
 #[case::no_yaml("name: small", "name: [")]
 #[case::wrong_type("generation: 3", "generation: many")]
-fn text_of_the_wrong_shape_is_refused_with_its_place(#[case] from: &str, #[case] to: &str) {
+fn text_that_does_not_match_the_schema_is_refused_with_its_position(
+    #[case] from: &str,
+    #[case] to: &str,
+) {
     let fault = faults_after(from, to);
     assert!(fault.starts_with("small.yaml: "), "{fault}");
     assert!(fault.contains("line") || fault.contains("-->"), "{fault}");
@@ -86,7 +89,7 @@
 }
 
 #[test]
-fn the_examples_are_good() {
+fn the_examples_are_valid() {
     for name in ["kilima", "guild"] {
         let path = format!("{}/../../examples/{name}.yaml", env!("CARGO_MANIFEST_DIR"));
         let text = std::fs::read_to_string(&path).unwrap();
@@ -95,7 +98,7 @@
 }
 
 #[test]
-fn a_description_survives_being_split_and_joined() {
+fn a_description_can_be_split_and_joined() {
     let (manifest, sections) = SectionSet::split(&description());
     assert_eq!(sections.join(&manifest).unwrap(), description());
     assert_eq!(manifest.stamp(), DescriptionIndex::new(description()).stamp);
@@ -112,7 +115,7 @@
 }
 
 #[test]
-fn an_altered_or_missing_section_makes_no_description() {
+fn an_invalid_or_missing_section_is_refused() {
     let (manifest, _) = SectionSet::split(&description());
     let empty = SectionSet::default();
     assert!(matches!(empty.join(&manifest), Err(SectionsError::Missing(_))));
@@ -137,7 +140,8 @@
 }
 
 proptest! {
-    /// Any order of arrival ends with the same description in force, and none goes back.
+    /// Any order of arrival ends with the same description in force, and the description in force
+    /// never goes back.
     #[test]
     fn every_order_of_arrival_ends_the_same(order in Just((0..6usize).collect::<Vec<_>>()).prop_shuffle()) {
         let stamps: Vec<_> = (0..6u64).map(|number| {
--- a/crates/foldhaven-core/tests/testsuite/load.rs
+++ b/crates/foldhaven-core/tests/testsuite/load.rs
@@ -1,4 +1,4 @@
-//! Estimates, prefixes, retries, pauses, health, fairness and burn.
+//! Tests of wait estimates, prefixes, retries, pauses, health, fairness and burn rates.
 
 use std::num::NonZeroUsize;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_free_slot_means_no_wait_and_own_dispatches_fill_slots() {
+fn a_free_slot_means_no_wait_and_recent_dispatches_occupy_slots() {
     let free = engine("e", 3, 900);
     assert_eq!(expected_wait(&free, RecentWork::default(), now()), Duration::ZERO);
     let recent = RecentWork { requests: 3.0, work: Duration::from_millis(900) };
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_report_ages_as_the_engine_works() {
+fn the_expected_wait_decreases_with_the_age_of_a_report() {
     let busy = engine("e", 8, 8_000);
     let early = expected_wait(&busy, RecentWork::default(), now());
     let late = expected_wait(&busy, RecentWork::default(), later(1_000));
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn being_late_is_more_likely_the_closer_the_deadline() {
+fn the_probability_of_being_late_rises_as_the_deadline_gets_closer() {
     let second = Duration::from_secs(1);
     let chance = |deadline: f64| chance_late(second, second.mul_f64(deadline), 0.2);
     assert!(chance(2.0) < 0.01 && chance(0.5) > 0.99);
@@ -43,15 +43,16 @@
 }
 
 #[test]
-fn the_bias_of_estimates_is_learnt() {
-    let mut error = EstimateCalibration::default();
-    (0..400).for_each(|_| error.record(Duration::from_millis(100), Duration::from_millis(150)));
-    assert!((error.bias() - 1.5).abs() < 0.02);
-    assert!(error.spread() < 0.1);
+fn the_bias_of_estimates_is_learned() {
+    let mut calibration = EstimateCalibration::default();
+    (0..400)
+        .for_each(|_| calibration.record(Duration::from_millis(100), Duration::from_millis(150)));
+    assert!((calibration.bias() - 1.5).abs() < 0.02);
+    assert!(calibration.spread() < 0.1);
 }
 
 #[test]
-fn prefixes_are_known_until_they_are_evicted_or_old() {
+fn prefixes_are_indexed_until_they_are_evicted_or_expire() {
     let mut index = PrefixIndex::new(NonZeroUsize::new(100).unwrap(), Duration::from_secs(10));
     let blocks = block_hashes("m", &"x".repeat(BLOCK_BYTES * 3 + 5));
     assert_eq!(blocks.len(), 3);
@@ -75,42 +76,42 @@
 }
 
 #[test]
-fn after_a_pause_nothing_is_done_on_the_old_view() {
+fn a_view_from_before_a_pause_is_not_used() {
     let mut detector = PauseDetector::new(Duration::from_millis(500), now());
     assert_eq!(detector.tick(later(100)), None);
     assert!(detector.may_act(later(200), now()));
-    assert!(!detector.may_act(later(5_000), now()), "asleep, and not yet noticed");
+    assert!(!detector.may_act(later(5_000), now()), "a pause that is not detected yet");
     assert!(detector.tick(later(5_000)).is_some());
-    assert!(!detector.may_act(later(5_050), now()), "awake, with the old view");
+    assert!(!detector.may_act(later(5_050), now()), "a view from before the pause");
     assert!(detector.may_act(later(5_100), later(5_060)));
 }
 
 #[test]
-fn a_target_that_fails_is_left_alone_for_longer_each_time() {
-    let mut book = HealthTracker::default();
-    book.record_failure("e", false, now());
-    assert!(!book.is_ejected("e", now()));
-    book.record_failure("e", true, now());
-    assert!(book.is_ejected("e", later(400)) && !book.is_ejected("e", later(600)));
-    book.record_failure("e", false, later(600));
-    assert!(book.is_ejected("e", later(1_500)));
-    book.record_success("e");
-    assert!(!book.is_ejected("e", later(1_500)));
+fn repeated_failures_eject_a_target_for_longer_each_time() {
+    let mut health = HealthTracker::default();
+    health.record_failure("e", false, now());
+    assert!(!health.is_ejected("e", now()));
+    health.record_failure("e", true, now());
+    assert!(health.is_ejected("e", later(400)) && !health.is_ejected("e", later(600)));
+    health.record_failure("e", false, later(600));
+    assert!(health.is_ejected("e", later(1_500)));
+    health.record_success("e");
+    assert!(!health.is_ejected("e", later(1_500)));
 }
 
 #[test]
-fn who_used_more_than_its_part_pays_more() {
-    let mut book = UsageTracker::default();
+fn an_account_that_used_more_than_its_share_pays_more() {
+    let mut usage = UsageTracker::default();
     let (greedy, modest) = ("greedy".parse().unwrap(), "modest".parse().unwrap());
-    (0..9).for_each(|_| book.record(&greedy, 1.0, Duration::from_secs(1), now()));
-    book.record(&modest, 1.0, Duration::from_secs(1), now());
-    assert!(book.price_factor(&greedy, 1.0) > 1.5);
-    assert!(book.price_factor(&modest, 1.0) < 0.5);
-    assert!(book.price_factor(&greedy, 9.0) <= 1.0, "a larger share pays less");
+    (0..9).for_each(|_| usage.record(&greedy, 1.0, Duration::from_secs(1), now()));
+    usage.record(&modest, 1.0, Duration::from_secs(1), now());
+    assert!(usage.price_factor(&greedy, 1.0) > 1.5);
+    assert!(usage.price_factor(&modest, 1.0) < 0.5);
+    assert!(usage.price_factor(&greedy, 9.0) <= 1.0, "a larger share pays less");
 }
 
 #[test]
-fn burn_is_counted_over_its_windows() {
+fn burn_rates_are_counted_over_their_windows() {
     let mut meter = BurnMeter::default();
     let (account, class) = ("a".parse().unwrap(), "c".parse().unwrap());
     for number in 0..100 {
--- a/crates/foldhaven-core/tests/testsuite/main.rs
+++ b/crates/foldhaven-core/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the decisions, by topic.
+//! Integration tests of the decision logic, by topic.
 
 mod support;
 
--- a/crates/foldhaven-core/tests/testsuite/membership.rs
+++ b/crates/foldhaven-core/tests/testsuite/membership.rs
@@ -1,4 +1,5 @@
-//! Heartbeats, one-way cuts, lifetimes, delegates, summaries and partners.
+//! Tests of membership: heartbeats, one-way partitions, incarnations, delegates, summaries and
+//! exchange partners.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -17,7 +18,7 @@
     MemberTable::new(own.parse().unwrap(), centre, MembershipTimes::default())
 }
 
-fn beat(vm: &str, incarnation: u64, sequence: u64) -> VmHeartbeat {
+fn heartbeat(vm: &str, incarnation: u64, sequence: u64) -> VmHeartbeat {
     let address = "127.0.0.1:1".parse().unwrap();
     VmHeartbeat {
         vm: vm.parse().unwrap(),
@@ -55,57 +56,60 @@
 }
 
 #[test]
-fn a_member_that_is_heard_but_not_reached_is_suspect() {
+fn a_member_whose_heartbeats_arrive_but_that_cannot_be_reached_is_suspect() {
     let mut table = table("a");
     let b = "b".parse().unwrap();
-    table.apply_heartbeat(beat("b", 1, 1), now());
+    table.apply_heartbeat(heartbeat("b", 1, 1), now());
     assert_eq!(table.state(&b, later(100)), Some(MemberState::Live));
-    table.apply_heartbeat(beat("b", 1, 2), later(2_500));
+    table.apply_heartbeat(heartbeat("b", 1, 2), later(2_500));
     assert_eq!(table.state(&b, later(2_600)), Some(MemberState::Suspect));
     table.record_reached(&b, later(2_600));
     assert_eq!(table.state(&b, later(2_600)), Some(MemberState::Live));
 }
 
 #[test]
-fn an_ended_lifetime_does_not_come_back() {
+fn an_ended_incarnation_does_not_come_back() {
     let mut table = table("a");
     let b = "b".parse().unwrap();
-    table.apply_heartbeat(beat("b", 5, 9), now());
+    table.apply_heartbeat(heartbeat("b", 5, 9), now());
     table.record_ended(&b, IncarnationId(5));
-    assert!(!table.apply_heartbeat(beat("b", 5, 10), now()));
+    assert!(!table.apply_heartbeat(heartbeat("b", 5, 10), now()));
     assert_eq!(table.state(&b, now()), None);
-    assert!(table.apply_heartbeat(beat("b", 6, 1), now()));
-    assert!(!table.apply_heartbeat(beat("b", 5, 99), now()), "an older lifetime is no news");
+    assert!(table.apply_heartbeat(heartbeat("b", 6, 1), now()));
+    assert!(
+        !table.apply_heartbeat(heartbeat("b", 5, 99), now()),
+        "heartbeat of an older incarnation"
+    );
 }
 
 #[test]
-fn delegates_are_the_lowest_that_serve_and_may_overlap() {
+fn delegates_are_the_lowest_serving_members_and_views_may_differ() {
     let mut a = table("a");
-    a.apply_heartbeat(beat("b", 1, 1), now());
-    a.apply_heartbeat(beat("c", 1, 1), now());
+    a.apply_heartbeat(heartbeat("b", 1, 1), now());
+    a.apply_heartbeat(heartbeat("c", 1, 1), now());
     assert!(a.is_delegate(true, now()));
     let mut c = table("c");
-    assert!(c.is_delegate(true, now()), "alone, it speaks for itself");
-    c.apply_heartbeat(beat("a", 1, 1), now());
-    c.apply_heartbeat(VmHeartbeat { leaving: true, ..beat("b", 1, 1) }, now());
-    assert!(c.is_delegate(true, now()), "a leaving member does not count");
+    assert!(c.is_delegate(true, now()), "the only known member is a delegate");
+    c.apply_heartbeat(heartbeat("a", 1, 1), now());
+    c.apply_heartbeat(VmHeartbeat { leaving: true, ..heartbeat("b", 1, 1) }, now());
+    assert!(c.is_delegate(true, now()), "a leaving member is no delegate");
 }
 
 #[test]
-fn summaries_age_over_every_hop_and_only_newer_ones_are_taken() {
+fn summaries_age_over_every_hop_and_only_newer_ones_are_applied() {
     let mut table = table("a");
     assert!(table.apply_summary(summary("south-1", "s", 2, 300), now()));
     assert!(!table.apply_summary(summary("south-1", "s", 1, 0), now()));
     assert!(!table.apply_summary(summary("south-1", "t", 9, 60_000), now()), "too old");
     assert_eq!(table.summaries(later(100))[0].age, Duration::from_millis(400));
-    let given = table.summaries_newer_than(&[], later(100));
-    assert_eq!(given[0].age_ms, 400);
+    let relayed = table.summaries_newer_than(&[], later(100));
+    assert_eq!(relayed[0].age_ms, 400);
     assert!(table.summaries_newer_than(&table.summary_versions(), later(100)).is_empty());
-    assert!(table.summaries(later(6_000)).is_empty(), "not acted on when old");
+    assert!(table.summaries(later(6_000)).is_empty(), "too old to be used");
 }
 
 #[test]
-fn partners_stay_few_and_connect_all_data_centres_in_few_steps() {
+fn exchange_partners_are_few_and_connect_all_data_centres_in_few_hops() {
     for regions in [1usize, 3, 27, 100] {
         let centres: Vec<(DataCentreName, RegionName)> = (0..regions * 3)
             .map(|at| {
@@ -124,7 +128,7 @@
             }
         }
         let mut reached = BTreeSet::from([centres[0].0.clone()]);
-        let mut steps = 0;
+        let mut hops = 0;
         while reached.len() < centres.len() {
             let next: Vec<_> = links
                 .iter()
@@ -134,8 +138,8 @@
             let before = reached.len();
             reached.extend(next);
             assert!(reached.len() > before, "not connected");
-            steps += 1;
+            hops += 1;
         }
-        assert!(steps <= 6, "{steps} steps for {} data centres", centres.len());
+        assert!(hops <= 6, "{hops} hops for {} data centres", centres.len());
     }
 }
--- a/crates/foldhaven-core/tests/testsuite/residency.rs
+++ b/crates/foldhaven-core/tests/testsuite/residency.rs
@@ -1,4 +1,4 @@
-//! Residency and the path of forwarded requests.
+//! Tests of residency and of the path of forwarded requests.
 
 use std::collections::BTreeSet;
 
@@ -24,7 +24,7 @@
 #[case(&["south-1", "north-1"], 1, Some(ForwardFault::Loop))]
 #[case(&["south-1", "east-1"], 1, Some(ForwardFault::TooLong(2)))]
 #[case(&["south-1"], 2, None)]
-fn a_forward_is_taken_from_its_origin_only(
+fn a_forwarded_request_is_accepted_only_from_its_origin(
     #[case] visited: &[&str],
     #[case] ours: u64,
     #[case] fault: Option<ForwardFault>,
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_sender_with_a_newer_description_is_not_judged_by_the_older_one() {
+fn a_request_from_a_sender_with_a_newer_description_is_refused() {
     let visited = vec!["south-1".parse().unwrap()];
     let path = ForwardPath { visited, stamp: stamp(2) };
     let fault = check_forward(&path, &"north-1".parse().unwrap(), stamp(1)).unwrap_err();
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn an_accounts_own_rule_goes_before_the_one_of_the_class() {
+fn an_accounts_own_rule_takes_precedence_over_the_rule_of_the_class() {
     let index = index();
     let class = index.class(&"digest".parse().unwrap()).unwrap();
     let north = "north".parse().unwrap();
@@ -58,9 +58,9 @@
 }
 
 proptest! {
-    /// A lack of engines was refused as `residency`, which tells callers never to come back.
+    /// Guards against reporting a lack of engines as `residency`, which tells callers never to retry.
     #[test]
-    fn residency_is_said_only_where_the_description_forbids(
+    fn residency_is_reported_only_if_the_description_forbids_the_request(
         regions in proptest::sample::subsequence(vec!["north", "south", "unknown"], 0..=3),
         home in any::<bool>(),
         account_home in proptest::sample::select(vec!["north", "south", "unknown"]),
@@ -84,13 +84,13 @@
             false => SearchScope::DataCentre(&centre),
         };
         let request = UnroutableRequest { rule: &rule, home: &account_home, scope };
-        let meant: Vec<RegionName> = match (is_origin, centre.as_str()) {
+        let scope_regions: Vec<RegionName> = match (is_origin, centre.as_str()) {
             (true, _) => vec!["north".parse().unwrap(), "south".parse().unwrap()],
             (false, "north-1") => vec!["north".parse().unwrap()],
             (false, "south-1") => vec!["south".parse().unwrap()],
             (false, _) => Vec::new(),
         };
-        let is_forbidden = !meant.is_empty() && meant.iter().all(|it| !permitted.contains(it));
+        let is_forbidden = !scope_regions.is_empty() && scope_regions.iter().all(|it| !permitted.contains(it));
         let expected = match is_forbidden {
             true => RefusalReason::Residency,
             false => RefusalReason::NoUpstream,
@@ -99,9 +99,10 @@
     }
 }
 
-/// What a peer says of its own data centre or of the path was handed to the caller as said of its request.
+/// Guards against passing on a peer's refusal that concerns only its own data centre or the
+/// forwarding path as a final refusal of the caller's request.
 #[test]
-fn what_a_peer_says_of_itself_is_not_final_for_a_caller() {
+fn a_refusal_that_concerns_only_the_peer_is_not_final_for_the_caller() {
     for reason in [RefusalReason::Residency, RefusalReason::ForwardPath] {
         assert!(!reason.is_transient(), "{reason}");
         assert!(reason.for_caller().is_transient(), "{reason}");
--- a/crates/foldhaven-core/tests/testsuite/routing.rs
+++ b/crates/foldhaven-core/tests/testsuite/routing.rs
@@ -1,4 +1,4 @@
-//! Where requests go: residency under every policy, price order, offers and pressure.
+//! Tests of routing: residency under every policy, price order, offers and pressure.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,14 +19,14 @@
 use crate::support::{engine, index, now};
 
 #[derive(Default)]
-struct TestFacts {
+struct TestState {
     ejected: Vec<&'static str>,
     cached: BTreeMap<UpstreamName, u64>,
     offered: u32,
     density: f64,
 }
 
-impl LocalRouteState for TestFacts {
+impl LocalRouteState for TestState {
     fn recent_work(&self, _: &EngineView) -> RecentWork {
         RecentWork::default()
     }
@@ -50,7 +50,7 @@
     }
 }
 
-/// A view of `north-1` that sees `south-1` with so many free slots.
+/// Returns the routing view of `north-1`, in which `south-1` has `free` free slots.
 fn view(engines: Vec<EngineView>, free: u32) -> RouteView {
     let address = "127.0.0.1:1".parse().unwrap();
     let summary = CentreSummary {
@@ -86,7 +86,7 @@
     kind: PolicyKind,
     account: &str,
     view: &RouteView,
-    facts: &TestFacts,
+    state: &TestState,
     worth: f64,
 ) -> RoutePlan {
     let index = view.index.clone();
@@ -105,7 +105,7 @@
         is_origin: true,
         excluded: &[],
     };
-    kind.build().plan(&query, view, facts, now(), 0.3)
+    kind.build().plan(&query, view, state, now(), 0.3)
 }
 
 fn first(plan: &RoutePlan) -> Option<&str> {
@@ -113,21 +113,22 @@
 }
 
 proptest! {
-    /// No policy ever names a region that the rule does not permit, however idle it is.
+    /// No policy ever offers an option in a region that the rule does not permit, however idle the
+    /// region is.
     #[test]
     fn residency_holds_under_every_policy(busy in 0u32..400, free in 0u32..5, offered in 0u32..9) {
         let view = view(vec![engine("e1", busy, busy * 1_000)], free);
-        let facts = TestFacts { offered, ..TestFacts::default() };
+        let state = TestState { offered, ..TestState::default() };
         for kind in [PolicyKind::Planner, PolicyKind::Home, PolicyKind::Random, PolicyKind::LeastLoaded] {
-            let plan = plan(kind, "sealed", &view, &facts, 10.0);
-            let away = plan.options.iter().any(|it| matches!(it.target, RouteTarget::Centre(_)));
-            prop_assert!(!away);
+            let plan = plan(kind, "sealed", &view, &state, 10.0);
+            let has_remote_option = plan.options.iter().any(|it| matches!(it.target, RouteTarget::Centre(_)));
+            prop_assert!(!has_remote_option);
         }
     }
 
-    /// The slices of an offer never pass the spare, and none goes to nobody.
+    /// The slices of an offer never exceed the spare capacity, and there are at most 8 of them.
     #[test]
-    fn offers_never_pass_the_spare(spare in 0u32..200, weights in proptest::collection::vec(0.0f64..9.0, 0..20)) {
+    fn offers_never_exceed_the_spare_capacity(spare in 0u32..200, weights in proptest::collection::vec(0.0f64..9.0, 0..20)) {
         let demands: Vec<OfferDemand> = weights.iter().enumerate().map(|(at, weight)| OfferDemand {
             centre: format!("c{at}").parse().unwrap(),
             weight: *weight,
@@ -140,80 +141,89 @@
 }
 
 #[test]
-fn a_warm_cache_is_worth_a_little_wait_and_not_a_long_one() {
-    let mut facts = TestFacts::default();
-    facts.cached.insert("e1".parse().unwrap(), 2_000);
+fn a_cached_prefix_outweighs_a_short_wait_but_not_a_long_one() {
+    let mut state = TestState::default();
+    state.cached.insert("e1".parse().unwrap(), 2_000);
     let idle = view(vec![engine("e1", 3, 900), engine("e2", 0, 0)], 0);
-    assert_eq!(first(&plan(PolicyKind::Planner, "bar", &idle, &facts, 10.0)), Some("e1"));
+    assert_eq!(first(&plan(PolicyKind::Planner, "bar", &idle, &state, 10.0)), Some("e1"));
     let queued = view(vec![engine("e1", 24, 24_000), engine("e2", 0, 0)], 0);
-    assert_eq!(first(&plan(PolicyKind::Planner, "bar", &queued, &facts, 10.0)), Some("e2"));
+    assert_eq!(first(&plan(PolicyKind::Planner, "bar", &queued, &state, 10.0)), Some("e2"));
 }
 
 #[test]
-fn a_request_goes_away_only_within_an_offer_and_when_home_is_late() {
+fn a_request_leaves_its_home_only_with_an_offer_and_when_home_would_be_late() {
     let busy = view(vec![engine("e1", 60, 90_000)], 4);
-    let offered = TestFacts { offered: 1, ..TestFacts::default() };
+    let offered = TestState { offered: 1, ..TestState::default() };
     assert_eq!(first(&plan(PolicyKind::Planner, "bar", &busy, &offered, 10.0)), Some("south-1"));
-    let nothing = TestFacts::default();
-    assert_eq!(first(&plan(PolicyKind::Planner, "bar", &busy, &nothing, 10.0)), None);
+    let no_offer = TestState::default();
+    assert_eq!(first(&plan(PolicyKind::Planner, "bar", &busy, &no_offer, 10.0)), None);
     let idle = view(vec![engine("e1", 0, 0)], 4);
     assert_eq!(first(&plan(PolicyKind::Planner, "bar", &idle, &offered, 10.0)), Some("e1"));
 }
 
 #[test]
-fn what_cannot_be_on_time_is_refused_now_with_when_to_come_back() {
+fn a_request_that_cannot_be_on_time_is_refused_with_a_retry_delay() {
     let late = view(vec![engine("e1", 100, 200_000)], 0);
-    let plan = plan(PolicyKind::Planner, "sealed", &late, &TestFacts::default(), 10.0);
+    let plan = plan(PolicyKind::Planner, "sealed", &late, &TestState::default(), 10.0);
     assert!(plan.choice().is_none() && plan.any_permitted);
     assert!(plan.retry_after > Duration::from_secs(1), "{:?}", plan.retry_after);
 }
 
 #[test]
-fn a_queue_is_kept_short_by_worth() {
-    // The wait is 1.25 s of 5 s, and a slot second brings in 8 on average.
+fn requests_of_low_worth_are_refused_while_others_wait() {
+    // The wait is 1.25 s of 5 s, and the mean worth of a slot second is 8.
     let waiting = view(vec![engine("e1", 8, 8_000)], 0);
-    let facts = TestFacts { density: 8.0, ..TestFacts::default() };
-    assert_eq!(first(&plan(PolicyKind::Planner, "sealed", &waiting, &facts, 1.0)), None);
-    assert_eq!(first(&plan(PolicyKind::Planner, "sealed", &waiting, &facts, 50.0)), Some("e1"));
+    let state = TestState { density: 8.0, ..TestState::default() };
+    assert_eq!(first(&plan(PolicyKind::Planner, "sealed", &waiting, &state, 1.0)), None);
+    assert_eq!(first(&plan(PolicyKind::Planner, "sealed", &waiting, &state, 50.0)), Some("e1"));
     let idle = view(vec![engine("e1", 0, 0)], 0);
-    assert_eq!(first(&plan(PolicyKind::Planner, "sealed", &idle, &facts, 1.0)), Some("e1"));
+    assert_eq!(first(&plan(PolicyKind::Planner, "sealed", &idle, &state, 1.0)), Some("e1"));
 }
 
 #[test]
-fn a_slice_is_a_rate_that_is_spent_earned_again_and_lapses() {
+fn a_slice_is_spent_refills_at_its_rate_and_expires() {
     let (centre, model) = ("south-1".parse().unwrap(), "writer".parse().unwrap());
     let at = |millis| now() + Duration::from_millis(millis);
-    let mut book = OfferTracker::default();
-    book.update_slice(&centre, &model, 4, 2, (now(), at(3_000)));
-    // Two slots for half a second are saved: four requests of 300 ms go out, then no more.
+    let mut tracker = OfferTracker::default();
+    tracker.update_slice(&centre, &model, 4, 2, (now(), at(3_000)));
+    // The burst is two slots for half a second: four requests of 300 ms are sent, then no more.
     let sent = (0..20)
         .filter(|_| {
-            let may = book.is_available(&centre, &model, now());
-            if may {
-                book.spend(&centre, &model, Duration::from_millis(300), now());
+            let is_available = tracker.is_available(&centre, &model, now());
+            if is_available {
+                tracker.spend(&centre, &model, Duration::from_millis(300), now());
             }
-            may
+            is_available
         })
         .count();
     assert_eq!(sent, 4);
-    book.update_slice(&centre, &model, 4, 2, (now(), at(3_000)));
-    assert!(!book.is_available(&centre, &model, now()), "the same slice again adds nothing");
-    assert!(book.is_available(&centre, &model, at(300)));
-    assert!(!book.is_available(&centre, &model, at(3_000)), "lapsed");
-    book.exhaust(&centre, &model, at(300));
+    tracker.update_slice(&centre, &model, 4, 2, (now(), at(3_000)));
+    assert!(!tracker.is_available(&centre, &model, now()), "an unchanged slice does not refill");
+    assert!(tracker.is_available(&centre, &model, at(300)));
+    assert!(!tracker.is_available(&centre, &model, at(3_000)), "expired");
+    tracker.exhaust(&centre, &model, at(300));
     assert!(
-        !book.is_available(&centre, &model, at(600)) && book.is_available(&centre, &model, at(900))
+        !tracker.is_available(&centre, &model, at(600))
+            && tracker.is_available(&centre, &model, at(900))
     );
 }
 
 #[test]
-fn an_engine_that_failed_is_left_out_unless_all_did() {
+fn an_ejected_engine_is_used_only_if_all_are_ejected() {
     let two = view(vec![engine("e1", 0, 0), engine("e2", 3, 900)], 0);
-    let one_failed = TestFacts { ejected: vec!["e1"], ..TestFacts::default() };
+    let one_failed = TestState { ejected: vec!["e1"], ..TestState::default() };
     assert_eq!(first(&plan(PolicyKind::Planner, "bar", &two, &one_failed, 10.0)), Some("e2"));
-    let all_failed = TestFacts { ejected: vec!["e1", "e2"], ..TestFacts::default() };
+    let all_failed = TestState { ejected: vec!["e1", "e2"], ..TestState::default() };
     let elsewhere = plan(PolicyKind::Planner, "bar", &two, &all_failed, 10.0);
-    assert_eq!(first(&elsewhere), Some("south-1"), "another data centre first, without an offer");
-    let bound = plan(PolicyKind::Planner, "sealed", &two, &all_failed, 10.0);
-    assert_eq!(first(&bound), Some("e1"), "and what failed, where nothing else is permitted");
+    assert_eq!(
+        first(&elsewhere),
+        Some("south-1"),
+        "without a healthy local engine, another data centre needs no offer"
+    );
+    let sealed = plan(PolicyKind::Planner, "sealed", &two, &all_failed, 10.0);
+    assert_eq!(
+        first(&sealed),
+        Some("e1"),
+        "an ejected engine is used if nothing else is permitted"
+    );
 }
--- a/crates/foldhaven-core/tests/testsuite/support.rs
+++ b/crates/foldhaven-core/tests/testsuite/support.rs
@@ -1,4 +1,4 @@
-//! A small builder of descriptions, and values that tests share.
+//! A small description and values that the tests share.
 
 use std::sync::Arc;
 
@@ -37,14 +37,15 @@
 "#;
 
 pub fn description() -> Description {
-    parse_description("small.yaml", TEXT).expect("the text is good")
+    parse_description("small.yaml", TEXT).expect("the description is valid")
 }
 
 pub fn index() -> Arc<DescriptionIndex> {
     DescriptionIndex::new(description())
 }
 
-/// A report of an engine that holds the model, with so many requests and so much work.
+/// Returns the view of an engine that holds the model `writer`, with `busy` requests and
+/// `backlog_ms` milliseconds of remaining work.
 pub fn engine(name: &str, busy: u32, backlog_ms: u32) -> EngineView {
     let held = HeldModel { model: "writer".parse().unwrap(), version: "2".to_owned(), ready: true };
     let load = EngineLoad {
--- a/crates/foldhaven-core/tests/testsuite/tickets.rs
+++ b/crates/foldhaven-core/tests/testsuite/tickets.rs
@@ -1,4 +1,4 @@
-//! At most once, for any sequence of uses of tickets.
+//! Tests of tickets: a request runs at most once for any sequence of uses.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use foldhaven_core::time::MonoTime;
 use proptest::prelude::*;
 
-const SPAN: Duration = Duration::from_secs(10);
+const TTL: Duration = Duration::from_secs(10);
 
 fn ledger(incarnation: u64, key: u8) -> TicketLedger<u64> {
     TicketLedger::new("vm-1".parse().unwrap(), IncarnationId(incarnation), [key; 32])
@@ -19,13 +19,14 @@
 }
 
 proptest! {
-    /// However often, late and under whatever content a ticket arrives, it is run once at most.
+    /// A ticket runs at most once, however often or late it arrives and whatever its request's
+    /// content.
     #[test]
     fn a_ticket_is_run_at_most_once(
         uses in proptest::collection::vec((0usize..4, 0u64..3, 0u64..120), 1..60)
     ) {
         let mut ledger = ledger(1, 7);
-        let tickets: Vec<_> = (0..4).map(|_| ledger.issue(at(0), SPAN).unwrap()).collect();
+        let tickets: Vec<_> = (0..4).map(|_| ledger.issue(at(0), TTL).unwrap()).collect();
         let mut runs: BTreeMap<u64, usize> = BTreeMap::new();
         let mut uses = uses;
         uses.sort_by_key(|(_, _, secs)| *secs);
@@ -35,17 +36,17 @@
                 *runs.entry(ticket.sequence).or_default() += 1;
                 prop_assert!(at(secs) < ticket.expires);
             }
-            // Issuing forgets what ended long ago.
-            let _ = ledger.issue(at(secs), SPAN);
+            // Issuing a ticket removes the records of expired ones.
+            let _ = ledger.issue(at(secs), TTL);
         }
         prop_assert!(runs.values().all(|runs| *runs == 1));
     }
 
-    /// A ticket survives being written, and any change of its text makes it worthless.
+    /// A ticket can be parsed from its text form, and any change of the text makes it invalid.
     #[test]
     fn a_changed_ticket_is_foreign(position: prop::sample::Index, digit in 0u8..10) {
         let mut ledger = ledger(1, 7);
-        let text = ledger.issue(at(0), SPAN).unwrap().to_string();
+        let text = ledger.issue(at(0), TTL).unwrap().to_string();
         let mut changed = text.clone().into_bytes();
         let position = position.index(changed.len());
         changed[position] = b'0' + digit;
@@ -58,17 +59,17 @@
 }
 
 #[test]
-fn a_later_lifetime_does_not_take_an_earlier_ticket() {
-    let ticket = ledger(1, 7).issue(at(0), SPAN).unwrap();
+fn a_later_incarnation_rejects_an_earlier_ticket() {
+    let ticket = ledger(1, 7).issue(at(0), TTL).unwrap();
     let mut later = ledger(2, 7);
     assert_eq!(later.redeem(&ticket, 1, at(1), || 0), TicketVerdict::Foreign);
     assert!(!later.names_this_process(&ticket));
 }
 
 #[test]
-fn another_content_is_told_apart_and_the_same_joins() {
+fn a_request_with_other_content_is_rejected_and_the_same_request_joins() {
     let mut ledger = ledger(1, 7);
-    let ticket = ledger.issue(at(0), SPAN).unwrap();
+    let ticket = ledger.issue(at(0), TTL).unwrap();
     assert_eq!(ledger.redeem(&ticket, 1, at(1), || 42), TicketVerdict::Run);
     assert_eq!(ledger.redeem(&ticket, 1, at(2), || 0), TicketVerdict::Join(42));
     assert_eq!(ledger.redeem(&ticket, 2, at(2), || 0), TicketVerdict::OtherRequest);
@@ -77,24 +78,24 @@
 }
 
 #[test]
-fn a_leaving_process_runs_no_unspent_ticket() {
+fn a_closed_ledger_runs_no_unspent_ticket() {
     let mut ledger = ledger(1, 7);
-    let (spent, unspent) = (ledger.issue(at(0), SPAN).unwrap(), ledger.issue(at(0), SPAN).unwrap());
+    let (spent, unspent) = (ledger.issue(at(0), TTL).unwrap(), ledger.issue(at(0), TTL).unwrap());
     assert_eq!(ledger.redeem(&spent, 1, at(1), || 5), TicketVerdict::Run);
     ledger.close();
     assert_eq!(ledger.redeem(&unspent, 1, at(1), || 0), TicketVerdict::Closed);
     assert_eq!(ledger.redeem(&spent, 1, at(1), || 0), TicketVerdict::Join(5));
-    assert_eq!(ledger.issue(at(1), SPAN), None);
+    assert_eq!(ledger.issue(at(1), TTL), None);
 }
 
-/// Found by CI beside load: a caller that was given a ticket right before a planned stop was refused.
+/// Guards against refusing a caller that got a ticket right before a planned stop.
 #[test]
-fn tickets_that_callers_hold_can_be_used_after_the_last_was_issued() {
+fn issued_tickets_can_be_redeemed_after_issuing_stopped() {
     let mut ledger = ledger(1, 7);
-    let ticket = ledger.issue(at(0), SPAN).unwrap();
-    let unused = ledger.issue(at(0), SPAN).unwrap();
+    let ticket = ledger.issue(at(0), TTL).unwrap();
+    let unused = ledger.issue(at(0), TTL).unwrap();
     ledger.stop_issuing();
-    assert!(ledger.issue(at(1), SPAN).is_none());
+    assert!(ledger.issue(at(1), TTL).is_none());
     assert_eq!(ledger.redeem(&ticket, 1, at(1), || 5), TicketVerdict::Run);
     ledger.close();
     assert_eq!(ledger.redeem(&unused, 1, at(1), || 6), TicketVerdict::Closed);
--- a/crates/foldhaven-core/tests/testsuite/units.rs
+++ b/crates/foldhaven-core/tests/testsuite/units.rs
@@ -1,4 +1,4 @@
-//! Quantities and identifiers as text.
+//! Tests of parsing and formatting quantities and identifiers.
 
 use foldhaven_core::ids::{AccountName, AttemptId};
 use foldhaven_core::units::{ByteSize, ShareRatio, TimeSpan, TokenRate};
@@ -10,8 +10,8 @@
 #[case("1.5s", "1500ms")]
 #[case("2m", "120s")]
 #[case("1500us", "1500us")]
-fn spans_are_read_and_written(#[case] text: &str, #[case] written: &str) {
-    assert_eq!(text.parse::<TimeSpan>().unwrap().to_string(), written);
+fn durations_are_parsed_and_formatted(#[case] text: &str, #[case] formatted: &str) {
+    assert_eq!(text.parse::<TimeSpan>().unwrap().to_string(), formatted);
 }
 
 #[rstest]
@@ -20,7 +20,7 @@
 #[case("-1s")]
 #[case("1e9h")]
 #[case("5 minutes")]
-fn bad_spans_are_refused(#[case] text: &str) {
+fn invalid_durations_are_refused(#[case] text: &str) {
     assert!(text.parse::<TimeSpan>().is_err());
 }
 
@@ -40,13 +40,13 @@
 #[case("a/b")]
 #[case("späth")]
 #[case("a b")]
-fn bad_names_are_refused(#[case] text: &str) {
+fn invalid_names_are_refused(#[case] text: &str) {
     assert!(text.parse::<AccountName>().is_err());
 }
 
 proptest! {
     #[test]
-    fn attempt_ids_survive_being_written(
+    fn attempt_ids_are_parsed_and_formatted(
         request in "[a-z0-9.-]{1,20}",
         vm in "[a-z][a-z0-9-]{0,10}",
         incarnation: u64,
@@ -58,7 +58,7 @@
     }
 
     #[test]
-    fn any_text_is_read_or_refused_without_panic(text in "\\PC{0,40}") {
+    fn parsing_any_text_does_not_panic(text in "\\PC{0,40}") {
         let _ = text.parse::<TimeSpan>();
         let _ = text.parse::<ByteSize>();
         let _ = text.parse::<AttemptId>();
--- a/crates/foldhaven-core/tests/testsuite/waits.rs
+++ b/crates/foldhaven-core/tests/testsuite/waits.rs
@@ -1,5 +1,5 @@
-//! A rule that is told to be in force holds for every request that can still begin: the load is requests
-//! that wait in the queues of upstreams while descriptions change, checked by threads that are late.
+//! Tests that a description reported as in force applies to every request that can still start, while
+//! requests wait in the queues of upstreams, descriptions change, and the requests are rechecked late.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_description_is_in_force_once_no_request_waits_by_the_one_before() {
+fn a_description_is_in_force_once_no_request_waits_under_the_previous_one() {
     let mut ledger = WaitLedger::default();
     assert_eq!(ledger.in_force(at(0)), None);
     ledger.adopt(stamp(1));
@@ -25,12 +25,16 @@
     ledger.adopt(stamp(2));
     assert_eq!(ledger.in_force(at(0)), Some(stamp(1)));
     ledger.leave(checked, at(0));
-    assert_eq!(ledger.in_force(at(0)), Some(stamp(1)), "its call is not closed yet");
+    assert_eq!(
+        ledger.in_force(at(0)),
+        Some(stamp(1)),
+        "the cancelled call may still be open at the upstream"
+    );
     assert_eq!(ledger.in_force(at(0) + CANCEL_GRACE), Some(stamp(2)));
 }
 
 #[test]
-fn a_request_that_is_permitted_anew_holds_nothing_up() {
+fn a_rechecked_request_does_not_delay_a_description() {
     let mut ledger = WaitLedger::default();
     ledger.adopt(stamp(1));
     let checked = ledger.enter();
@@ -40,7 +44,7 @@
 }
 
 #[test]
-fn requests_that_enter_after_a_change_hold_nothing_up() {
+fn requests_that_enter_after_a_change_do_not_delay_a_description() {
     let mut ledger = WaitLedger::default();
     ledger.adopt(stamp(1));
     ledger.adopt(stamp(2));
@@ -50,16 +54,16 @@
 
 proptest! {
     #[test]
-    fn what_is_told_never_goes_back_and_holds_for_all_that_wait(
+    fn the_reported_description_never_goes_back_and_applies_to_all_waiting_requests(
         steps in prop::collection::vec((0_u8..4, 0_usize..8), 1..200),
     ) {
         let mut ledger = WaitLedger::default();
         let mut newest = 0;
         let mut waiting: Vec<Option<DescriptionStamp>> = Vec::new();
-        let mut told = None;
-        for (step, (what, which)) in steps.into_iter().enumerate() {
+        let mut reported = None;
+        for (step, (action, which)) in steps.into_iter().enumerate() {
             let now = at(0) + Duration::from_millis(7) * step as u32;
-            match what {
+            match action {
                 0 => {
                     newest += 1;
                     ledger.adopt(stamp(newest));
@@ -76,10 +80,10 @@
                 }
                 _ => {}
             }
-            let now_told = ledger.in_force(now);
-            prop_assert!(now_told >= told, "went back from {told:?} to {now_told:?}");
-            prop_assert!(waiting.iter().all(|checked| *checked >= now_told));
-            told = now_told;
+            let in_force = ledger.in_force(now);
+            prop_assert!(in_force >= reported, "went back from {reported:?} to {in_force:?}");
+            prop_assert!(waiting.iter().all(|checked| *checked >= in_force));
+            reported = in_force;
         }
     }
 }
