--- a/crates/foldhaven-core/src/attempt.rs
+++ b/crates/foldhaven-core/src/attempt.rs
@@ -76,8 +76,8 @@
 
 /// All attempts of one request, in order. Only the last one can be in flight.
 ///
-/// While an attempt is in flight, the outcome is `unknown`, never `not_run`, so that a log dropped
-/// at that point does not claim too much.
+/// While an attempt is in flight, the outcome is `unknown`, never `not_run`. This also holds for a
+/// log that is dropped at that point.
 #[derive(Debug, Clone, Default)]
 pub struct AttemptLog {
     records: Vec<AttemptRecord>,
--- a/crates/foldhaven-core/src/description/index.rs
+++ b/crates/foldhaven-core/src/description/index.rs
@@ -139,8 +139,8 @@
         self.description.deployments.iter().filter(move |it| it.data_centre == *centre)
     }
 
-    /// Returns the residency rule for an account's requests of a class. The account's own rule takes
-    /// precedence over the rule of the class.
+    /// Returns the residency rule for an account's requests of a class. The account's own rule
+    /// takes precedence over the rule of the class.
     pub fn residency_of(
         &self,
         account: &AccountConfig,
--- a/crates/foldhaven-core/src/fairness.rs
+++ b/crates/foldhaven-core/src/fairness.rs
@@ -1,4 +1,4 @@
-//! Fairness between accounts: each account's recent usage, compared to its share of scarce capacity.
+//! Fairness between accounts: each account's recent usage compared to its share of scarce capacity.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/foldhaven-core/src/ids.rs
+++ b/crates/foldhaven-core/src/ids.rs
@@ -158,7 +158,8 @@
     }
 }
 
-/// The start time of an upstream's process, in milliseconds since the epoch by the upstream's clock.
+/// The start time of an upstream's process, in milliseconds since the epoch, by the upstream's
+/// clock.
 ///
 /// A restarted process may have the same name as the previous one, but its start time differs.
 /// Start times are compared for equality only, since clocks may be set back. 0 means that the
--- a/crates/foldhaven-core/src/load.rs
+++ b/crates/foldhaven-core/src/load.rs
@@ -107,8 +107,8 @@
     }
 }
 
-/// Returns the expected wait for a slot of an engine, from its last report, the time that has passed
-/// since, and the work that was dispatched since.
+/// Returns the expected wait for a slot of an engine, estimated from its last report, the time
+/// passed since, and the work dispatched since.
 pub fn expected_wait(engine: &EngineView, recent: RecentWork, now: MonoTime) -> Duration {
     let load = &engine.load;
     let slots = f64::from(load.slots.max(1));
--- a/crates/foldhaven-core/src/planner.rs
+++ b/crates/foldhaven-core/src/planner.rs
@@ -215,7 +215,8 @@
             options.extend(centres);
         }
         if options.is_empty() {
-            // If every engine is ejected, the requests are more likely at fault than the engines.
+            // Only ejected engines are left. If all of them failed, the requests are more likely at
+            // fault than the engines.
             options = ejected;
         }
         options.sort_by(|left, right| left.price.total().total_cmp(&right.price.total()));
--- a/crates/foldhaven-core/src/refusal.rs
+++ b/crates/foldhaven-core/src/refusal.rs
@@ -172,8 +172,8 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use foldhaven_core::refusal::jittered_return;
-/// assert_eq!(jittered_return(Duration::from_secs(2), 0.5), Duration::from_millis(2500));
+/// use foldhaven_core::refusal::jittered_retry_delay;
+/// assert_eq!(jittered_retry_delay(Duration::from_secs(2), 0.5), Duration::from_millis(2500));
 /// ```
 pub fn jittered_retry_delay(delay: Duration, draw: f64) -> Duration {
     const MIN_DELAY: Duration = Duration::from_millis(50);
--- a/crates/foldhaven-core/src/time.rs
+++ b/crates/foldhaven-core/src/time.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A reading of a process's monotonic clock, in microseconds since an origin that the process chose.
+/// A reading of a process's monotonic clock, in microseconds since an origin chosen by the process.
 ///
 /// Readings of different processes are not comparable. Messages carry ages instead.
 #[derive(
--- a/crates/foldhaven-core/src/waits.rs
+++ b/crates/foldhaven-core/src/waits.rs
@@ -13,10 +13,10 @@
 
 /// Counts waiting requests by the description by which they were last checked.
 ///
-/// A description is adopted at once, but requests that wait at upstreams were routed by the previous
-/// one. A description is reported as in force only once no such request is left, so that operators
-/// can rely on its rules. The reported description never goes back, since requests enter with the
-/// newest one.
+/// A description is adopted at once, but requests that wait at upstreams were routed by the
+/// previous one. A description is reported as in force only once no such request is left, so that
+/// operators can rely on its rules. The reported description never goes back, since requests enter
+/// with the newest one.
 #[derive(Debug, Default)]
 pub struct WaitLedger {
     newest: Option<DescriptionStamp>,
--- a/crates/foldhaven-core/tests/testsuite/refusals.rs
+++ b/crates/foldhaven-core/tests/testsuite/refusals.rs
@@ -4,8 +4,8 @@
 use foldhaven_core::refusal::{RefusalAnswer, RefusalReason};
 use rstest::rstest;
 
-/// Guards against a 503 for a request that was cancelled after it may have run: the caller then sent
-/// it to another VM, which reported that it had not run.
+/// Guards against a 503 for a request that was cancelled after it may have run: the caller then
+/// sent it to another VM, which reported that it had not run.
 #[rstest]
 fn a_status_that_guarantees_not_run_is_used_only_for_requests_that_did_not_run(
     #[values(
--- a/crates/foldhaven-core/tests/testsuite/residency.rs
+++ b/crates/foldhaven-core/tests/testsuite/residency.rs
@@ -58,7 +58,8 @@
 }
 
 proptest! {
-    /// Guards against reporting a lack of engines as `residency`, which tells callers never to retry.
+    /// Guards against reporting a lack of engines as `residency`, which tells callers never to
+    /// retry.
     #[test]
     fn residency_is_reported_only_if_the_description_forbids_the_request(
         regions in proptest::sample::subsequence(vec!["north", "south", "unknown"], 0..=3),
--- a/crates/foldhaven-core/tests/testsuite/waits.rs
+++ b/crates/foldhaven-core/tests/testsuite/waits.rs
@@ -1,5 +1,6 @@
-//! Tests that a description reported as in force applies to every request that can still start, while
-//! requests wait in the queues of upstreams, descriptions change, and the requests are rechecked late.
+//! Tests that a description reported as in force applies to every request that can still start.
+//! Meanwhile requests wait in the queues of upstreams, descriptions change, and threads recheck the
+//! requests late.
 
 use std::time::Duration;
 
