--- a/crates/foldhaven-core/src/opaque/admission.rs
+++ b/crates/foldhaven-core/src/opaque/admission.rs
@@ -2,21 +2,21 @@
 
 use std::time::Duration;
 
-use crate::opaque::choice::{CostParts, LATE_LOSS, chance_of_lateness};
-use crate::opaque::pace::QueueFacts;
+use crate::opaque::choice::{CostBreakdown, LATE_VALUE_LOSS, lateness_probability};
+use crate::opaque::performance::QueueState;
 use crate::opaque::queue_rank::QueueRank;
 
 /// The best place for a request.
 #[derive(Debug, Clone, Copy)]
-pub struct PlaceOffer {
+pub struct DestinationEstimate {
     /// The expected time to the answer, or to its first event.
-    pub first: Duration,
+    pub time_to_first: Duration,
     /// What it would cost.
-    pub parts: CostParts,
+    pub breakdown: CostBreakdown,
     /// Its rank there.
     pub rank: QueueRank,
     /// The requests there.
-    pub queue: QueueFacts,
+    pub queue: QueueState,
     /// Whether the place takes no more.
     pub is_full: bool,
 }
@@ -34,16 +34,16 @@
 
 /// Why a request is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unservable {
+pub enum AdmissionError {
     /// Its caller would have left before it began to be answered.
     TooLate,
     /// It would take more from the requests there than its own answer is worth.
-    TooHarmful,
+    TooMuchInterference,
     /// All places have as many requests as they take.
     Full,
     /// It cannot be answered within its target, and as many others of which that is so wait already as the place
     /// runs at once.
-    Crowded,
+    TooManyDeferred,
 }
 
 /// Decides on a request whose best place is known.
@@ -51,26 +51,26 @@
 /// # Errors
 ///
 /// When it is better refused.
-pub fn admit(offer: &PlaceOffer, limits: TimeLimits) -> Result<(), Unservable> {
-    if offer.first > limits.remaining {
-        return Err(Unservable::TooLate);
+pub fn admit(offer: &DestinationEstimate, limits: TimeLimits) -> Result<(), AdmissionError> {
+    if offer.time_to_first > limits.remaining {
+        return Err(AdmissionError::TooLate);
     }
     if offer.is_full {
-        return Err(Unservable::Full);
+        return Err(AdmissionError::Full);
     }
-    if offer.rank == QueueRank::Behind && offer.queue.behind >= offer.queue.slots {
-        return Err(Unservable::Crowded);
+    if offer.rank == QueueRank::Deferred && offer.queue.deferred >= offer.queue.slots {
+        return Err(AdmissionError::TooManyDeferred);
     }
-    let late = chance_of_lateness(limits.waited + offer.first, limits.target);
-    let value = 1.0 - LATE_LOSS * late;
-    match offer.parts.harm() > value {
-        true => Err(Unservable::TooHarmful),
+    let late = lateness_probability(limits.waited + offer.time_to_first, limits.target);
+    let value = 1.0 - LATE_VALUE_LOSS * late;
+    match offer.breakdown.interference() > value {
+        true => Err(AdmissionError::TooMuchInterference),
         false => Ok(()),
     }
 }
 
 /// After which time a place like the best one could probably answer a refused request within its target, if
 /// nothing else came.
-pub fn come_back_after(offer: &PlaceOffer, limits: TimeLimits) -> Duration {
-    offer.first.saturating_sub(limits.target)
+pub fn retry_after(offer: &DestinationEstimate, limits: TimeLimits) -> Duration {
+    offer.time_to_first.saturating_sub(limits.target)
 }
--- a/crates/foldhaven-core/src/opaque/affinity.rs
+++ b/crates/foldhaven-core/src/opaque/affinity.rs
@@ -17,7 +17,7 @@
 
 /// A shared part of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PromptPart {
+pub struct PromptSegment {
     /// The hash of this part and all before it; equal for prompts that share them all.
     pub key: u64,
     /// Its tokens.
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PromptOutline {
     /// The parts that other prompts may share, in order.
-    pub shared: Vec<PromptPart>,
+    pub shared: Vec<PromptSegment>,
     /// The tokens of the part that belongs to the request alone.
     pub own_tokens: u32,
 }
@@ -37,13 +37,13 @@
     /// Reads parts in order, each an id and its tokens; the last one is the request's own.
     ///
     /// Gives nothing when there are no parts, or when one has no readable number of tokens.
-    pub fn read(text: &str) -> Option<Self> {
+    pub fn parse(text: &str) -> Option<Self> {
         let mut outline = Self::default();
         let mut chain = 0;
         for part in text.split(',') {
             let (id, tokens) = part.trim().rsplit_once(':')?;
             chain = xxh3_64_with_seed(id.as_bytes(), chain);
-            outline.shared.push(PromptPart { key: chain, tokens: tokens.parse().ok()? });
+            outline.shared.push(PromptSegment { key: chain, tokens: tokens.parse().ok()? });
         }
         outline.own_tokens = outline.shared.pop()?.tokens;
         Some(outline)
@@ -55,7 +55,7 @@
     }
 
     /// The key by which prompts with the same shared parts meet.
-    pub fn meeting_key(&self) -> Option<u64> {
+    pub fn affinity_key(&self) -> Option<u64> {
         self.shared.last().map(|part| part.key)
     }
 }
@@ -79,7 +79,7 @@
     /// The upstream.
     pub upstream: UpstreamTag,
     /// The shared parts.
-    pub shared: Vec<PromptPart>,
+    pub shared: Vec<PromptSegment>,
     /// The tokens of the request's own part and of the longest answer.
     pub own_tokens: u32,
 }
@@ -88,22 +88,22 @@
 ///
 /// An upstream drops the parts that were unused longest when its memory is full. So a part counts as
 /// held until so many other tokens have been sent there that they fill the memory.
-pub struct PromptHints {
+pub struct PrefixCacheIndex {
     /// By the key of a part: what `written` was for each upstream when the part was sent there.
     parts: LruCache<u64, HashMap<UpstreamTag, u64>>,
     /// The tokens that each upstream has had to take up since it was first heard of.
     written: HashMap<UpstreamTag, u64>,
 }
 
-impl Default for PromptHints {
+impl Default for PrefixCacheIndex {
     fn default() -> Self {
         Self { parts: LruCache::new(MAX_PARTS), written: HashMap::new() }
     }
 }
 
-impl PromptHints {
+impl PrefixCacheIndex {
     /// Takes in that a prompt was sent to an upstream.
-    pub fn note(&mut self, placement: &PromptPlacement) {
+    pub fn record(&mut self, placement: &PromptPlacement) {
         let tag = placement.upstream;
         let mut written = self.written.get(&tag).copied().unwrap_or_default();
         for part in &placement.shared {
@@ -116,10 +116,10 @@
     }
 
     /// The tokens of the shared parts that an upstream with so much memory probably holds.
-    pub fn held_tokens(&self, tag: UpstreamTag, shared: &[PromptPart], memory: u64) -> u32 {
+    pub fn cached_tokens(&self, tag: UpstreamTag, shared: &[PromptSegment], memory: u64) -> u32 {
         let written = self.written.get(&tag).copied().unwrap_or_default();
         let limit = (memory as f64 * USABLE_MEMORY) as u64;
-        let is_held = |part: &&PromptPart| {
+        let is_held = |part: &&PromptSegment| {
             let noted = self.parts.peek(&part.key).and_then(|holders| holders.get(&tag));
             noted.is_some_and(|noted| written - noted < limit)
         };
@@ -127,7 +127,7 @@
     }
 
     /// Forgets an upstream that has ended.
-    pub fn forget(&mut self, tag: UpstreamTag) {
+    pub fn remove(&mut self, tag: UpstreamTag) {
         self.written.remove(&tag);
         for (_, holders) in self.parts.iter_mut() {
             holders.remove(&tag);
--- a/crates/foldhaven-core/src/opaque/patience.rs
+++ b/crates/foldhaven-core/src/opaque/caller_timeouts.rs
@@ -13,7 +13,7 @@
 
 /// The longest times that callers of one route have named lately.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct CallerPatience {
+pub struct CallerTimeouts {
     /// The longest of the current span, and when that began.
     current: Duration,
     began: MonoTime,
@@ -21,9 +21,9 @@
     previous: Duration,
 }
 
-impl CallerPatience {
+impl CallerTimeouts {
     /// Takes in the time that a caller still gives. Returns how long it has waited already.
-    pub fn note(&mut self, remaining: Duration, now: MonoTime) -> Duration {
+    pub fn record(&mut self, remaining: Duration, now: MonoTime) -> Duration {
         let age = now.since(self.began);
         if age >= SPAN {
             self.previous = if age < SPAN * 2 { self.current } else { Duration::ZERO };
--- a/crates/foldhaven-core/src/opaque/choice/mod.rs
+++ b/crates/foldhaven-core/src/opaque/choice/mod.rs
@@ -9,12 +9,14 @@
 
 use std::time::Duration;
 
-pub use self::cost::{CostParts, LATE_LOSS, RequestCost, chance_of_lateness, chance_of_long_pause};
+pub use self::cost::{
+    CostBreakdown, LATE_VALUE_LOSS, RequestCost, lateness_probability, long_pause_probability,
+};
 use self::pricer::UpstreamPricer;
 pub use self::pricer::{pause_cost, slowing_cost, streaming_cost};
 use self::sample::{NewsAge, draw_some};
 use crate::ids::UpstreamName;
-use crate::opaque::pace::{QueueFacts, ServicePace};
+use crate::opaque::performance::{QueueState, ServicePerformance};
 use crate::opaque::queue_rank::QueueRank;
 use crate::rank::rank_hash;
 
@@ -24,29 +26,29 @@
 /// How many tokens of a prompt one token of an answer counts for. The users weigh them so.
 pub const OUTPUT_WEIGHT: u32 = 10;
 /// The size of a request that names no tokens.
-pub const PLAIN_SIZE: u32 = 500;
+pub const DEFAULT_SIZE: u32 = 500;
 
 /// An upstream that may be chosen.
 #[derive(Debug, Clone, Copy)]
-pub struct UpstreamFacts<'a> {
+pub struct UpstreamCandidate<'a> {
     /// Its name.
     pub name: &'a UpstreamName,
     /// Its queue.
-    pub queue: QueueFacts,
+    pub queue: QueueState,
     /// By what its times are to be multiplied.
-    pub factor: f64,
+    pub latency_factor: f64,
     /// The share of requests that failed there lately.
-    pub failures: f64,
+    pub failure_share: f64,
     /// The share of pauses between events there that were longer than wanted lately.
-    pub long_pauses: f64,
+    pub long_pause_share: f64,
     /// What the way to it costs.
-    pub move_cost: f64,
+    pub transfer_cost: f64,
     /// The tokens of the request's shared prompt parts that it probably holds.
-    pub held_tokens: u32,
+    pub cached_tokens: u32,
     /// Whether calls to it failed lately.
-    pub is_suspect: bool,
+    pub is_ejected: bool,
     /// Whether it is cold and its next place at this VM is not due yet.
-    pub is_held_back: bool,
+    pub is_throttled: bool,
     /// Whether it was tried for this request already.
     pub is_tried: bool,
 }
@@ -69,19 +71,19 @@
     /// The tokens of its own part.
     pub own_tokens: u32,
     /// The key by which requests with the same shared parts meet.
-    pub meeting_key: Option<u64>,
+    pub affinity_key: Option<u64>,
     /// How old what is known of the requests of other VMs is.
-    pub news_age: Duration,
+    pub report_age: Duration,
     /// A number that is uniform in 0..1.
     pub draw: f64,
 }
 
 impl ChoiceQuery {
-    /// The rank of an answer that is expected after `first`: one that has missed its target already, or will
+    /// The rank of an answer that is expected after `time_to_first`: one that has missed its target already, or will
     /// almost surely, goes behind all others.
-    pub fn rank(&self, first: Duration) -> QueueRank {
-        match chance_of_lateness(self.waited + first, self.target) > SURELY_LATE {
-            true => QueueRank::Behind,
+    pub fn rank(&self, time_to_first: Duration) -> QueueRank {
+        match lateness_probability(self.waited + time_to_first, self.target) > SURELY_LATE {
+            true => QueueRank::Deferred,
             false => QueueRank::Timely,
         }
     }
@@ -91,22 +93,22 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct UpstreamChoice {
     /// Its place among the candidates.
-    pub at: usize,
+    pub index: usize,
     /// The expected time to the answer, or to its first event.
-    pub first: Duration,
+    pub time_to_first: Duration,
     /// What it costs.
     pub cost: RequestCost,
     /// The same, by what causes it.
-    pub parts: CostParts,
+    pub breakdown: CostBreakdown,
     /// The prompt tokens that it has to read.
-    pub read_tokens: u32,
+    pub prefill_tokens: u32,
     /// Whether it takes no more requests.
     pub is_full: bool,
     /// Its rank there.
     pub rank: QueueRank,
     /// The prompt tokens that it reads until it can answer, those that it had before included, where nothing
     /// but reading takes time.
-    pub until_answer: Option<u32>,
+    pub prefill_before_answer: Option<u32>,
     /// Whether it was not tried for this request, and calls to it did not fail lately.
     pub is_trusted: bool,
     /// The candidate from which it takes over what it does not hold of the shared parts.
@@ -115,9 +117,9 @@
 
 /// Chooses the upstream with the least cost.
 pub fn choose_upstream(
-    candidates: &[UpstreamFacts<'_>],
+    candidates: &[UpstreamCandidate<'_>],
     query: &ChoiceQuery,
-    pace: &ServicePace,
+    pace: &ServicePerformance,
 ) -> Option<UpstreamChoice> {
     let priced = price_upstreams(candidates, query, pace);
     priced.into_iter().min_by(|left, right| left.cost.0.total_cmp(&right.cost.0))
@@ -127,27 +129,27 @@
 /// are among them only when nobody else is left, upstreams that were tried only when all were, and full ones only
 /// when all are. Where many requests come between two reports, some are drawn.
 pub fn price_upstreams(
-    candidates: &[UpstreamFacts<'_>],
+    candidates: &[UpstreamCandidate<'_>],
     query: &ChoiceQuery,
-    pace: &ServicePace,
+    pace: &ServicePerformance,
 ) -> Vec<UpstreamChoice> {
     let open: Vec<usize> =
-        (0..candidates.len()).filter(|at| !candidates[*at].is_held_back).collect();
-    let untried = narrow(&open, |at| !candidates[at].is_tried);
-    let sound = narrow(&untried, |at| !candidates[at].is_suspect);
-    let trusted = narrow(&sound, |at| !pace.room.is_full(candidates[at].queue));
-    let meeting = query.meeting_key.and_then(|key| meeting_place(candidates, &trusted, key));
-    let holder = trusted.iter().copied().max_by_key(|at| candidates[*at].held_tokens);
-    let news = NewsAge { age: query.news_age, hold: pace.hold };
+        (0..candidates.len()).filter(|index| !candidates[*index].is_throttled).collect();
+    let untried = narrow(&open, |index| !candidates[index].is_tried);
+    let sound = narrow(&untried, |index| !candidates[index].is_ejected);
+    let trusted = narrow(&sound, |index| !pace.queue_capacity.is_full(candidates[index].queue));
+    let meeting = query.affinity_key.and_then(|key| meeting_place(candidates, &trusted, key));
+    let holder = trusted.iter().copied().max_by_key(|index| candidates[*index].cached_tokens);
+    let news = NewsAge { age: query.report_age, slot_time: pace.slot_time };
     let width = news.width(&trusted, candidates);
     let drawn = draw_some(&trusted, candidates, width, query.draw, [meeting, holder]);
     let pricer = UpstreamPricer { candidates, query, pace, meeting, holder };
-    drawn.into_iter().map(|at| pricer.price(at)).collect()
+    drawn.into_iter().map(|index| pricer.price(index)).collect()
 }
 
 /// Those that pass, or all of them when none does.
 fn narrow(indices: &[usize], passes: impl Fn(usize) -> bool) -> Vec<usize> {
-    let passing: Vec<usize> = indices.iter().copied().filter(|at| passes(*at)).collect();
+    let passing: Vec<usize> = indices.iter().copied().filter(|index| passes(*index)).collect();
     match passing.is_empty() {
         true => indices.to_vec(),
         false => passing,
@@ -155,8 +157,8 @@
 }
 
 /// The candidate at which requests with a key meet: the first in a rank that all VMs share.
-fn meeting_place(candidates: &[UpstreamFacts<'_>], open: &[usize], key: u64) -> Option<usize> {
+fn meeting_place(candidates: &[UpstreamCandidate<'_>], open: &[usize], key: u64) -> Option<usize> {
     let text = key.to_string();
-    let rank = |at: &usize| rank_hash(&[&text, candidates[*at].name.as_str()]);
+    let rank = |index: &usize| rank_hash(&[&text, candidates[*index].name.as_str()]);
     open.iter().copied().max_by_key(rank)
 }
--- a/crates/foldhaven-core/src/opaque/choice/sample.rs
+++ b/crates/foldhaven-core/src/opaque/choice/sample.rs
@@ -10,7 +10,7 @@
 
 use std::time::Duration;
 
-use super::UpstreamFacts;
+use super::UpstreamCandidate;
 
 /// The fewest drawn: of two the less loaded one is far better than any, more add little.
 const LEAST_DRAWN: usize = 2;
@@ -24,15 +24,15 @@
     /// How old reports of other VMs are.
     pub(super) age: Duration,
     /// How long a request holds its place.
-    pub(super) hold: Duration,
+    pub(super) slot_time: Duration,
 }
 
 impl NewsAge {
     /// How many upstreams to draw of `open` ones: all while less than one request comes to each of them between two
     /// reports, and fewer in proportion to those that come.
-    pub(super) fn width(&self, open: &[usize], candidates: &[UpstreamFacts<'_>]) -> usize {
-        let in_flight: u32 = open.iter().map(|at| candidates[*at].queue.in_flight).sum();
-        let unseen = f64::from(in_flight) * self.age.div_duration_f64(self.hold);
+    pub(super) fn width(&self, open: &[usize], candidates: &[UpstreamCandidate<'_>]) -> usize {
+        let in_flight: u32 = open.iter().map(|index| candidates[*index].queue.in_flight).sum();
+        let unseen = f64::from(in_flight) * self.age.div_duration_f64(self.slot_time);
         let count = open.len();
         if unseen <= count as f64 {
             return count;
@@ -46,7 +46,7 @@
 /// parts and those in `always`.
 pub(super) fn draw_some(
     open: &[usize],
-    candidates: &[UpstreamFacts<'_>],
+    candidates: &[UpstreamCandidate<'_>],
     width: usize,
     draw: f64,
     always: [Option<usize>; 2],
@@ -61,7 +61,7 @@
     let stride = 1 + (rest * (count - 1) as f64) as usize;
     let mut drawn: Vec<usize> =
         (0..width).map(|step| open[(first + step * stride) % count]).collect();
-    let holds_long = |at: &usize| candidates[*at].held_tokens >= LONG_PARTS;
+    let holds_long = |index: &usize| candidates[*index].cached_tokens >= LONG_PARTS;
     let kept = open.iter().copied().filter(holds_long).chain(always.into_iter().flatten());
     drawn.extend(kept);
     drawn.sort_unstable();
--- a/crates/foldhaven-core/src/opaque/event_pace.rs
+++ b/crates/foldhaven-core/src/opaque/event_interval.rs
@@ -11,7 +11,7 @@
 
 /// The sums of a line fitted by least squares.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct EventPace {
+pub struct EventIntervalModel {
     weight: f64,
     load: f64,
     load_squared: f64,
@@ -19,10 +19,10 @@
     time_by_load: f64,
 }
 
-impl EventPace {
+impl EventIntervalModel {
     /// Takes in the mean time between two events of a stream, and how many requests its upstream had
     /// meanwhile.
-    pub fn note(&mut self, between: Duration, load: f64) {
+    pub fn record(&mut self, between: Duration, load: f64) {
         let time = between.as_secs_f64();
         let add = |sum: &mut f64, value: f64| *sum = *sum * KEPT_WEIGHT + value;
         add(&mut self.weight, 1.0);
@@ -34,7 +34,7 @@
 
     /// The expected time between two events at an upstream with so many requests, in seconds; 0 before
     /// any stream has ended.
-    pub fn between(&self, load: f64) -> f64 {
+    pub fn interval(&self, load: f64) -> f64 {
         if self.weight <= 0.0 {
             return 0.0;
         }
--- a/crates/foldhaven-core/src/opaque/event_order.rs
+++ b/crates/foldhaven-core/src/opaque/event_sequence.rs
@@ -13,7 +13,7 @@
 
 /// The ids of an upstream's streams: the first one, and by how much they rise.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct EventSteps {
+pub struct EventNumbering {
     /// The first id of a stream that was not resumed.
     pub first: u64,
     /// By how much each id is above the one before.
@@ -22,14 +22,14 @@
 
 /// The usual steps of the streams of one route.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct UsualSteps {
-    held: Option<EventSteps>,
+pub struct LearnedNumbering {
+    held: Option<EventNumbering>,
     streams: u32,
 }
 
-impl UsualSteps {
+impl LearnedNumbering {
     /// Takes in the steps of a whole stream that was not resumed; nothing where they were uneven.
-    pub fn note_whole(&mut self, steps: Option<EventSteps>) {
+    pub fn record_stream(&mut self, steps: Option<EventNumbering>) {
         let is_same = steps.is_some() && steps == self.held;
         self.streams = if is_same { self.streams.saturating_add(1) } else { 1 };
         self.held = steps;
@@ -37,13 +37,13 @@
 
     /// Takes in that a stream did not have them. Until they are learnt anew no stream is judged by them, as its upstream
     /// may number its events otherwise now.
-    pub fn note_gap(&mut self) {
+    pub fn reset(&mut self) {
         self.streams = 0;
         self.held = None;
     }
 
     /// The steps that a stream is judged by.
-    pub fn steps(&self) -> Option<EventSteps> {
+    pub fn numbering(&self) -> Option<EventNumbering> {
         self.held.filter(|_| self.streams >= LEAST_STREAMS)
     }
 }
@@ -54,8 +54,8 @@
 
 /// Watches the ids of one stream.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct EventOrder {
-    usual: Option<EventSteps>,
+pub struct EventSequenceChecker {
+    usual: Option<EventNumbering>,
     first: Option<u64>,
     last: Option<u64>,
     /// The step so far, and how often it was the same; nothing when it was not.
@@ -66,9 +66,9 @@
     is_partial: bool,
 }
 
-impl EventOrder {
+impl EventSequenceChecker {
     /// The order of a stream of a route with these usual steps, which goes on after an id where it was resumed.
-    pub fn new(usual: Option<EventSteps>, resumed_after: Option<&str>) -> Self {
+    pub fn new(usual: Option<EventNumbering>, resumed_after: Option<&str>) -> Self {
         let last = resumed_after.and_then(|id| id.parse().ok());
         let is_partial = resumed_after.is_some();
         Self { usual, last, is_numbered: true, is_partial, ..Self::default() }
@@ -79,14 +79,14 @@
     /// # Errors
     ///
     /// When an event before it is missing, or it came already.
-    pub fn take(&mut self, id: &str) -> Result<(), EventGap> {
+    pub fn check(&mut self, id: &str) -> Result<(), EventGap> {
         let number: Option<u64> = id.parse().ok();
         let Some(number) = number.filter(|_| self.is_numbered) else {
             self.is_numbered = false;
             return Ok(());
         };
         match self.last {
-            Some(last) => self.take_next(last, number)?,
+            Some(last) => self.check_next(last, number)?,
             None if self.usual.is_some_and(|usual| number != usual.first) => return Err(EventGap),
             None => self.first = Some(number),
         }
@@ -94,7 +94,7 @@
         Ok(())
     }
 
-    fn take_next(&mut self, last: u64, number: u64) -> Result<(), EventGap> {
+    fn check_next(&mut self, last: u64, number: u64) -> Result<(), EventGap> {
         let step = number.checked_sub(last).filter(|step| *step > 0).ok_or(EventGap)?;
         if self.usual.is_some_and(|usual| step != usual.step) {
             return Err(EventGap);
@@ -109,13 +109,13 @@
     }
 
     /// The steps of a stream that has ended whole; nothing where they say nothing of other streams.
-    pub fn whole_steps(&self) -> Option<EventSteps> {
+    pub fn numbering(&self) -> Option<EventNumbering> {
         let (step, _) = self.even.filter(|_| self.is_numbered && !self.is_partial)?;
-        Some(EventSteps { first: self.first?, step })
+        Some(EventNumbering { first: self.first?, step })
     }
 
     /// Whether its ids say something of other streams: there were at least two, from the first on.
-    pub fn is_telling(&self) -> bool {
+    pub fn is_informative(&self) -> bool {
         self.first.is_some() && self.even.is_some()
     }
 }
--- a/crates/foldhaven-core/src/opaque/load_share.rs
+++ b/crates/foldhaven-core/src/opaque/load_share.rs
@@ -9,7 +9,7 @@
 use crate::ids::IncarnationId;
 use crate::opaque::affinity::{PromptPlacement, UpstreamTag};
 use crate::opaque::peer_table::VmTag;
-use crate::opaque::queue_rank::UnreadTokens;
+use crate::opaque::queue_rank::PrefillBacklog;
 use crate::opaque::region_book::RegionReport;
 use crate::time::MonoTime;
 use crate::units::CoreShare;
@@ -32,7 +32,7 @@
     /// Those that go behind all others, and were not answered yet.
     pub behind: u16,
     /// Prompt tokens of those that were not answered yet.
-    pub unread: UnreadTokens,
+    pub unread: PrefillBacklog,
 }
 
 /// What one VM reports.
@@ -88,7 +88,7 @@
         self.whole += u64::from(share.whole);
         self.behind += u64::from(share.behind);
         self.unread_timely += u64::from(share.unread.timely);
-        self.unread_behind += u64::from(share.unread.behind);
+        self.unread_behind += u64::from(share.unread.deferred);
     }
 
     fn take_off(&mut self, share: &UpstreamShare) {
@@ -97,7 +97,7 @@
         self.whole -= u64::from(share.whole);
         self.behind -= u64::from(share.behind);
         self.unread_timely -= u64::from(share.unread.timely);
-        self.unread_behind -= u64::from(share.unread.behind);
+        self.unread_behind -= u64::from(share.unread.deferred);
     }
 
     fn share(&self) -> UpstreamShare {
@@ -107,9 +107,9 @@
             in_flight: count(self.in_flight),
             whole: count(self.whole),
             behind: count(self.behind),
-            unread: UnreadTokens {
+            unread: PrefillBacklog {
                 timely: tokens(self.unread_timely),
-                behind: tokens(self.unread_behind),
+                deferred: tokens(self.unread_behind),
             },
         }
     }
--- a/crates/foldhaven-core/src/opaque/pause_book.rs
+++ b/crates/foldhaven-core/src/opaque/pause_statistics.rs
@@ -21,13 +21,13 @@
 
 /// The pauses of a service's streams, by range of unread tokens.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct PauseBook {
+pub struct PauseStatistics {
     ranges: [RangeCount; RANGES],
 }
 
-impl PauseBook {
+impl PauseStatistics {
     /// Takes in whether a pause with so many unread tokens was longer than wanted.
-    pub fn note(&mut self, unread_tokens: u32, is_long: bool) {
+    pub fn record(&mut self, unread_tokens: u32, is_long: bool) {
         let range = &mut self.ranges[range_of(unread_tokens)];
         range.pauses = range.pauses * KEPT_WEIGHT + 1.0;
         range.long = range.long * KEPT_WEIGHT + f64::from(u8::from(is_long));
--- a/crates/foldhaven-core/src/opaque/pace.rs
+++ b/crates/foldhaven-core/src/opaque/performance.rs
@@ -3,11 +3,11 @@
 
 use std::time::Duration;
 
-use crate::opaque::event_pace::EventPace;
-use crate::opaque::pause_book::PauseBook;
-use crate::opaque::queue_rank::{QueueRank, UnreadTokens};
-use crate::opaque::queue_room::QueueRoom;
-use crate::opaque::reading_pace::ReadingPace;
+use crate::opaque::event_interval::EventIntervalModel;
+use crate::opaque::pause_statistics::PauseStatistics;
+use crate::opaque::prefill_rate::PrefillRate;
+use crate::opaque::queue_capacity::QueueCapacity;
+use crate::opaque::queue_rank::{PrefillBacklog, QueueRank};
 use crate::time::MonoTime;
 
 /// How long a request holds its place before any was measured.
@@ -45,151 +45,151 @@
 
 /// What is known of an upstream's queue, from this VM and from those that share their loads.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct QueueFacts {
+pub struct QueueState {
     /// How many requests it runs at once.
     pub slots: u32,
     /// Requests that it has.
     pub in_flight: u32,
     /// Those of them that can still be answered as wanted: that do not go behind others, and whose events
     /// met no long pause.
-    pub whole: u32,
+    pub on_track: u32,
     /// Requests that go behind all others, and were not answered yet.
-    pub behind: u32,
+    pub deferred: u32,
     /// Prompt tokens sent there of requests that have not answered yet.
-    pub unread: UnreadTokens,
+    pub prefill_backlog: PrefillBacklog,
 }
 
-impl QueueFacts {
+impl QueueState {
     /// The requests that go before one more of a rank.
     pub fn ahead_of(&self, rank: QueueRank) -> u32 {
         match rank {
-            QueueRank::Timely => self.in_flight.saturating_sub(self.behind),
-            QueueRank::Behind => self.in_flight,
+            QueueRank::Timely => self.in_flight.saturating_sub(self.deferred),
+            QueueRank::Deferred => self.in_flight,
         }
     }
 }
 
 /// What is known of the service.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ServicePace {
+pub struct ServicePerformance {
     /// How fast an upstream reads prompts.
-    pub reading: ReadingPace,
+    pub prefill_rate: PrefillRate,
     /// Prompt tokens that an upstream takes over from another one in a second; 0 when it cannot.
-    pub fetched_per_s: f64,
+    pub fetch_tokens_per_s: f64,
     /// How long a request holds its place.
-    pub hold: Duration,
+    pub slot_time: Duration,
     /// The mean size of requests in tokens.
-    pub usual_size: f64,
+    pub mean_size: f64,
     /// How fast events are written.
-    pub events: EventPace,
+    pub event_interval: EventIntervalModel,
     /// How often reading makes pauses between events too long.
-    pub pauses: PauseBook,
+    pub pause_statistics: PauseStatistics,
     /// How many requests an upstream takes before it declines more.
-    pub room: QueueRoom,
+    pub queue_capacity: QueueCapacity,
 }
 
-impl Default for ServicePace {
+impl Default for ServicePerformance {
     fn default() -> Self {
         Self {
-            reading: ReadingPace::default(),
-            fetched_per_s: 0.0,
-            hold: FIRST_HOLD,
-            usual_size: FIRST_SIZE,
-            events: EventPace::default(),
-            pauses: PauseBook::default(),
-            room: QueueRoom::default(),
+            prefill_rate: PrefillRate::default(),
+            fetch_tokens_per_s: 0.0,
+            slot_time: FIRST_HOLD,
+            mean_size: FIRST_SIZE,
+            event_interval: EventIntervalModel::default(),
+            pause_statistics: PauseStatistics::default(),
+            queue_capacity: QueueCapacity::default(),
         }
     }
 }
 
-impl ServicePace {
+impl ServicePerformance {
     /// Takes in how long a request held its place.
-    pub fn note_hold(&mut self, held: Duration) {
-        self.hold = self.hold.mul_f64(1.0 - HOLD_WEIGHT) + held.mul_f64(HOLD_WEIGHT);
+    pub fn record_slot_time(&mut self, held: Duration) {
+        self.slot_time = self.slot_time.mul_f64(1.0 - HOLD_WEIGHT) + held.mul_f64(HOLD_WEIGHT);
     }
 
     /// Takes in how long a request waited for its first answer at an upstream that had a free place, and had
     /// so many prompt tokens to read before, its own included.
-    pub fn note_reading(&mut self, tokens: u32, took: Duration) {
-        self.reading.note(tokens, took.saturating_sub(LEAST_TIME));
+    pub fn record_prefill(&mut self, tokens: u32, took: Duration) {
+        self.prefill_rate.record(tokens, took.saturating_sub(LEAST_TIME));
     }
 
     /// Takes in the size of a request.
-    pub fn note_size(&mut self, size: u32) {
-        self.usual_size += (f64::from(size) - self.usual_size) * SIZE_WEIGHT;
+    pub fn record_size(&mut self, size: u32) {
+        self.mean_size += (f64::from(size) - self.mean_size) * SIZE_WEIGHT;
     }
 
     /// The time that a prompt takes to read.
-    pub fn reading(&self, tokens: u32) -> Duration {
-        Duration::from_secs_f64(f64::from(tokens) / self.reading.rate())
+    pub fn prefill_time(&self, tokens: u32) -> Duration {
+        Duration::from_secs_f64(f64::from(tokens) / self.prefill_rate.rate())
     }
 
     /// The time that taking tokens over from another upstream takes; nothing when that is not
     /// possible or not worth its set-up.
-    pub fn fetching(&self, tokens: u32) -> Option<Duration> {
-        if self.fetched_per_s <= 0.0 || tokens < LEAST_FETCH {
+    pub fn fetch_time(&self, tokens: u32) -> Option<Duration> {
+        if self.fetch_tokens_per_s <= 0.0 || tokens < LEAST_FETCH {
             return None;
         }
-        Some(FETCH_SETUP + Duration::from_secs_f64(f64::from(tokens) / self.fetched_per_s))
+        Some(FETCH_SETUP + Duration::from_secs_f64(f64::from(tokens) / self.fetch_tokens_per_s))
     }
 
     /// The expected wait until the upstream turns to one more request of a rank.
-    pub fn wait(&self, queue: QueueFacts, rank: QueueRank) -> Duration {
+    pub fn wait(&self, queue: QueueState, rank: QueueRank) -> Duration {
         let slots = queue.slots.max(1);
         let excess = (queue.ahead_of(rank) + 1).saturating_sub(slots);
-        let for_slot = self.hold.mul_f64(f64::from(excess) / f64::from(slots));
-        for_slot + self.reading(queue.unread.ahead_of(rank))
+        let for_slot = self.slot_time.mul_f64(f64::from(excess) / f64::from(slots));
+        for_slot + self.prefill_time(queue.prefill_backlog.ahead_of(rank))
     }
 
     /// The expected time to the answer, or to its first event, of a request of a rank with so many prompt
     /// tokens to read.
-    pub fn first(&self, queue: QueueFacts, rank: QueueRank, tokens: u32) -> Duration {
-        LEAST_TIME + self.wait(queue, rank) + self.reading(tokens)
+    pub fn time_to_first(&self, queue: QueueState, rank: QueueRank, tokens: u32) -> Duration {
+        LEAST_TIME + self.wait(queue, rank) + self.prefill_time(tokens)
     }
 }
 
 /// How far one upstream has been off.
 #[derive(Debug, Clone, Copy)]
-pub struct UpstreamPace {
+pub struct UpstreamPerformance {
     /// The expected times of the last answers in seconds, and the measured ones.
     expected_s: f64,
     measured_s: f64,
     /// The share of requests that failed, less the usual one of their routes.
-    failures: f64,
+    failure_share: f64,
     /// The share of pauses between events that were longer than wanted.
-    long_pauses: f64,
+    long_pause_share: f64,
     /// When these were right; they fade from then on.
     noted: MonoTime,
     /// When it last declined a request because it was full, and how many it had then.
     declined: Option<(MonoTime, u32)>,
 }
 
-impl Default for UpstreamPace {
+impl Default for UpstreamPerformance {
     fn default() -> Self {
         Self {
             expected_s: 0.0,
             measured_s: 0.0,
-            failures: 0.0,
-            long_pauses: 0.0,
+            failure_share: 0.0,
+            long_pause_share: 0.0,
             noted: MonoTime::default(),
             declined: None,
         }
     }
 }
 
-impl UpstreamPace {
+impl UpstreamPerformance {
     /// Brings the values nearer to the usual ones, by the time that has passed.
     fn fade(&mut self, now: MonoTime) {
         let share = (-now.since(self.noted).as_secs_f64() / FORGET_TIME.as_secs_f64()).exp();
         self.expected_s *= share;
         self.measured_s *= share;
-        self.failures *= share;
-        self.long_pauses *= share;
+        self.failure_share *= share;
+        self.long_pause_share *= share;
         self.noted = now;
     }
 
     /// Takes in a time to an answer against the expected one.
-    pub fn note_first(&mut self, expected: Duration, actual: Duration, now: MonoTime) {
+    pub fn record_time_to_first(&mut self, expected: Duration, actual: Duration, now: MonoTime) {
         self.fade(now);
         let expected = expected.as_secs_f64().max(1e-3);
         let measured = actual.as_secs_f64().min(expected * LARGEST_RATIO);
@@ -198,14 +198,14 @@
     }
 
     /// Takes in how a request ended there, where some share of its route's requests fails at any upstream.
-    pub fn note_end(&mut self, has_failed: bool, usual: f64, now: MonoTime) {
+    pub fn record_end(&mut self, has_failed: bool, usual: f64, now: MonoTime) {
         self.fade(now);
         let beyond = f64::from(u8::from(has_failed)) - usual;
-        self.failures += (beyond - self.failures) * FAILURE_WEIGHT;
+        self.failure_share += (beyond - self.failure_share) * FAILURE_WEIGHT;
     }
 
     /// Takes in that it declined a request because it had so many.
-    pub fn note_full(&mut self, load: u32, now: MonoTime) {
+    pub fn record_queue_full(&mut self, load: u32, now: MonoTime) {
         self.declined = Some((now, load));
     }
 
@@ -215,29 +215,35 @@
     /// A request that is declined says more than reports, which may be missing where VMs are cut off from each
     /// other. Without it the next requests of this VM go to the same full upstream, until a report shows it:
     /// 10 in 100 arrivals were declined in an overload of 1.4 times, 6 with it (`foldhaven-testkit simulate`).
-    pub fn queue_beyond(&self, told: QueueFacts, hold: Duration, now: MonoTime) -> QueueFacts {
+    pub fn queue_after_refusal(
+        &self,
+        told: QueueState,
+        slot_time: Duration,
+        now: MonoTime,
+    ) -> QueueState {
         let Some((at, load)) = self.declined else { return told };
-        let ended = f64::from(told.slots) * now.since(at).div_duration_f64(hold);
+        let ended = f64::from(told.slots) * now.since(at).div_duration_f64(slot_time);
         let least = load.saturating_sub(ended as u32);
-        QueueFacts { in_flight: told.in_flight.max(least), ..told }
+        QueueState { in_flight: told.in_flight.max(least), ..told }
     }
 
     /// Takes in whether a pause between two events there was longer than wanted.
-    pub fn note_pause(&mut self, is_long: bool, now: MonoTime) {
+    pub fn record_pause(&mut self, is_long: bool, now: MonoTime) {
         self.fade(now);
-        self.long_pauses += (f64::from(u8::from(is_long)) - self.long_pauses) * PAUSE_WEIGHT;
+        self.long_pause_share +=
+            (f64::from(u8::from(is_long)) - self.long_pause_share) * PAUSE_WEIGHT;
     }
 
     /// The share of pauses there that were longer than wanted lately.
-    pub fn long_pauses(&self, now: MonoTime) -> f64 {
+    pub fn long_pause_share(&self, now: MonoTime) -> f64 {
         let mut current = *self;
         current.fade(now);
-        current.long_pauses
+        current.long_pause_share
     }
 
     /// By what its times are to be multiplied; never below 1, since a faster upstream shows in its
     /// queue.
-    pub fn factor(&self, now: MonoTime) -> f64 {
+    pub fn latency_factor(&self, now: MonoTime) -> f64 {
         let mut current = *self;
         current.fade(now);
         let ratio = (current.measured_s + FIRST_TIME_S) / (current.expected_s + FIRST_TIME_S);
@@ -248,6 +254,6 @@
     pub fn failure_share(&self, now: MonoTime) -> f64 {
         let mut current = *self;
         current.fade(now);
-        current.failures.max(0.0)
+        current.failure_share.max(0.0)
     }
 }
--- a/crates/foldhaven-core/src/opaque/reading_pace.rs
+++ b/crates/foldhaven-core/src/opaque/prefill_rate.rs
@@ -14,21 +14,21 @@
 
 /// The tokens that were read lately, and the time that this took.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ReadingPace {
+pub struct PrefillRate {
     tokens: f64,
     seconds: f64,
 }
 
-impl Default for ReadingPace {
+impl Default for PrefillRate {
     fn default() -> Self {
         Self { tokens: FIRST_TOKENS, seconds: FIRST_TOKENS / FIRST_RATE }
     }
 }
 
-impl ReadingPace {
+impl PrefillRate {
     /// Takes in that an upstream read so many tokens, those that it had before the request's own
     /// included, until it began to answer.
-    pub fn note(&mut self, tokens: u32, took: Duration) {
+    pub fn record(&mut self, tokens: u32, took: Duration) {
         if tokens < LEAST_TOKENS {
             return;
         }
--- a/crates/foldhaven-core/src/opaque/queue_rank.rs
+++ b/crates/foldhaven-core/src/opaque/queue_rank.rs
@@ -9,7 +9,7 @@
     /// It can still be answered within its target.
     Timely,
     /// It cannot, and goes behind all others.
-    Behind,
+    Deferred,
 }
 
 impl QueueRank {
@@ -17,40 +17,41 @@
     pub fn label(self) -> &'static str {
         match self {
             Self::Timely => "timely",
-            Self::Behind => "behind",
+            Self::Deferred => "behind",
         }
     }
 }
 
 /// The prompt tokens of requests that were not answered yet, by rank.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UnreadTokens {
+pub struct PrefillBacklog {
     /// Of timely requests.
     pub timely: u32,
     /// Of those that go behind them.
-    pub behind: u32,
+    #[serde(rename = "behind")]
+    pub deferred: u32,
 }
 
-impl UnreadTokens {
+impl PrefillBacklog {
     /// These and others.
     pub fn plus(self, other: Self) -> Self {
         Self {
             timely: self.timely.saturating_add(other.timely),
-            behind: self.behind.saturating_add(other.behind),
+            deferred: self.deferred.saturating_add(other.deferred),
         }
     }
 
     /// These times a factor.
     pub fn times(self, factor: f64) -> Self {
         let times = |tokens| (f64::from(tokens) * factor) as u32;
-        Self { timely: times(self.timely), behind: times(self.behind) }
+        Self { timely: times(self.timely), deferred: times(self.deferred) }
     }
 
     /// The tokens that are read before those of one more request of a rank.
     pub fn ahead_of(self, rank: QueueRank) -> u32 {
         match rank {
             QueueRank::Timely => self.timely,
-            QueueRank::Behind => self.timely.saturating_add(self.behind),
+            QueueRank::Deferred => self.timely.saturating_add(self.deferred),
         }
     }
 }
--- a/crates/foldhaven-core/src/opaque/far_queue.rs
+++ b/crates/foldhaven-core/src/opaque/remote_queue.rs
@@ -8,35 +8,36 @@
 use std::time::Duration;
 
 use crate::opaque::load_share::UpstreamShare;
-use crate::opaque::pace::QueueFacts;
+use crate::opaque::performance::QueueState;
 
 /// Another region, as far as a service needs it.
 #[derive(Debug, Clone, Copy)]
-pub struct FarService {
+pub struct RemoteService {
     /// How many upstreams the service has there.
     pub upstreams: usize,
     /// How many requests one of them runs at once.
     pub slots: u32,
     /// How long a request holds its place at one of them.
-    pub hold: Duration,
+    pub slot_time: Duration,
     /// The way there and back.
-    pub way: Duration,
+    pub round_trip: Duration,
 }
 
-impl FarService {
+impl RemoteService {
     /// The queue at one upstream there, where this VM has `own` requests of the service in that region or on their
     /// way, and `senders` VMs are taken to have sent alike. Of those in flight only a part is at an upstream: the
     /// others are on their way.
-    pub fn queue(&self, own: UpstreamShare, senders: usize) -> QueueFacts {
+    pub fn queue(&self, own: UpstreamShare, senders: usize) -> QueueState {
         let factor = senders as f64 / self.upstreams.max(1) as f64;
-        let hold = self.hold.as_secs_f64();
-        let arrived = hold / (hold + self.way.as_secs_f64()).max(f64::MIN_POSITIVE);
-        QueueFacts {
+        let slot_time = self.slot_time.as_secs_f64();
+        let arrived =
+            slot_time / (slot_time + self.round_trip.as_secs_f64()).max(f64::MIN_POSITIVE);
+        QueueState {
             slots: self.slots,
             in_flight: (f64::from(own.in_flight) * factor * arrived) as u32,
-            whole: 0,
-            behind: 0,
-            unread: own.unread.times(factor),
+            on_track: 0,
+            deferred: 0,
+            prefill_backlog: own.unread.times(factor),
         }
     }
 }
--- a/crates/foldhaven-core/src/opaque/round_trip.rs
+++ b/crates/foldhaven-core/src/opaque/round_trip.rs
@@ -18,7 +18,7 @@
 
 impl RoundTrip {
     /// Takes in how long a connection took to come up.
-    pub fn note(&mut self, took: Duration, now: MonoTime) {
+    pub fn record(&mut self, took: Duration, now: MonoTime) {
         let age = now.since(self.began);
         if age >= SPAN {
             self.previous = if age < SPAN * 2 { self.current } else { None };
--- a/crates/foldhaven-core/src/opaque/route_history.rs
+++ b/crates/foldhaven-core/src/opaque/route_history.rs
@@ -1,7 +1,7 @@
 //! What the requests of one route have shown, whichever upstream ran them: how often they fail by their
 //! nature, and how many events their answers have.
 
-use crate::opaque::event_order::{EventSteps, UsualSteps};
+use crate::opaque::event_sequence::{EventNumbering, LearnedNumbering};
 
 /// The weight of one more end of a request. Small, so that an upstream that fails for some seconds does not
 /// become what is usual.
@@ -27,7 +27,7 @@
 pub struct RouteHistory {
     failures: RunningMean,
     events: RunningMean,
-    steps: UsualSteps,
+    steps: LearnedNumbering,
 }
 
 impl RouteHistory {
@@ -42,13 +42,13 @@
     }
 
     /// How the events of its streams are numbered.
-    pub fn steps_mut(&mut self) -> &mut UsualSteps {
+    pub fn steps_mut(&mut self) -> &mut LearnedNumbering {
         &mut self.steps
     }
 
     /// The steps that its streams are judged by.
-    pub fn usual_steps(&self) -> Option<EventSteps> {
-        self.steps.steps()
+    pub fn usual_steps(&self) -> Option<EventNumbering> {
+        self.steps.numbering()
     }
 
     /// The share of requests that usually fails.
--- a/crates/foldhaven-core/src/opaque/upstream_table.rs
+++ b/crates/foldhaven-core/src/opaque/upstream_table.rs
@@ -121,7 +121,7 @@
     }
 
     /// Notes that the list could not be read just now.
-    pub fn note_disturbed(&mut self, now: MonoTime) {
+    pub fn record_list_failure(&mut self, now: MonoTime) {
         self.disturbed = Some(now);
     }
 
--- a/crates/foldhaven-core/src/opaque/usual_failures.rs
+++ b/crates/foldhaven-core/src/opaque/usual_failures.rs
@@ -13,7 +13,7 @@
 
 impl UsualFailures {
     /// Takes in how a request ended at an upstream. The first ones count evenly.
-    pub fn note(&mut self, has_failed: bool) {
+    pub fn record(&mut self, has_failed: bool) {
         self.ends = self.ends.saturating_add(1);
         let weight = WEIGHT.max(1.0 / f64::from(self.ends));
         self.share += (f64::from(u8::from(has_failed)) - self.share) * weight;
--- a/crates/foldhaven-core/tests/testsuite/opaque_choice.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_choice.rs
@@ -3,11 +3,15 @@
 use std::time::Duration;
 
 use foldhaven_core::ids::UpstreamName;
-use foldhaven_core::opaque::affinity::{PromptHints, PromptOutline, PromptPlacement, UpstreamTag};
-use foldhaven_core::opaque::choice::{ChoiceQuery, RequestCost, UpstreamFacts, choose_upstream};
-use foldhaven_core::opaque::pace::{QueueFacts, ServicePace, UpstreamPace};
-use foldhaven_core::opaque::patience::CallerPatience;
-use foldhaven_core::opaque::queue_rank::{QueueRank, UnreadTokens};
+use foldhaven_core::opaque::affinity::{
+    PrefixCacheIndex, PromptOutline, PromptPlacement, UpstreamTag,
+};
+use foldhaven_core::opaque::caller_timeouts::CallerTimeouts;
+use foldhaven_core::opaque::choice::{
+    ChoiceQuery, RequestCost, UpstreamCandidate, choose_upstream,
+};
+use foldhaven_core::opaque::performance::{QueueState, ServicePerformance, UpstreamPerformance};
+use foldhaven_core::opaque::queue_rank::{PrefillBacklog, QueueRank};
 use foldhaven_core::time::MonoTime;
 use rstest::rstest;
 
@@ -18,27 +22,27 @@
 /// The rank of the requests of these tests.
 const RANK: QueueRank = QueueRank::Timely;
 
-fn unread(tokens: u32) -> UnreadTokens {
-    UnreadTokens { timely: tokens, behind: 0 }
+fn prefill_backlog(tokens: u32) -> PrefillBacklog {
+    PrefillBacklog { timely: tokens, deferred: 0 }
 }
 
-fn facts(name: &UpstreamName) -> UpstreamFacts<'_> {
-    UpstreamFacts {
+fn facts(name: &UpstreamName) -> UpstreamCandidate<'_> {
+    UpstreamCandidate {
         name,
-        queue: QueueFacts { slots: 4, ..QueueFacts::default() },
-        factor: 1.0,
-        failures: 0.0,
-        long_pauses: 0.0,
-        move_cost: 0.0,
-        held_tokens: 0,
-        is_suspect: false,
-        is_held_back: false,
+        queue: QueueState { slots: 4, ..QueueState::default() },
+        latency_factor: 1.0,
+        failure_share: 0.0,
+        long_pause_share: 0.0,
+        transfer_cost: 0.0,
+        cached_tokens: 0,
+        is_ejected: false,
+        is_throttled: false,
         is_tried: false,
     }
 }
 
 /// A request with a shared part of some tokens.
-fn query(shared_tokens: u32, meeting_key: Option<u64>, draw: f64) -> ChoiceQuery {
+fn query(shared_tokens: u32, affinity_key: Option<u64>, draw: f64) -> ChoiceQuery {
     let target = Duration::from_millis(800);
     let size = shared_tokens + 600;
     let waited = Duration::ZERO;
@@ -51,28 +55,28 @@
         size,
         shared_tokens,
         own_tokens: 100,
-        meeting_key,
-        news_age: Duration::ZERO,
+        affinity_key,
+        report_age: Duration::ZERO,
         draw,
     }
 }
 
-fn chosen(candidates: &[UpstreamFacts<'_>], query: ChoiceQuery) -> Option<usize> {
-    choose_upstream(candidates, &query, &ServicePace::default()).map(|choice| choice.at)
+fn chosen(candidates: &[UpstreamCandidate<'_>], query: ChoiceQuery) -> Option<usize> {
+    choose_upstream(candidates, &query, &ServicePerformance::default()).map(|choice| choice.index)
 }
 
 /// The second of three upstreams differs from the others in one respect.
 #[rstest]
-#[case::is_full(|it: &mut UpstreamFacts<'_>| it.queue.in_flight = 9, false)]
-#[case::reads_long_prompts(|it: &mut UpstreamFacts<'_>| it.queue.unread = unread(40_000), false)]
-#[case::is_slow(|it: &mut UpstreamFacts<'_>| it.factor = 4.0, false)]
-#[case::fails(|it: &mut UpstreamFacts<'_>| it.failures = 0.5, false)]
-#[case::is_suspect(|it: &mut UpstreamFacts<'_>| it.is_suspect = true, false)]
-#[case::is_held_back(|it: &mut UpstreamFacts<'_>| it.is_held_back = true, false)]
-#[case::was_tried(|it: &mut UpstreamFacts<'_>| it.is_tried = true, false)]
-#[case::lies_far(|it: &mut UpstreamFacts<'_>| it.move_cost = 0.1, false)]
-#[case::holds_the_prompt(|it: &mut UpstreamFacts<'_>| it.held_tokens = 5_000, true)]
-fn one_respect_decides(#[case] change: fn(&mut UpstreamFacts<'_>), #[case] is_taken: bool) {
+#[case::is_full(|it: &mut UpstreamCandidate<'_>| it.queue.in_flight = 9, false)]
+#[case::reads_long_prompts(|it: &mut UpstreamCandidate<'_>| it.queue.prefill_backlog = prefill_backlog(40_000), false)]
+#[case::is_slow(|it: &mut UpstreamCandidate<'_>| it.latency_factor = 4.0, false)]
+#[case::fails(|it: &mut UpstreamCandidate<'_>| it.failure_share = 0.5, false)]
+#[case::is_ejected(|it: &mut UpstreamCandidate<'_>| it.is_ejected = true, false)]
+#[case::is_throttled(|it: &mut UpstreamCandidate<'_>| it.is_throttled = true, false)]
+#[case::was_tried(|it: &mut UpstreamCandidate<'_>| it.is_tried = true, false)]
+#[case::lies_far(|it: &mut UpstreamCandidate<'_>| it.transfer_cost = 0.1, false)]
+#[case::holds_the_prompt(|it: &mut UpstreamCandidate<'_>| it.cached_tokens = 5_000, true)]
+fn one_respect_decides(#[case] change: fn(&mut UpstreamCandidate<'_>), #[case] is_taken: bool) {
     let names = names(3);
     let mut candidates: Vec<_> = names.iter().map(facts).collect();
     change(&mut candidates[1]);
@@ -86,14 +90,15 @@
 fn parts_are_taken_over_from_their_holder_where_that_is_possible() {
     let names = names(2);
     let mut candidates: Vec<_> = names.iter().map(facts).collect();
-    candidates[0].held_tokens = 5_000;
-    candidates[0].queue.unread = unread(60_000);
-    let able = ServicePace { fetched_per_s: 400_000.0, ..ServicePace::default() };
+    candidates[0].cached_tokens = 5_000;
+    candidates[0].queue.prefill_backlog = prefill_backlog(60_000);
+    let able =
+        ServicePerformance { fetch_tokens_per_s: 400_000.0, ..ServicePerformance::default() };
     let choice = choose_upstream(&candidates, &query(5_000, None, 0.0), &able).unwrap();
-    assert_eq!((choice.at, choice.fetch_from, choice.read_tokens), (1, Some(0), 100));
-    let unable = ServicePace::default();
+    assert_eq!((choice.index, choice.fetch_from, choice.prefill_tokens), (1, Some(0), 100));
+    let unable = ServicePerformance::default();
     let choice = choose_upstream(&candidates, &query(5_000, None, 0.0), &unable).unwrap();
-    assert_eq!((choice.fetch_from, choice.read_tokens), (None, 5_100));
+    assert_eq!((choice.fetch_from, choice.prefill_tokens), (None, 5_100));
 }
 
 #[test]
@@ -110,12 +115,12 @@
 fn suspects_and_tried_ones_are_the_last_resort() {
     let names = names(2);
     let mut candidates: Vec<_> = names.iter().map(facts).collect();
-    candidates[0].is_suspect = true;
+    candidates[0].is_ejected = true;
     candidates[1].is_tried = true;
     assert_eq!(chosen(&candidates, query(0, None, 0.0)), Some(0));
-    candidates[0].is_held_back = true;
+    candidates[0].is_throttled = true;
     assert_eq!(chosen(&candidates, query(0, None, 0.0)), Some(1));
-    candidates[1].is_held_back = true;
+    candidates[1].is_throttled = true;
     assert_eq!(chosen(&candidates, query(0, None, 0.0)), None);
 }
 
@@ -142,15 +147,15 @@
 
 #[test]
 fn outlines_are_read_or_refused() {
-    let outline = PromptOutline::read("5c1e:800, 91bd:410,e440:250").unwrap();
+    let outline = PromptOutline::parse("5c1e:800, 91bd:410,e440:250").unwrap();
     assert_eq!((outline.shared_tokens(), outline.own_tokens), (1_210, 250));
-    let other = PromptOutline::read("5c1e:800,91bd:410,ffff:9").unwrap();
-    assert_eq!(outline.meeting_key(), other.meeting_key());
-    let swapped = PromptOutline::read("91bd:410,5c1e:800,e440:250").unwrap();
-    assert_ne!(outline.meeting_key(), swapped.meeting_key());
-    assert_eq!(PromptOutline::read("e440:250").unwrap().meeting_key(), None);
+    let other = PromptOutline::parse("5c1e:800,91bd:410,ffff:9").unwrap();
+    assert_eq!(outline.affinity_key(), other.affinity_key());
+    let swapped = PromptOutline::parse("91bd:410,5c1e:800,e440:250").unwrap();
+    assert_ne!(outline.affinity_key(), swapped.affinity_key());
+    assert_eq!(PromptOutline::parse("e440:250").unwrap().affinity_key(), None);
     for text in ["", "5c1e", "5c1e:x,1:2", "a:1,,b:2"] {
-        assert_eq!(PromptOutline::read(text), None, "{text:?}");
+        assert_eq!(PromptOutline::parse(text), None, "{text:?}");
     }
 }
 
@@ -159,48 +164,48 @@
     const MEMORY: u64 = 10_000;
     let tag = UpstreamTag(7);
     let place = |text: &str| {
-        let outline = PromptOutline::read(text).unwrap();
+        let outline = PromptOutline::parse(text).unwrap();
         PromptPlacement { upstream: tag, shared: outline.shared, own_tokens: outline.own_tokens }
     };
     let first = place("a:1000,own:100");
-    let mut hints = PromptHints::default();
-    assert_eq!(hints.held_tokens(tag, &first.shared, MEMORY), 0);
-    hints.note(&first);
-    assert_eq!(hints.held_tokens(tag, &first.shared, MEMORY), 1_000);
-    assert_eq!(hints.held_tokens(UpstreamTag(8), &first.shared, MEMORY), 0);
+    let mut hints = PrefixCacheIndex::default();
+    assert_eq!(hints.cached_tokens(tag, &first.shared, MEMORY), 0);
+    hints.record(&first);
+    assert_eq!(hints.cached_tokens(tag, &first.shared, MEMORY), 1_000);
+    assert_eq!(hints.cached_tokens(UpstreamTag(8), &first.shared, MEMORY), 0);
     for number in 0..7 {
-        hints.note(&place(&format!("other-{number}:1000,own:100")));
+        hints.record(&place(&format!("other-{number}:1000,own:100")));
     }
-    assert_eq!(hints.held_tokens(tag, &first.shared, MEMORY), 0, "others took its memory");
-    hints.note(&first);
-    hints.forget(tag);
-    assert_eq!(hints.held_tokens(tag, &first.shared, MEMORY), 0, "the process has ended");
+    assert_eq!(hints.cached_tokens(tag, &first.shared, MEMORY), 0, "others took its memory");
+    hints.record(&first);
+    hints.remove(tag);
+    assert_eq!(hints.cached_tokens(tag, &first.shared, MEMORY), 0, "the process has ended");
 }
 
 #[test]
 fn a_slow_upstream_is_taken_for_usual_again_after_a_while() {
     let now = MonoTime::from_millis(10_000);
     let (usual, slow) = (Duration::from_millis(50), Duration::from_millis(500));
-    let mut pace = UpstreamPace::default();
-    (0..10).for_each(|_| pace.note_first(usual, slow, now));
-    (0..3).for_each(|_| pace.note_end(true, 0.0, now));
-    assert!(pace.factor(now) > 5.0, "{}", pace.factor(now));
+    let mut pace = UpstreamPerformance::default();
+    (0..10).for_each(|_| pace.record_time_to_first(usual, slow, now));
+    (0..3).for_each(|_| pace.record_end(true, 0.0, now));
+    assert!(pace.latency_factor(now) > 5.0, "{}", pace.latency_factor(now));
     assert!(pace.failure_share(now) > 0.1);
     let later = now + Duration::from_secs(20);
-    assert!(pace.factor(later) < 1.1, "{}", pace.factor(later));
+    assert!(pace.latency_factor(later) < 1.1, "{}", pace.latency_factor(later));
     assert!(pace.failure_share(later) < 0.01);
 }
 
 #[test]
 fn waits_grow_with_full_places_and_unread_prompts() {
-    let mut pace = ServicePace::default();
-    (0..2_000).for_each(|_| pace.note_hold(Duration::from_millis(100)));
-    let queue = |in_flight, pending_tokens| QueueFacts {
+    let mut pace = ServicePerformance::default();
+    (0..2_000).for_each(|_| pace.record_slot_time(Duration::from_millis(100)));
+    let queue = |in_flight, pending_tokens| QueueState {
         slots: 4,
         in_flight,
-        whole: 0,
-        behind: 0,
-        unread: unread(pending_tokens),
+        on_track: 0,
+        deferred: 0,
+        prefill_backlog: prefill_backlog(pending_tokens),
     };
     assert_eq!(pace.wait(queue(3, 0), RANK), Duration::ZERO);
     let full = pace.wait(queue(8, 0), RANK).as_millis();
@@ -210,14 +215,14 @@
 
 #[test]
 fn what_a_caller_still_gives_tells_how_long_it_has_waited() {
-    let mut patience = CallerPatience::default();
+    let mut patience = CallerTimeouts::default();
     let at = |seconds: u64| MonoTime::from_millis(1_000_000 + seconds * 1_000);
     let secs = Duration::from_secs;
-    assert_eq!(patience.note(secs(5), at(0)), Duration::ZERO, "nothing to compare with");
-    assert_eq!(patience.note(secs(8), at(1)), Duration::ZERO);
-    assert_eq!(patience.note(secs(6), at(2)), secs(2));
-    assert_eq!(patience.note(secs(6), at(12)), secs(2), "the span before counts");
-    assert_eq!(patience.note(secs(6), at(60)), Duration::ZERO, "callers give less now");
+    assert_eq!(patience.record(secs(5), at(0)), Duration::ZERO, "nothing to compare with");
+    assert_eq!(patience.record(secs(8), at(1)), Duration::ZERO);
+    assert_eq!(patience.record(secs(6), at(2)), secs(2));
+    assert_eq!(patience.record(secs(6), at(12)), secs(2), "the span before counts");
+    assert_eq!(patience.record(secs(6), at(60)), Duration::ZERO, "callers give less now");
 }
 
 /// A request that is late already has nothing to win by speed: it leaves the quick places to others.
@@ -225,8 +230,8 @@
 fn a_late_request_goes_where_it_costs_least() {
     let names = names(2);
     let mut candidates: Vec<_> = names.iter().map(facts).collect();
-    candidates[0].held_tokens = 5_000;
-    candidates[0].queue.unread = unread(45_000);
+    candidates[0].cached_tokens = 5_000;
+    candidates[0].queue.prefill_backlog = prefill_backlog(45_000);
     let fresh = query(5_000, None, 0.0);
     let late = ChoiceQuery { waited: Duration::from_secs(3), ..fresh };
     assert_eq!(chosen(&candidates, fresh), Some(1));
@@ -243,7 +248,7 @@
 fn a_long_prompt_goes_where_it_breaks_few_pauses(
     #[case] tokens: u32,
     #[case] gap_ms: Option<u64>,
-    #[case] whole: u32,
+    #[case] on_track: u32,
     #[case] expected: usize,
 ) {
     let names = names(2);
@@ -252,9 +257,9 @@
         candidate.queue.slots = 64;
     }
     candidates[0].queue.in_flight = 20;
-    candidates[0].queue.whole = whole;
+    candidates[0].queue.on_track = on_track;
     // The other one is a little worse in another respect.
-    candidates[1].failures = 0.05;
+    candidates[1].failure_share = 0.05;
     let mut query = query(0, None, 0.0);
     query.own_tokens = tokens;
     query.size = tokens;
--- a/crates/foldhaven-core/tests/testsuite/opaque_events.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_events.rs
@@ -1,12 +1,17 @@
 //! A stream of which events are missing is found out by its ids, and streams that are numbered otherwise are left alone.
 
-use foldhaven_core::opaque::event_order::{EventGap, EventOrder, EventSteps, UsualSteps};
+use foldhaven_core::opaque::event_sequence::{
+    EventGap, EventNumbering, EventSequenceChecker, LearnedNumbering,
+};
 
-const EVEN: EventSteps = EventSteps { first: 1, step: 1 };
+const EVEN: EventNumbering = EventNumbering { first: 1, step: 1 };
 
-fn take_all(mut order: EventOrder, ids: &[u64]) -> Result<EventOrder, EventGap> {
+fn take_all(
+    mut order: EventSequenceChecker,
+    ids: &[u64],
+) -> Result<EventSequenceChecker, EventGap> {
     for id in ids {
-        order.take(&id.to_string())?;
+        order.check(&id.to_string())?;
     }
     Ok(order)
 }
@@ -14,7 +19,7 @@
 /// What arrived of a stream that was forwarded over a link that was cut for three seconds.
 #[test]
 fn events_that_are_missing_in_the_middle_are_found_out() {
-    let order = EventOrder::new(Some(EVEN), None);
+    let order = EventSequenceChecker::new(Some(EVEN), None);
     assert!(take_all(order, &[1, 2, 3]).is_ok());
     assert!(take_all(order, &[1, 2, 3, 77]).is_err());
     assert!(take_all(order, &[2]).is_err(), "the first one is missing");
@@ -23,7 +28,7 @@
 
 #[test]
 fn a_resumed_stream_goes_on_after_the_event_that_was_passed_on_last() {
-    let order = EventOrder::new(Some(EVEN), Some("7"));
+    let order = EventSequenceChecker::new(Some(EVEN), Some("7"));
     assert!(take_all(order, &[8, 9]).is_ok());
     assert!(take_all(order, &[9]).is_err());
     assert!(take_all(order, &[7]).is_err());
@@ -32,32 +37,32 @@
 #[test]
 fn a_long_even_stream_is_judged_by_itself() {
     let ids: Vec<u64> = (1..=9).map(|id| id * 13).collect();
-    let order = take_all(EventOrder::new(None, None), &ids).unwrap();
+    let order = take_all(EventSequenceChecker::new(None, None), &ids).unwrap();
     assert!(take_all(order, &[130]).is_ok());
     assert!(take_all(order, &[143]).is_err());
 }
 
 #[test]
 fn streams_that_are_not_numbered_evenly_break_nothing() {
-    let order = take_all(EventOrder::new(None, None), &[1, 2, 5, 6, 11]).unwrap();
-    assert_eq!(order.whole_steps(), None);
-    let mut named = EventOrder::new(None, None);
-    assert!(["a", "b", "b"].iter().all(|id| named.take(id).is_ok()));
-    let mut usual = UsualSteps::default();
-    (0..5).for_each(|_| usual.note_whole(order.whole_steps()));
-    assert_eq!(usual.steps(), None);
+    let order = take_all(EventSequenceChecker::new(None, None), &[1, 2, 5, 6, 11]).unwrap();
+    assert_eq!(order.numbering(), None);
+    let mut named = EventSequenceChecker::new(None, None);
+    assert!(["a", "b", "b"].iter().all(|id| named.check(id).is_ok()));
+    let mut usual = LearnedNumbering::default();
+    (0..5).for_each(|_| usual.record_stream(order.numbering()));
+    assert_eq!(usual.numbering(), None);
 }
 
 /// An upstream of another version may number its events otherwise: one stream suffers, not all.
 #[test]
 fn what_is_usual_is_learnt_and_forgotten() {
-    let whole = take_all(EventOrder::new(None, None), &[1, 2, 3]).unwrap();
-    let mut usual = UsualSteps::default();
-    usual.note_whole(whole.whole_steps());
-    usual.note_whole(whole.whole_steps());
-    assert_eq!(usual.steps(), None, "two streams may be alike by chance");
-    usual.note_whole(whole.whole_steps());
-    assert_eq!(usual.steps(), Some(EVEN));
-    usual.note_gap();
-    assert_eq!(usual.steps(), None);
+    let whole = take_all(EventSequenceChecker::new(None, None), &[1, 2, 3]).unwrap();
+    let mut usual = LearnedNumbering::default();
+    usual.record_stream(whole.numbering());
+    usual.record_stream(whole.numbering());
+    assert_eq!(usual.numbering(), None, "two streams may be alike by chance");
+    usual.record_stream(whole.numbering());
+    assert_eq!(usual.numbering(), Some(EVEN));
+    usual.reset();
+    assert_eq!(usual.numbering(), None);
 }
--- a/crates/foldhaven-core/tests/testsuite/opaque_far.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_far.rs
@@ -3,16 +3,16 @@
 
 use std::time::Duration;
 
-use foldhaven_core::opaque::far_queue::FarService;
 use foldhaven_core::opaque::load_share::UpstreamShare;
-use foldhaven_core::opaque::queue_rank::UnreadTokens;
+use foldhaven_core::opaque::queue_rank::PrefillBacklog;
+use foldhaven_core::opaque::remote_queue::RemoteService;
 use rstest::rstest;
 
 const WAY: Duration = Duration::from_millis(110);
 const SENDERS: usize = 26;
 
 fn own(in_flight: u16, tokens: u32) -> UpstreamShare {
-    let unread = UnreadTokens { timely: tokens, behind: 0 };
+    let unread = PrefillBacklog { timely: tokens, deferred: 0 };
     UpstreamShare { in_flight, whole: in_flight, behind: 0, unread }
 }
 
@@ -28,7 +28,7 @@
     #[case] has_room: bool,
 ) {
     let hold = Duration::from_millis(hold_ms);
-    let there = FarService { upstreams: 2, slots: 6, hold, way: WAY };
+    let there = RemoteService { upstreams: 2, slots: 6, slot_time: hold, round_trip: WAY };
     let queue = there.queue(own(in_flight, 0), SENDERS);
     assert_eq!(queue.in_flight < queue.slots, has_room, "{queue:?}");
 }
@@ -36,13 +36,18 @@
 #[test]
 fn in_a_large_region_it_counts_as_before_but_for_the_way() {
     let hold = Duration::from_millis(330);
-    let there = FarService { upstreams: 52, slots: 12, hold, way: WAY };
+    let there = RemoteService { upstreams: 52, slots: 12, slot_time: hold, round_trip: WAY };
     let queue = there.queue(own(40, 6_000), SENDERS);
-    assert_eq!((queue.in_flight, queue.unread.timely), (15, 3_000));
+    assert_eq!((queue.in_flight, queue.prefill_backlog.timely), (15, 3_000));
 }
 
 #[test]
 fn nothing_measured_yet_is_no_queue() {
-    let there = FarService { upstreams: 0, slots: 6, hold: Duration::ZERO, way: Duration::ZERO };
+    let there = RemoteService {
+        upstreams: 0,
+        slots: 6,
+        slot_time: Duration::ZERO,
+        round_trip: Duration::ZERO,
+    };
     assert_eq!(there.queue(own(3, 0), SENDERS).in_flight, 0);
 }
--- a/crates/foldhaven-core/tests/testsuite/opaque_herds.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_herds.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use foldhaven_core::ids::UpstreamName;
-use foldhaven_core::opaque::choice::{ChoiceQuery, UpstreamFacts, price_upstreams};
-use foldhaven_core::opaque::pace::{QueueFacts, ServicePace, UpstreamPace};
-use foldhaven_core::opaque::queue_room::QueueRoom;
+use foldhaven_core::opaque::choice::{ChoiceQuery, UpstreamCandidate, price_upstreams};
+use foldhaven_core::opaque::performance::{QueueState, ServicePerformance, UpstreamPerformance};
+use foldhaven_core::opaque::queue_capacity::QueueCapacity;
 use foldhaven_core::time::MonoTime;
 
 /// A region as it is in such a peak: 46 upstreams of 12 slots, news that are 80 ms old.
@@ -19,22 +19,22 @@
     (0..UPSTREAMS).map(|at| format!("up-{at}").parse().unwrap()).collect()
 }
 
-fn facts(name: &UpstreamName, in_flight: u32) -> UpstreamFacts<'_> {
-    UpstreamFacts {
+fn facts(name: &UpstreamName, in_flight: u32) -> UpstreamCandidate<'_> {
+    UpstreamCandidate {
         name,
-        queue: QueueFacts { slots: SLOTS, in_flight, whole: in_flight, ..QueueFacts::default() },
-        factor: 1.0,
-        failures: 0.0,
-        long_pauses: 0.0,
-        move_cost: 0.0,
-        held_tokens: 0,
-        is_suspect: false,
-        is_held_back: false,
+        queue: QueueState { slots: SLOTS, in_flight, on_track: in_flight, ..QueueState::default() },
+        latency_factor: 1.0,
+        failure_share: 0.0,
+        long_pause_share: 0.0,
+        transfer_cost: 0.0,
+        cached_tokens: 0,
+        is_ejected: false,
+        is_throttled: false,
         is_tried: false,
     }
 }
 
-fn query(news_age: Duration, shared_tokens: u32, draw: f64) -> ChoiceQuery {
+fn query(report_age: Duration, shared_tokens: u32, draw: f64) -> ChoiceQuery {
     ChoiceQuery {
         target: Duration::from_millis(800),
         waited: Duration::ZERO,
@@ -43,19 +43,19 @@
         size: 800,
         shared_tokens,
         own_tokens: 300,
-        meeting_key: None,
-        news_age,
+        affinity_key: None,
+        report_age,
         draw,
     }
 }
 
-fn pace() -> ServicePace {
-    ServicePace { hold: Duration::from_millis(250), ..ServicePace::default() }
+fn pace() -> ServicePerformance {
+    ServicePerformance { slot_time: Duration::from_millis(250), ..ServicePerformance::default() }
 }
 
 /// The upstreams that are looked at by one draw.
-fn looked_at(candidates: &[UpstreamFacts<'_>], query: &ChoiceQuery) -> BTreeSet<usize> {
-    price_upstreams(candidates, query, &pace()).iter().map(|choice| choice.at).collect()
+fn looked_at(candidates: &[UpstreamCandidate<'_>], query: &ChoiceQuery) -> BTreeSet<usize> {
+    price_upstreams(candidates, query, &pace()).iter().map(|choice| choice.index).collect()
 }
 
 #[test]
@@ -85,11 +85,11 @@
     let mut candidates: Vec<_> = names.iter().map(|name| facts(name, 20)).collect();
     candidates[7] = facts(&names[7], 13);
     let draws = 1_000;
-    let taken = |news_age| {
+    let taken = |report_age| {
         let chosen = |step: usize| {
             let draw = (f64::from(step as u32) * 0.618_034).fract();
-            let priced = price_upstreams(&candidates, &query(news_age, 0, draw), &pace());
-            priced.iter().min_by(|left, right| left.cost.0.total_cmp(&right.cost.0)).unwrap().at
+            let priced = price_upstreams(&candidates, &query(report_age, 0, draw), &pace());
+            priced.iter().min_by(|left, right| left.cost.0.total_cmp(&right.cost.0)).unwrap().index
         };
         (0..draws).filter(|step| chosen(*step) == 7).count()
     };
@@ -103,7 +103,7 @@
     let names = names();
     let mut candidates: Vec<_> = names.iter().map(|name| facts(name, 20)).collect();
     for holder in [3, 30] {
-        candidates[holder].held_tokens = 9_000;
+        candidates[holder].cached_tokens = 9_000;
     }
     for step in 0..50 {
         let looked_at = looked_at(&candidates, &query(NEWS_AGE, 9_000, f64::from(step) / 50.0));
@@ -116,13 +116,14 @@
 #[test]
 fn an_upstream_that_declined_counts_as_full_until_it_can_have_emptied() {
     let hold = Duration::from_millis(250);
-    let told = QueueFacts { slots: SLOTS, in_flight: 14, ..QueueFacts::default() };
-    let mut room = QueueRoom::default();
-    room.note_taken(QueueFacts { in_flight: 40, ..told });
-    let mut pace = UpstreamPace::default();
+    let told = QueueState { slots: SLOTS, in_flight: 14, ..QueueState::default() };
+    let mut room = QueueCapacity::default();
+    room.record_accepted(QueueState { in_flight: 40, ..told });
+    let mut pace = UpstreamPerformance::default();
     let begun = MonoTime::from_millis(10_000);
-    assert_eq!(pace.queue_beyond(told, hold, begun).in_flight, 14);
-    pace.note_full(room.load_of_full(told), begun);
-    let after = |ms| pace.queue_beyond(told, hold, begun + Duration::from_millis(ms)).in_flight;
+    assert_eq!(pace.queue_after_refusal(told, hold, begun).in_flight, 14);
+    pace.record_queue_full(room.full_queue_load(told), begun);
+    let after =
+        |ms| pace.queue_after_refusal(told, hold, begun + Duration::from_millis(ms)).in_flight;
     assert_eq!((after(0), after(250), after(2_000)), (41, 29, 14));
 }
--- a/crates/foldhaven-core/tests/testsuite/opaque_reports.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_reports.rs
@@ -6,7 +6,7 @@
 use foldhaven_core::opaque::affinity::UpstreamTag;
 use foldhaven_core::opaque::load_share::{LoadBook, LoadReport, UpstreamShare, share_interval};
 use foldhaven_core::opaque::peer_table::{ServiceTag, ServiceWait, VmTag};
-use foldhaven_core::opaque::queue_rank::UnreadTokens;
+use foldhaven_core::opaque::queue_rank::PrefillBacklog;
 use foldhaven_core::opaque::region_book::{RegionBook, RegionReport};
 use foldhaven_core::time::MonoTime;
 use foldhaven_core::units::CoreShare;
@@ -14,7 +14,7 @@
 use crate::opaque_support::at;
 
 fn report(vm: &str, sequence: u32, in_flight: u16) -> LoadReport {
-    let share = UpstreamShare { in_flight, whole: 0, behind: 0, unread: UnreadTokens::default() };
+    let share = UpstreamShare { in_flight, whole: 0, behind: 0, unread: PrefillBacklog::default() };
     LoadReport {
         vm: VmTag::of(&vm.parse().unwrap()),
         incarnation: IncarnationId(1),
@@ -54,7 +54,7 @@
     fn shares() -> impl Strategy<Value = Shares> {
         let share = (0_u32..4, any::<(u16, u16, u16, u32, u32)>()).prop_map(
             |(tag, (in_flight, whole, behind, timely, late))| {
-                let unread = UnreadTokens { timely, behind: late };
+                let unread = PrefillBacklog { timely, deferred: late };
                 (UpstreamTag(tag), UpstreamShare { in_flight, whole, behind, unread })
             },
         );
--- a/crates/foldhaven-core/tests/testsuite/opaque_upstreams.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_upstreams.rs
@@ -52,7 +52,7 @@
     let mut table = UpstreamTable::default();
     table.put(record("a", leaving, 0), at(0));
     if disturbed {
-        table.note_disturbed(at(900));
+        table.record_list_failure(at(900));
     }
     table.replace(Vec::new(), at(1_000));
     table.expire(at(1_000 + later));
--- a/crates/foldhaven-gateway/src/answer.rs
+++ b/crates/foldhaven-gateway/src/answer.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use foldhaven_core::opaque::admission::Unservable;
+use foldhaven_core::opaque::admission::AdmissionError;
 use http::header::{CONNECTION, CONTENT_TYPE, RETRY_AFTER, WWW_AUTHENTICATE};
 use http::{HeaderValue, Response, StatusCode};
 use http_body::{Body, Frame, SizeHint};
@@ -103,7 +103,7 @@
     /// the upstreams are overloaded
     Overloaded {
         /// Why it was not sent to the best of them.
-        cause: Unservable,
+        cause: AdmissionError,
         /// After which time one probably could.
         wait: Duration,
     },
@@ -170,10 +170,10 @@
             Self::NoUpstream => "no_upstream",
             Self::HeldBack { .. } => "held_back",
             Self::Full => "full",
-            Self::Overloaded { cause: Unservable::TooLate, .. } => "overloaded",
-            Self::Overloaded { cause: Unservable::TooHarmful, .. } => "too_harmful",
-            Self::Overloaded { cause: Unservable::Full, .. } => "known_full",
-            Self::Overloaded { cause: Unservable::Crowded, .. } => "crowded",
+            Self::Overloaded { cause: AdmissionError::TooLate, .. } => "overloaded",
+            Self::Overloaded { cause: AdmissionError::TooMuchInterference, .. } => "too_harmful",
+            Self::Overloaded { cause: AdmissionError::Full, .. } => "known_full",
+            Self::Overloaded { cause: AdmissionError::TooManyDeferred, .. } => "crowded",
             Self::Suspect { .. } => "suspect",
             Self::Leaving => "leaving",
             Self::NotPermitted => "not_permitted",
--- a/crates/foldhaven-gateway/src/attempts/mod.rs
+++ b/crates/foldhaven-gateway/src/attempts/mod.rs
@@ -41,7 +41,7 @@
     /// The rank that it had there.
     pub rank: QueueRank,
     /// The prompt tokens that it had to read until then, where nothing but reading takes time.
-    pub until_answer: Option<u32>,
+    pub prefill_before_answer: Option<u32>,
 }
 
 /// What the log tells of the choice of a place.
--- a/crates/foldhaven-gateway/src/attempts/notes.rs
+++ b/crates/foldhaven-gateway/src/attempts/notes.rs
@@ -5,8 +5,8 @@
 
 use foldhaven_core::burn::BurnEvent;
 use foldhaven_core::opaque::affinity::PromptPlacement;
-use foldhaven_core::opaque::event_order::EventOrder;
-use foldhaven_core::opaque::pace::QueueFacts;
+use foldhaven_core::opaque::event_sequence::EventSequenceChecker;
+use foldhaven_core::opaque::performance::QueueState;
 use foldhaven_core::opaque::queue_rank::QueueRank;
 use http::StatusCode;
 
@@ -32,7 +32,7 @@
             shared: outline.shared.clone(),
             own_tokens: outline.own_tokens,
         };
-        self.shared.hints.lock().note(&placement);
+        self.shared.hints.lock().record(&placement);
         if outline.shared_tokens() >= TOLD_TOKENS {
             self.shared.placements.lock().push(placement);
         }
@@ -42,17 +42,20 @@
     pub(super) fn note_room(
         &self,
         upstream: &Upstream,
-        queue: QueueFacts,
+        queue: QueueState,
         opened: &Result<OpenAnswer, CallFault>,
     ) {
         let service = &self.job.service;
         match opened {
             Ok(_) => {
-                self.shared.note_room(service, |room| room.note_taken(queue));
+                self.shared.note_room(service, |room| room.record_accepted(queue));
             }
             Err(fault) if fault.is_full() => {
-                let room = self.shared.note_room(service, |room| room.note_declined(queue));
-                upstream.pace.lock().note_full(room.load_of_full(queue), self.shared.now());
+                let room = self.shared.note_room(service, |room| room.record_refused(queue));
+                upstream
+                    .pace
+                    .lock()
+                    .record_queue_full(room.full_queue_load(queue), self.shared.now());
             }
             Err(_) => {}
         }
@@ -64,8 +67,8 @@
             && expected.rank == QueueRank::Timely
         {
             let took = sent.elapsed();
-            upstream.pace.lock().note_first(expected.time, took, self.shared.now());
-            if let Some(tokens) = expected.until_answer {
+            upstream.pace.lock().record_time_to_first(expected.time, took, self.shared.now());
+            if let Some(tokens) = expected.prefill_before_answer {
                 self.shared.note_reading(&self.job.service, tokens, took);
             }
         }
@@ -75,7 +78,7 @@
     pub fn note_success(&self, place: &RequestPlace, sent: BootInstant) {
         if let RequestPlace::Upstream(upstream) = place {
             let usual = self.note_route_end(false);
-            upstream.pace.lock().note_end(false, usual, self.shared.now());
+            upstream.pace.lock().record_end(false, usual, self.shared.now());
             upstream.health.lock().succeed();
             self.shared.note_hold(&self.job.service, sent.elapsed());
         }
@@ -129,18 +132,18 @@
     }
 
     /// What the ids of this request's events are judged by.
-    pub fn event_order(&self) -> EventOrder {
+    pub fn event_order(&self) -> EventSequenceChecker {
         let usual = self.shared.route_history(&self.job.route.name).usual_steps();
         let resumed_after = self.job.headers.get(&self.shared.names.last_event);
-        EventOrder::new(usual, resumed_after.and_then(|id| id.to_str().ok()))
+        EventSequenceChecker::new(usual, resumed_after.and_then(|id| id.to_str().ok()))
     }
 
     /// Notes how the events of a whole stream were numbered.
-    pub fn note_event_order(&self, order: &EventOrder) {
-        if order.is_telling() {
+    pub fn note_event_order(&self, order: &EventSequenceChecker) {
+        if order.is_informative() {
             let name = &self.job.route.name;
             self.shared
-                .note_history(name, |history| history.steps_mut().note_whole(order.whole_steps()));
+                .note_history(name, |history| history.steps_mut().record_stream(order.numbering()));
         }
     }
 
@@ -148,7 +151,7 @@
     pub fn note_event_gap(&self) {
         self.shared.metrics.count_event("event_gaps");
         let name = &self.job.route.name;
-        self.shared.note_history(name, |history| history.steps_mut().note_gap());
+        self.shared.note_history(name, |history| history.steps_mut().reset());
     }
 
     /// Notes what a fault says of its place.
@@ -167,7 +170,7 @@
             // The upstream did nothing wrong.
             CallFault::CalledBack => self.shared.metrics.count_event("suspect_called_back"),
             // A full upstream says nothing of what is usual for the route.
-            CallFault::Declined { .. } => upstream.pace.lock().note_end(true, 0.0, now),
+            CallFault::Declined { .. } => upstream.pace.lock().record_end(true, 0.0, now),
         }
     }
 
--- a/crates/foldhaven-gateway/src/attempts/requests.rs
+++ b/crates/foldhaven-gateway/src/attempts/requests.rs
@@ -32,8 +32,15 @@
         chosen: PlaceChoice,
         resume_after: Option<&str>,
     ) -> Result<PlacedAnswer, CallFault> {
-        let PlaceChoice { place, first, read_tokens, queue, rank, until_answer, fetch_from } =
-            chosen;
+        let PlaceChoice {
+            place,
+            first,
+            read_tokens,
+            queue,
+            rank,
+            prefill_before_answer,
+            fetch_from,
+        } = chosen;
         let mut request = self.make_request(&place, resume_after, rank);
         if let Some(holder) = fetch_from {
             let name = self.shared.names.fetch_from.clone();
@@ -67,7 +74,7 @@
             guest.iter_mut().for_each(GuestSeat::note_harmless);
         }
         let answer = opened?;
-        let expected = ExpectedFirst { time: first, rank, until_answer };
+        let expected = ExpectedFirst { time: first, rank, prefill_before_answer };
         Ok(PlacedAnswer { answer, place, seat, guest, expected, sent })
     }
 
--- a/crates/foldhaven-gateway/src/connection.rs
+++ b/crates/foldhaven-gateway/src/connection.rs
@@ -115,7 +115,7 @@
         let begun = BootInstant::now();
         let connection = Connection::open(address, limit).await?;
         let now = MonoTime::default() + self.made.elapsed();
-        self.round_trip.lock().note(begun.elapsed(), now);
+        self.round_trip.lock().record(begun.elapsed(), now);
         Ok(connection)
     }
 
--- a/crates/foldhaven-gateway/src/events.rs
+++ b/crates/foldhaven-gateway/src/events.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use foldhaven_core::opaque::event_order::EventOrder;
+use foldhaven_core::opaque::event_sequence::EventSequenceChecker;
 use foldhaven_core::opaque::queue_rank::QueueRank;
 use foldhaven_wire::sse::{EventBlocks, event_ids};
 use http::StatusCode;
@@ -104,7 +104,7 @@
     driver: Option<RequestDriver>,
     blocks: EventBlocks,
     /// Whether events are missing, by their ids.
-    order: EventOrder,
+    order: EventSequenceChecker,
     timer: Pin<Box<BootSleep>>,
     /// When the upstream sent anything last.
     last_news: BootInstant,
@@ -227,7 +227,7 @@
     fn has_gap(&mut self, events: &[u8]) -> bool {
         // An order that found a gap is not used again: the stream goes on elsewhere with what was passed on before.
         let mut order = self.order;
-        let is_whole = event_ids(events).all(|id| order.take(id).is_ok());
+        let is_whole = event_ids(events).all(|id| order.check(id).is_ok());
         match is_whole {
             true => self.order = order,
             false => self.driver.iter().for_each(RequestDriver::note_event_gap),
@@ -286,9 +286,9 @@
             if is_long {
                 reading.seat.note_late();
             }
-            upstream.pace.lock().note_pause(is_long, driver.shared.now());
+            upstream.pace.lock().record_pause(is_long, driver.shared.now());
             // A prompt that came within the pause stretched it as much as one that was there before.
-            let unread_now = upstream.queue().unread.ahead_of(QueueRank::Timely);
+            let unread_now = upstream.queue().prefill_backlog.ahead_of(QueueRank::Timely);
             let unread = reading.unread_before.max(unread_now);
             driver.shared.note_pause(&driver.job.service, unread, is_long);
         }
@@ -302,7 +302,7 @@
         let queue = upstream.queue();
         reading.loads.0 += u64::from(queue.in_flight);
         reading.loads.1 += 1;
-        reading.unread_before = queue.unread.ahead_of(QueueRank::Timely);
+        reading.unread_before = queue.prefill_backlog.ahead_of(QueueRank::Timely);
     }
 
     /// Waits until the deadline has passed.
--- a/crates/foldhaven-gateway/src/job.rs
+++ b/crates/foldhaven-gateway/src/job.rs
@@ -5,8 +5,8 @@
 
 use bytes::Bytes;
 use foldhaven_core::ids::{RegionName, ServiceName};
-use foldhaven_core::opaque::affinity::{PromptOutline, PromptPart};
-use foldhaven_core::opaque::choice::{OUTPUT_WEIGHT, PLAIN_SIZE};
+use foldhaven_core::opaque::affinity::{PromptOutline, PromptSegment};
+use foldhaven_core::opaque::choice::{DEFAULT_SIZE, OUTPUT_WEIGHT};
 use foldhaven_core::opaque::request_print::{PrintedParts, RequestPrint};
 use foldhaven_core::opaque::route_table::{CallerLimits, OpaqueRoute};
 use http::header::{
@@ -89,13 +89,13 @@
     }
 
     /// The parts of the prompt that other requests may share.
-    pub fn shared_parts(&self) -> &[PromptPart] {
+    pub fn shared_parts(&self) -> &[PromptSegment] {
         self.outline.as_ref().map_or(&[], |outline| &outline.shared)
     }
 
     /// Its work in tokens, to which what it is worth is in proportion.
     pub fn size(&self) -> u32 {
-        let Some(outline) = &self.outline else { return PLAIN_SIZE };
+        let Some(outline) = &self.outline else { return DEFAULT_SIZE };
         let prompt = outline.shared_tokens() + outline.own_tokens;
         prompt.saturating_add(self.output_tokens.saturating_mul(OUTPUT_WEIGHT)).max(1)
     }
@@ -240,7 +240,7 @@
     if !route.affinity {
         return None;
     }
-    PromptOutline::read(head.headers.get(&names.prompt_outline)?.to_str().ok()?)
+    PromptOutline::parse(head.headers.get(&names.prompt_outline)?.to_str().ok()?)
 }
 
 /// All tokens that a caller names: those of the prompt and those of the longest answer; nothing where it names none.
--- a/crates/foldhaven-gateway/src/keeper/feed_changes.rs
+++ b/crates/foldhaven-gateway/src/keeper/feed_changes.rs
@@ -32,7 +32,7 @@
     /// Notes that the platform could not be read.
     fn note_disturbed(&mut self, cause: &str) {
         let now = self.now();
-        self.known.table.note_disturbed(now);
+        self.known.table.record_list_failure(now);
         if !std::mem::replace(&mut self.is_disturbed, true) {
             tracing::warn!(cause, revision = self.known.revision(), "platform lost");
             self.set_turn();
@@ -45,7 +45,7 @@
         let now = self.now();
         let is_told = self.peers.hears_of_outage(now);
         if is_told {
-            self.known.table.note_disturbed(now);
+            self.known.table.record_list_failure(now);
         }
         if std::mem::replace(&mut self.is_told_outage, is_told) != is_told {
             tracing::info!(
--- a/crates/foldhaven-gateway/src/keeper/load_reports.rs
+++ b/crates/foldhaven-gateway/src/keeper/load_reports.rs
@@ -198,7 +198,7 @@
     fn note_placements(&self, placements: &[PromptPlacement]) {
         let mut hints = self.shared.hints.lock();
         for placement in placements {
-            hints.note(placement);
+            hints.record(placement);
         }
     }
 
--- a/crates/foldhaven-gateway/src/keeper/traffic_view.rs
+++ b/crates/foldhaven-gateway/src/keeper/traffic_view.rs
@@ -106,7 +106,7 @@
         let by_tag: HashMap<UpstreamTag, Arc<Upstream>> =
             kept.values().map(|upstream| (upstream.tag, upstream.clone())).collect();
         for tag in self.by_tag.keys().filter(|tag| !by_tag.contains_key(*tag)) {
-            self.shared.hints.lock().forget(*tag);
+            self.shared.hints.lock().remove(*tag);
         }
         self.by_tag = by_tag;
         self.upstreams = kept;
--- a/crates/foldhaven-gateway/src/names.rs
+++ b/crates/foldhaven-gateway/src/names.rs
@@ -41,7 +41,7 @@
     pub fn rank_value(rank: QueueRank) -> Option<u16> {
         match rank {
             QueueRank::Timely => None,
-            QueueRank::Behind => Some(8),
+            QueueRank::Deferred => Some(8),
         }
     }
 }
--- a/crates/foldhaven-gateway/src/places/far.rs
+++ b/crates/foldhaven-gateway/src/places/far.rs
@@ -4,14 +4,14 @@
 use std::time::Duration;
 
 use foldhaven_core::ids::RegionName;
-use foldhaven_core::opaque::admission::PlaceOffer;
+use foldhaven_core::opaque::admission::DestinationEstimate;
 use foldhaven_core::opaque::choice::{
-    CostParts, RequestCost, pause_cost, slowing_cost, streaming_cost,
+    CostBreakdown, RequestCost, pause_cost, slowing_cost, streaming_cost,
 };
-use foldhaven_core::opaque::far_queue::FarService;
 use foldhaven_core::opaque::load_share::UpstreamShare;
-use foldhaven_core::opaque::pace::QueueFacts;
+use foldhaven_core::opaque::performance::QueueState;
 use foldhaven_core::opaque::queue_rank::QueueRank;
+use foldhaven_core::opaque::remote_queue::RemoteService;
 
 use super::{PlaceChoice, RequestPlace, TOLD_TOKENS, TriedPlaces, query_of};
 use crate::job::GatewayJob;
@@ -31,15 +31,21 @@
 pub(super) struct FarChoice {
     pub(super) choice: PlaceChoice,
     pub(super) cost: RequestCost,
-    pub(super) parts: CostParts,
+    pub(super) parts: CostBreakdown,
     pub(super) region: RegionName,
 }
 
 impl FarChoice {
     /// The place, for the decision whether the request is sent there.
-    pub(super) fn offer(&self) -> PlaceOffer {
+    pub(super) fn offer(&self) -> DestinationEstimate {
         let PlaceChoice { first, rank, queue, .. } = self.choice;
-        PlaceOffer { first, parts: self.parts, rank, queue, is_full: false }
+        DestinationEstimate {
+            time_to_first: first,
+            breakdown: self.parts,
+            rank,
+            queue,
+            is_full: false,
+        }
     }
 }
 
@@ -90,19 +96,19 @@
         let read_tokens = query.own_tokens + missing;
         let pace = self.shared.measured_pace(&job.service);
         let way = self.way(&peer);
-        let sent = self.sent_since(pace.hold, way);
-        let there = pace.first(sent, QueueRank::Timely, read_tokens);
+        let sent = self.sent_since(pace.slot_time, way);
+        let there = pace.time_to_first(sent, QueueRank::Timely, read_tokens);
         let first = way + self.wait.wait + there;
         // What was told counts most requests that were sent since, too.
-        let queue = QueueFacts { in_flight: sent.in_flight.max(self.wait.load), ..sent };
-        let parts = CostParts {
+        let queue = QueueState { in_flight: sent.in_flight.max(self.wait.load), ..sent };
+        let parts = CostBreakdown {
             time: RequestCost::of_time(query.waited + first, query.target).0,
-            rereading: RequestCost::of_rereading(missing, query.size).0,
-            moving: RequestCost::of_bytes(job.body.len(), REGION_BYTE_PRICE, query.size).0,
-            pauses: pause_cost(&query, self.wait.long_pauses).0,
+            repeated_prefill: RequestCost::of_repeated_prefill(missing, query.size).0,
+            transfer: RequestCost::of_bytes(job.body.len(), REGION_BYTE_PRICE, query.size).0,
+            long_pauses: pause_cost(&query, self.wait.long_pauses).0,
             streaming: streaming_cost(&query, &pace, queue).0,
-            slowing: slowing_cost(&query, &pace, queue, read_tokens).0,
-            ..CostParts::default()
+            decode_slowdown: slowing_cost(&query, &pace, queue, read_tokens).0,
+            ..CostBreakdown::default()
         };
         let place = RequestPlace::Peer(peer);
         let choice = PlaceChoice {
@@ -111,7 +117,7 @@
             read_tokens,
             queue,
             rank: query.rank(first),
-            until_answer: None,
+            prefill_before_answer: None,
             fetch_from: None,
         };
         FarChoice { choice, cost: parts.total(), parts, region: self.region.clone() }
@@ -128,7 +134,7 @@
 
     /// What this region's VMs have sent there since its VMs told their waits, as far as it can be
     /// guessed from what this one has sent.
-    fn sent_since(&self, hold: Duration, way: Duration) -> QueueFacts {
+    fn sent_since(&self, hold: Duration, way: Duration) -> QueueState {
         let links = self.view.peers.iter().filter(|peer| peer.region == *self.region);
         let sent = links.map(|peer| peer.share(&self.job.service));
         let own = sent.fold(UpstreamShare::default(), |sum, share| UpstreamShare {
@@ -137,7 +143,8 @@
             ..sum
         });
         let RegionWait { upstreams, slots, .. } = self.wait;
-        FarService { upstreams, slots, hold, way }.queue(own, self.view.senders)
+        RemoteService { upstreams, slots, slot_time: hold, round_trip: way }
+            .queue(own, self.view.senders)
     }
 
     /// The tokens of the shared parts that would have to be read there.
@@ -150,7 +157,7 @@
         let upstreams = self.view.upstreams_of(&self.job.service).iter();
         let there = upstreams.filter(|upstream| upstream.identity.region == *self.region);
         let held = there.map(|upstream| {
-            hints.held_tokens(upstream.tag, parts, upstream.identity.prompt_memory)
+            hints.cached_tokens(upstream.tag, parts, upstream.identity.prompt_memory)
         });
         shared_tokens - held.max().unwrap_or_default().min(shared_tokens)
     }
--- a/crates/foldhaven-gateway/src/places/mod.rs
+++ b/crates/foldhaven-gateway/src/places/mod.rs
@@ -9,9 +9,9 @@
 use std::time::Duration;
 
 use foldhaven_core::ids::{ServiceName, UpstreamName, VmName};
-use foldhaven_core::opaque::admission::{PlaceOffer, TimeLimits, admit, come_back_after};
+use foldhaven_core::opaque::admission::{DestinationEstimate, TimeLimits, admit, retry_after};
 use foldhaven_core::opaque::choice::{ChoiceQuery, RequestCost};
-use foldhaven_core::opaque::pace::QueueFacts;
+use foldhaven_core::opaque::performance::QueueState;
 use foldhaven_core::opaque::queue_rank::QueueRank;
 
 use self::far::{FarChoice, choose_far};
@@ -88,11 +88,11 @@
     /// The prompt tokens that are to be read.
     pub read_tokens: u32,
     /// The requests that the place has.
-    pub queue: QueueFacts,
+    pub queue: QueueState,
     /// Its rank there.
     pub rank: QueueRank,
     /// The prompt tokens that the place reads until it can answer, where nothing but reading takes time.
-    pub until_answer: Option<u32>,
+    pub prefill_before_answer: Option<u32>,
     /// The upstream from which the chosen one takes over what it does not hold of the prompt.
     pub fetch_from: Option<SocketAddr>,
 }
@@ -189,13 +189,13 @@
 /// Whether a region can answer in time what is better not sent to the best upstream here: by its last report its
 /// upstreams have places left.
 fn has_room(job: &GatewayJob, far: &FarChoice) -> bool {
-    let PlaceOffer { rank, queue, .. } = far.offer();
+    let DestinationEstimate { rank, queue, .. } = far.offer();
     let is_free = rank == QueueRank::Timely && queue.in_flight < queue.slots;
     is_free && check_offer(job, &far.offer()).is_ok()
 }
 
 /// Refuses a request that is better not sent to its best place. One whose answer has begun is sent on.
-fn check_offer(job: &GatewayJob, offer: &PlaceOffer) -> Result<(), Refusal> {
+fn check_offer(job: &GatewayJob, offer: &DestinationEstimate) -> Result<(), Refusal> {
     if job.is_begun {
         return Ok(());
     }
@@ -205,7 +205,7 @@
         remaining: job.deadline.saturating_duration_since(BootInstant::now()),
     };
     admit(offer, limits)
-        .map_err(|cause| Refusal::Overloaded { cause, wait: come_back_after(offer, limits) })
+        .map_err(|cause| Refusal::Overloaded { cause, wait: retry_after(offer, limits) })
 }
 
 /// What the choice weighs of a request.
@@ -219,8 +219,8 @@
         size: job.size(),
         shared_tokens: outline.map_or(0, |outline| outline.shared_tokens()),
         own_tokens: outline.map_or(0, |outline| outline.own_tokens),
-        meeting_key: outline.and_then(|outline| outline.meeting_key()),
-        news_age: view.news_age(),
+        affinity_key: outline.and_then(|outline| outline.affinity_key()),
+        report_age: view.news_age(),
         draw: rand::random(),
     }
 }
--- a/crates/foldhaven-gateway/src/places/near.rs
+++ b/crates/foldhaven-gateway/src/places/near.rs
@@ -4,11 +4,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use foldhaven_core::opaque::admission::PlaceOffer;
+use foldhaven_core::opaque::admission::DestinationEstimate;
 use foldhaven_core::opaque::choice::{
-    RequestCost, UpstreamChoice, UpstreamFacts, choose_upstream, price_upstreams,
+    RequestCost, UpstreamCandidate, UpstreamChoice, choose_upstream, price_upstreams,
 };
-use foldhaven_core::opaque::pace::ServicePace;
+use foldhaven_core::opaque::performance::ServicePerformance;
 use foldhaven_core::opaque::queue_rank::QueueRank;
 use foldhaven_core::time::MonoTime;
 
@@ -35,9 +35,15 @@
 
 impl NearChoice {
     /// The place, for the decision whether the request is sent there.
-    pub(super) fn offer(&self) -> PlaceOffer {
-        let UpstreamChoice { first, parts, rank, is_full, .. } = self.choice;
-        PlaceOffer { first, parts, rank, queue: self.upstream.queue(), is_full }
+    pub(super) fn offer(&self) -> DestinationEstimate {
+        let UpstreamChoice { time_to_first, breakdown, rank, is_full, .. } = self.choice;
+        DestinationEstimate {
+            time_to_first,
+            breakdown,
+            rank,
+            queue: self.upstream.queue(),
+            is_full,
+        }
     }
 
     /// Takes the place of an upstream that is cold or names a limit; fails when none is free.
@@ -55,11 +61,11 @@
         let queue = self.upstream.queue();
         Ok(PlaceChoice {
             place: RequestPlace::Upstream(self.upstream),
-            first: self.choice.first,
-            read_tokens: self.choice.read_tokens,
+            first: self.choice.time_to_first,
+            read_tokens: self.choice.prefill_tokens,
             queue,
             rank: self.choice.rank,
-            until_answer: self.choice.until_answer,
+            prefill_before_answer: self.choice.prefill_before_answer,
             fetch_from: self.fetch_from,
         })
     }
@@ -77,7 +83,7 @@
     let pace = shared.pace(&job.service, view);
     let choice = choose_upstream(&candidates, &query_of(shared, view, job), &pace)?;
     let fetch_from = choice.fetch_from.map(|at| near[at].identity.address);
-    Some(NearChoice { upstream: near[choice.at].clone(), choice, fetch_from })
+    Some(NearChoice { upstream: near[choice.index].clone(), choice, fetch_from })
 }
 
 /// For how much longer an upstream gets nothing from this VM: it asked this VM to back off, or this VM's part of its rate is used up.
@@ -121,7 +127,7 @@
     let candidates = candidates_of(shared, &near, job, &TriedPlaces::default());
     let pace = shared.pace(&job.service, view);
     let priced = price_upstreams(&candidates, &query_of(shared, view, job), &pace);
-    priced.into_iter().map(|choice| (near[choice.at].clone(), choice)).collect()
+    priced.into_iter().map(|choice| (near[choice.index].clone(), choice)).collect()
 }
 
 fn near_upstreams<'a>(
@@ -140,9 +146,9 @@
     near: &[&'a Arc<Upstream>],
     job: &GatewayJob,
     tried: &TriedPlaces,
-) -> Vec<UpstreamFacts<'a>> {
+) -> Vec<UpstreamCandidate<'a>> {
     let now = shared.now();
-    let hold = shared.measured_pace(&job.service).hold;
+    let hold = shared.measured_pace(&job.service).slot_time;
     near.iter().map(|upstream| facts_of(shared, upstream, job, tried, hold, now)).collect()
 }
 
@@ -154,34 +160,34 @@
     tried: &TriedPlaces,
     hold: Duration,
     now: MonoTime,
-) -> UpstreamFacts<'a> {
+) -> UpstreamCandidate<'a> {
     let pace = *upstream.pace.lock();
-    let move_cost = match upstream.identity.data_centre == shared.settings.data_centre {
+    let transfer_cost = match upstream.identity.data_centre == shared.settings.data_centre {
         true => 0.0,
         false => RequestCost::of_bytes(job.body.len(), CENTRE_BYTE_PRICE, job.size()).0,
     };
-    let held_tokens = match job.shared_parts() {
+    let cached_tokens = match job.shared_parts() {
         [] => 0,
         parts => {
-            shared.hints.lock().held_tokens(upstream.tag, parts, upstream.identity.prompt_memory)
+            shared.hints.lock().cached_tokens(upstream.tag, parts, upstream.identity.prompt_memory)
         }
     };
-    UpstreamFacts {
+    UpstreamCandidate {
         name: upstream.name(),
-        queue: pace.queue_beyond(upstream.queue(), hold, now),
-        factor: pace.factor(now),
-        failures: pace.failure_share(now),
-        long_pauses: pace.long_pauses(now),
-        move_cost,
-        held_tokens,
-        is_suspect: upstream.health.lock().is_ejected(now),
-        is_held_back: held_back_for(upstream, now).is_some(),
+        queue: pace.queue_after_refusal(upstream.queue(), hold, now),
+        latency_factor: pace.latency_factor(now),
+        failure_share: pace.failure_share(now),
+        long_pause_share: pace.long_pause_share(now),
+        transfer_cost,
+        cached_tokens,
+        is_ejected: upstream.health.lock().is_ejected(now),
+        is_throttled: held_back_for(upstream, now).is_some(),
         is_tried: tried.upstreams.contains(upstream.name()),
     }
 }
 
 /// The wait of a timely request at an upstream, as this VM expects it.
-pub fn expected_wait(upstream: &Upstream, pace: &ServicePace, now: MonoTime) -> Duration {
+pub fn expected_wait(upstream: &Upstream, pace: &ServicePerformance, now: MonoTime) -> Duration {
     let wait = pace.wait(upstream.queue(), QueueRank::Timely);
-    wait.mul_f64(upstream.pace.lock().factor(now))
+    wait.mul_f64(upstream.pace.lock().latency_factor(now))
 }
--- a/crates/foldhaven-gateway/src/places/overview.rs
+++ b/crates/foldhaven-gateway/src/places/overview.rs
@@ -24,9 +24,9 @@
     let near = near.into_iter().map(|(upstream, choice)| PlacePrice {
         name: upstream.name().to_string(),
         is_far: false,
-        first_ms: choice.first.as_millis() as u64,
-        read_tokens: choice.read_tokens,
-        parts: choice.parts,
+        first_ms: choice.time_to_first.as_millis() as u64,
+        read_tokens: choice.prefill_tokens,
+        parts: choice.breakdown,
     });
     let far = price_far(shared, view, job, &TriedPlaces::default());
     let far = far.into_iter().map(|far| PlacePrice {
--- a/crates/foldhaven-gateway/src/shared.rs
+++ b/crates/foldhaven-gateway/src/shared.rs
@@ -7,11 +7,11 @@
 
 use arc_swap::ArcSwapOption;
 use foldhaven_core::ids::{RouteName, ServiceName};
-use foldhaven_core::opaque::affinity::{PromptHints, PromptPlacement};
-use foldhaven_core::opaque::pace::ServicePace;
-use foldhaven_core::opaque::patience::CallerPatience;
+use foldhaven_core::opaque::affinity::{PrefixCacheIndex, PromptPlacement};
+use foldhaven_core::opaque::caller_timeouts::CallerTimeouts;
 use foldhaven_core::opaque::peer_table::VmTag;
-use foldhaven_core::opaque::queue_room::QueueRoom;
+use foldhaven_core::opaque::performance::ServicePerformance;
+use foldhaven_core::opaque::queue_capacity::QueueCapacity;
 use foldhaven_core::opaque::retry_share::RetryShare;
 use foldhaven_core::opaque::route_history::RouteHistory;
 use foldhaven_core::time::MonoTime;
@@ -72,13 +72,13 @@
     pub quota: LogQuota,
     pub stage: watch::Sender<StopStage>,
     /// Which upstreams of the region probably hold which prompts.
-    pub hints: Mutex<PromptHints>,
+    pub hints: Mutex<PrefixCacheIndex>,
     /// Long prompts that were sent since other VMs were told last.
     pub placements: Mutex<Vec<PromptPlacement>>,
     /// How long requests of each service held their upstreams, as measured.
-    paces: Mutex<HashMap<ServiceName, ServicePace>>,
+    paces: Mutex<HashMap<ServiceName, ServicePerformance>>,
     /// The longest times that callers of each route give.
-    patiences: Mutex<HashMap<RouteName, CallerPatience>>,
+    patiences: Mutex<HashMap<RouteName, CallerTimeouts>>,
     /// What the requests of each route have shown.
     histories: Mutex<HashMap<RouteName, RouteHistory>>,
     /// The clock of the process.
@@ -240,23 +240,27 @@
     }
 
     /// How fast the upstreams of a service are.
-    pub fn pace(&self, service: &ServiceName, view: &GatewayView) -> ServicePace {
+    pub fn pace(&self, service: &ServiceName, view: &GatewayView) -> ServicePerformance {
         let measured = self.paces.lock().get(service).copied().unwrap_or_default();
         let described = view.routes.service(service).and_then(|service| service.fetch_rate);
-        ServicePace { fetched_per_s: described.unwrap_or_default(), ..measured }
+        ServicePerformance { fetch_tokens_per_s: described.unwrap_or_default(), ..measured }
     }
 
     /// How fast the upstreams of a service have been.
-    pub fn measured_pace(&self, service: &ServiceName) -> ServicePace {
+    pub fn measured_pace(&self, service: &ServiceName) -> ServicePerformance {
         self.paces.lock().get(service).copied().unwrap_or_default()
     }
 
     /// Notes how long a request held its place at an upstream of a service.
     pub fn note_hold(&self, service: &ServiceName, held: Duration) {
-        self.with_pace(service, |pace| pace.note_hold(held));
+        self.with_pace(service, |pace| pace.record_slot_time(held));
     }
 
-    fn with_pace<T>(&self, service: &ServiceName, act: impl FnOnce(&mut ServicePace) -> T) -> T {
+    fn with_pace<T>(
+        &self,
+        service: &ServiceName,
+        act: impl FnOnce(&mut ServicePerformance) -> T,
+    ) -> T {
         let mut paces = self.paces.lock();
         if let Some(pace) = paces.get_mut(service) {
             return act(pace);
@@ -269,9 +273,9 @@
         let now = self.now();
         let mut patiences = self.patiences.lock();
         if let Some(patience) = patiences.get_mut(route) {
-            return patience.note(remaining, now);
+            return patience.record(remaining, now);
         }
-        patiences.entry(route.clone()).or_default().note(remaining, now)
+        patiences.entry(route.clone()).or_default().record(remaining, now)
     }
 
     /// What the requests of a route have shown.
@@ -297,32 +301,36 @@
 
     /// Takes in how long an upstream of a service took to read so many prompt tokens and to answer.
     pub fn note_reading(&self, service: &ServiceName, tokens: u32, took: Duration) {
-        self.with_pace(service, |pace| pace.note_reading(tokens, took));
+        self.with_pace(service, |pace| pace.record_prefill(tokens, took));
     }
 
     /// Takes in whether an upstream of a service took a request or declined it. Returns what is known by then.
-    pub fn note_room(&self, service: &ServiceName, note: impl FnOnce(&mut QueueRoom)) -> QueueRoom {
+    pub fn note_room(
+        &self,
+        service: &ServiceName,
+        note: impl FnOnce(&mut QueueCapacity),
+    ) -> QueueCapacity {
         self.with_pace(service, |pace| {
-            note(&mut pace.room);
-            pace.room
+            note(&mut pace.queue_capacity);
+            pace.queue_capacity
         })
     }
 
     /// Takes in whether a pause of a stream was longer than wanted, and the prompt tokens that its upstream
     /// had to read when it began.
     pub fn note_pause(&self, service: &ServiceName, unread_tokens: u32, is_long: bool) {
-        self.with_pace(service, |pace| pace.pauses.note(unread_tokens, is_long));
+        self.with_pace(service, |pace| pace.pause_statistics.record(unread_tokens, is_long));
     }
 
     /// Takes in the time between two events of a stream, and how many requests its upstream had.
     pub fn note_event_pace(&self, service: &ServiceName, between: Duration, load: f64) {
-        self.with_pace(service, |pace| pace.events.note(between, load));
+        self.with_pace(service, |pace| pace.event_interval.record(between, load));
     }
 
     /// Counts a request of a caller, and its size, for the retry budget and the pace of its service.
     pub fn note_request(&self, service: &ServiceName, size: u32) {
         let now = self.now();
-        self.with_pace(service, |pace| pace.note_size(size));
+        self.with_pace(service, |pace| pace.record_size(size));
         self.with_share(service, |share| share.note_request(now));
     }
 
--- a/crates/foldhaven-gateway/src/upstream.rs
+++ b/crates/foldhaven-gateway/src/upstream.rs
@@ -9,8 +9,8 @@
 use foldhaven_core::ids::{DataCentreName, RegionName, ServiceName, UpstreamBirth, UpstreamName};
 use foldhaven_core::opaque::affinity::UpstreamTag;
 use foldhaven_core::opaque::load_share::UpstreamShare;
-use foldhaven_core::opaque::pace::{QueueFacts, UpstreamPace};
-use foldhaven_core::opaque::queue_rank::{QueueRank, UnreadTokens};
+use foldhaven_core::opaque::performance::{QueueState, UpstreamPerformance};
+use foldhaven_core::opaque::queue_rank::{PrefillBacklog, QueueRank};
 use foldhaven_core::opaque::rate_part::{RatePacer, RatePart};
 use foldhaven_core::opaque::request_print::RequestPrint;
 use foldhaven_core::opaque::suspects::{GuestBook, GuestId};
@@ -30,7 +30,7 @@
     /// Whether it is ejected after failures.
     pub health: Mutex<TargetHealth>,
     /// How far its times were off lately, and how often it failed.
-    pub pace: Mutex<UpstreamPace>,
+    pub pace: Mutex<UpstreamPerformance>,
     /// Spaces the requests that this VM sends while it is cold or names a limit.
     pub pacer: Mutex<RatePacer>,
     /// The requests of this VM.
@@ -42,7 +42,7 @@
     /// Those that go behind all others, and were not answered yet.
     others_behind: AtomicU32,
     /// The prompt tokens of those that were not answered yet.
-    others_unread: Mutex<UnreadTokens>,
+    others_unread: Mutex<PrefillBacklog>,
     /// The requests of this VM there, by which it is known under which ones it ended.
     guests: Mutex<GuestBook>,
     /// Whether it is being found out whether it has ended.
@@ -239,7 +239,7 @@
     /// Notes that a request failed there after it may have run, of a route of which a share usually fails.
     pub fn note_failure(&self, usual: f64, now: MonoTime) {
         self.health.lock().fail(false, now);
-        self.pace.lock().note_end(true, usual, now);
+        self.pace.lock().record_end(true, usual, now);
     }
 
     /// Takes in the requests that other VMs have there.
@@ -251,15 +251,15 @@
     }
 
     /// The queue that all VMs of the region make.
-    pub fn queue(&self) -> QueueFacts {
+    pub fn queue(&self) -> QueueState {
         let own = self.load.share();
         let others = self.others_in_flight.load(Ordering::Relaxed);
-        QueueFacts {
+        QueueState {
             slots: self.identity.slots,
             in_flight: u32::from(own.in_flight) + others,
-            whole: u32::from(own.whole) + self.others_whole.load(Ordering::Relaxed),
-            behind: u32::from(own.behind) + self.others_behind.load(Ordering::Relaxed),
-            unread: own.unread.plus(*self.others_unread.lock()),
+            on_track: u32::from(own.whole) + self.others_whole.load(Ordering::Relaxed),
+            deferred: u32::from(own.behind) + self.others_behind.load(Ordering::Relaxed),
+            prefill_backlog: own.unread.plus(*self.others_unread.lock()),
         }
     }
 }
@@ -312,9 +312,9 @@
             in_flight: read(&self.in_flight),
             whole: read(&self.whole),
             behind: read(&self.behind),
-            unread: UnreadTokens {
+            unread: PrefillBacklog {
                 timely: self.unread_timely.load(Ordering::Relaxed),
-                behind: self.unread_behind.load(Ordering::Relaxed),
+                deferred: self.unread_behind.load(Ordering::Relaxed),
             },
         }
     }
@@ -323,7 +323,7 @@
     pub fn enter(self: &Arc<Self>, tokens: u32, rank: QueueRank) -> LoadSeat {
         let is_whole = rank == QueueRank::Timely;
         self.in_flight.fetch_add(1, Ordering::Relaxed);
-        let is_behind = rank == QueueRank::Behind;
+        let is_behind = rank == QueueRank::Deferred;
         self.whole.fetch_add(is_whole.into(), Ordering::Relaxed);
         self.behind.fetch_add(is_behind.into(), Ordering::Relaxed);
         self.unread(rank).fetch_add(tokens, Ordering::Relaxed);
@@ -333,7 +333,7 @@
     fn unread(&self, rank: QueueRank) -> &AtomicU32 {
         match rank {
             QueueRank::Timely => &self.unread_timely,
-            QueueRank::Behind => &self.unread_behind,
+            QueueRank::Deferred => &self.unread_behind,
         }
     }
 }
--- a/crates/foldhaven-testkit/src/simulate/engine.rs
+++ b/crates/foldhaven-testkit/src/simulate/engine.rs
@@ -3,8 +3,8 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use foldhaven_core::opaque::pace::QueueFacts;
-use foldhaven_core::opaque::queue_rank::{QueueRank, UnreadTokens};
+use foldhaven_core::opaque::performance::QueueState;
+use foldhaven_core::opaque::queue_rank::{PrefillBacklog, QueueRank};
 use foldhaven_core::time::MonoTime;
 
 use super::experiment::EngineMix;
@@ -84,7 +84,7 @@
         }
         match work.rank {
             QueueRank::Timely => self.waiting.push_back(work),
-            QueueRank::Behind => self.behind.push_back(work),
+            QueueRank::Deferred => self.behind.push_back(work),
         }
         Ok(None)
     }
@@ -111,7 +111,7 @@
     }
 
     /// Its queue as it is.
-    pub(super) fn queue(&mut self, now: MonoTime) -> QueueFacts {
+    pub(super) fn queue(&mut self, now: MonoTime) -> QueueState {
         while self.unread.front().is_some_and(|(read, _)| *read <= now) {
             self.unread.pop_front();
         }
@@ -119,12 +119,12 @@
         let waiting: u32 = self.waiting.iter().map(|work| work.tokens).sum();
         let behind: u32 = self.behind.iter().map(|work| work.tokens).sum();
         let in_flight = self.running + self.waiting_count();
-        QueueFacts {
+        QueueState {
             slots: self.mix.slots,
             in_flight,
-            whole: in_flight,
-            behind: self.behind.len() as u32,
-            unread: UnreadTokens { timely: admitted + waiting, behind },
+            on_track: in_flight,
+            deferred: self.behind.len() as u32,
+            prefill_backlog: PrefillBacklog { timely: admitted + waiting, deferred: behind },
         }
     }
 }
--- a/crates/foldhaven-testkit/src/simulate/vm.rs
+++ b/crates/foldhaven-testkit/src/simulate/vm.rs
@@ -5,12 +5,12 @@
 use std::time::Duration;
 
 use foldhaven_core::ids::{IncarnationId, UpstreamBirth, UpstreamName};
-use foldhaven_core::opaque::admission::{PlaceOffer, TimeLimits, admit};
+use foldhaven_core::opaque::admission::{DestinationEstimate, TimeLimits, admit};
 use foldhaven_core::opaque::affinity::UpstreamTag;
-use foldhaven_core::opaque::choice::{ChoiceQuery, UpstreamFacts, choose_upstream};
+use foldhaven_core::opaque::choice::{ChoiceQuery, UpstreamCandidate, choose_upstream};
 use foldhaven_core::opaque::load_share::{LoadBook, LoadReport, UpstreamShare, share_interval};
-use foldhaven_core::opaque::pace::{QueueFacts, ServicePace, UpstreamPace};
 use foldhaven_core::opaque::peer_table::VmTag;
+use foldhaven_core::opaque::performance::{QueueState, ServicePerformance, UpstreamPerformance};
 use foldhaven_core::opaque::queue_rank::QueueRank;
 use foldhaven_core::opaque::report_plan::{ReportLeg, ReportNews, ReportPlan, ReportTarget};
 use foldhaven_core::time::MonoTime;
@@ -30,7 +30,7 @@
 struct KnownEngine {
     own: UpstreamShare,
     others: UpstreamShare,
-    pace: UpstreamPace,
+    pace: UpstreamPerformance,
     /// Since when each unused connection has been so.
     idle: Vec<MonoTime>,
 }
@@ -43,7 +43,7 @@
     tags: HashMap<UpstreamTag, usize>,
     book: LoadBook,
     plan: ReportPlan,
-    pace: ServicePace,
+    pace: ServicePerformance,
     sequence: u32,
     idle_rounds: u32,
     /// Connections that it has opened.
@@ -70,11 +70,11 @@
 pub(super) struct VmChoice {
     pub engine: usize,
     pub expected: Duration,
-    pub until_answer: Option<u32>,
+    pub prefill_before_answer: Option<u32>,
     /// Its rank there.
     pub rank: QueueRank,
     /// The queue that it saw there.
-    pub queue: QueueFacts,
+    pub queue: QueueState,
 }
 
 impl SimulatedVm {
@@ -89,7 +89,7 @@
             tags: tags.collect(),
             book: LoadBook::default(),
             plan: ReportPlan::default(),
-            pace: ServicePace::default(),
+            pace: ServicePerformance::default(),
             sequence: 0,
             idle_rounds: 0,
             opened: 0,
@@ -104,24 +104,24 @@
         policy: ChoicePolicy,
         request: &VmRequest,
         names: &[UpstreamName],
-        truth: &[QueueFacts],
+        truth: &[QueueState],
         now: MonoTime,
         random: &mut StdRng,
     ) -> Option<VmChoice> {
-        let queues: Vec<QueueFacts> = match policy {
+        let queues: Vec<QueueState> = match policy {
             ChoicePolicy::Perfect => truth.to_vec(),
             _ => self
                 .engines
                 .iter()
                 .zip(truth)
-                .map(|(it, truth)| it.queue(truth.slots, self.pace.hold, now))
+                .map(|(it, truth)| it.queue(truth.slots, self.pace.slot_time, now))
                 .collect(),
         };
         let any = random.random_range(0..queues.len());
         let chosen = match policy {
             ChoicePolicy::Cost => {
-                let news_age = share_interval(self.book.active().count());
-                return self.cheapest(request, names, &queues, news_age, now, random);
+                let report_age = share_interval(self.book.active().count());
+                return self.cheapest(request, names, &queues, report_age, now, random);
             }
             ChoicePolicy::CostOfAll | ChoicePolicy::Perfect => {
                 return self.cheapest(request, names, &queues, Duration::ZERO, now, random);
@@ -139,7 +139,7 @@
         Some(VmChoice {
             engine: chosen,
             expected: Duration::ZERO,
-            until_answer: None,
+            prefill_before_answer: None,
             rank: QueueRank::Timely,
             queue: queues[chosen],
         })
@@ -149,24 +149,24 @@
         &self,
         request: &VmRequest,
         names: &[UpstreamName],
-        queues: &[QueueFacts],
-        news_age: Duration,
+        queues: &[QueueState],
+        report_age: Duration,
         now: MonoTime,
         random: &mut StdRng,
     ) -> Option<VmChoice> {
-        let facts = |at: usize| UpstreamFacts {
+        let facts = |at: usize| UpstreamCandidate {
             name: &names[at],
             queue: queues[at],
-            factor: self.engines[at].pace.factor(now),
-            failures: self.engines[at].pace.failure_share(now),
-            long_pauses: 0.0,
-            move_cost: 0.0,
-            held_tokens: 0,
-            is_suspect: false,
-            is_held_back: false,
+            latency_factor: self.engines[at].pace.latency_factor(now),
+            failure_share: self.engines[at].pace.failure_share(now),
+            long_pause_share: 0.0,
+            transfer_cost: 0.0,
+            cached_tokens: 0,
+            is_ejected: false,
+            is_throttled: false,
             is_tried: false,
         };
-        let candidates: Vec<UpstreamFacts<'_>> = (0..names.len()).map(facts).collect();
+        let candidates: Vec<UpstreamCandidate<'_>> = (0..names.len()).map(facts).collect();
         let query = ChoiceQuery {
             target: request.target,
             waited: request.waited,
@@ -175,16 +175,16 @@
             size: request.size,
             shared_tokens: 0,
             own_tokens: request.tokens,
-            meeting_key: None,
-            news_age,
+            affinity_key: None,
+            report_age,
             draw: random.random(),
         };
         let choice = choose_upstream(&candidates, &query, &self.pace).expect("there is an engine");
-        let offer = PlaceOffer {
-            first: choice.first,
-            parts: choice.parts,
+        let offer = DestinationEstimate {
+            time_to_first: choice.time_to_first,
+            breakdown: choice.breakdown,
             rank: choice.rank,
-            queue: queues[choice.at],
+            queue: queues[choice.index],
             is_full: choice.is_full,
         };
         let limits = TimeLimits {
@@ -194,11 +194,11 @@
         };
         admit(&offer, limits).ok()?;
         Some(VmChoice {
-            engine: choice.at,
-            expected: choice.first,
-            until_answer: choice.until_answer,
+            engine: choice.index,
+            expected: choice.time_to_first,
+            prefill_before_answer: choice.prefill_before_answer,
             rank: choice.rank,
-            queue: queues[choice.at],
+            queue: queues[choice.index],
         })
     }
 
@@ -207,7 +207,7 @@
         let known = &mut self.engines[choice.engine];
         known.own.in_flight += 1;
         known.own.whole += u16::from(choice.rank == QueueRank::Timely);
-        known.own.behind += u16::from(choice.rank == QueueRank::Behind);
+        known.own.behind += u16::from(choice.rank == QueueRank::Deferred);
         *unread_of(&mut known.own, choice.rank) += tokens;
         known.idle.retain(|since| now.since(*since) < IDLE_LIMIT);
         if known.idle.pop().is_none() {
@@ -225,14 +225,14 @@
     ) {
         let known = &mut self.engines[choice.engine];
         take_off(&mut known.own, choice.rank, tokens);
-        self.pace.room.note_taken(choice.queue);
-        if choice.rank == QueueRank::Behind {
+        self.pace.queue_capacity.record_accepted(choice.queue);
+        if choice.rank == QueueRank::Deferred {
             known.own.behind -= 1;
             return;
         }
-        known.pace.note_first(choice.expected, took, now);
-        if let Some(until_answer) = choice.until_answer {
-            self.pace.note_reading(until_answer, took);
+        known.pace.record_time_to_first(choice.expected, took, now);
+        if let Some(prefill_before_answer) = choice.prefill_before_answer {
+            self.pace.record_prefill(prefill_before_answer, took);
         }
     }
 
@@ -251,12 +251,14 @@
         match refused {
             Some(tokens) => {
                 take_off(&mut known.own, choice.rank, tokens);
-                known.own.behind -= u16::from(choice.rank == QueueRank::Behind);
-                self.pace.room.note_declined(choice.queue);
-                known.pace.note_full(self.pace.room.load_of_full(choice.queue), now);
-                known.pace.note_end(true, 0.0, now);
+                known.own.behind -= u16::from(choice.rank == QueueRank::Deferred);
+                self.pace.queue_capacity.record_refused(choice.queue);
+                known
+                    .pace
+                    .record_queue_full(self.pace.queue_capacity.full_queue_load(choice.queue), now);
+                known.pace.record_end(true, 0.0, now);
             }
-            None => self.pace.note_hold(held),
+            None => self.pace.record_slot_time(held),
         }
     }
 
@@ -330,15 +332,15 @@
 }
 
 impl KnownEngine {
-    fn queue(&self, slots: u32, hold: Duration, now: MonoTime) -> QueueFacts {
-        let told = QueueFacts {
+    fn queue(&self, slots: u32, hold: Duration, now: MonoTime) -> QueueState {
+        let told = QueueState {
             slots,
             in_flight: u32::from(self.own.in_flight) + u32::from(self.others.in_flight),
-            whole: u32::from(self.own.whole) + u32::from(self.others.whole),
-            behind: u32::from(self.own.behind) + u32::from(self.others.behind),
-            unread: self.own.unread.plus(self.others.unread),
+            on_track: u32::from(self.own.whole) + u32::from(self.others.whole),
+            deferred: u32::from(self.own.behind) + u32::from(self.others.behind),
+            prefill_backlog: self.own.unread.plus(self.others.unread),
         };
-        self.pace.queue_beyond(told, hold, now)
+        self.pace.queue_after_refusal(told, hold, now)
     }
 }
 
@@ -346,7 +348,7 @@
 fn unread_of(share: &mut UpstreamShare, rank: QueueRank) -> &mut u32 {
     match rank {
         QueueRank::Timely => &mut share.unread.timely,
-        QueueRank::Behind => &mut share.unread.behind,
+        QueueRank::Deferred => &mut share.unread.deferred,
     }
 }
 
--- a/crates/foldhaven-testkit/src/simulate/world.rs
+++ b/crates/foldhaven-testkit/src/simulate/world.rs
@@ -7,8 +7,8 @@
 
 use foldhaven_core::ids::{DataCentreName, UpstreamName, VmName};
 use foldhaven_core::opaque::load_share::LoadReport;
-use foldhaven_core::opaque::pace::QueueFacts;
 use foldhaven_core::opaque::peer_table::VmTag;
+use foldhaven_core::opaque::performance::QueueState;
 use foldhaven_core::opaque::queue_rank::QueueRank;
 use foldhaven_core::opaque::service_order::{ServiceCandidate, ServiceOrder};
 use foldhaven_core::time::MonoTime;
@@ -298,9 +298,9 @@
             choice: VmChoice {
                 engine: 0,
                 expected: Duration::ZERO,
-                until_answer: None,
+                prefill_before_answer: None,
                 rank: QueueRank::Timely,
-                queue: QueueFacts::default(),
+                queue: QueueState::default(),
             },
             has_come_back: false,
         }
@@ -313,7 +313,7 @@
         let at = self.in_service.partition_point(|(_, sum)| *sum <= draw);
         let vm = self.in_service[at.min(self.in_service.len() - 1)].0;
         let now = self.now;
-        let truth: Vec<QueueFacts> = self.engines.iter_mut().map(|it| it.queue(now)).collect();
+        let truth: Vec<QueueState> = self.engines.iter_mut().map(|it| it.queue(now)).collect();
         let held = &mut self.requests[request];
         let kind = &self.experiment.requests[held.mix];
         let asked = VmRequest {
--- a/crates/foldhaven-wire/src/operator.rs
+++ b/crates/foldhaven-wire/src/operator.rs
@@ -2,7 +2,7 @@
 
 use foldhaven_core::burn::BurnRow;
 use foldhaven_core::ids::{DataCentreName, IncarnationId, VmName};
-use foldhaven_core::opaque::choice::CostParts;
+use foldhaven_core::opaque::choice::CostBreakdown;
 use foldhaven_core::planner::RoutePlan;
 use serde::{Deserialize, Serialize};
 
@@ -141,7 +141,7 @@
     /// The prompt tokens that would have to be read.
     pub read_tokens: u32,
     /// The parts of its price, as shares of what the request is worth.
-    pub parts: CostParts,
+    pub parts: CostBreakdown,
 }
 
 /// A request under which upstreams ended.
--- a/crates/foldhavenctl/src/cmd/explain_route.rs
+++ b/crates/foldhavenctl/src/cmd/explain_route.rs
@@ -91,10 +91,10 @@
             format!("{} ms", place.first_ms),
             format!("{} tok", place.read_tokens),
             format!("{:.3}", parts.time),
-            format!("{:.3}", parts.rereading),
-            format!("{:.3}", parts.disturbance),
+            format!("{:.3}", parts.repeated_prefill),
+            format!("{:.3}", parts.prefill_interference),
             format!("{:.3}", parts.failures),
-            format!("{:.3}", parts.moving),
+            format!("{:.3}", parts.transfer),
             format!("{:.3}", parts.total().0),
         ]);
     }
