--- a/crates/foldhaven-core/src/opaque/choice/mod.rs
+++ b/crates/foldhaven-core/src/opaque/choice/mod.rs
@@ -1,7 +1,7 @@
-//! Which upstream of a service gets a request: the one with the least expected cost.
+//! Chooses the upstream of a service that gets a request: the one with the lowest expected cost.
 //!
-//! Costs are shares of what the request is worth. That worth itself is not described; but the users
-//! count it in proportion to a request's tokens, as their prices are, so that shares can be compared.
+//! Costs are fractions of the request's value. The value itself is not configured, but users price
+//! requests in proportion to their tokens, so that fractions of different requests can be compared.
 
 mod cost;
 mod pricer;
@@ -14,75 +14,77 @@
 };
 use self::pricer::UpstreamPricer;
 pub use self::pricer::{pause_cost, slowing_cost, streaming_cost};
-use self::sample::{NewsAge, draw_some};
+use self::sample::{ReportStaleness, sample_candidates};
 use crate::ids::UpstreamName;
 use crate::opaque::performance::{QueueState, ServicePerformance};
 use crate::opaque::queue_rank::QueueRank;
 use crate::rank::rank_hash;
 
-/// From this chance on an answer counts as late before it is sent. An expectation just beyond the target is
-/// wrong too often.
-const SURELY_LATE: f64 = 0.9;
-/// How many tokens of a prompt one token of an answer counts for. The users weigh them so.
+/// A request is deferred if the probability that its answer is late is above this. A lower limit would
+/// defer requests whose expected time is just above the target, and that estimate is wrong too often.
+const DEFERRAL_PROBABILITY: f64 = 0.9;
+/// The number of prompt tokens that one token of the answer counts for, by the users' weighting.
 pub const OUTPUT_WEIGHT: u32 = 10;
-/// The size of a request that names no tokens.
+/// The size in tokens of a request that does not say how many tokens it has.
 pub const DEFAULT_SIZE: u32 = 500;
 
-/// An upstream that may be chosen.
+/// An upstream that may get the request.
 #[derive(Debug, Clone, Copy)]
 pub struct UpstreamCandidate<'a> {
-    /// Its name.
+    /// The name of the upstream.
     pub name: &'a UpstreamName,
-    /// Its queue.
+    /// The requests at the upstream.
     pub queue: QueueState,
-    /// By what its times are to be multiplied.
+    /// The factor by which this upstream is slower than expected.
     pub latency_factor: f64,
-    /// The share of requests that failed there lately.
+    /// The share of recent requests that failed, beyond the usual share of their routes.
     pub failure_share: f64,
-    /// The share of pauses between events there that were longer than wanted lately.
+    /// The share of recent pauses between events that exceeded the callers' limit.
     pub long_pause_share: f64,
-    /// What the way to it costs.
+    /// The cost of sending the request body to it.
     pub transfer_cost: f64,
-    /// The tokens of the request's shared prompt parts that it probably holds.
+    /// The number of tokens of the request's shared prompt segments that it probably has cached.
     pub cached_tokens: u32,
-    /// Whether calls to it failed lately.
+    /// Whether it is ejected after recent failed calls.
     pub is_ejected: bool,
-    /// Whether it is cold and its next place at this VM is not due yet.
+    /// Whether this VM may not send to it yet: it asked this VM to back off, or this VM has used up its
+    /// share of the upstream's rate.
     pub is_throttled: bool,
-    /// Whether it was tried for this request already.
+    /// Whether it was already tried for this request.
     pub is_tried: bool,
 }
 
-/// The request, as far as the choice needs to know it.
+/// The properties of a request that the choice depends on.
 #[derive(Debug, Clone, Copy)]
 pub struct ChoiceQuery {
-    /// The time to the answer, or to its first event, that its caller wants.
+    /// The target time to the answer, or to its first event.
     pub target: Duration,
-    /// How long its caller had waited before it came.
+    /// The time that the caller had already waited when the request arrived.
     pub waited: Duration,
-    /// The longest pause between two events that its caller wants, for streams.
+    /// The longest acceptable pause between two events; `None` if the answer is not a stream.
     pub event_gap: Option<Duration>,
-    /// The number of events that its answer probably has; 0 when it is not a stream.
+    /// The expected number of events of the answer; 0 if it is not a stream.
     pub events: f64,
-    /// Its work: the tokens of its prompt and [`OUTPUT_WEIGHT`] times those of its answer.
+    /// The size in tokens: those of the prompt plus [`OUTPUT_WEIGHT`] times those of the answer.
     pub size: u32,
-    /// The tokens of the shared parts of its prompt.
+    /// The number of tokens in the shared segments of the prompt.
     pub shared_tokens: u32,
-    /// The tokens of its own part.
+    /// The number of prompt tokens that belong to this request alone.
     pub own_tokens: u32,
-    /// The key by which requests with the same shared parts meet.
+    /// The key that routes requests with the same shared segments to the same upstream.
     pub affinity_key: Option<u64>,
-    /// How old what is known of the requests of other VMs is.
+    /// The age of the load reports of other VMs.
     pub report_age: Duration,
-    /// A number that is uniform in 0..1.
+    /// A random number, uniform in 0..1.
     pub draw: f64,
 }
 
 impl ChoiceQuery {
-    /// The rank of an answer that is expected after `time_to_first`: one that has missed its target already, or will
-    /// almost surely, goes behind all others.
+    /// Returns the rank of a request whose answer is expected after `time_to_first`. A request that has
+    /// missed its target, or almost certainly will, is deferred.
     pub fn rank(&self, time_to_first: Duration) -> QueueRank {
-        match lateness_probability(self.waited + time_to_first, self.target) > SURELY_LATE {
+        match lateness_probability(self.waited + time_to_first, self.target) > DEFERRAL_PROBABILITY
+        {
             true => QueueRank::Deferred,
             false => QueueRank::Timely,
         }
@@ -92,62 +94,66 @@
 /// A chosen upstream.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct UpstreamChoice {
-    /// Its place among the candidates.
+    /// Its index in the candidates.
     pub index: usize,
     /// The expected time to the answer, or to its first event.
     pub time_to_first: Duration,
-    /// What it costs.
+    /// The total cost.
     pub cost: RequestCost,
-    /// The same, by what causes it.
+    /// The cost by cause.
     pub breakdown: CostBreakdown,
-    /// The prompt tokens that it has to read.
+    /// The number of prompt tokens to prefill.
     pub prefill_tokens: u32,
-    /// Whether it takes no more requests.
+    /// Whether it probably refuses further requests because its queue is full.
     pub is_full: bool,
-    /// Its rank there.
+    /// The rank of the request in the upstream's queue.
     pub rank: QueueRank,
-    /// The prompt tokens that it reads until it can answer, those that it had before included, where nothing
-    /// but reading takes time.
+    /// The number of prompt tokens to prefill until the answer, including the backlog before the request;
+    /// `None` if the time to the answer depends on more than prefill.
     pub prefill_before_answer: Option<u32>,
-    /// Whether it was not tried for this request, and calls to it did not fail lately.
+    /// Whether it was not tried for this request and is not ejected.
     pub is_trusted: bool,
-    /// The candidate from which it takes over what it does not hold of the shared parts.
+    /// The candidate from which it fetches the shared segments that it lacks; `None` if it prefills them.
     pub fetch_from: Option<usize>,
 }
 
-/// Chooses the upstream with the least cost.
+/// Chooses the upstream with the lowest cost. Returns `None` if all candidates are throttled.
 pub fn choose_upstream(
     candidates: &[UpstreamCandidate<'_>],
     query: &ChoiceQuery,
-    pace: &ServicePerformance,
+    performance: &ServicePerformance,
 ) -> Option<UpstreamChoice> {
-    let priced = price_upstreams(candidates, query, pace);
+    let priced = price_upstreams(candidates, query, performance);
     priced.into_iter().min_by(|left, right| left.cost.0.total_cmp(&right.cost.0))
 }
 
-/// Prices the upstreams that a choice is made among, in the order in which equals are taken. Suspects
-/// are among them only when nobody else is left, upstreams that were tried only when all were, and full ones only
-/// when all are. Where many requests come between two reports, some are drawn.
+/// Estimates the costs of the upstreams to choose from; of equal ones the first is chosen.
+///
+/// Throttled upstreams are left out. Upstreams that were tried are included only if all were, ejected
+/// ones only if no other is left, and full ones only if all are full. If many requests arrive between
+/// two load reports, a random sample of the upstreams is used.
 pub fn price_upstreams(
     candidates: &[UpstreamCandidate<'_>],
     query: &ChoiceQuery,
-    pace: &ServicePerformance,
+    performance: &ServicePerformance,
 ) -> Vec<UpstreamChoice> {
     let open: Vec<usize> =
         (0..candidates.len()).filter(|index| !candidates[*index].is_throttled).collect();
     let untried = narrow(&open, |index| !candidates[index].is_tried);
-    let sound = narrow(&untried, |index| !candidates[index].is_ejected);
-    let trusted = narrow(&sound, |index| !pace.queue_capacity.is_full(candidates[index].queue));
-    let meeting = query.affinity_key.and_then(|key| meeting_place(candidates, &trusted, key));
-    let holder = trusted.iter().copied().max_by_key(|index| candidates[*index].cached_tokens);
-    let news = NewsAge { age: query.report_age, slot_time: pace.slot_time };
-    let width = news.width(&trusted, candidates);
-    let drawn = draw_some(&trusted, candidates, width, query.draw, [meeting, holder]);
-    let pricer = UpstreamPricer { candidates, query, pace, meeting, holder };
-    drawn.into_iter().map(|index| pricer.price(index)).collect()
+    let healthy = narrow(&untried, |index| !candidates[index].is_ejected);
+    let usable =
+        narrow(&healthy, |index| !performance.queue_capacity.is_full(candidates[index].queue));
+    let preferred =
+        query.affinity_key.and_then(|key| preferred_candidate(candidates, &usable, key));
+    let holder = usable.iter().copied().max_by_key(|index| candidates[*index].cached_tokens);
+    let staleness = ReportStaleness { age: query.report_age, slot_time: performance.slot_time };
+    let size = staleness.sample_size(&usable, candidates);
+    let sample = sample_candidates(&usable, candidates, size, query.draw, [preferred, holder]);
+    let pricer = UpstreamPricer { candidates, query, performance, preferred, holder };
+    sample.into_iter().map(|index| pricer.price(index)).collect()
 }
 
-/// Those that pass, or all of them when none does.
+/// Returns the indices that pass, or all of them if none does.
 fn narrow(indices: &[usize], passes: impl Fn(usize) -> bool) -> Vec<usize> {
     let passing: Vec<usize> = indices.iter().copied().filter(|index| passes(*index)).collect();
     match passing.is_empty() {
@@ -156,9 +162,14 @@
     }
 }
 
-/// The candidate at which requests with a key meet: the first in a rank that all VMs share.
-fn meeting_place(candidates: &[UpstreamCandidate<'_>], open: &[usize], key: u64) -> Option<usize> {
-    let text = key.to_string();
-    let rank = |index: &usize| rank_hash(&[&text, candidates[*index].name.as_str()]);
-    open.iter().copied().max_by_key(rank)
+/// Returns the candidate preferred for an affinity key: the first by rendezvous hashing, on which all
+/// VMs agree.
+fn preferred_candidate(
+    candidates: &[UpstreamCandidate<'_>],
+    usable: &[usize],
+    key: u64,
+) -> Option<usize> {
+    let key = key.to_string();
+    let rank = |index: &usize| rank_hash(&[&key, candidates[*index].name.as_str()]);
+    usable.iter().copied().max_by_key(rank)
 }
--- a/crates/foldhaven-core/src/opaque/choice/sample.rs
+++ b/crates/foldhaven-core/src/opaque/choice/sample.rs
@@ -1,70 +1,77 @@
-//! Which upstreams a choice looks at, where what is known of their queues is old.
+//! Limits a choice to a random sample of the upstreams if load reports are stale.
 //!
-//! The pattern that it answers: VMs that decide alone on the same reports. Each takes the upstream that these show
-//! as the cheapest, so that all take the same few until the next report: in a peak of 3,600 requests a second at
-//! 46 upstreams, 26 VMs whose reports were 80 ms old met upstreams with 48 requests that they believed to have 14,
-//! and every fifth arrival of that day was declined, while all queues together were six tenths full.
+//! VMs choose independently on the same load reports. If each took the cheapest upstream, all of them
+//! would pick the same few until the next report. At 3,600 requests a second, 46 upstreams and 26 VMs
+//! with reports 80 ms old, upstreams that were reported with 14 requests had 48, and one in five
+//! requests was refused, although the queues were 0.6 full overall.
 //!
-//! Where few requests come between two reports the cheapest of all is the best choice; where many come, the
-//! cheapest of a few that each VM draws anew (Mitzenmacher, "How Useful Is Old Information?").
+//! If few requests arrive between two reports, the cheapest of all upstreams is the best choice. If many
+//! do, it is the cheapest of a small sample that each VM draws anew for every request (Mitzenmacher,
+//! "How Useful Is Old Information?").
 
 use std::time::Duration;
 
 use super::UpstreamCandidate;
 
-/// The fewest drawn: of two the less loaded one is far better than any, more add little.
-const LEAST_DRAWN: usize = 2;
-/// Shared parts of at least so many tokens are looked for at all upstreams that hold them: reading them again
-/// takes longer than a queue.
-const LONG_PARTS: u32 = 512;
+/// Minimum sample size. The less loaded of two is far better than a random upstream; a larger sample adds
+/// little.
+const MIN_SAMPLE: usize = 2;
+/// Upstreams with at least this many tokens of the shared segments cached are always in the sample, as
+/// prefilling the tokens again takes longer than waiting in a queue.
+const LONG_PREFIX_TOKENS: u32 = 512;
 
-/// How old what is known of queues is, and what it means for one service.
+/// The staleness of load reports relative to how fast queues of a service change.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct NewsAge {
-    /// How old reports of other VMs are.
+pub(super) struct ReportStaleness {
+    /// The age of the load reports of other VMs.
     pub(super) age: Duration,
-    /// How long a request holds its place.
+    /// The time for which a request occupies a slot.
     pub(super) slot_time: Duration,
 }
 
-impl NewsAge {
-    /// How many upstreams to draw of `open` ones: all while less than one request comes to each of them between two
-    /// reports, and fewer in proportion to those that come.
-    pub(super) fn width(&self, open: &[usize], candidates: &[UpstreamCandidate<'_>]) -> usize {
-        let in_flight: u32 = open.iter().map(|index| candidates[*index].queue.in_flight).sum();
-        let unseen = f64::from(in_flight) * self.age.div_duration_f64(self.slot_time);
-        let count = open.len();
-        if unseen <= count as f64 {
+impl ReportStaleness {
+    /// Returns how many of the `usable` upstreams to sample: all of them while less than one request per
+    /// upstream arrives between two reports, and proportionally fewer the more arrive.
+    pub(super) fn sample_size(
+        &self,
+        usable: &[usize],
+        candidates: &[UpstreamCandidate<'_>],
+    ) -> usize {
+        let in_flight: u32 = usable.iter().map(|index| candidates[*index].queue.in_flight).sum();
+        let unreported = f64::from(in_flight) * self.age.div_duration_f64(self.slot_time);
+        let count = usable.len();
+        if unreported <= count as f64 {
             return count;
         }
-        let width = (count as f64 * count as f64 / unseen) as usize;
-        width.clamp(LEAST_DRAWN.min(count), count)
+        let size = (count as f64 * count as f64 / unreported) as usize;
+        size.clamp(MIN_SAMPLE.min(count), count)
     }
 }
 
-/// Draws `width` of the open upstreams by a number that is uniform in 0..1, and adds those that hold long shared
-/// parts and those in `always`.
-pub(super) fn draw_some(
-    open: &[usize],
+/// Samples `size` of the `usable` upstreams by `draw`, a random number that is uniform in 0..1. Adds the
+/// upstreams with a long cached prefix and those in `always`.
+pub(super) fn sample_candidates(
+    usable: &[usize],
     candidates: &[UpstreamCandidate<'_>],
-    width: usize,
+    size: usize,
     draw: f64,
     always: [Option<usize>; 2],
 ) -> Vec<usize> {
-    let count = open.len();
+    let count = usable.len();
     let first = (draw * count as f64) as usize;
-    if width >= count {
-        return (0..count).map(|step| open[(first + step) % count]).collect();
+    if size >= count {
+        return (0..count).map(|step| usable[(first + step) % count]).collect();
     }
-    // What is left of the draw decides on the distance between those that are drawn.
-    let rest = (draw * count as f64).fract();
-    let stride = 1 + (rest * (count - 1) as f64) as usize;
-    let mut drawn: Vec<usize> =
-        (0..width).map(|step| open[(first + step * stride) % count]).collect();
-    let holds_long = |index: &usize| candidates[*index].cached_tokens >= LONG_PARTS;
-    let kept = open.iter().copied().filter(holds_long).chain(always.into_iter().flatten());
-    drawn.extend(kept);
-    drawn.sort_unstable();
-    drawn.dedup();
-    drawn
+    // The fractional part of the scaled draw sets the distance between sampled upstreams.
+    let fraction = (draw * count as f64).fract();
+    let stride = 1 + (fraction * (count - 1) as f64) as usize;
+    let mut sample: Vec<usize> =
+        (0..size).map(|step| usable[(first + step * stride) % count]).collect();
+    let has_long_prefix = |index: &usize| candidates[*index].cached_tokens >= LONG_PREFIX_TOKENS;
+    let required =
+        usable.iter().copied().filter(has_long_prefix).chain(always.into_iter().flatten());
+    sample.extend(required);
+    sample.sort_unstable();
+    sample.dedup();
+    sample
 }
