--- a/crates/foldhaven-core/src/opaque/choice/mod.rs
+++ b/crates/foldhaven-core/src/opaque/choice/mod.rs
@@ -13,7 +13,7 @@
     CostBreakdown, LATE_VALUE_LOSS, RequestCost, lateness_probability, long_pause_probability,
 };
 use self::pricer::UpstreamPricer;
-pub use self::pricer::{pause_cost, slowing_cost, streaming_cost};
+pub use self::pricer::{decode_slowdown_cost, pause_cost, streaming_cost};
 use self::sample::{ReportStaleness, sample_candidates};
 use crate::ids::UpstreamName;
 use crate::opaque::performance::{QueueState, ServicePerformance};
--- a/crates/foldhaven-core/src/opaque/choice/pricer.rs
+++ b/crates/foldhaven-core/src/opaque/choice/pricer.rs
@@ -40,7 +40,7 @@
 
 /// Returns the cost of the time by which a request lengthens the other streams of its upstream: they wait
 /// during its prefill, and each decode step takes longer with one more stream.
-pub fn slowing_cost(
+pub fn decode_slowdown_cost(
     query: &ChoiceQuery,
     performance: &ServicePerformance,
     queue: QueueState,
@@ -101,7 +101,13 @@
             prefill_interference: self.prefill_interference(candidate.queue, prefill_tokens).0,
             long_pauses: pause_cost(query, candidate.long_pause_share).0,
             streaming: streaming_cost(query, performance, candidate.queue).0,
-            decode_slowdown: slowing_cost(query, performance, candidate.queue, prefill_tokens).0,
+            decode_slowdown: decode_slowdown_cost(
+                query,
+                performance,
+                candidate.queue,
+                prefill_tokens,
+            )
+            .0,
             failures: candidate.failure_share,
             transfer: candidate.transfer_cost,
         };
--- a/crates/foldhaven-gateway/src/places/far.rs
+++ b/crates/foldhaven-gateway/src/places/far.rs
@@ -6,7 +6,7 @@
 use foldhaven_core::ids::RegionName;
 use foldhaven_core::opaque::admission::DestinationEstimate;
 use foldhaven_core::opaque::choice::{
-    CostBreakdown, RequestCost, pause_cost, slowing_cost, streaming_cost,
+    CostBreakdown, RequestCost, decode_slowdown_cost, pause_cost, streaming_cost,
 };
 use foldhaven_core::opaque::load_share::UpstreamShare;
 use foldhaven_core::opaque::performance::QueueState;
@@ -107,7 +107,7 @@
             transfer: RequestCost::of_bytes(job.body.len(), REGION_BYTE_PRICE, query.size).0,
             long_pauses: pause_cost(&query, self.wait.long_pauses).0,
             streaming: streaming_cost(&query, &pace, queue).0,
-            decode_slowdown: slowing_cost(&query, &pace, queue, read_tokens).0,
+            decode_slowdown: decode_slowdown_cost(&query, &pace, queue, read_tokens).0,
             ..CostBreakdown::default()
         };
         let place = RequestPlace::Peer(peer);
