--- a/crates/foldhaven-core/src/opaque/event_interval.rs
+++ b/crates/foldhaven-core/src/opaque/event_interval.rs
@@ -1,15 +1,15 @@
-//! How fast the upstreams of a service write events, by how many requests they have.
+//! Models the interval between the events of a stream as a function of the upstream's load.
 //!
-//! Each token of an answer takes a step that all requests of an upstream share, and longer the more there
-//! are; prompts are read in between. All of it is taken for a straight line over the number of requests,
-//! fitted to the streams that ended lately.
+//! Each token of an answer takes one decode step, which all requests of an upstream share. A step takes
+//! longer the more requests there are, and prefill runs between steps. The model is a straight line over
+//! the number of requests, fitted to the streams that ended recently.
 
 use std::time::Duration;
 
-/// What is left of the weight of earlier streams after one more; some hundred streams count.
-const KEPT_WEIGHT: f64 = 0.99;
+/// The factor by which earlier streams lose weight with each new one; the fit covers about 100 streams.
+const RETENTION: f64 = 0.99;
 
-/// The sums of a line fitted by least squares.
+/// The weighted sums of a least-squares fit of the event interval over the load.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct EventIntervalModel {
     weight: f64,
@@ -20,11 +20,11 @@
 }
 
 impl EventIntervalModel {
-    /// Takes in the mean time between two events of a stream, and how many requests its upstream had
-    /// meanwhile.
-    pub fn record(&mut self, between: Duration, load: f64) {
-        let time = between.as_secs_f64();
-        let add = |sum: &mut f64, value: f64| *sum = *sum * KEPT_WEIGHT + value;
+    /// Records the mean interval between the events of a stream, and the mean number of requests at its
+    /// upstream during the stream.
+    pub fn record(&mut self, interval: Duration, load: f64) {
+        let time = interval.as_secs_f64();
+        let add = |sum: &mut f64, value: f64| *sum = *sum * RETENTION + value;
         add(&mut self.weight, 1.0);
         add(&mut self.load, load);
         add(&mut self.load_squared, load * load);
@@ -32,8 +32,8 @@
         add(&mut self.time_by_load, time * load);
     }
 
-    /// The expected time between two events at an upstream with so many requests, in seconds; 0 before
-    /// any stream has ended.
+    /// Returns the expected interval between two events in seconds at an upstream with `load` requests; 0
+    /// before any stream was recorded.
     pub fn interval(&self, load: f64) -> f64 {
         if self.weight <= 0.0 {
             return 0.0;
@@ -43,18 +43,18 @@
         (mean_time + self.slope() * (load - mean_load)).max(0.0)
     }
 
-    /// By how much one more request lengthens the time between two events of all others, in seconds:
-    /// never negative, and never more than a time that begins at nothing.
+    /// Returns by how many seconds one more request lengthens the event interval of the others. It is at
+    /// least 0, and at most the slope of a line through the origin.
     pub fn slope(&self) -> f64 {
         if self.weight <= 0.0 || self.load <= 0.0 {
             return 0.0;
         }
         let variance = self.load_squared - self.load * self.load / self.weight;
         let covariance = self.time_by_load - self.time * self.load / self.weight;
-        let steepest = self.time / self.load;
+        let max_slope = self.time / self.load;
         if variance <= f64::EPSILON * self.load_squared {
             return 0.0;
         }
-        (covariance / variance).clamp(0.0, steepest)
+        (covariance / variance).clamp(0.0, max_slope)
     }
 }
--- a/crates/foldhaven-core/src/opaque/performance.rs
+++ b/crates/foldhaven-core/src/opaque/performance.rs
@@ -1,5 +1,5 @@
-//! How fast upstreams answer: what is expected of a request before it is sent, and how far one
-//! upstream has been off from that lately.
+//! Estimates how fast upstreams answer: a model of each service, and how much each upstream has recently
+//! deviated from it.
 
 use std::time::Duration;
 
@@ -10,57 +10,57 @@
 use crate::opaque::queue_rank::{PrefillBacklog, QueueRank};
 use crate::time::MonoTime;
 
-/// How long a request holds its place before any was measured.
-const FIRST_HOLD: Duration = Duration::from_millis(60);
-/// The mean size before any request was seen, in tokens. Some hundred requests replace it.
-const FIRST_SIZE: f64 = 1_500.0;
-/// The weight of one more request in the mean size.
+/// The time for which a request occupies a slot, before any measurement.
+const INITIAL_SLOT_TIME: Duration = Duration::from_millis(60);
+/// The mean request size in tokens, before any request was seen. A few hundred requests replace it.
+const INITIAL_MEAN_SIZE: f64 = 1_500.0;
+/// The weight of a new request in the mean size.
 const SIZE_WEIGHT: f64 = 0.01;
-/// The weight of a new measurement of the time that a place is held.
-const HOLD_WEIGHT: f64 = 0.02;
-/// The least time to an answer: the way there and back.
-const LEAST_TIME: Duration = Duration::from_millis(8);
-/// Fewer tokens are read faster than taken over.
-const LEAST_FETCH: u32 = 1_000;
-/// Setting up one transfer between upstreams takes some milliseconds; transfers of one upstream wait for
-/// each other, so it counts more than once.
+/// The weight of a new measurement in the slot time.
+const SLOT_TIME_WEIGHT: f64 = 0.02;
+/// Minimum time to an answer: the network round trip.
+const MIN_RESPONSE_TIME: Duration = Duration::from_millis(8);
+/// Minimum number of tokens to fetch from another upstream; prefilling fewer is faster.
+const MIN_FETCH_TOKENS: u32 = 1_000;
+/// The set-up time of a transfer between upstreams. One set-up takes a few milliseconds, but the transfers
+/// of an upstream wait for each other, so this allows for several.
 const FETCH_SETUP: Duration = Duration::from_millis(15);
-/// What is left of the weight of earlier measurements of one upstream after one more.
-const KEPT_TIMES: f64 = 0.8;
-/// An upstream counts as one that took this long, as expected, before anything was measured. So one short
-/// time that was missed says little.
-const FIRST_TIME_S: f64 = 0.2;
-/// The weight of one more end of a request in the failures beyond the usual ones. With 14 in 100 failing by
-/// nature the value then varies by 0.07, less than what another region costs.
+/// The factor by which earlier times of an upstream lose weight with each new measurement.
+const TIME_RETENTION: f64 = 0.8;
+/// A prior measurement in seconds that matched its expectation. It limits the effect of a single
+/// exceeded expectation if the expected time is short.
+const PRIOR_TIME_S: f64 = 0.2;
+/// The weight of a new result in the share of failures beyond the usual. If 14 in 100 requests of a route
+/// fail at any upstream, the share varies by 0.07, which is less than the cost of using another region.
 const FAILURE_WEIGHT: f64 = 0.08;
-/// The weight of one more event in the share of pauses that were too long; about half a second of a busy
+/// The weight of a new event in the share of long pauses. It averages over about half a second of a busy
 /// upstream.
 const PAUSE_WEIGHT: f64 = 0.02;
-/// After this time without news an upstream is taken for usual again by the factor e, so that one
-/// that got slow or failed is tried again.
-const FORGET_TIME: Duration = Duration::from_secs(4);
-/// How often a single measurement may be the expected time at most; beyond it says something of the request,
-/// not of the upstream.
-const LARGEST_RATIO: f64 = 12.0;
+/// The time in which the recorded deviations of an upstream decay by the factor e, so that an upstream that
+/// was slow or failed is tried again.
+const DECAY_TIME: Duration = Duration::from_secs(4);
+/// Maximum ratio of a measured time to the expected one. A higher ratio is caused by the request, not by
+/// the upstream.
+const MAX_TIME_RATIO: f64 = 12.0;
 
-/// What is known of an upstream's queue, from this VM and from those that share their loads.
+/// The queue of an upstream, from the requests of this VM and the load reports of other VMs.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct QueueState {
-    /// How many requests it runs at once.
+    /// The number of requests that the upstream runs concurrently.
     pub slots: u32,
-    /// Requests that it has.
+    /// The number of requests at the upstream, running and waiting.
     pub in_flight: u32,
-    /// Those of them that can still be answered as wanted: that do not go behind others, and whose events
-    /// met no long pause.
+    /// The number of those requests that can still meet their targets: they are timely, and no pause
+    /// between their events was too long.
     pub on_track: u32,
-    /// Requests that go behind all others, and were not answered yet.
+    /// The number of deferred requests that have not been answered yet.
     pub deferred: u32,
-    /// Prompt tokens sent there of requests that have not answered yet.
+    /// The prompt tokens of requests that have not been answered yet.
     pub prefill_backlog: PrefillBacklog,
 }
 
 impl QueueState {
-    /// The requests that go before one more of a rank.
+    /// Returns the number of requests ahead of a new request of a rank.
     pub fn ahead_of(&self, rank: QueueRank) -> u32 {
         match rank {
             QueueRank::Timely => self.in_flight.saturating_sub(self.deferred),
@@ -69,22 +69,23 @@
     }
 }
 
-/// What is known of the service.
+/// The measured performance of the upstreams of a service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServicePerformance {
-    /// How fast an upstream reads prompts.
+    /// The speed of prefill.
     pub prefill_rate: PrefillRate,
-    /// Prompt tokens that an upstream takes over from another one in a second; 0 when it cannot.
+    /// The number of cached prompt tokens that an upstream fetches from another one per second; 0 if it
+    /// can't.
     pub fetch_tokens_per_s: f64,
-    /// How long a request holds its place.
+    /// The mean time for which a request occupies a slot.
     pub slot_time: Duration,
     /// The mean size of requests in tokens.
     pub mean_size: f64,
-    /// How fast events are written.
+    /// The interval between the events of a stream.
     pub event_interval: EventIntervalModel,
-    /// How often reading makes pauses between events too long.
+    /// The share of pauses between events that prefill makes too long.
     pub pause_statistics: PauseStatistics,
-    /// How many requests an upstream takes before it declines more.
+    /// The number of requests that an upstream accepts before it refuses more.
     pub queue_capacity: QueueCapacity,
 }
 
@@ -93,8 +94,8 @@
         Self {
             prefill_rate: PrefillRate::default(),
             fetch_tokens_per_s: 0.0,
-            slot_time: FIRST_HOLD,
-            mean_size: FIRST_SIZE,
+            slot_time: INITIAL_SLOT_TIME,
+            mean_size: INITIAL_MEAN_SIZE,
             event_interval: EventIntervalModel::default(),
             pause_statistics: PauseStatistics::default(),
             queue_capacity: QueueCapacity::default(),
@@ -103,65 +104,67 @@
 }
 
 impl ServicePerformance {
-    /// Takes in how long a request held its place.
-    pub fn record_slot_time(&mut self, held: Duration) {
-        self.slot_time = self.slot_time.mul_f64(1.0 - HOLD_WEIGHT) + held.mul_f64(HOLD_WEIGHT);
+    /// Records how long a request occupied a slot.
+    pub fn record_slot_time(&mut self, occupied: Duration) {
+        self.slot_time =
+            self.slot_time.mul_f64(1.0 - SLOT_TIME_WEIGHT) + occupied.mul_f64(SLOT_TIME_WEIGHT);
     }
 
-    /// Takes in how long a request waited for its first answer at an upstream that had a free place, and had
-    /// so many prompt tokens to read before, its own included.
+    /// Records the time to the first answer of a request at an upstream that had a free slot. `tokens` is
+    /// the number of prompt tokens to prefill before the answer, including those of the request itself.
     pub fn record_prefill(&mut self, tokens: u32, took: Duration) {
-        self.prefill_rate.record(tokens, took.saturating_sub(LEAST_TIME));
+        self.prefill_rate.record(tokens, took.saturating_sub(MIN_RESPONSE_TIME));
     }
 
-    /// Takes in the size of a request.
+    /// Records the size of a request in tokens.
     pub fn record_size(&mut self, size: u32) {
         self.mean_size += (f64::from(size) - self.mean_size) * SIZE_WEIGHT;
     }
 
-    /// The time that a prompt takes to read.
+    /// Returns the time that prefilling a number of tokens takes.
     pub fn prefill_time(&self, tokens: u32) -> Duration {
         Duration::from_secs_f64(f64::from(tokens) / self.prefill_rate.rate())
     }
 
-    /// The time that taking tokens over from another upstream takes; nothing when that is not
-    /// possible or not worth its set-up.
+    /// Returns the time that fetching cached tokens from another upstream takes; `None` if fetching is not
+    /// possible or the tokens are too few to be worth the set-up.
     pub fn fetch_time(&self, tokens: u32) -> Option<Duration> {
-        if self.fetch_tokens_per_s <= 0.0 || tokens < LEAST_FETCH {
+        if self.fetch_tokens_per_s <= 0.0 || tokens < MIN_FETCH_TOKENS {
             return None;
         }
         Some(FETCH_SETUP + Duration::from_secs_f64(f64::from(tokens) / self.fetch_tokens_per_s))
     }
 
-    /// The expected wait until the upstream turns to one more request of a rank.
+    /// Returns the expected wait until the upstream starts a new request of a rank.
     pub fn wait(&self, queue: QueueState, rank: QueueRank) -> Duration {
         let slots = queue.slots.max(1);
         let excess = (queue.ahead_of(rank) + 1).saturating_sub(slots);
-        let for_slot = self.slot_time.mul_f64(f64::from(excess) / f64::from(slots));
-        for_slot + self.prefill_time(queue.prefill_backlog.ahead_of(rank))
+        let slot_wait = self.slot_time.mul_f64(f64::from(excess) / f64::from(slots));
+        slot_wait + self.prefill_time(queue.prefill_backlog.ahead_of(rank))
     }
 
-    /// The expected time to the answer, or to its first event, of a request of a rank with so many prompt
-    /// tokens to read.
+    /// Returns the expected time to the answer, or to its first event, of a request of a rank with a number
+    /// of prompt tokens to prefill.
     pub fn time_to_first(&self, queue: QueueState, rank: QueueRank, tokens: u32) -> Duration {
-        LEAST_TIME + self.wait(queue, rank) + self.prefill_time(tokens)
+        MIN_RESPONSE_TIME + self.wait(queue, rank) + self.prefill_time(tokens)
     }
 }
 
-/// How far one upstream has been off.
+/// The recent deviations of one upstream from the performance of its service.
 #[derive(Debug, Clone, Copy)]
 pub struct UpstreamPerformance {
-    /// The expected times of the last answers in seconds, and the measured ones.
+    /// The decaying sums of the expected times to recent answers and of the measured ones, in seconds.
     expected_s: f64,
     measured_s: f64,
-    /// The share of requests that failed, less the usual one of their routes.
+    /// The share of requests that failed, minus the usual share of their routes.
     failure_share: f64,
-    /// The share of pauses between events that were longer than wanted.
+    /// The share of pauses between events that were too long.
     long_pause_share: f64,
-    /// When these were right; they fade from then on.
-    noted: MonoTime,
-    /// When it last declined a request because it was full, and how many it had then.
-    declined: Option<(MonoTime, u32)>,
+    /// When the values above were updated; they decay from then on.
+    updated: MonoTime,
+    /// When the upstream last refused a request because it was full, and how many requests it had then;
+    /// `None` if it never did.
+    refused: Option<(MonoTime, u32)>,
 }
 
 impl Default for UpstreamPerformance {
@@ -171,89 +174,91 @@
             measured_s: 0.0,
             failure_share: 0.0,
             long_pause_share: 0.0,
-            noted: MonoTime::default(),
-            declined: None,
+            updated: MonoTime::default(),
+            refused: None,
         }
     }
 }
 
 impl UpstreamPerformance {
-    /// Brings the values nearer to the usual ones, by the time that has passed.
-    fn fade(&mut self, now: MonoTime) {
-        let share = (-now.since(self.noted).as_secs_f64() / FORGET_TIME.as_secs_f64()).exp();
-        self.expected_s *= share;
-        self.measured_s *= share;
-        self.failure_share *= share;
-        self.long_pause_share *= share;
-        self.noted = now;
+    /// Lets the values decay towards those of a usual upstream by the time that has passed.
+    fn decay(&mut self, now: MonoTime) {
+        let factor = (-now.since(self.updated).as_secs_f64() / DECAY_TIME.as_secs_f64()).exp();
+        self.expected_s *= factor;
+        self.measured_s *= factor;
+        self.failure_share *= factor;
+        self.long_pause_share *= factor;
+        self.updated = now;
     }
 
-    /// Takes in a time to an answer against the expected one.
+    /// Records the expected and the actual time to an answer or its first event.
     pub fn record_time_to_first(&mut self, expected: Duration, actual: Duration, now: MonoTime) {
-        self.fade(now);
+        self.decay(now);
         let expected = expected.as_secs_f64().max(1e-3);
-        let measured = actual.as_secs_f64().min(expected * LARGEST_RATIO);
-        self.expected_s = self.expected_s * KEPT_TIMES + expected;
-        self.measured_s = self.measured_s * KEPT_TIMES + measured;
+        let measured = actual.as_secs_f64().min(expected * MAX_TIME_RATIO);
+        self.expected_s = self.expected_s * TIME_RETENTION + expected;
+        self.measured_s = self.measured_s * TIME_RETENTION + measured;
     }
 
-    /// Takes in how a request ended there, where some share of its route's requests fails at any upstream.
+    /// Records whether a request failed. `usual` is the share of its route's requests that fails at any
+    /// upstream.
     pub fn record_end(&mut self, has_failed: bool, usual: f64, now: MonoTime) {
-        self.fade(now);
-        let beyond = f64::from(u8::from(has_failed)) - usual;
-        self.failure_share += (beyond - self.failure_share) * FAILURE_WEIGHT;
+        self.decay(now);
+        let excess = f64::from(u8::from(has_failed)) - usual;
+        self.failure_share += (excess - self.failure_share) * FAILURE_WEIGHT;
     }
 
-    /// Takes in that it declined a request because it had so many.
+    /// Records that the upstream refused a request because it was full with `load` requests.
     pub fn record_queue_full(&mut self, load: u32, now: MonoTime) {
-        self.declined = Some((now, load));
+        self.refused = Some((now, load));
     }
 
-    /// The queue that was told, with the requests at least that the last one it declined shows: it ends no more of
-    /// them than run at once in the time that one takes.
+    /// Returns the reported queue with at least as many requests as follow from the last refusal: an upstream
+    /// completes at most `slots` requests per slot time.
     ///
-    /// A request that is declined says more than reports, which may be missing where VMs are cut off from each
-    /// other. Without it the next requests of this VM go to the same full upstream, until a report shows it:
-    /// 10 in 100 arrivals were declined in an overload of 1.4 times, 6 with it (`foldhaven-testkit simulate`).
+    /// A refusal is more reliable than load reports, which may be missing if VMs are partitioned from each
+    /// other. Without this, the next requests of this VM would go to the same full upstream until a report
+    /// shows its load. In a simulated overload of 1.4 times the capacity (`foldhaven-testkit simulate`), it
+    /// lowers the share of refused arrivals from 10 in 100 to 6.
     pub fn queue_after_refusal(
         &self,
-        told: QueueState,
+        reported: QueueState,
         slot_time: Duration,
         now: MonoTime,
     ) -> QueueState {
-        let Some((at, load)) = self.declined else { return told };
-        let ended = f64::from(told.slots) * now.since(at).div_duration_f64(slot_time);
-        let least = load.saturating_sub(ended as u32);
-        QueueState { in_flight: told.in_flight.max(least), ..told }
+        let Some((at, load)) = self.refused else { return reported };
+        let completed = f64::from(reported.slots) * now.since(at).div_duration_f64(slot_time);
+        let min_load = load.saturating_sub(completed as u32);
+        QueueState { in_flight: reported.in_flight.max(min_load), ..reported }
     }
 
-    /// Takes in whether a pause between two events there was longer than wanted.
+    /// Records whether a pause between two events was too long.
     pub fn record_pause(&mut self, is_long: bool, now: MonoTime) {
-        self.fade(now);
+        self.decay(now);
         self.long_pause_share +=
             (f64::from(u8::from(is_long)) - self.long_pause_share) * PAUSE_WEIGHT;
     }
 
-    /// The share of pauses there that were longer than wanted lately.
+    /// Returns the share of recent pauses between events that were too long.
     pub fn long_pause_share(&self, now: MonoTime) -> f64 {
         let mut current = *self;
-        current.fade(now);
+        current.decay(now);
         current.long_pause_share
     }
 
-    /// By what its times are to be multiplied; never below 1, since a faster upstream shows in its
-    /// queue.
+    /// Returns the factor by which the upstream is slower than expected. It is at least 1, since a faster
+    /// upstream already shows in a shorter queue.
     pub fn latency_factor(&self, now: MonoTime) -> f64 {
         let mut current = *self;
-        current.fade(now);
-        let ratio = (current.measured_s + FIRST_TIME_S) / (current.expected_s + FIRST_TIME_S);
+        current.decay(now);
+        let ratio = (current.measured_s + PRIOR_TIME_S) / (current.expected_s + PRIOR_TIME_S);
         ratio.max(1.0)
     }
 
-    /// The share of requests that failed there lately beyond the usual one of their routes.
+    /// Returns the share of recent requests that failed, beyond the usual share of their routes.
     pub fn failure_share(&self, now: MonoTime) -> f64 {
         let mut current = *self;
-        current.fade(now);
+        current.decay(now);
         current.failure_share.max(0.0)
     }
 }
--- a/crates/foldhaven-core/src/opaque/prefill_rate.rs
+++ b/crates/foldhaven-core/src/opaque/prefill_rate.rs
@@ -1,18 +1,19 @@
-//! How fast the upstreams of a service read prompts, learnt from the times of their own first answers.
+//! Estimates how fast the upstreams of a service prefill prompts, from the times to their first answers.
 
 use std::time::Duration;
 
-/// What is believed before anything was measured, in prompt tokens a second: what a large engine reads
-/// beside the answers that it writes. It counts as little as the first prompts.
-const FIRST_RATE: f64 = 45_000.0;
-/// How many tokens that first belief counts for.
-const FIRST_TOKENS: f64 = 4_000.0;
-/// Measurements count less by the factor e after so many more tokens; a few seconds of traffic.
-const KEPT_TOKENS: f64 = 200_000.0;
-/// Fewer tokens say more of the way there than of reading.
-const LEAST_TOKENS: u32 = 1_000;
+/// The rate before any measurement, in prompt tokens per second: that of a large engine that also
+/// generates answers. It has little weight, so the first prompts replace it.
+const INITIAL_RATE: f64 = 45_000.0;
+/// The weight of the initial rate, in tokens.
+const INITIAL_TOKENS: f64 = 4_000.0;
+/// The number of further tokens after which a measurement's weight decays by the factor e: a few seconds
+/// of traffic.
+const DECAY_TOKENS: f64 = 200_000.0;
+/// Minimum number of tokens in a measurement; with fewer, the network round trip dominates the time.
+const MIN_TOKENS: u32 = 1_000;
 
-/// The tokens that were read lately, and the time that this took.
+/// The decaying sums of recently prefilled tokens and of the time that took.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PrefillRate {
     tokens: f64,
@@ -21,23 +22,23 @@
 
 impl Default for PrefillRate {
     fn default() -> Self {
-        Self { tokens: FIRST_TOKENS, seconds: FIRST_TOKENS / FIRST_RATE }
+        Self { tokens: INITIAL_TOKENS, seconds: INITIAL_TOKENS / INITIAL_RATE }
     }
 }
 
 impl PrefillRate {
-    /// Takes in that an upstream read so many tokens, those that it had before the request's own
-    /// included, until it began to answer.
+    /// Records the time in which an upstream prefilled a number of tokens, including those of earlier
+    /// requests, before it began to answer a request.
     pub fn record(&mut self, tokens: u32, took: Duration) {
-        if tokens < LEAST_TOKENS {
+        if tokens < MIN_TOKENS {
             return;
         }
-        let kept = (-f64::from(tokens) / KEPT_TOKENS).exp();
-        self.tokens = self.tokens * kept + f64::from(tokens);
-        self.seconds = self.seconds * kept + took.as_secs_f64();
+        let retention = (-f64::from(tokens) / DECAY_TOKENS).exp();
+        self.tokens = self.tokens * retention + f64::from(tokens);
+        self.seconds = self.seconds * retention + took.as_secs_f64();
     }
 
-    /// The prompt tokens that an upstream reads in a second.
+    /// Returns the number of prompt tokens that an upstream prefills per second.
     pub fn rate(&self) -> f64 {
         self.tokens / self.seconds.max(f64::EPSILON)
     }
