--- a/crates/foldhaven-core/tests/testsuite/opaque_admission.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_admission.rs
@@ -1,4 +1,4 @@
-//! Which requests are refused at once, what goes before what, and when the refused come back.
+//! Admission: which requests are refused, the order of requests, and when callers should retry.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use foldhaven_core::opaque::queue_rank::{PrefillBacklog, QueueRank};
 use rstest::rstest;
 
-fn offer(first_ms: u64, prefill_interference: f64) -> DestinationEstimate {
+fn estimate(first_ms: u64, prefill_interference: f64) -> DestinationEstimate {
     let breakdown = CostBreakdown { prefill_interference, ..CostBreakdown::default() };
     DestinationEstimate {
         time_to_first: Duration::from_millis(first_ms),
@@ -28,76 +28,84 @@
 }
 
 #[rstest]
-#[case::in_time(offer(300, 0.0), Ok(()))]
-#[case::late_but_wanted(offer(2_500, 0.0), Ok(()))]
-#[case::after_its_caller_has_left(offer(3_100, 0.0), Err(AdmissionError::TooLate))]
-#[case::breaks_half_of_another(offer(300, 0.5), Ok(()))]
-#[case::breaks_more_than_it_is_worth(offer(300, 1.5), Err(AdmissionError::TooMuchInterference))]
-#[case::late_and_breaks_another(offer(1_500, 0.5), Err(AdmissionError::TooMuchInterference))]
-fn one_decision(#[case] offer: DestinationEstimate, #[case] expected: Result<(), AdmissionError>) {
-    assert_eq!(admit(&offer, limits(3_000)), expected);
+#[case::in_time(estimate(300, 0.0), Ok(()))]
+#[case::late_but_before_the_deadline(estimate(2_500, 0.0), Ok(()))]
+#[case::after_the_deadline(estimate(3_100, 0.0), Err(AdmissionError::TooLate))]
+#[case::costs_half_of_another_request(estimate(300, 0.5), Ok(()))]
+#[case::costs_more_than_its_value(estimate(300, 1.5), Err(AdmissionError::TooMuchInterference))]
+#[case::late_and_costs_half_of_another_request(
+    estimate(1_500, 0.5),
+    Err(AdmissionError::TooMuchInterference)
+)]
+fn estimates_decide_on_admission(
+    #[case] estimate: DestinationEstimate,
+    #[case] expected: Result<(), AdmissionError>,
+) {
+    assert_eq!(admit(&estimate, limits(3_000)), expected);
 }
 
-/// A peak of which a part cannot be served: what is sure to be late waits behind all others, but takes places of
-/// the queue, so that no more of it is let in than an upstream runs at once.
+/// In an overload, requests that are certain to be late are deferred. They still occupy the queue,
+/// so an upstream gets no more of them than it has slots.
 #[rstest]
 #[case::timely(QueueRank::Timely, 30, false, Ok(()))]
-#[case::few_late_ones(QueueRank::Deferred, 11, false, Ok(()))]
-#[case::many_late_ones(QueueRank::Deferred, 12, false, Err(AdmissionError::TooManyDeferred))]
-#[case::all_places_full(QueueRank::Timely, 0, true, Err(AdmissionError::Full))]
-fn in_a_peak_those_are_let_in_that_take_nothing_from_others(
+#[case::few_deferred(QueueRank::Deferred, 11, false, Ok(()))]
+#[case::many_deferred(QueueRank::Deferred, 12, false, Err(AdmissionError::TooManyDeferred))]
+#[case::all_queues_full(QueueRank::Timely, 0, true, Err(AdmissionError::Full))]
+fn in_an_overload_few_deferred_requests_are_admitted(
     #[case] rank: QueueRank,
     #[case] deferred: u32,
     #[case] is_full: bool,
     #[case] expected: Result<(), AdmissionError>,
 ) {
     let queue = QueueState { slots: 12, in_flight: 40, deferred, ..QueueState::default() };
-    let offer = DestinationEstimate { rank, queue, is_full, ..offer(700, 0.0) };
-    assert_eq!(admit(&offer, limits(3_000)), expected);
+    let estimate = DestinationEstimate { rank, queue, is_full, ..estimate(700, 0.0) };
+    assert_eq!(admit(&estimate, limits(3_000)), expected);
 }
 
 #[test]
-fn requests_do_not_wait_for_places_of_those_behind_them() {
+fn timely_requests_do_not_wait_for_deferred_ones() {
     let queue = QueueState { slots: 12, in_flight: 40, deferred: 20, ..QueueState::default() };
     assert_eq!(queue.ahead_of(QueueRank::Timely), 20);
     assert_eq!(queue.ahead_of(QueueRank::Deferred), 40);
-    let pace = ServicePerformance::default();
-    assert!(pace.wait(queue, QueueRank::Timely) < pace.wait(queue, QueueRank::Deferred));
+    let performance = ServicePerformance::default();
+    assert!(
+        performance.wait(queue, QueueRank::Timely) < performance.wait(queue, QueueRank::Deferred)
+    );
 }
 
-/// Upstreams that take 48 requests are believed to have 40 to 56 when they decline one, and up to 47 when they
-/// take one.
+/// Upstreams accept 48 requests. The queue that this VM believes them to have is 40 to 56 requests
+/// when they refuse one and up to 47 when they accept one.
 #[test]
-fn the_room_of_upstreams_is_learnt_from_what_they_decline() {
+fn the_queue_capacity_is_learned_from_refusals() {
     let queue = |in_flight| QueueState { slots: 12, in_flight, ..QueueState::default() };
-    let mut room = QueueCapacity::default();
-    assert!(!room.is_full(queue(1_000)), "nothing is known");
-    room.record_refused(queue(3));
-    assert!(!room.is_full(queue(1_000)), "it had another reason");
+    let mut capacity = QueueCapacity::default();
+    assert!(!capacity.is_full(queue(1_000)), "no refusal was recorded");
+    capacity.record_refused(queue(3));
+    assert!(!capacity.is_full(queue(1_000)), "the refusal had another reason");
     for round in 0..400 {
-        room.record_refused(queue(40 + round % 17));
-        room.record_accepted(queue(round % 48));
+        capacity.record_refused(queue(40 + round % 17));
+        capacity.record_accepted(queue(round % 48));
     }
-    assert!(!room.is_full(queue(34)), "{room:?}");
-    assert!(room.is_full(queue(50)), "{room:?}");
-    (0..100).for_each(|_| room.record_accepted(queue(99)));
-    assert!(!room.is_full(queue(90)), "upstreams that take more are noticed");
+    assert!(!capacity.is_full(queue(34)), "{capacity:?}");
+    assert!(capacity.is_full(queue(50)), "{capacity:?}");
+    (0..100).for_each(|_| capacity.record_accepted(queue(99)));
+    assert!(!capacity.is_full(queue(90)), "the limit rises if upstreams accept more");
 }
 
 #[test]
-fn the_time_to_come_back_follows_the_queue() {
-    let wait = |first| retry_after(&offer(first, 0.0), limits(3_000));
+fn the_retry_time_follows_the_queue() {
+    let wait = |first_ms| retry_after(&estimate(first_ms, 0.0), limits(3_000));
     assert_eq!(wait(4_400), Duration::from_millis(3_600));
     assert_eq!(wait(100), Duration::ZERO);
 }
 
 #[test]
-fn requests_wait_only_for_those_that_go_before_them() {
+fn only_the_backlog_ahead_of_a_request_counts() {
     let one = PrefillBacklog { timely: 100, deferred: 10_000 };
-    let unread = one.plus(PrefillBacklog { timely: 1_000, deferred: 0 });
-    assert_eq!(unread.ahead_of(QueueRank::Timely), 1_100);
-    assert_eq!(unread.ahead_of(QueueRank::Deferred), 11_100);
-    assert_eq!(unread.times(0.5).ahead_of(QueueRank::Timely), 550);
+    let backlog = one.plus(PrefillBacklog { timely: 1_000, deferred: 0 });
+    assert_eq!(backlog.ahead_of(QueueRank::Timely), 1_100);
+    assert_eq!(backlog.ahead_of(QueueRank::Deferred), 11_100);
+    assert_eq!(backlog.times(0.5).ahead_of(QueueRank::Timely), 550);
     let full = PrefillBacklog { timely: u32::MAX, deferred: u32::MAX };
-    assert_eq!(full.plus(full).ahead_of(QueueRank::Deferred), u32::MAX, "nothing wraps round");
+    assert_eq!(full.plus(full).ahead_of(QueueRank::Deferred), u32::MAX, "sums saturate");
 }
--- a/crates/foldhaven-core/tests/testsuite/opaque_choice.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_choice.rs
@@ -1,4 +1,4 @@
-//! Which upstream a request gets, and what is expected of it.
+//! The choice of an upstream for a request, and the estimates that it is based on.
 
 use std::time::Duration;
 
@@ -19,14 +19,14 @@
     (0..count).map(|number| format!("i-{number}").parse().unwrap()).collect()
 }
 
-/// The rank of the requests of these tests.
+/// The rank of the requests in these tests.
 const RANK: QueueRank = QueueRank::Timely;
 
 fn prefill_backlog(tokens: u32) -> PrefillBacklog {
     PrefillBacklog { timely: tokens, deferred: 0 }
 }
 
-fn facts(name: &UpstreamName) -> UpstreamCandidate<'_> {
+fn candidate(name: &UpstreamName) -> UpstreamCandidate<'_> {
     UpstreamCandidate {
         name,
         queue: QueueState { slots: 4, ..QueueState::default() },
@@ -41,7 +41,7 @@
     }
 }
 
-/// A request with a shared part of some tokens.
+/// Returns a request with a shared prompt segment of some tokens.
 fn query(shared_tokens: u32, affinity_key: Option<u64>, draw: f64) -> ChoiceQuery {
     let target = Duration::from_millis(800);
     let size = shared_tokens + 600;
@@ -65,56 +65,56 @@
     choose_upstream(candidates, &query, &ServicePerformance::default()).map(|choice| choice.index)
 }
 
-/// The second of three upstreams differs from the others in one respect.
+/// The second of three upstreams differs from the others in one property.
 #[rstest]
 #[case::is_full(|it: &mut UpstreamCandidate<'_>| it.queue.in_flight = 9, false)]
-#[case::reads_long_prompts(|it: &mut UpstreamCandidate<'_>| it.queue.prefill_backlog = prefill_backlog(40_000), false)]
+#[case::has_prefill_backlog(|it: &mut UpstreamCandidate<'_>| it.queue.prefill_backlog = prefill_backlog(40_000), false)]
 #[case::is_slow(|it: &mut UpstreamCandidate<'_>| it.latency_factor = 4.0, false)]
-#[case::fails(|it: &mut UpstreamCandidate<'_>| it.failure_share = 0.5, false)]
+#[case::fails_requests(|it: &mut UpstreamCandidate<'_>| it.failure_share = 0.5, false)]
 #[case::is_ejected(|it: &mut UpstreamCandidate<'_>| it.is_ejected = true, false)]
 #[case::is_throttled(|it: &mut UpstreamCandidate<'_>| it.is_throttled = true, false)]
 #[case::was_tried(|it: &mut UpstreamCandidate<'_>| it.is_tried = true, false)]
-#[case::lies_far(|it: &mut UpstreamCandidate<'_>| it.transfer_cost = 0.1, false)]
-#[case::holds_the_prompt(|it: &mut UpstreamCandidate<'_>| it.cached_tokens = 5_000, true)]
-fn one_respect_decides(#[case] change: fn(&mut UpstreamCandidate<'_>), #[case] is_taken: bool) {
+#[case::is_remote(|it: &mut UpstreamCandidate<'_>| it.transfer_cost = 0.1, false)]
+#[case::has_the_prompt_cached(|it: &mut UpstreamCandidate<'_>| it.cached_tokens = 5_000, true)]
+fn one_property_decides(#[case] change: fn(&mut UpstreamCandidate<'_>), #[case] is_chosen: bool) {
     let names = names(3);
-    let mut candidates: Vec<_> = names.iter().map(facts).collect();
+    let mut candidates: Vec<_> = names.iter().map(candidate).collect();
     change(&mut candidates[1]);
     for draw in [0.0, 0.4, 0.9] {
         let query = query(5_000, None, draw);
-        assert_eq!(chosen(&candidates, query) == Some(1), is_taken, "draw {draw}");
+        assert_eq!(chosen(&candidates, query) == Some(1), is_chosen, "draw {draw}");
     }
 }
 
 #[test]
-fn parts_are_taken_over_from_their_holder_where_that_is_possible() {
+fn cached_segments_are_fetched_if_possible() {
     let names = names(2);
-    let mut candidates: Vec<_> = names.iter().map(facts).collect();
+    let mut candidates: Vec<_> = names.iter().map(candidate).collect();
     candidates[0].cached_tokens = 5_000;
     candidates[0].queue.prefill_backlog = prefill_backlog(60_000);
-    let able =
+    let with_fetch =
         ServicePerformance { fetch_tokens_per_s: 400_000.0, ..ServicePerformance::default() };
-    let choice = choose_upstream(&candidates, &query(5_000, None, 0.0), &able).unwrap();
+    let choice = choose_upstream(&candidates, &query(5_000, None, 0.0), &with_fetch).unwrap();
     assert_eq!((choice.index, choice.fetch_from, choice.prefill_tokens), (1, Some(0), 100));
-    let unable = ServicePerformance::default();
-    let choice = choose_upstream(&candidates, &query(5_000, None, 0.0), &unable).unwrap();
+    let without_fetch = ServicePerformance::default();
+    let choice = choose_upstream(&candidates, &query(5_000, None, 0.0), &without_fetch).unwrap();
     assert_eq!((choice.fetch_from, choice.prefill_tokens), (None, 5_100));
 }
 
 #[test]
-fn time_costs_little_before_the_target_and_almost_all_after_it() {
+fn latency_costs_little_before_the_target_and_almost_everything_after_it() {
     let target = Duration::from_millis(800);
     let cost = |millis| RequestCost::of_time(Duration::from_millis(millis), target).0;
     assert!(cost(50) < 0.02, "{}", cost(50));
     assert!(cost(300) - cost(200) < 0.05);
     assert!(cost(1_300) > 0.9);
-    assert!(cost(3_000) > cost(2_000), "sooner stays better");
+    assert!(cost(3_000) > cost(2_000), "an earlier answer is still cheaper");
 }
 
 #[test]
-fn suspects_and_tried_ones_are_the_last_resort() {
+fn ejected_and_tried_upstreams_are_the_last_resort() {
     let names = names(2);
-    let mut candidates: Vec<_> = names.iter().map(facts).collect();
+    let mut candidates: Vec<_> = names.iter().map(candidate).collect();
     candidates[0].is_ejected = true;
     candidates[1].is_tried = true;
     assert_eq!(chosen(&candidates, query(0, None, 0.0)), Some(0));
@@ -125,17 +125,17 @@
 }
 
 #[test]
-fn equal_upstreams_share_by_the_draw() {
+fn equal_upstreams_share_requests_by_the_draw() {
     let names = names(3);
-    let candidates: Vec<_> = names.iter().map(facts).collect();
+    let candidates: Vec<_> = names.iter().map(candidate).collect();
     let at = |draw| chosen(&candidates, query(0, None, draw));
     assert_eq!((at(0.0), at(0.5), at(0.99)), (Some(0), Some(1), Some(2)));
 }
 
 #[test]
-fn prompts_that_share_a_start_meet_wherever_they_are_decided() {
+fn prompts_that_share_a_prefix_get_the_same_upstream_on_every_vm() {
     let names = names(5);
-    let candidates: Vec<_> = names.iter().map(facts).collect();
+    let candidates: Vec<_> = names.iter().map(candidate).collect();
     let reversed: Vec<_> = candidates.iter().rev().copied().collect();
     for key in 0..20 {
         let query = |draw| query(9_000, Some(key), draw);
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn outlines_are_read_or_refused() {
+fn outlines_are_parsed_or_rejected() {
     let outline = PromptOutline::parse("5c1e:800, 91bd:410,e440:250").unwrap();
     assert_eq!((outline.shared_tokens(), outline.own_tokens), (1_210, 250));
     let other = PromptOutline::parse("5c1e:800,91bd:410,ffff:9").unwrap();
@@ -160,76 +160,93 @@
 }
 
 #[test]
-fn a_part_counts_as_held_until_others_fill_the_memory() {
-    const MEMORY: u64 = 10_000;
+fn a_segment_counts_as_cached_until_others_fill_the_cache() {
+    const CACHE_SIZE: u64 = 10_000;
     let tag = UpstreamTag(7);
-    let place = |text: &str| {
+    let placement = |text: &str| {
         let outline = PromptOutline::parse(text).unwrap();
         PromptPlacement { upstream: tag, shared: outline.shared, own_tokens: outline.own_tokens }
     };
-    let first = place("a:1000,own:100");
-    let mut hints = PrefixCacheIndex::default();
-    assert_eq!(hints.cached_tokens(tag, &first.shared, MEMORY), 0);
-    hints.record(&first);
-    assert_eq!(hints.cached_tokens(tag, &first.shared, MEMORY), 1_000);
-    assert_eq!(hints.cached_tokens(UpstreamTag(8), &first.shared, MEMORY), 0);
+    let first = placement("a:1000,own:100");
+    let mut cache_index = PrefixCacheIndex::default();
+    assert_eq!(cache_index.cached_tokens(tag, &first.shared, CACHE_SIZE), 0);
+    cache_index.record(&first);
+    assert_eq!(cache_index.cached_tokens(tag, &first.shared, CACHE_SIZE), 1_000);
+    assert_eq!(cache_index.cached_tokens(UpstreamTag(8), &first.shared, CACHE_SIZE), 0);
     for number in 0..7 {
-        hints.record(&place(&format!("other-{number}:1000,own:100")));
+        cache_index.record(&placement(&format!("other-{number}:1000,own:100")));
     }
-    assert_eq!(hints.cached_tokens(tag, &first.shared, MEMORY), 0, "others took its memory");
-    hints.record(&first);
-    hints.remove(tag);
-    assert_eq!(hints.cached_tokens(tag, &first.shared, MEMORY), 0, "the process has ended");
+    assert_eq!(
+        cache_index.cached_tokens(tag, &first.shared, CACHE_SIZE),
+        0,
+        "other prompts filled the cache"
+    );
+    cache_index.record(&first);
+    cache_index.remove(tag);
+    assert_eq!(
+        cache_index.cached_tokens(tag, &first.shared, CACHE_SIZE),
+        0,
+        "the process has exited"
+    );
 }
 
 #[test]
-fn a_slow_upstream_is_taken_for_usual_again_after_a_while() {
+fn deviations_of_an_upstream_decay() {
     let now = MonoTime::from_millis(10_000);
     let (usual, slow) = (Duration::from_millis(50), Duration::from_millis(500));
-    let mut pace = UpstreamPerformance::default();
-    (0..10).for_each(|_| pace.record_time_to_first(usual, slow, now));
-    (0..3).for_each(|_| pace.record_end(true, 0.0, now));
-    assert!(pace.latency_factor(now) > 5.0, "{}", pace.latency_factor(now));
-    assert!(pace.failure_share(now) > 0.1);
+    let mut performance = UpstreamPerformance::default();
+    (0..10).for_each(|_| performance.record_time_to_first(usual, slow, now));
+    (0..3).for_each(|_| performance.record_end(true, 0.0, now));
+    assert!(performance.latency_factor(now) > 5.0, "{}", performance.latency_factor(now));
+    assert!(performance.failure_share(now) > 0.1);
     let later = now + Duration::from_secs(20);
-    assert!(pace.latency_factor(later) < 1.1, "{}", pace.latency_factor(later));
-    assert!(pace.failure_share(later) < 0.01);
+    assert!(performance.latency_factor(later) < 1.1, "{}", performance.latency_factor(later));
+    assert!(performance.failure_share(later) < 0.01);
 }
 
 #[test]
-fn waits_grow_with_full_places_and_unread_prompts() {
-    let mut pace = ServicePerformance::default();
-    (0..2_000).for_each(|_| pace.record_slot_time(Duration::from_millis(100)));
-    let queue = |in_flight, pending_tokens| QueueState {
+fn waits_grow_with_occupied_slots_and_prefill_backlog() {
+    let mut performance = ServicePerformance::default();
+    (0..2_000).for_each(|_| performance.record_slot_time(Duration::from_millis(100)));
+    let queue = |in_flight, backlog_tokens| QueueState {
         slots: 4,
         in_flight,
         on_track: 0,
         deferred: 0,
-        prefill_backlog: prefill_backlog(pending_tokens),
+        prefill_backlog: prefill_backlog(backlog_tokens),
     };
-    assert_eq!(pace.wait(queue(3, 0), RANK), Duration::ZERO);
-    let full = pace.wait(queue(8, 0), RANK).as_millis();
+    assert_eq!(performance.wait(queue(3, 0), RANK), Duration::ZERO);
+    let full = performance.wait(queue(8, 0), RANK).as_millis();
     assert!((120..=130).contains(&full), "{full}");
-    assert!(pace.wait(queue(0, 45_000), RANK) >= Duration::from_millis(990));
+    assert!(performance.wait(queue(0, 45_000), RANK) >= Duration::from_millis(990));
 }
 
 #[test]
-fn what_a_caller_still_gives_tells_how_long_it_has_waited() {
-    let mut patience = CallerTimeouts::default();
+fn the_time_waited_follows_from_the_remaining_time() {
+    let mut timeouts = CallerTimeouts::default();
     let at = |seconds: u64| MonoTime::from_millis(1_000_000 + seconds * 1_000);
     let secs = Duration::from_secs;
-    assert_eq!(patience.record(secs(5), at(0)), Duration::ZERO, "nothing to compare with");
-    assert_eq!(patience.record(secs(8), at(1)), Duration::ZERO);
-    assert_eq!(patience.record(secs(6), at(2)), secs(2));
-    assert_eq!(patience.record(secs(6), at(12)), secs(2), "the span before counts");
-    assert_eq!(patience.record(secs(6), at(60)), Duration::ZERO, "callers give less now");
+    assert_eq!(
+        timeouts.record(secs(5), at(0)),
+        Duration::ZERO,
+        "no earlier request to compare with"
+    );
+    assert_eq!(timeouts.record(secs(8), at(1)), Duration::ZERO);
+    assert_eq!(timeouts.record(secs(6), at(2)), secs(2));
+    assert_eq!(timeouts.record(secs(6), at(12)), secs(2), "the previous window counts");
+    assert_eq!(
+        timeouts.record(secs(6), at(60)),
+        Duration::ZERO,
+        "callers now announce shorter times"
+    );
 }
 
-/// A request that is late already has nothing to win by speed: it leaves the quick places to others.
+/// A request that is already late gains nothing from a fast answer. It goes to the cheapest
+/// upstream and leaves the fast ones to other requests.
 #[test]
-fn a_late_request_goes_where_it_costs_least() {
+fn a_late_request_goes_to_the_cheapest_upstream() {
     let names = names(2);
-    let mut candidates: Vec<_> = names.iter().map(facts).collect();
+    let mut candidates: Vec<_> = names.iter().map(candidate).collect();
     candidates[0].cached_tokens = 5_000;
     candidates[0].queue.prefill_backlog = prefill_backlog(45_000);
     let fresh = query(5_000, None, 0.0);
@@ -238,27 +255,28 @@
     assert_eq!(chosen(&candidates, late), Some(0));
 }
 
-/// Found on a day of much load: long prompts were spread over all upstreams, and everywhere streams got
-/// one token between two pieces of a prompt.
+/// Guards against spreading long prompts over all upstreams under load. The streams of an upstream
+/// get only one token between two chunks of a prompt, so the prompts made pauses too long
+/// everywhere.
 #[rstest]
-#[case::where_none_is_broken(3_000, Some(400), 20, 0)]
-#[case::where_many_would_be(30_000, Some(400), 20, 1)]
-#[case::where_all_are_late_already(30_000, Some(400), 0, 0)]
-#[case::for_requests_that_are_no_streams(30_000, None, 20, 0)]
-fn a_long_prompt_goes_where_it_breaks_few_pauses(
+#[case::no_pause_too_long(3_000, Some(400), 20, 0)]
+#[case::many_pauses_too_long(30_000, Some(400), 20, 1)]
+#[case::all_streams_already_late(30_000, Some(400), 0, 0)]
+#[case::not_a_stream(30_000, None, 20, 0)]
+fn a_long_prompt_goes_where_it_lengthens_few_pauses(
     #[case] tokens: u32,
     #[case] gap_ms: Option<u64>,
     #[case] on_track: u32,
     #[case] expected: usize,
 ) {
     let names = names(2);
-    let mut candidates: Vec<_> = names.iter().map(facts).collect();
+    let mut candidates: Vec<_> = names.iter().map(candidate).collect();
     for candidate in &mut candidates {
         candidate.queue.slots = 64;
     }
     candidates[0].queue.in_flight = 20;
     candidates[0].queue.on_track = on_track;
-    // The other one is a little worse in another respect.
+    // The other one is slightly worse in another property.
     candidates[1].failure_share = 0.05;
     let mut query = query(0, None, 0.0);
     query.own_tokens = tokens;
--- a/crates/foldhaven-core/tests/testsuite/opaque_support.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_support.rs
@@ -1,4 +1,4 @@
-//! Values that the tests of opaque requests share.
+//! Shared helpers for the tests of opaque requests.
 
 use foldhaven_core::ids::IncarnationId;
 use foldhaven_core::opaque::peer_table::{OwnVm, PeerBeat, PeerPhase, PeerTable};
@@ -7,27 +7,27 @@
 use foldhaven_core::units::CoreShare;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A time so many milliseconds after the start of a test.
+/// Returns the time a number of milliseconds after the start of a test.
 pub fn at(millis: u64) -> MonoTime {
     MonoTime::from_millis(1_000_000 + millis)
 }
 
-/// The table of the VM `own`, in its first lifetime.
+/// Returns the peer table of the VM `own` in its first incarnation.
 pub fn table() -> PeerTable {
     table_of("own", 1)
 }
 
-/// The table of a process of a VM of the region `north`.
+/// Returns the peer table of an incarnation of a VM in the region `north`.
 pub fn table_of(vm: &str, incarnation: u64) -> PeerTable {
     region_table(vm, incarnation, "north")
 }
 
-/// The table of a process of a VM of a region.
+/// Returns the peer table of an incarnation of a VM in a region.
 pub fn region_table(vm: &str, incarnation: u64, region: &str) -> PeerTable {
     centre_table(vm, incarnation, region, &format!("{region}-hall"))
 }
 
-/// The table of a process of a VM of a data centre.
+/// Returns the peer table of an incarnation of a VM in a data centre.
 pub fn centre_table(vm: &str, incarnation: u64, region: &str, data_centre: &str) -> PeerTable {
     let own = OwnVm {
         vm: vm.parse().unwrap(),
@@ -38,7 +38,7 @@
     PeerTable::new(own, IncarnationId(incarnation))
 }
 
-/// A heartbeat of a VM, with addresses made from its name.
+/// Returns a heartbeat of a VM, with addresses derived from its name.
 pub fn beat(vm: &str, region: &str, sequence: u32) -> PeerBeat {
     let [.., high, low] = xxh3_64(vm.as_bytes()).to_be_bytes();
     let address = |port: u16| format!("127.9.{high}.{low}:{port}").parse().unwrap();
--- a/crates/foldhaven-core/tests/testsuite/opaque_upstreams.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_upstreams.rs
@@ -1,4 +1,4 @@
-//! Which upstreams are listed, by news that comes late or not at all.
+//! The upstream table, with list updates that arrive late or not at all.
 
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn unlisted_leaving_and_evacuated_upstreams_get_nothing() {
+fn unlisted_leaving_and_evacuated_upstreams_get_no_requests() {
     let mut table = UpstreamTable::default();
     table.replace(vec![record("a", false, 0), record("b", true, 0), record("c", false, 0)], at(0));
     assert_eq!(usable(&table), ["a", "c"]);
@@ -36,31 +36,31 @@
     assert!(usable(&table).is_empty());
 }
 
-/// An upstream that vanishes from the list right after the list's service was away may only have
-/// failed to renew its entry.
+/// An upstream that disappears from the list right after the list service was unavailable may only
+/// have failed to renew its entry.
 #[rstest]
-#[case::after_trouble(true, false, 2_000, true)]
-#[case::for_too_long(true, false, 2_400, false)]
+#[case::after_a_list_failure(true, false, 2_000, true)]
+#[case::after_the_grace_period(true, false, 2_400, false)]
 #[case::while_leaving(true, true, 100, false)]
-#[case::without_trouble(false, false, 0, false)]
-fn a_lapsed_entry_holds_for_a_while(
-    #[case] disturbed: bool,
+#[case::without_a_list_failure(false, false, 0, false)]
+fn a_lapsed_entry_is_used_for_a_grace_period(
+    #[case] has_list_failed: bool,
     #[case] leaving: bool,
-    #[case] later: u64,
+    #[case] later_ms: u64,
     #[case] is_used: bool,
 ) {
     let mut table = UpstreamTable::default();
     table.put(record("a", leaving, 0), at(0));
-    if disturbed {
+    if has_list_failed {
         table.record_list_failure(at(900));
     }
     table.replace(Vec::new(), at(1_000));
-    table.expire(at(1_000 + later));
+    table.expire(at(1_000 + later_ms));
     assert_eq!(!usable(&table).is_empty(), is_used);
 }
 
 #[test]
-fn a_whole_list_tells_what_it_changes() {
+fn a_complete_list_returns_what_it_changes() {
     let mut table = UpstreamTable::default();
     table.replace(vec![record("a", false, 0), record("b", false, 0)], at(0));
     let leaving = record("b", true, 0);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn records_for_peers_carry_the_cold_time_that_is_left() {
+fn records_for_peers_have_the_remaining_cold_time() {
     let mut table = UpstreamTable::default();
     table.put(record("a", false, 3_000), at(0));
     assert_eq!(table.records(at(1_000))[0].cold_for, Duration::from_millis(2_000));
