--- a/crates/foldhaven-core/tests/testsuite/opaque_heartbeats.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_heartbeats.rs
@@ -6,13 +6,13 @@
 use foldhaven_core::ids::IncarnationId;
 use foldhaven_core::opaque::peer_table::{AskedBeats, PeerBeat, PeerTable, VmTag};
 
-use crate::opaque_support::{at, beat, centre_table, table, table_of};
+use crate::opaque_support::{at, centre_table, heartbeat, table, table_of};
 
 #[test]
 fn in_a_large_fleet_pulses_of_all_live_vms_go_round() {
     let mut table = table();
     for number in 0..60 {
-        table.hear(beat(&format!("vm-{number}"), "north", 1), at(0));
+        table.hear(heartbeat(&format!("vm-{number}"), "north", 1), at(0));
     }
     let mut told = std::collections::BTreeSet::new();
     for _ in 0..3 {
@@ -31,7 +31,7 @@
     for own in &names {
         let mut table = table_of(own, 1);
         for name in names.iter().filter(|name| *name != own) {
-            table.hear(beat(name, "north", 1), at(0));
+            table.hear(heartbeat(name, "north", 1), at(0));
         }
         for target in table.next_targets(at(0)).near {
             *hits.entry(target).or_insert(0) += 1;
@@ -45,7 +45,7 @@
 fn every_vm_gets_a_heartbeat_in_its_turn() {
     let mut table = table();
     for number in 0..11 {
-        table.hear(beat(&format!("vm-{number}"), "north", 1), at(0));
+        table.hear(heartbeat(&format!("vm-{number}"), "north", 1), at(0));
     }
     let mut reached = std::collections::BTreeSet::new();
     for _ in 0..3 {
@@ -61,14 +61,14 @@
     let mut table = table();
     let mut other = table_of("other", 1);
     for number in 0..20 {
-        table.hear(beat(&format!("vm-{number}"), "south", 1), at(0));
-        other.hear(beat(&format!("vm-{number}"), "south", 1), at(0));
+        table.hear(heartbeat(&format!("vm-{number}"), "south", 1), at(0));
+        other.hear(heartbeat(&format!("vm-{number}"), "south", 1), at(0));
     }
-    let mut restarted = beat("vm-3", "south", 1);
+    let mut restarted = heartbeat("vm-3", "south", 1);
     restarted.incarnation = IncarnationId(7);
     other.hear(restarted.clone(), at(0));
     table.take_asks();
-    table.note_lives(&[restarted.life(), beat("vm-4", "south", 1).life()], at(100));
+    table.note_lives(&[restarted.life(), heartbeat("vm-4", "south", 1).life()], at(100));
     let asks = table.take_asks();
     assert_eq!(asks, AskedBeats::Of(vec![VmTag::of(&restarted.vm)]));
     assert_eq!(other.answers(&asks, at(100)), [restarted]);
@@ -81,9 +81,9 @@
     for own in 0..12 {
         let mut table = table_of(&format!("vm-{own}"), 1);
         for other in (0..12).filter(|other| *other != own) {
-            table.hear(beat(&format!("vm-{other}"), "north", 1), at(0));
-            table.hear(beat(&format!("south-{other}"), "south", 1), at(0));
-            table.hear(beat(&format!("east-{other}"), "east", 1), at(0));
+            table.hear(heartbeat(&format!("vm-{other}"), "north", 1), at(0));
+            table.hear(heartbeat(&format!("south-{other}"), "south", 1), at(0));
+            table.hear(heartbeat(&format!("east-{other}"), "east", 1), at(0));
         }
         let far: Vec<usize> = (0..16).map(|_| table.next_targets(at(0)).far.len()).collect();
         match table.is_delegate(at(0)) {
@@ -104,7 +104,7 @@
     let centre = |number: usize| if number.is_multiple_of(2) { "north-hall" } else { "other-hall" };
     let beat_of = |number: usize, sequence: u32| PeerBeat {
         data_centre: centre(number).parse().unwrap(),
-        ..beat(&format!("vm-{number}"), "north", sequence)
+        ..heartbeat(&format!("vm-{number}"), "north", sequence)
     };
     let addresses: BTreeMap<SocketAddr, Vec<usize>> =
         (0..NEAR).fold(BTreeMap::new(), |mut all: BTreeMap<_, Vec<usize>>, number| {
@@ -115,7 +115,8 @@
         (0..NEAR).map(|own| centre_table(&format!("vm-{own}"), 1, "north", centre(own))).collect();
     for (own, table) in tables.iter_mut().enumerate() {
         (0..NEAR).filter(|it| *it != own).for_each(|it| assert!(table.hear(beat_of(it, 0), at(0))));
-        (0..190).for_each(|it| assert!(table.hear(beat(&format!("far-{it}"), "south", 0), at(0))));
+        (0..190)
+            .for_each(|it| assert!(table.hear(heartbeat(&format!("far-{it}"), "south", 0), at(0))));
     }
     let mut missed = 0;
     let mut datagrams = 0_u32;
@@ -149,7 +150,7 @@
     const OTHERS: usize = 8;
     let mut table = table_of("vm-0", 1);
     for number in 1..=OTHERS {
-        table.hear(beat(&format!("vm-{number}"), "north", 1), at(0));
+        table.hear(heartbeat(&format!("vm-{number}"), "north", 1), at(0));
     }
     for _ in 0..6 {
         let (mut beats, mut told) = (BTreeSet::new(), BTreeSet::new());
--- a/crates/foldhaven-core/tests/testsuite/opaque_news.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_news.rs
@@ -12,7 +12,7 @@
 use rand::{Rng, SeedableRng};
 use rstest::rstest;
 
-use crate::opaque_support::{at, beat, region_table};
+use crate::opaque_support::{at, heartbeat, region_table};
 
 const MILLIS: fn(u64) -> Duration = Duration::from_millis;
 
@@ -21,9 +21,15 @@
 }
 
 fn notice(vm: &str, revision: u64) -> NewsNotice {
-    let beat = beat(vm, "south", 1);
-    let incarnation = beat.incarnation;
-    NewsNotice { vm: VmTag::of(&beat.vm), incarnation, revision, age_ms: None, is_offer: false }
+    let heartbeat = heartbeat(vm, "south", 1);
+    let incarnation = heartbeat.incarnation;
+    NewsNotice {
+        vm: VmTag::of(&heartbeat.vm),
+        incarnation,
+        revision,
+        age_ms: None,
+        is_offer: false,
+    }
 }
 
 /// The tables of twelve VMs of the north that know each other and twelve of the south.
@@ -32,8 +38,8 @@
     let table = |number: usize| {
         let mut table = region_table(&own(number), 1, "north");
         for other in 0..12 {
-            table.hear(beat(&own(other), "north", 1), at(0));
-            table.hear(beat(&format!("south-{other}"), "south", 1), at(0));
+            table.hear(heartbeat(&own(other), "north", 1), at(0));
+            table.hear(heartbeat(&format!("south-{other}"), "south", 1), at(0));
         }
         table
     };
@@ -102,13 +108,15 @@
     let mut table = tables_of_the_north().remove(0);
     let ahead = |table: &PeerTable| -> Vec<String> {
         let live = table.live(at(200));
-        live.filter(|beat| beat.revision > 1).map(|beat| beat.vm.to_string()).collect()
+        live.filter(|heartbeat| heartbeat.revision > 1)
+            .map(|heartbeat| heartbeat.vm.to_string())
+            .collect()
     };
     assert!(ahead(&table).is_empty());
     assert!(table.take_news(&notice("south-3", 5)));
     assert_eq!(ahead(&table), ["south-3"]);
     // A heartbeat that was sent before it comes after it.
-    table.hear(beat("south-3", "south", 2), at(100));
+    table.hear(heartbeat("south-3", "south", 2), at(100));
     assert_eq!(ahead(&table), ["south-3"], "it knows no less than it said");
     let of_another_life = NewsNotice { incarnation: Default::default(), ..notice("south-4", 9) };
     assert!(!table.take_news(&of_another_life));
@@ -120,22 +128,22 @@
 fn what_a_vm_does_not_have_when_asked_is_not_believed_of_it() {
     let mut table = tables_of_the_north().remove(0);
     table.take_news(&notice("south-3", u64::MAX));
-    let peer = beat("south-3", "south", 1).peer;
+    let peer = heartbeat("south-3", "south", 1).peer;
     table.note_told_revision(peer, 4);
-    assert!(table.live(at(100)).all(|beat| beat.revision <= 4));
+    assert!(table.live(at(100)).all(|heartbeat| heartbeat.revision <= 4));
 }
 
 #[test]
 fn two_vms_of_each_other_region_are_told() {
     let mut table = region_table("own", 1, "north");
     for number in 0..12 {
-        table.hear(beat(&format!("south-{number}"), "south", 1), at(0));
-        table.hear(beat(&format!("east-{number}"), "east", 1), at(0));
-        table.hear(beat(&format!("north-{number}"), "north", 1), at(0));
+        table.hear(heartbeat(&format!("south-{number}"), "south", 1), at(0));
+        table.hear(heartbeat(&format!("east-{number}"), "east", 1), at(0));
+        table.hear(heartbeat(&format!("north-{number}"), "north", 1), at(0));
     }
     let targets: BTreeSet<_> = table.far_news_targets(at(100)).into_iter().collect();
     let told = |region: &str| {
-        let peers = (0..12).map(|number| beat(&format!("{region}-{number}"), region, 1).peer);
+        let peers = (0..12).map(|number| heartbeat(&format!("{region}-{number}"), region, 1).peer);
         peers.filter(|peer| targets.contains(peer)).count()
     };
     assert_eq!([told("south"), told("east"), told("north")], [2, 2, 0]);
--- a/crates/foldhaven-core/tests/testsuite/opaque_peers.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_peers.rs
@@ -7,33 +7,33 @@
 };
 use foldhaven_core::time::MonoTime;
 
-use crate::opaque_support::{at, beat, region_table, table, table_of};
+use crate::opaque_support::{at, heartbeat, region_table, table, table_of};
 
 fn live(table: &PeerTable, now: MonoTime) -> Vec<String> {
-    table.live(now).map(|beat| beat.vm.to_string()).collect()
+    table.live(now).map(|heartbeat| heartbeat.vm.to_string()).collect()
 }
 
 #[test]
 fn repeating_what_a_dead_vm_said_does_not_keep_it_alive() {
     let mut table = table();
-    assert!(table.hear(beat("a", "north", 5), at(0)));
+    assert!(table.hear(heartbeat("a", "north", 5), at(0)));
     for millis in (0..5_000).step_by(500) {
-        table.hear(beat("a", "north", 5), at(millis));
-        table.hear(beat("a", "north", 4), at(millis));
+        table.hear(heartbeat("a", "north", 5), at(millis));
+        table.hear(heartbeat("a", "north", 4), at(millis));
     }
     assert!(live(&table, at(5_000)).is_empty());
-    assert!(table.hear(beat("a", "north", 6), at(5_000)), "its return is news");
+    assert!(table.hear(heartbeat("a", "north", 6), at(5_000)), "its return is news");
     assert_eq!(live(&table, at(5_000)), ["a"]);
 }
 
 #[test]
 fn a_later_lifetime_goes_before_any_sequence() {
     let mut table = table();
-    table.hear(beat("a", "north", 900), at(0));
-    let mut restarted = beat("a", "north", 1);
+    table.hear(heartbeat("a", "north", 900), at(0));
+    let mut restarted = heartbeat("a", "north", 1);
     restarted.incarnation = IncarnationId(2);
     assert!(table.hear(restarted, at(10)));
-    assert!(!table.hear(beat("a", "north", 901), at(20)), "the earlier lifetime is over");
+    assert!(!table.hear(heartbeat("a", "north", 901), at(20)), "the earlier lifetime is over");
 }
 
 /// Lifetimes are named by the time of day. A VM whose clock was set back while it restarted was not
@@ -41,16 +41,16 @@
 #[test]
 fn a_process_that_starts_with_an_earlier_clock_is_heard_again() {
     let mut other = table_of("other", 1);
-    let mut earlier = beat("own", "north", 40);
+    let mut earlier = heartbeat("own", "north", 40);
     earlier.incarnation = IncarnationId(9_000);
     other.hear(earlier, at(0));
     let mut restarted = table_of("own", 7_000);
-    let mut first = beat("own", "north", 1);
+    let mut first = heartbeat("own", "north", 1);
     first.incarnation = restarted.incarnation();
     other.hear(first.clone(), at(8_000));
     let told = other.later_lifetime(&first.vm, first.incarnation).expect("it is told").clone();
     restarted.hear(told, at(8_010));
-    let mut second = beat("own", "north", 2);
+    let mut second = heartbeat("own", "north", 2);
     second.incarnation = restarted.incarnation();
     assert!(other.hear(second.clone(), at(8_500)), "it is news");
     assert_eq!(live(&other, at(8_500)), ["own"]);
@@ -69,19 +69,19 @@
 #[test]
 fn leaving_is_news_and_ones_own_heartbeat_is_none() {
     let mut table = table();
-    table.hear(beat("a", "north", 1), at(0));
-    assert!(!table.hear(beat("a", "north", 2), at(10)));
-    let mut leaving = beat("a", "north", 3);
+    table.hear(heartbeat("a", "north", 1), at(0));
+    assert!(!table.hear(heartbeat("a", "north", 2), at(10)));
+    let mut leaving = heartbeat("a", "north", 3);
     leaving.phase = PeerPhase::Leaving;
     assert!(table.hear(leaving, at(20)));
-    assert!(!table.hear(beat("own", "north", 1), at(30)));
+    assert!(!table.hear(heartbeat("own", "north", 1), at(30)));
     assert_eq!(table.assumed_count(), 2);
 }
 
 #[test]
 fn silent_vms_still_count_where_limits_are_divided() {
     let mut table = table();
-    table.hear(beat("a", "north", 1), at(0));
+    table.hear(heartbeat("a", "north", 1), at(0));
     table.forget(at(10_000));
     assert!(live(&table, at(10_000)).is_empty());
     assert_eq!(table.assumed_count(), 2);
@@ -93,7 +93,7 @@
 #[test]
 fn what_a_vm_does_not_know_does_not_make_its_part_larger() {
     let mut table = table();
-    table.hear(beat("a", "north", 1), at(0));
+    table.hear(heartbeat("a", "north", 1), at(0));
     let counts = |near, all| KnownCounts { near, all };
     assert_eq!(table.assumed_counts(at(0)), counts(2, 2));
     let notice = ViewNotice {
@@ -105,9 +105,9 @@
     };
     table.take_view(&notice, at(10));
     assert_eq!(table.assumed_counts(at(20)), counts(4, 9));
-    table.hear(beat("a", "north", 2), at(2_000));
+    table.hear(heartbeat("a", "north", 2), at(2_000));
     assert_eq!(table.assumed_counts(at(2_000)), counts(4, 9), "it still holds");
-    let mut restarted = beat("a", "north", 1);
+    let mut restarted = heartbeat("a", "north", 1);
     restarted.incarnation = IncarnationId(2);
     table.hear(restarted, at(2_100));
     assert_eq!(table.assumed_counts(at(2_100)), counts(2, 2), "another process says so anew");
@@ -127,7 +127,7 @@
 #[test]
 fn pulses_keep_known_vms_alive_and_make_unknown_ones_asked_for() {
     let mut table = table();
-    table.hear(beat("a", "south", 1), at(0));
+    table.hear(heartbeat("a", "south", 1), at(0));
     assert_eq!(table.take_asks(), AskedBeats::All, "a process that has just started asks");
     assert_eq!(table.take_asks(), AskedBeats::Of(Vec::new()));
     let asked = |vm: &str| AskedBeats::Of(vec![VmTag::of(&vm.parse().unwrap())]);
@@ -144,7 +144,7 @@
 #[test]
 fn a_load_report_of_the_same_lifetime_is_a_sign_of_life() {
     let mut table = table();
-    table.hear(beat("a", "north", 1), at(0));
+    table.hear(heartbeat("a", "north", 1), at(0));
     table.note_report(VmTag::of(&"a".parse().unwrap()), IncarnationId(1), at(2_000));
     table.note_report(VmTag::of(&"a".parse().unwrap()), IncarnationId(0), at(9_000));
     assert_eq!(live(&table, at(4_000)), ["a"]);
@@ -154,8 +154,8 @@
 #[test]
 fn far_vms_may_be_silent_for_longer() {
     let mut table = table();
-    table.hear(beat("near", "north", 1), at(0));
-    table.hear(beat("far", "south", 1), at(0));
+    table.hear(heartbeat("near", "north", 1), at(0));
+    table.hear(heartbeat("far", "south", 1), at(0));
     assert_eq!(live(&table, at(4_000)), ["far"]);
     assert!(live(&table, at(5_500)).is_empty());
 }
@@ -167,8 +167,8 @@
     let mut delegate = table_of("delegate", 1);
     let mut far = region_table("far", 1, "south");
     for vm in ["a", "b"] {
-        delegate.hear(beat(vm, "north", 1), at(0));
-        far.hear(beat(vm, "north", 1), at(0));
+        delegate.hear(heartbeat(vm, "north", 1), at(0));
+        far.hear(heartbeat(vm, "north", 1), at(0));
     }
     let died = 3_000;
     for millis in (0..12_000).step_by(250) {
@@ -188,14 +188,14 @@
 #[test]
 fn a_list_of_lives_tells_of_starts_but_undoes_no_leaving() {
     let mut table = table();
-    let mut starting = beat("a", "south", 1);
+    let mut starting = heartbeat("a", "south", 1);
     starting.phase = PeerPhase::Starting;
-    let mut leaving = beat("b", "south", 1);
+    let mut leaving = heartbeat("b", "south", 1);
     leaving.phase = PeerPhase::Leaving;
     let lives = [starting.life(), leaving.life()];
     table.hear(starting, at(0));
     table.hear(leaving, at(0));
     assert!(table.note_lives(&lives, at(100)));
-    let phases: Vec<PeerPhase> = table.live(at(100)).map(|beat| beat.phase).collect();
+    let phases: Vec<PeerPhase> = table.live(at(100)).map(|heartbeat| heartbeat.phase).collect();
     assert_eq!(phases, [PeerPhase::Serving, PeerPhase::Leaving]);
 }
--- a/crates/foldhaven-core/tests/testsuite/opaque_readers.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_readers.rs
@@ -6,15 +6,15 @@
 use foldhaven_core::time::MonoTime;
 use rstest::rstest;
 
-use crate::opaque_support::{at, beat, table_of};
+use crate::opaque_support::{at, heartbeat, table_of};
 
 /// Tables of all VMs of a region, in which those of `turned_away` say that the platform refuses them.
 fn region(vms: usize, turned_away: &[usize]) -> Vec<(PeerTable, bool)> {
     let name = |at: usize| format!("vm-{at}");
     let told = |at: usize| {
-        let mut beat = beat(&name(at), "north", 1);
-        beat.is_turned_away = turned_away.contains(&at);
-        beat
+        let mut heartbeat = heartbeat(&name(at), "north", 1);
+        heartbeat.is_turned_away = turned_away.contains(&at);
+        heartbeat
     };
     let table_of = |own: usize| {
         let mut table = table_of(&name(own), 1);
@@ -76,7 +76,7 @@
         (0..12).filter(|at| tables[*at].0.is_reader(false, Duration::ZERO, at_start())).collect();
     for (own, (table, _)) in tables.iter_mut().enumerate() {
         for other in (0..12).filter(|other| *other != own && !readers.contains(other)) {
-            table.hear(beat(&format!("vm-{other}"), "north", 2), at(4_000));
+            table.hear(heartbeat(&format!("vm-{other}"), "north", 2), at(4_000));
         }
     }
     let now_reading = |at_: &usize| tables[*at_].0.is_reader(false, Duration::ZERO, at(4_000));
--- a/crates/foldhaven-core/tests/testsuite/opaque_routes.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_routes.rs
@@ -15,7 +15,7 @@
 use foldhaven_core::units::CoreShare;
 use rstest::rstest;
 
-use crate::opaque_support::beat;
+use crate::opaque_support::heartbeat;
 
 pub fn route(name: &str, host: &str, prefix: &str, homes: &[&str]) -> OpaqueRoute {
     OpaqueRoute {
@@ -132,13 +132,13 @@
     #[case] region: &str,
     #[case] expected: &[&str],
 ) {
-    let beats: Vec<PeerBeat> = vms.iter().map(|(vm, region)| beat(vm, region, 1)).collect();
+    let beats: Vec<PeerBeat> = vms.iter().map(|(vm, region)| heartbeat(vm, region, 1)).collect();
     let region: RegionName = region.parse().unwrap();
     let bound = |region: &RegionName| usize::from(region.as_str() == "south");
     let named = named_by_first(&beats, &region, bound, true);
     let wanted: Vec<_> = beats
         .iter()
-        .filter(|beat| expected.contains(&beat.vm.as_str()))
+        .filter(|heartbeat| expected.contains(&heartbeat.vm.as_str()))
         .map(|it| it.caller)
         .collect();
     assert_eq!(named, wanted);
@@ -153,8 +153,8 @@
     #[case] has_bound: bool,
     #[case] named: usize,
 ) {
-    let leaving = PeerBeat { phase: PeerPhase::Leaving, ..beat("s1", "south", 1) };
-    let beats = [leaving, beat("e1", "east", 1)];
+    let leaving = PeerBeat { phase: PeerPhase::Leaving, ..heartbeat("s1", "south", 1) };
+    let beats = [leaving, heartbeat("e1", "east", 1)];
     let bound = |region: &RegionName| usize::from(region.as_str() == "south");
     let answer = named_by_first(&beats, &"north".parse().unwrap(), bound, has_bound);
     assert_eq!(answer.len(), named);
@@ -163,6 +163,6 @@
 #[test]
 fn vms_that_start_or_leave_are_not_named() {
     let beats = [PeerPhase::Starting, PeerPhase::Leaving]
-        .map(|phase| PeerBeat { phase, ..beat("n1", "north", 1) });
+        .map(|phase| PeerBeat { phase, ..heartbeat("n1", "north", 1) });
     assert!(named_by_first(&beats, &"north".parse().unwrap(), |_| 0, false).is_empty());
 }
--- a/crates/foldhaven-core/tests/testsuite/opaque_service.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_service.rs
@@ -15,7 +15,7 @@
 use foldhaven_core::units::CoreShare;
 use rstest::rstest;
 
-use crate::opaque_support::{at, beat, region_table, table_of};
+use crate::opaque_support::{at, heartbeat, region_table, table_of};
 
 fn cores(cores: f64) -> CoreShare {
     CoreShare::of_cores(cores)
@@ -29,7 +29,7 @@
             beats.extend((0..count).map(|at| PeerBeat {
                 data_centre: centre.parse().unwrap(),
                 cores: cores(size),
-                ..beat(&format!("{centre}-{kind}-{at}"), "north", 1)
+                ..heartbeat(&format!("{centre}-{kind}-{at}"), "north", 1)
             }));
         }
     }
@@ -89,7 +89,8 @@
     let beats = region(3, 46);
     let all = order(&beats);
     let lost = all.standing()[2].vm.clone();
-    let left: Vec<PeerBeat> = beats.iter().filter(|beat| beat.vm != lost).cloned().collect();
+    let left: Vec<PeerBeat> =
+        beats.iter().filter(|heartbeat| heartbeat.vm != lost).cloned().collect();
     let before: BTreeSet<VmName> = names(all.standing()).into_iter().collect();
     let after: BTreeSet<VmName> = names(order(&left).standing()).into_iter().collect();
     assert!(before.difference(&after).all(|vm| *vm == lost), "{before:?} {after:?}");
@@ -98,8 +99,11 @@
 #[test]
 fn a_lost_data_centre_is_made_up_for_by_the_other_one() {
     let beats = region(3, 46);
-    let left: Vec<PeerBeat> =
-        beats.iter().filter(|beat| beat.data_centre.as_str() == "hall-a").cloned().collect();
+    let left: Vec<PeerBeat> = beats
+        .iter()
+        .filter(|heartbeat| heartbeat.data_centre.as_str() == "hall-a")
+        .cloned()
+        .collect();
     let order = order(&left);
     let found: f64 = order.for_demand(cores(1.0)).iter().map(|it| it.cores.as_f64()).sum();
     assert!(found >= 2.0, "{found} cores for twice the demand");
@@ -140,9 +144,9 @@
         }
     }
     let mean = |size: f64| {
-        let of_size = beats.iter().filter(|beat| beat.cores == cores(size));
+        let of_size = beats.iter().filter(|heartbeat| heartbeat.cores == cores(size));
         let shares: Vec<f64> =
-            of_size.filter_map(|beat| taken.get(&beat.caller).copied()).collect();
+            of_size.filter_map(|heartbeat| taken.get(&heartbeat.caller).copied()).collect();
         shares.iter().sum::<f64>() / shares.len() as f64
     };
     let ratio = mean(0.5) / mean(0.12);
@@ -159,7 +163,7 @@
         named.into_iter().for_each(|address| *taken.entry(address).or_default() += 1);
     }
     // Two names may share an address here.
-    let addresses: BTreeSet<SocketAddr> = beats.iter().map(|beat| beat.caller).collect();
+    let addresses: BTreeSet<SocketAddr> = beats.iter().map(|heartbeat| heartbeat.caller).collect();
     assert_eq!(taken.len(), addresses.len(), "each is named somewhere");
 }
 
@@ -169,10 +173,14 @@
     let silent: BTreeSet<VmName> = [beats[0].vm.clone()].into();
     let named = answer(&beats, "n1", 0.0, &silent);
     assert!(!named.contains(&beats[0].caller) && !named.is_empty());
-    let centre: BTreeSet<VmName> = beats[..6].iter().map(|beat| beat.vm.clone()).collect();
+    let centre: BTreeSet<VmName> =
+        beats[..6].iter().map(|heartbeat| heartbeat.vm.clone()).collect();
     let left = answer(&beats, "n1", 9.0, &centre);
-    assert!(beats[..6].iter().all(|beat| !left.contains(&beat.caller)), "one of two data centres");
-    let most: BTreeSet<VmName> = beats[..8].iter().map(|beat| beat.vm.clone()).collect();
+    assert!(
+        beats[..6].iter().all(|heartbeat| !left.contains(&heartbeat.caller)),
+        "one of two data centres"
+    );
+    let most: BTreeSet<VmName> = beats[..8].iter().map(|heartbeat| heartbeat.vm.clone()).collect();
     assert!(answer(&beats, "n1", 9.0, &most).contains(&beats[0].caller));
 }
 
@@ -189,8 +197,8 @@
             cores: own.cores,
         };
         let mut table = PeerTable::new(vm, own.incarnation);
-        let others = beats.iter().filter(|beat| beat.vm != own.vm);
-        others.for_each(|beat| assert!(table.hear(beat.clone(), at(0))));
+        let others = beats.iter().filter(|heartbeat| heartbeat.vm != own.vm);
+        others.for_each(|heartbeat| assert!(table.hear(heartbeat.clone(), at(0))));
         let duties = [table.is_reader(false, Duration::ZERO, at(100)), table.is_delegate(at(100))];
         let is_standing = order(&beats).standing().iter().any(|it| *it.vm == own.vm);
         assert!(is_standing || duties == [false, false], "{}", own.vm);
@@ -204,9 +212,12 @@
     let beats = region(3, 46);
     let standing: BTreeSet<VmName> = names(order(&beats).standing()).into_iter().collect();
     let mut table = region_table("far", 1, "south");
-    beats.iter().for_each(|beat| assert!(table.hear(beat.clone(), at(0))));
-    let addresses: BTreeSet<SocketAddr> =
-        beats.iter().filter(|beat| standing.contains(&beat.vm)).map(|beat| beat.peer).collect();
+    beats.iter().for_each(|heartbeat| assert!(table.hear(heartbeat.clone(), at(0))));
+    let addresses: BTreeSet<SocketAddr> = beats
+        .iter()
+        .filter(|heartbeat| standing.contains(&heartbeat.vm))
+        .map(|heartbeat| heartbeat.peer)
+        .collect();
     let mut told = BTreeSet::new();
     for _ in 0..standing.len() {
         let targets = table.one_in_service_of_each_region(at(100));
@@ -219,7 +230,7 @@
 #[test]
 fn a_vm_is_doubted_before_it_is_missed() {
     let mut table = table_of("own", 1);
-    let other = beat("other", "north", 1);
+    let other = heartbeat("other", "north", 1);
     table.hear(other.clone(), at(0));
     assert!(table.doubted(at(1_400)).is_empty());
     assert!(table.doubted(at(1_700)).contains(&other.vm));
--- a/crates/foldhaven-core/tests/testsuite/opaque_support.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_support.rs
@@ -39,7 +39,7 @@
 }
 
 /// Returns a heartbeat of a VM, with addresses derived from its name.
-pub fn beat(vm: &str, region: &str, sequence: u32) -> PeerBeat {
+pub fn heartbeat(vm: &str, region: &str, sequence: u32) -> PeerBeat {
     let [.., high, low] = xxh3_64(vm.as_bytes()).to_be_bytes();
     let address = |port: u16| format!("127.9.{high}.{low}:{port}").parse().unwrap();
     PeerBeat {
