--- a/crates/foldhaven-core/src/opaque/admission.rs
+++ b/crates/foldhaven-core/src/opaque/admission.rs
@@ -1,76 +1,76 @@
-//! Whether a request is sent to the best place that was found for it, or refused at once.
+//! Decides whether a request is sent to its best destination or refused immediately.
 
 use std::time::Duration;
 
-use crate::opaque::choice::{CostParts, LATE_LOSS, chance_of_lateness};
-use crate::opaque::pace::QueueFacts;
+use crate::opaque::choice::{CostBreakdown, LATE_VALUE_LOSS, lateness_probability};
+use crate::opaque::performance::QueueState;
 use crate::opaque::queue_rank::QueueRank;
 
-/// The best place for a request.
+/// The estimates for the best destination of a request.
 #[derive(Debug, Clone, Copy)]
-pub struct PlaceOffer {
+pub struct DestinationEstimate {
     /// The expected time to the answer, or to its first event.
-    pub first: Duration,
-    /// What it would cost.
-    pub parts: CostParts,
-    /// Its rank there.
+    pub time_to_first: Duration,
+    /// The expected cost by cause.
+    pub breakdown: CostBreakdown,
+    /// The rank of the request in the destination's queue.
     pub rank: QueueRank,
-    /// The requests there.
-    pub queue: QueueFacts,
-    /// Whether the place takes no more.
+    /// The requests at the destination.
+    pub queue: QueueState,
+    /// Whether the destination probably refuses further requests because its queue is full.
     pub is_full: bool,
 }
 
-/// The limits within which it is to be answered.
+/// The time limits of a request.
 #[derive(Debug, Clone, Copy)]
 pub struct TimeLimits {
-    /// The time to the first answer that its caller wants.
+    /// The target time to the answer, or to its first event.
     pub target: Duration,
-    /// How long it had waited when it came.
+    /// The time that the caller had already waited when the request arrived.
     pub waited: Duration,
-    /// How long its caller still waits.
+    /// The time that the caller continues to wait.
     pub remaining: Duration,
 }
 
-/// Why a request is refused.
+/// The reason why a request is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unservable {
-    /// Its caller would have left before it began to be answered.
+pub enum AdmissionError {
+    /// The caller would give up before the answer begins.
     TooLate,
-    /// It would take more from the requests there than its own answer is worth.
-    TooHarmful,
-    /// All places have as many requests as they take.
+    /// The request would cost the other requests at the destination more than its answer is worth.
+    TooMuchInterference,
+    /// The queues of all destinations are full.
     Full,
-    /// It cannot be answered within its target, and as many others of which that is so wait already as the place
-    /// runs at once.
-    Crowded,
+    /// The request cannot be answered within its target, and the destination already has as many
+    /// waiting deferred requests as slots.
+    TooManyDeferred,
 }
 
-/// Decides on a request whose best place is known.
+/// Decides whether a request is sent to its best destination.
 ///
 /// # Errors
 ///
-/// When it is better refused.
-pub fn admit(offer: &PlaceOffer, limits: TimeLimits) -> Result<(), Unservable> {
-    if offer.first > limits.remaining {
-        return Err(Unservable::TooLate);
+/// Returns the reason if the request should be refused.
+pub fn admit(estimate: &DestinationEstimate, limits: TimeLimits) -> Result<(), AdmissionError> {
+    if estimate.time_to_first > limits.remaining {
+        return Err(AdmissionError::TooLate);
     }
-    if offer.is_full {
-        return Err(Unservable::Full);
+    if estimate.is_full {
+        return Err(AdmissionError::Full);
     }
-    if offer.rank == QueueRank::Behind && offer.queue.behind >= offer.queue.slots {
-        return Err(Unservable::Crowded);
+    if estimate.rank == QueueRank::Deferred && estimate.queue.deferred >= estimate.queue.slots {
+        return Err(AdmissionError::TooManyDeferred);
     }
-    let late = chance_of_lateness(limits.waited + offer.first, limits.target);
-    let value = 1.0 - LATE_LOSS * late;
-    match offer.parts.harm() > value {
-        true => Err(Unservable::TooHarmful),
+    let late = lateness_probability(limits.waited + estimate.time_to_first, limits.target);
+    let value = 1.0 - LATE_VALUE_LOSS * late;
+    match estimate.breakdown.interference() > value {
+        true => Err(AdmissionError::TooMuchInterference),
         false => Ok(()),
     }
 }
 
-/// After which time a place like the best one could probably answer a refused request within its target, if
-/// nothing else came.
-pub fn come_back_after(offer: &PlaceOffer, limits: TimeLimits) -> Duration {
-    offer.first.saturating_sub(limits.target)
+/// Returns the time after which the destination could probably answer a refused request within its
+/// target if no other requests arrived.
+pub fn retry_after(estimate: &DestinationEstimate, limits: TimeLimits) -> Duration {
+    estimate.time_to_first.saturating_sub(limits.target)
 }
--- a/crates/foldhaven-core/src/opaque/load_share.rs
+++ b/crates/foldhaven-core/src/opaque/load_share.rs
@@ -9,7 +9,7 @@
 use crate::ids::IncarnationId;
 use crate::opaque::affinity::{PromptPlacement, UpstreamTag};
 use crate::opaque::peer_table::VmTag;
-use crate::opaque::queue_rank::UnreadTokens;
+use crate::opaque::queue_rank::PrefillBacklog;
 use crate::opaque::region_book::RegionReport;
 use crate::time::MonoTime;
 use crate::units::CoreShare;
@@ -25,94 +25,94 @@
 /// The requests of one VM at one upstream.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamShare {
-    /// Requests that it has.
-    pub in_flight: u16,
-    /// Those of them that can still be answered as wanted.
-    pub whole: u16,
-    /// Those that go behind all others, and were not answered yet.
-    pub behind: u16,
-    /// Prompt tokens of those that were not answered yet.
-    pub unread: UnreadTokens,
+/// Requests that it has.
+pub in_flight: u16,
+/// Those of them that can still be answered as wanted.
+pub whole: u16,
+/// Those that go behind all others, and were not answered yet.
+pub behind: u16,
+/// Prompt tokens of those that were not answered yet.
+pub unread: PrefillBacklog,
 }
 
 /// What one VM reports.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// The VM.
-    pub vm: VmTag,
-    /// Its process lifetime.
-    pub incarnation: IncarnationId,
-    /// Rises with each report of one lifetime.
-    pub sequence: u32,
-    /// The upstreams at which it has requests.
-    pub shares: Vec<(UpstreamTag, UpstreamShare)>,
-    /// Long prompts that it sent since its last report.
-    pub placements: Vec<PromptPlacement>,
-    /// What delegates of other regions told it since its last report.
-    pub regions: Vec<RegionReport>,
-    /// The processor time that its requests take.
-    pub busy: CoreShare,
+/// The VM.
+pub vm: VmTag,
+/// Its process lifetime.
+pub incarnation: IncarnationId,
+/// Rises with each report of one lifetime.
+pub sequence: u32,
+/// The upstreams at which it has requests.
+pub shares: Vec<(UpstreamTag, UpstreamShare)>,
+/// Long prompts that it sent since its last report.
+pub placements: Vec<PromptPlacement>,
+/// What delegates of other regions told it since its last report.
+pub regions: Vec<RegionReport>,
+/// The processor time that its requests take.
+pub busy: CoreShare,
 }
 
 impl LoadReport {
-    /// Whether its VM has requests at an upstream.
-    pub fn is_active(&self) -> bool {
-        !self.shares.is_empty()
-    }
+/// Whether its VM has requests at an upstream.
+pub fn is_active(&self) -> bool {
+!self.shares.is_empty()
+}
 }
 
 #[derive(Debug)]
 struct HeardReport {
-    order: (IncarnationId, u32),
-    heard: MonoTime,
-    shares: Vec<(UpstreamTag, UpstreamShare)>,
-    busy: CoreShare,
+order: (IncarnationId, u32),
+heard: MonoTime,
+shares: Vec<(UpstreamTag, UpstreamShare)>,
+busy: CoreShare,
 }
 
 /// The requests of several VMs at one upstream. Wider than [`UpstreamShare`], so that what was added can be taken
 /// off again whatever the sum.
 #[derive(Debug, Clone, Copy, Default)]
 struct ShareSum {
-    vms: u32,
-    in_flight: u64,
-    whole: u64,
-    behind: u64,
-    unread_timely: u64,
-    unread_behind: u64,
+vms: u32,
+in_flight: u64,
+whole: u64,
+behind: u64,
+unread_timely: u64,
+unread_behind: u64,
 }
 
 impl ShareSum {
-    fn add(&mut self, share: &UpstreamShare) {
-        self.vms += 1;
-        self.in_flight += u64::from(share.in_flight);
-        self.whole += u64::from(share.whole);
-        self.behind += u64::from(share.behind);
-        self.unread_timely += u64::from(share.unread.timely);
-        self.unread_behind += u64::from(share.unread.behind);
-    }
-
-    fn take_off(&mut self, share: &UpstreamShare) {
-        self.vms -= 1;
-        self.in_flight -= u64::from(share.in_flight);
-        self.whole -= u64::from(share.whole);
-        self.behind -= u64::from(share.behind);
-        self.unread_timely -= u64::from(share.unread.timely);
-        self.unread_behind -= u64::from(share.unread.behind);
-    }
-
-    fn share(&self) -> UpstreamShare {
-        let count = |sum: u64| u16::try_from(sum).unwrap_or(u16::MAX);
-        let tokens = |sum: u64| u32::try_from(sum).unwrap_or(u32::MAX);
-        UpstreamShare {
-            in_flight: count(self.in_flight),
-            whole: count(self.whole),
-            behind: count(self.behind),
-            unread: UnreadTokens {
-                timely: tokens(self.unread_timely),
-                behind: tokens(self.unread_behind),
-            },
-        }
-    }
+fn add(&mut self, share: &UpstreamShare) {
+self.vms += 1;
+self.in_flight += u64::from(share.in_flight);
+self.whole += u64::from(share.whole);
+self.behind += u64::from(share.behind);
+self.unread_timely += u64::from(share.unread.timely);
+self.unread_behind += u64::from(share.unread.deferred);
+}
+
+fn take_off(&mut self, share: &UpstreamShare) {
+self.vms -= 1;
+self.in_flight -= u64::from(share.in_flight);
+self.whole -= u64::from(share.whole);
+self.behind -= u64::from(share.behind);
+self.unread_timely -= u64::from(share.unread.timely);
+self.unread_behind -= u64::from(share.unread.deferred);
+}
+
+fn share(&self) -> UpstreamShare {
+let count = |sum: u64| u16::try_from(sum).unwrap_or(u16::MAX);
+let tokens = |sum: u64| u32::try_from(sum).unwrap_or(u32::MAX);
+UpstreamShare {
+in_flight: count(self.in_flight),
+whole: count(self.whole),
+behind: count(self.behind),
+unread: PrefillBacklog {
+timely: tokens(self.unread_timely),
+deferred: tokens(self.unread_behind),
+},
+}
+}
 }
 
 /// The newest reports of the other VMs, and their sums.
@@ -122,72 +122,72 @@
 /// difference between 75 and 83 in 100 of the work answered in time (`foldhaven-testkit simulate`).
 #[derive(Debug, Default)]
 pub struct LoadBook {
-    reports: BTreeMap<VmTag, HeardReport>,
-    sums: HashMap<UpstreamTag, ShareSum>,
+reports: BTreeMap<VmTag, HeardReport>,
+sums: HashMap<UpstreamTag, ShareSum>,
 }
 
 impl LoadBook {
-    /// Takes in a report. Returns the upstreams at which its VM has or had requests; nothing when the report is not
-    /// newer than the one held.
-    pub fn hear(&mut self, report: LoadReport, now: MonoTime) -> Option<Vec<UpstreamTag>> {
-        let order = (report.incarnation, report.sequence);
-        if self.reports.get(&report.vm).is_some_and(|held| order <= held.order) {
-            return None;
-        }
-        let mut touched: Vec<UpstreamTag> = report.shares.iter().map(|(tag, _)| *tag).collect();
-        for (tag, share) in &report.shares {
-            self.sums.entry(*tag).or_default().add(share);
-        }
-        let heard = HeardReport { order, heard: now, shares: report.shares, busy: report.busy };
-        if let Some(before) = self.reports.insert(report.vm, heard) {
-            touched.extend(before.shares.iter().map(|(tag, _)| *tag));
-            take_off(&mut self.sums, &before);
-        }
-        touched.sort_unstable();
-        touched.dedup();
-        Some(touched)
-    }
-
-    /// Leaves out the VMs that reported nothing for some intervals, where `interval` lies between two reports.
-    pub fn forget_silent(&mut self, interval: Duration, now: MonoTime) {
-        let limit = interval * STALE_INTERVALS;
-        let is_silent = |report: &HeardReport| now.since(report.heard) >= limit;
-        for silent in self.reports.extract_if(.., |_, report| is_silent(report)) {
-            take_off(&mut self.sums, &silent.1);
-        }
-    }
-
-    /// The sum over the other VMs for an upstream.
-    pub fn total(&self, upstream: UpstreamTag) -> UpstreamShare {
-        self.sums.get(&upstream).map_or(UpstreamShare::default(), ShareSum::share)
-    }
-
-    /// The VMs that had requests at an upstream by their newest reports.
-    pub fn active(&self) -> impl Iterator<Item = VmTag> {
-        let with_requests = self.reports.iter().filter(|(_, report)| !report.shares.is_empty());
-        with_requests.map(|(vm, _)| *vm)
-    }
-
-    /// The processor time that the requests of the other VMs take together.
-    pub fn busy(&self) -> CoreShare {
-        let reports = self.reports.values();
-        reports.fold(CoreShare::default(), |sum, report| sum.saturating_add(report.busy))
-    }
+/// Takes in a report. Returns the upstreams at which its VM has or had requests; nothing when the report is not
+/// newer than the one held.
+pub fn hear(&mut self, report: LoadReport, now: MonoTime) -> Option<Vec<UpstreamTag>> {
+let order = (report.incarnation, report.sequence);
+if self.reports.get(&report.vm).is_some_and(|held| order <= held.order) {
+return None;
+}
+let mut touched: Vec<UpstreamTag> = report.shares.iter().map(|(tag, _)| *tag).collect();
+for (tag, share) in &report.shares {
+self.sums.entry(*tag).or_default().add(share);
+}
+let heard = HeardReport { order, heard: now, shares: report.shares, busy: report.busy };
+if let Some(before) = self.reports.insert(report.vm, heard) {
+touched.extend(before.shares.iter().map(|(tag, _)| *tag));
+take_off(&mut self.sums, &before);
+}
+touched.sort_unstable();
+touched.dedup();
+Some(touched)
+}
+
+/// Leaves out the VMs that reported nothing for some intervals, where `interval` lies between two reports.
+pub fn forget_silent(&mut self, interval: Duration, now: MonoTime) {
+let limit = interval * STALE_INTERVALS;
+let is_silent = |report: &HeardReport| now.since(report.heard) >= limit;
+for silent in self.reports.extract_if(.., |_, report| is_silent(report)) {
+take_off(&mut self.sums, &silent.1);
+}
+}
+
+/// The sum over the other VMs for an upstream.
+pub fn total(&self, upstream: UpstreamTag) -> UpstreamShare {
+self.sums.get(&upstream).map_or(UpstreamShare::default(), ShareSum::share)
+}
+
+/// The VMs that had requests at an upstream by their newest reports.
+pub fn active(&self) -> impl Iterator<Item = VmTag> {
+let with_requests = self.reports.iter().filter(|(_, report)| !report.shares.is_empty());
+with_requests.map(|(vm, _)| *vm)
+}
+
+/// The processor time that the requests of the other VMs take together.
+pub fn busy(&self) -> CoreShare {
+let reports = self.reports.values();
+reports.fold(CoreShare::default(), |sum, report| sum.saturating_add(report.busy))
+}
 }
 
 /// Takes a report out of the sums.
 fn take_off(sums: &mut HashMap<UpstreamTag, ShareSum>, report: &HeardReport) {
-    for (tag, share) in &report.shares {
-        if let Some(sum) = sums.get_mut(tag) {
-            sum.take_off(share);
-            if sum.vms == 0 {
-                sums.remove(tag);
-            }
-        }
-    }
+for (tag, share) in &report.shares {
+if let Some(sum) = sums.get_mut(tag) {
+sum.take_off(share);
+if sum.vms == 0 {
+sums.remove(tag);
+}
+}
+}
 }
 
 /// The interval between two reports where so many other VMs report.
 pub fn share_interval(others: usize) -> Duration {
-    SHARE_INTERVAL.max(SHARE_INTERVAL_PER_VM * others as u32)
+SHARE_INTERVAL.max(SHARE_INTERVAL_PER_VM * others as u32)
 }
--- a/crates/foldhaven-core/src/opaque/mod.rs
+++ b/crates/foldhaven-core/src/opaque/mod.rs
@@ -1,30 +1,30 @@
 //! Decisions on opaque requests: requests that are routed by host and path and whose bodies are
-//! passed on as they are.
+//! forwarded unchanged.
 
 pub mod account_table;
 pub mod admission;
 pub mod affinity;
 pub mod belief_age;
+pub mod caller_timeouts;
 pub mod choice;
 pub mod connection_share;
 pub mod demand;
 pub mod demand_book;
 pub mod demand_share;
 pub mod directory;
-pub mod event_order;
-pub mod event_pace;
-pub mod far_queue;
+pub mod event_interval;
+pub mod event_sequence;
 pub mod limit_part;
 pub mod load_share;
-pub mod pace;
-pub mod patience;
-pub mod pause_book;
+pub mod pause_statistics;
 pub mod peer_table;
+pub mod performance;
+pub mod prefill_rate;
+pub mod queue_capacity;
 pub mod queue_rank;
-pub mod queue_room;
 pub mod rate_part;
-pub mod reading_pace;
 pub mod region_book;
+pub mod remote_queue;
 pub mod report_plan;
 pub mod request_print;
 pub mod retry_share;
