--- a/crates/foldhaven-core/src/opaque/demand_share.rs
+++ b/crates/foldhaven-core/src/opaque/demand_exchange.rs
@@ -4,38 +4,38 @@
 use std::time::Duration;
 
 use crate::ids::IncarnationId;
-use crate::opaque::account_table::AccountLimit;
-use crate::opaque::demand_book::{
-    AccountTag, AccountWant, DEMAND_INTERVAL, DemandBook, MAX_WANTS, NearDemand, REPEAT_ROUNDS,
-    RegionDemand, VmDemand,
+use crate::opaque::account_demand::{
+    AccountDemand, AccountTag, DEMAND_INTERVAL, DemandTable, LocalDemand, MAX_ACCOUNTS_PER_MESSAGE,
+    REPEAT_ROUNDS, RegionDemand, VmDemand,
 };
-use crate::opaque::limit_part::{LimitPart, LimitSlack, SharerView, limit_part};
+use crate::opaque::account_table::AccountLimit;
+use crate::opaque::limit_share::{LimitShare, LimitSlack, SharerView, limit_share};
 use crate::opaque::peer_table::{RegionTag, VmTag};
 use crate::time::MonoTime;
 
 /// The share of a VM's equal part up to which a want is not worth telling.
-const UNTOLD_SHARE: f64 = 0.1;
+const MIN_ANNOUNCED_SHARE: f64 = 0.1;
 /// A want is told at once when it has changed by this share of the part.
-const CHANGED_SHARE: f64 = 0.25;
+const ANNOUNCED_CHANGE_SHARE: f64 = 0.25;
 
 /// After this time all VMs of other regions know what was told in this one: a round of its delegates, one of the VMs
 /// that pass it on there, and the way.
-const FAR_NEWS_AFTER: Duration = Duration::from_millis(800);
+const REMOTE_DELAY: Duration = Duration::from_millis(800);
 
 /// An account with a limit, and what its callers want at this VM.
 #[derive(Debug, Clone, Copy)]
-pub struct LimitedWant {
+pub struct LimitedDemand {
     /// The account.
     pub account: AccountTag,
     /// Its limit.
     pub limit: AccountLimit,
     /// What they want, in the unit of the limit by the second.
-    pub want: f64,
+    pub demand: f64,
 }
 
 /// The VMs of the region, as a VM knows them.
 #[derive(Debug, Clone, Copy)]
-pub struct NearSharers {
+pub struct LocalSharers {
     /// How many there may be, this one included.
     pub vms: usize,
     /// How many of the others were heard a moment ago.
@@ -46,12 +46,12 @@
 
 /// What a VM knows of wants, and what it told of its own.
 #[derive(Debug)]
-pub struct DemandShare {
+pub struct DemandExchange {
     vm: VmTag,
     region: RegionTag,
-    book: DemandBook,
+    table: DemandTable,
     /// What this VM told last.
-    told: BTreeMap<AccountTag, f64>,
+    announced: BTreeMap<AccountTag, f64>,
     /// What delegates of other regions told, of which the VMs of this region are still to be told.
     relayed: Vec<RegionDemand>,
     /// What was wanted in the region in the last rounds.
@@ -61,158 +61,182 @@
     sequence: u32,
 }
 
-impl DemandShare {
+impl DemandExchange {
     /// That of a VM of a region, of all regions that there may be.
     pub fn new(vm: VmTag, region: RegionTag, regions: impl IntoIterator<Item = RegionTag>) -> Self {
-        let book = DemandBook::new(region, regions);
-        let (told, relayed) = (BTreeMap::new(), Vec::new());
+        let table = DemandTable::new(region, regions);
+        let (announced, relayed) = (BTreeMap::new(), Vec::new());
         let past = BTreeMap::new();
-        Self { vm, region, book, told, relayed, past, rounds: 0, sequence: 0 }
+        Self { vm, region, table, announced, relayed, past, rounds: 0, sequence: 0 }
     }
 
     /// Takes in what another VM of the region tells.
-    pub fn hear_near(&mut self, demand: &NearDemand, now: MonoTime) {
+    pub fn apply_local(&mut self, demand: &LocalDemand, now: MonoTime) {
         if let Some(own) = &demand.own {
-            self.book.hear_vm(own);
+            self.table.apply_vm(own);
         }
         for region in &demand.regions {
-            self.book.hear_region(region, now);
+            self.table.apply_region(region, now);
         }
     }
 
     /// Takes in what a delegate of another region tells; the VMs of this region are told of it.
-    pub fn hear_region(&mut self, demand: RegionDemand, now: MonoTime) {
-        let age = self.book.region_age(demand.region, now);
+    pub fn apply_region(&mut self, demand: RegionDemand, now: MonoTime) {
+        let age = self.table.region_age(demand.region, now);
         // Several delegates tell several VMs; one relay in each round is enough for all.
         let is_due = age.is_none_or(|age| age >= DEMAND_INTERVAL);
-        if self.book.hear_region(&demand, now) && is_due {
+        if self.table.apply_region(&demand, now) && is_due {
             self.relayed.push(demand);
         }
     }
 
     /// How sure this VM is of those that share limits with it.
-    pub fn view(&self, near: NearSharers, now: MonoTime) -> SharerView {
-        let vms = near.vms.max(1);
+    pub fn view(&self, local: LocalSharers, now: MonoTime) -> SharerView {
+        let vms = local.vms.max(1);
         SharerView {
-            regions: self.book.region_count(),
-            silent_regions: self.book.silent_regions(now),
+            regions: self.table.region_count(),
+            silent_regions: self.table.silent_regions(now),
             vms,
-            silent_vms: vms - 1 - near.heard.min(vms - 1),
-            is_informed: near.is_informed,
+            silent_vms: vms - 1 - local.heard.min(vms - 1),
+            is_informed: local.is_informed,
         }
     }
 
     /// Begins a round, in which of the VMs of the region those of `heard` were heard a moment ago. Returns what they are
     /// to be told; nothing while it is about what they know.
-    pub fn tell_near(
+    pub fn next_local_update(
         &mut self,
-        wants: &[LimitedWant],
+        demands: &[LimitedDemand],
         view: &SharerView,
         heard: &BTreeSet<VmTag>,
         incarnation: IncarnationId,
         now: MonoTime,
-    ) -> Option<NearDemand> {
+    ) -> Option<LocalDemand> {
         self.rounds = self.rounds.wrapping_add(1);
-        self.book.keep_only(|vm| heard.contains(&vm));
-        let own = self.own_demand(wants, view, incarnation, now);
+        self.table.retain_vms(|vm| heard.contains(&vm));
+        let own = self.own_demand(demands, view, incarnation, now);
         let regions = std::mem::take(&mut self.relayed);
-        let is_news = own.is_some() || !regions.is_empty();
-        is_news.then_some(NearDemand { own, regions })
+        let has_update = own.is_some() || !regions.is_empty();
+        has_update.then_some(LocalDemand { own, regions })
     }
 
     fn own_demand(
         &mut self,
-        wants: &[LimitedWant],
+        demands: &[LimitedDemand],
         view: &SharerView,
         incarnation: IncarnationId,
         now: MonoTime,
     ) -> Option<VmDemand> {
-        let is_repeat = self.rounds.is_multiple_of(REPEAT_ROUNDS) && !self.told.is_empty();
-        if !is_repeat && !wants.iter().any(|want| self.has_changed(want, view, now)) {
+        let is_repeat = self.rounds.is_multiple_of(REPEAT_ROUNDS) && !self.announced.is_empty();
+        if !is_repeat && !demands.iter().any(|demand| self.has_changed(demand, view, now)) {
             return None;
         }
-        let is_told =
-            |it: &&LimitedWant| it.want > self.plain_part(it, view, now).equal_per_s * UNTOLD_SHARE;
-        let told = wants.iter().filter(is_told).map(|it| (it.account, it.want)).take(MAX_WANTS);
-        self.told = told.collect();
+        let is_announced = |it: &&LimitedDemand| {
+            it.demand > self.current_share(it, view, now).equal_per_s * MIN_ANNOUNCED_SHARE
+        };
+        let announced = demands
+            .iter()
+            .filter(is_announced)
+            .map(|it| (it.account, it.demand))
+            .take(MAX_ACCOUNTS_PER_MESSAGE);
+        self.announced = announced.collect();
         self.sequence += 1;
         Some(VmDemand {
             vm: self.vm,
             incarnation,
             sequence: self.sequence,
-            wants: self.told.iter().map(|(tag, want)| (*tag, *want as f32)).collect(),
+            demands: self.announced.iter().map(|(tag, demand)| (*tag, *demand as f32)).collect(),
         })
     }
 
     /// Whether a want is so far from what was told that others should divide by it.
-    fn has_changed(&self, want: &LimitedWant, view: &SharerView, now: MonoTime) -> bool {
-        let change = (want.want - self.told_of(want.account)).abs();
-        change > self.plain_part(want, view, now).per_s * CHANGED_SHARE
+    fn has_changed(&self, demand: &LimitedDemand, view: &SharerView, now: MonoTime) -> bool {
+        let change = (demand.demand - self.announced_demand(demand.account)).abs();
+        change > self.current_share(demand, view, now).per_s * ANNOUNCED_CHANGE_SHARE
     }
 
     /// The part of this VM, by what is known now alone.
-    fn plain_part(&self, want: &LimitedWant, view: &SharerView, now: MonoTime) -> LimitPart {
-        let wants = self.book.wants(want.account, self.told_of(want.account), now);
-        limit_part(&want.limit, &wants, view, &LimitSlack::default())
+    fn current_share(
+        &self,
+        demand: &LimitedDemand,
+        view: &SharerView,
+        now: MonoTime,
+    ) -> LimitShare {
+        let reported =
+            self.table.reported_demand(demand.account, self.announced_demand(demand.account), now);
+        limit_share(&demand.limit, &reported, view, &LimitSlack::default())
     }
 
-    fn told_of(&self, account: AccountTag) -> f64 {
-        self.told.get(&account).copied().unwrap_or_default()
+    fn announced_demand(&self, account: AccountTag) -> f64 {
+        self.announced.get(&account).copied().unwrap_or_default()
     }
 
     /// This VM's part of a limit now.
-    pub fn part(
+    pub fn share(
         &mut self,
-        want: &LimitedWant,
+        demand: &LimitedDemand,
         view: &SharerView,
         slack: &LimitSlack,
         now: MonoTime,
-    ) -> LimitPart {
-        let told = self.told_of(want.account);
-        let mut wants = self.book.wants(want.account, told, now);
-        wants.region_before = self.region_before(want.account, told + wants.near, now);
-        limit_part(&want.limit, &wants, view, slack)
+    ) -> LimitShare {
+        let announced = self.announced_demand(demand.account);
+        let mut reported = self.table.reported_demand(demand.account, announced, now);
+        reported.region_as_known_remotely = self.region_demand_known_remotely(
+            demand.account,
+            announced + reported.local_peers,
+            now,
+        );
+        limit_share(&demand.limit, &reported, view, slack)
     }
 
     /// What was wanted in this region when the news of it left that others have by now; `wanted` is what is now.
-    fn region_before(&mut self, account: AccountTag, wanted: f64, now: MonoTime) -> f64 {
+    fn region_demand_known_remotely(
+        &mut self,
+        account: AccountTag,
+        demand: f64,
+        now: MonoTime,
+    ) -> f64 {
         let past = self.past.entry(account).or_default();
-        past.push_back((now, wanted));
-        while past.get(1).is_some_and(|(at, _)| now.since(*at) >= FAR_NEWS_AFTER) {
+        past.push_back((now, demand));
+        while past.get(1).is_some_and(|(at, _)| now.since(*at) >= REMOTE_DELAY) {
             past.pop_front();
         }
-        past.front().filter(|(at, _)| now.since(*at) >= FAR_NEWS_AFTER).map_or(0.0, |(_, it)| *it)
+        past.front().filter(|(at, _)| now.since(*at) >= REMOTE_DELAY).map_or(0.0, |(_, it)| *it)
     }
 
     /// What other regions are told of this one, where this VM speaks for it; nothing where there is none.
-    pub fn tell_far(
+    pub fn next_region_update(
         &mut self,
-        wants: &[LimitedWant],
+        demands: &[LimitedDemand],
         incarnation: IncarnationId,
         now: MonoTime,
     ) -> Option<RegionDemand> {
-        if self.book.region_count() == 1 {
+        if self.table.region_count() == 1 {
             return None;
         }
-        let sum = |it: &LimitedWant| {
-            let sum = self.told_of(it.account) + self.book.near_want(it.account);
+        let sum = |it: &LimitedDemand| {
+            let sum = self.announced_demand(it.account) + self.table.local_peers_demand(it.account);
             (it.account, sum as f32)
         };
-        let told = wants.iter().map(sum).filter(|(_, want)| *want > 0.0).take(MAX_WANTS);
-        let told: Vec<AccountWant> = told.collect();
+        let announced = demands
+            .iter()
+            .map(sum)
+            .filter(|(_, demand)| *demand > 0.0)
+            .take(MAX_ACCOUNTS_PER_MESSAGE);
+        let announced: Vec<AccountDemand> = announced.collect();
         self.sequence += 1;
         Some(RegionDemand {
             region: self.region,
-            teller: self.vm,
+            delegate: self.vm,
             incarnation,
             sequence: self.sequence,
-            hears: self.book.heard_regions(now),
-            wants: told,
+            heard_regions: self.table.heard_regions(now),
+            demands: announced,
         })
     }
 
     /// Forgets what is still to be passed on, where no account has a limit.
-    pub fn rest(&mut self) {
+    pub fn clear_pending(&mut self) {
         self.relayed.clear();
         self.past.clear();
     }
--- a/crates/foldhaven-core/src/opaque/mod.rs
+++ b/crates/foldhaven-core/src/opaque/mod.rs
@@ -1,20 +1,20 @@
 //! Decisions on opaque requests: requests that are routed by host and path and whose bodies are
 //! passed on as they are.
 
+pub mod account_demand;
 pub mod account_table;
 pub mod admission;
 pub mod affinity;
 pub mod belief_age;
 pub mod choice;
 pub mod connection_share;
-pub mod demand;
-pub mod demand_book;
-pub mod demand_share;
+pub mod cpu_demand;
+pub mod demand_exchange;
 pub mod directory;
 pub mod event_order;
 pub mod event_pace;
 pub mod far_queue;
-pub mod limit_part;
+pub mod limit_share;
 pub mod load_share;
 pub mod pace;
 pub mod patience;
--- a/crates/foldhaven-core/tests/testsuite/opaque_service.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_service.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use foldhaven_core::ids::{DataCentreName, IncarnationId, RegionName, VmName};
-use foldhaven_core::opaque::demand::DemandPeak;
+use foldhaven_core::opaque::cpu_demand::PeakCpuDemand;
 use foldhaven_core::opaque::directory::{MAX_NAMED, NearService, name_vms};
 use foldhaven_core::opaque::load_share::share_interval;
 use foldhaven_core::opaque::peer_table::{OwnVm, PeerBeat, PeerTable, VmTag};
@@ -107,11 +107,11 @@
 
 #[test]
 fn a_peak_counts_for_some_seconds() {
-    let mut peak = DemandPeak::default();
-    assert_eq!(peak.note(cores(2.0), at(0)), cores(2.0));
-    let later = peak.note(cores(0.5), at(5_000));
+    let mut peak = PeakCpuDemand::default();
+    assert_eq!(peak.record(cores(2.0), at(0)), cores(2.0));
+    let later = peak.record(cores(0.5), at(5_000));
     assert!(later > cores(1.0) && later < cores(2.0), "{later}");
-    assert_eq!(peak.note(cores(0.5), at(60_000)), cores(0.5));
+    assert_eq!(peak.record(cores(0.5), at(60_000)), cores(0.5));
 }
 
 fn answer(
--- a/crates/foldhaven-gateway/src/account_desk.rs
+++ b/crates/foldhaven-gateway/src/account_desk.rs
@@ -5,8 +5,8 @@
 
 use foldhaven_core::ids::AccountName;
 use foldhaven_core::opaque::account_table::{AccountLimit, ClientAccount};
-use foldhaven_core::opaque::limit_part::{
-    LimitMeter, LimitPart, LimitSlack, SharerView, ToldWants, limit_part,
+use foldhaven_core::opaque::limit_share::{
+    LimitMeter, LimitShare, LimitSlack, ReportedDemand, SharerView, limit_share,
 };
 use foldhaven_core::time::MonoTime;
 use parking_lot::Mutex;
@@ -17,7 +17,7 @@
     /// After which time one could be let through.
     pub wait: Duration,
     /// The part in force.
-    pub part: LimitPart,
+    pub part: LimitShare,
     /// For how long it has been.
     pub part_age: Duration,
     /// What is owed.
@@ -37,7 +37,7 @@
 #[derive(Debug, Clone)]
 pub struct AccountUse {
     pub account: AccountName,
-    pub part: LimitPart,
+    pub part: LimitShare,
     pub part_age: Duration,
     pub level: f64,
     pub want: f64,
@@ -85,26 +85,26 @@
         let mut inner = self.inner.lock();
         let view = inner.view;
         if !inner.entries.contains_key(&account.name) {
-            let part = limit_part(limit, &ToldWants::default(), &view, &self.slack);
+            let part = limit_share(limit, &ReportedDemand::default(), &view, &self.slack);
             let meter = LimitMeter::new(part, started, now);
             let entry = DeskEntry { meter, let_through: 0.0, refused: 0 };
             inner.entries.insert(account.name.clone(), entry);
         }
         let entry = inner.entries.get_mut(&account.name).expect("it was just made");
-        let asked = entry.meter.ask(cost, now);
+        let asked = entry.meter.try_acquire(cost, now);
         match asked {
             Ok(()) => entry.let_through += cost,
             Err(_) => entry.refused += 1,
         }
-        let (part, level) = (entry.meter.part(), entry.meter.level());
-        let part_age = entry.meter.part_age(now);
+        let (part, level) = (entry.meter.share(), entry.meter.level());
+        let part_age = entry.meter.share_age(now);
         asked.map_err(|wait| OverLimit { wait, part, part_age, level })
     }
 
     /// Gives back what a request counted for that has not run.
     pub fn give_back(&self, account: &AccountName, cost: f64) {
         if let Some(entry) = self.inner.lock().entries.get_mut(account) {
-            entry.meter.give_back(cost);
+            entry.meter.refund(cost);
             entry.let_through -= cost;
         }
     }
@@ -112,7 +112,7 @@
     /// What callers of each account want.
     pub fn wants(&self, now: MonoTime) -> Vec<(AccountName, f64)> {
         let inner = self.inner.lock();
-        let wants = inner.entries.iter().map(|(name, entry)| (name, entry.meter.want(now)));
+        let wants = inner.entries.iter().map(|(name, entry)| (name, entry.meter.demand(now)));
         wants.filter(|(_, want)| *want > 0.0).map(|(name, want)| (name.clone(), want)).collect()
     }
 
@@ -120,7 +120,7 @@
     pub fn renew(
         &self,
         view: SharerView,
-        parts: Vec<(AccountName, LimitPart)>,
+        parts: Vec<(AccountName, LimitShare)>,
         started: MonoTime,
         now: MonoTime,
     ) {
@@ -149,10 +149,10 @@
 fn use_of(now: MonoTime) -> impl Fn((&AccountName, &DeskEntry)) -> AccountUse {
     move |(account, entry)| AccountUse {
         account: account.clone(),
-        part: entry.meter.part(),
-        part_age: entry.meter.part_age(now),
+        part: entry.meter.share(),
+        part_age: entry.meter.share_age(now),
         level: entry.meter.level(),
-        want: entry.meter.want(now),
+        want: entry.meter.demand(now),
         let_through: entry.let_through,
         refused: entry.refused,
     }
--- a/crates/foldhaven-gateway/src/datagrams.rs
+++ b/crates/foldhaven-gateway/src/datagrams.rs
@@ -4,8 +4,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use foldhaven_core::opaque::account_demand::{
+    DEMAND_INTERVAL, LocalDemand, MAX_ACCOUNTS_PER_MESSAGE,
+};
 use foldhaven_core::opaque::affinity::PromptPlacement;
-use foldhaven_core::opaque::demand_book::{DEMAND_INTERVAL, MAX_WANTS, NearDemand};
 use foldhaven_core::opaque::load_share::LoadReport;
 use foldhaven_core::opaque::peer_table::{AskedBeats, LEARNING_INTERVAL, PlannedBeats, ViewAnswer};
 use foldhaven_core::opaque::report_plan::{ReportLeg, ReportNews};
@@ -310,16 +312,16 @@
 }
 
 /// Sends what one VM tells its region; in messages of one part each where all together may not fit a datagram.
-async fn send_near_demand(socket: &UdpSocket, targets: &[SocketAddr], demand: NearDemand) {
-    let own = demand.own.as_ref().map_or(0, |own| own.wants.len());
-    let wants: usize = own + demand.regions.iter().map(|it| it.wants.len()).sum::<usize>();
-    if wants <= MAX_WANTS {
+async fn send_near_demand(socket: &UdpSocket, targets: &[SocketAddr], demand: LocalDemand) {
+    let own = demand.own.as_ref().map_or(0, |own| own.demands.len());
+    let wants: usize = own + demand.regions.iter().map(|it| it.demands.len()).sum::<usize>();
+    if wants <= MAX_ACCOUNTS_PER_MESSAGE {
         send_to(socket, targets, &PeerMessage::Demand(demand)).await;
         return;
     }
-    let NearDemand { own, regions } = demand;
-    let own = own.map(|own| NearDemand { own: Some(own), regions: Vec::new() });
-    let regions = regions.into_iter().map(|it| NearDemand { own: None, regions: vec![it] });
+    let LocalDemand { own, regions } = demand;
+    let own = own.map(|own| LocalDemand { own: Some(own), regions: Vec::new() });
+    let regions = regions.into_iter().map(|it| LocalDemand { own: None, regions: vec![it] });
     for part in own.into_iter().chain(regions) {
         send_to(socket, targets, &PeerMessage::Demand(part)).await;
     }
--- a/crates/foldhaven-gateway/src/keeper/account_limits.rs
+++ b/crates/foldhaven-gateway/src/keeper/account_limits.rs
@@ -4,9 +4,9 @@
 use std::net::SocketAddr;
 
 use foldhaven_core::ids::AccountName;
-use foldhaven_core::opaque::demand_book::{AccountTag, NearDemand, RegionDemand};
-use foldhaven_core::opaque::demand_share::{LimitedWant, NearSharers};
-use foldhaven_core::opaque::limit_part::{LimitPart, SharerView};
+use foldhaven_core::opaque::account_demand::{AccountTag, LocalDemand, RegionDemand};
+use foldhaven_core::opaque::demand_exchange::{LimitedDemand, LocalSharers};
+use foldhaven_core::opaque::limit_share::{LimitShare, SharerView};
 use foldhaven_core::opaque::peer_table::PeerPhase;
 use foldhaven_core::time::MonoTime;
 use xtra::{Context, Handler};
@@ -20,14 +20,14 @@
 #[derive(Default)]
 pub struct PlannedDemands {
     pub near_targets: Vec<SocketAddr>,
-    pub near: Option<NearDemand>,
+    pub near: Option<LocalDemand>,
     pub far_targets: Vec<SocketAddr>,
     pub far: Option<RegionDemand>,
 }
 
 /// Another VM of the region told what its callers want.
 pub struct HearNearDemand {
-    pub demand: NearDemand,
+    pub demand: LocalDemand,
 }
 
 /// A delegate of another region told of its region.
@@ -42,16 +42,17 @@
         let now = self.now();
         let (names, wants) = self.limited_accounts(now);
         if wants.is_empty() {
-            self.demands.rest();
+            self.demands.clear_pending();
             return PlannedDemands::default();
         }
         let heard = self.peers.heard_near(now);
         let view = self.sharer_view(heard.len(), now);
         let incarnation = self.peers.incarnation();
-        let near = self.demands.tell_near(&wants, &view, &heard, incarnation, now);
+        let near = self.demands.next_local_update(&wants, &view, &heard, incarnation, now);
         self.renew_parts(names, &wants, view, now);
         let speaks = self.phase() == PeerPhase::Serving && self.peers.is_delegate(now);
-        let far = speaks.then(|| self.demands.tell_far(&wants, incarnation, now)).flatten();
+        let far =
+            speaks.then(|| self.demands.next_region_update(&wants, incarnation, now)).flatten();
         PlannedDemands {
             near_targets: near.as_ref().map(|_| self.near_peers()).unwrap_or_default(),
             near,
@@ -69,7 +70,7 @@
 
     async fn handle(&mut self, message: HearNearDemand, _: &mut Context<Self>) {
         let now = self.now();
-        self.demands.hear_near(&message.demand, now);
+        self.demands.apply_local(&message.demand, now);
     }
 }
 
@@ -78,22 +79,24 @@
 
     async fn handle(&mut self, message: HearRegionDemand, _: &mut Context<Self>) {
         let now = self.now();
-        self.demands.hear_region(message.demand, now);
+        self.demands.apply_region(message.demand, now);
     }
 }
 
 /// Logs the part of the account that is wanted most here.
-fn log_largest(parts: &[(AccountName, LimitPart)], wants: &[LimitedWant], view: &SharerView) {
+fn log_largest(parts: &[(AccountName, LimitShare)], wants: &[LimitedDemand], view: &SharerView) {
     let both = parts.iter().zip(wants);
-    let largest = both.max_by(|left, right| left.1.want.total_cmp(&right.1.want));
-    let Some(((account, part), want)) = largest.filter(|(_, want)| want.want > 0.0) else { return };
+    let largest = both.max_by(|left, right| left.1.demand.total_cmp(&right.1.demand));
+    let Some(((account, part), want)) = largest.filter(|(_, want)| want.demand > 0.0) else {
+        return;
+    };
     tracing::info!(
         account = %account,
         per_s = want.limit.per_s,
         part_per_s = part.per_s,
         burst = part.burst,
-        owed = part.owed,
-        wanted_per_s = want.want,
+        owed = part.max_debt,
+        wanted_per_s = want.demand,
         view = ?view,
         "part of the limit of an account"
     );
@@ -101,7 +104,7 @@
 
 impl ControlKeeper {
     /// The accounts that have limits, and what their callers want here.
-    fn limited_accounts(&self, now: MonoTime) -> (Vec<AccountName>, Vec<LimitedWant>) {
+    fn limited_accounts(&self, now: MonoTime) -> (Vec<AccountName>, Vec<LimitedDemand>) {
         let described = self.known.routes().and_then(|it| it.description().accounts.as_ref());
         let Some(described) = described else { return Default::default() };
         let wants: BTreeMap<AccountName, f64> =
@@ -109,7 +112,11 @@
         let limited = described.accounts.values().filter_map(|account| {
             let name = account.name.clone();
             let want = wants.get(&name).copied().unwrap_or_default();
-            let want = LimitedWant { account: AccountTag::of(&name), limit: account.limit?, want };
+            let want = LimitedDemand {
+                account: AccountTag::of(&name),
+                limit: account.limit?,
+                demand: want,
+            };
             Some((name, want))
         });
         limited.unzip()
@@ -120,21 +127,21 @@
         let known = self.peers.region_count();
         let vms = usize::from(self.peers.assumed_counts(now).near).max(known);
         let is_informed = self.assumed_vms().is_some() && self.is_witnessed();
-        self.demands.view(NearSharers { vms, heard, is_informed }, now)
+        self.demands.view(LocalSharers { vms, heard, is_informed }, now)
     }
 
     /// Divides the limits anew.
     fn renew_parts(
         &mut self,
         names: Vec<AccountName>,
-        wants: &[LimitedWant],
+        wants: &[LimitedDemand],
         view: SharerView,
         now: MonoTime,
     ) {
         let desk = &self.shared.accounts;
         let demands = &mut self.demands;
-        let parts = wants.iter().map(|want| demands.part(want, &view, desk.slack(), now));
-        let parts: Vec<(AccountName, LimitPart)> = names.into_iter().zip(parts).collect();
+        let parts = wants.iter().map(|want| demands.share(want, &view, desk.slack(), now));
+        let parts: Vec<(AccountName, LimitShare)> = names.into_iter().zip(parts).collect();
         if self.shared.quota.take(true) {
             log_largest(&parts, wants, &view);
         }
--- a/crates/foldhaven-gateway/src/keeper/mod.rs
+++ b/crates/foldhaven-gateway/src/keeper/mod.rs
@@ -23,8 +23,8 @@
 use foldhaven_core::ids::{IncarnationId, UpstreamName, VmName};
 use foldhaven_core::opaque::affinity::{PromptPlacement, UpstreamTag};
 use foldhaven_core::opaque::belief_age::BeliefAge;
-use foldhaven_core::opaque::demand::DemandPeak;
-use foldhaven_core::opaque::demand_share::DemandShare;
+use foldhaven_core::opaque::cpu_demand::PeakCpuDemand;
+use foldhaven_core::opaque::demand_exchange::DemandExchange;
 use foldhaven_core::opaque::load_share::LoadBook;
 use foldhaven_core::opaque::peer_table::{
     LEARNING_TIME, OfferedRevision, OwnVm, PeerPhase, PeerTable, RegionTag, SenderView, VmTag,
@@ -103,7 +103,7 @@
     /// The processor time that the requests of this VM take.
     meter: DemandMeter,
     /// The processor time that those of the region took in the last seconds at most.
-    demand: DemandPeak,
+    demand: PeakCpuDemand,
     /// Which VMs of the region that puts in service.
     in_service: InService,
     /// Which VMs of the region are known, as far as the log tells.
@@ -113,7 +113,7 @@
     /// Whether the VMs that share the limits of the region agree on who they are.
     pact: SenderPact,
     /// What callers of limited accounts want, here and elsewhere.
-    demands: DemandShare,
+    demands: DemandExchange,
     /// Whether an upstream of the region is cold or names a limit.
     rate_watch: watch::Sender<bool>,
     /// What delegates of other regions told.
@@ -172,7 +172,7 @@
         let peers = PeerTable::new(own, incarnation);
         let regions = settings.regions.values().map(RegionTag::of);
         let demands =
-            DemandShare::new(VmTag::of(&settings.vm), RegionTag::of(settings.region()), regions);
+            DemandExchange::new(VmTag::of(&settings.vm), RegionTag::of(settings.region()), regions);
         Self {
             shared,
             settings,
@@ -186,7 +186,7 @@
             loads: LoadBook::default(),
             report_plan: ReportPlan::default(),
             meter: DemandMeter::default(),
-            demand: DemandPeak::default(),
+            demand: PeakCpuDemand::default(),
             in_service: InService::default(),
             members: LoggedMembers::default(),
             senders: SenderView::default(),
--- a/crates/foldhaven-gateway/src/keeper/traffic_view.rs
+++ b/crates/foldhaven-gateway/src/keeper/traffic_view.rs
@@ -158,7 +158,7 @@
     /// The processor time that the requests of this region took in the last seconds at most.
     fn current_demand(&mut self, now: MonoTime) -> CoreShare {
         let own = self.meter.busy(self.shared.taken(), self.shared.settings.cores);
-        self.demand.note(self.loads.busy().plus(own), now)
+        self.demand.record(self.loads.busy().plus(own), now)
     }
 
     /// Counts and logs which VMs of the region the demand puts in service.
--- a/crates/foldhaven-gateway/src/peer_message.rs
+++ b/crates/foldhaven-gateway/src/peer_message.rs
@@ -7,8 +7,8 @@
 
 use bincode::Options;
 use foldhaven_core::ids::RegionName;
+use foldhaven_core::opaque::account_demand::{LocalDemand, RegionDemand};
 use foldhaven_core::opaque::affinity::PromptPlacement;
-use foldhaven_core::opaque::demand_book::{NearDemand, RegionDemand};
 use foldhaven_core::opaque::load_share::LoadReport;
 use foldhaven_core::opaque::peer_table::{BeatMessage, NewsNotice, ViewList, ViewNotice};
 use foldhaven_core::opaque::region_book::RegionReport;
@@ -58,7 +58,7 @@
     /// How far a VM knows the platform's changes.
     News(NewsNotice),
     /// What callers of limited accounts want at a VM of the region.
-    Demand(NearDemand),
+    Demand(LocalDemand),
     /// The same for a whole other region.
     RegionDemand(RegionDemand),
     /// The limits that upstreams of the region name.
--- a/crates/foldhaven-gateway/src/settings.rs
+++ b/crates/foldhaven-gateway/src/settings.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use foldhaven_core::ids::{DataCentreName, RegionName, VmName};
-use foldhaven_core::opaque::limit_part::LimitSlack;
+use foldhaven_core::opaque::limit_share::LimitSlack;
 use foldhaven_core::opaque::retry_share::RetryLimits;
 use foldhaven_core::units::CoreShare;
 use foldhaven_wire::settings_file::{CheckedSettings, SettingsError, SettingsFault, read_settings};
--- a/crates/foldhaven-gateway/tests/testsuite/peer_messages.rs
+++ b/crates/foldhaven-gateway/tests/testsuite/peer_messages.rs
@@ -7,11 +7,11 @@
 use std::time::Duration;
 
 use foldhaven_core::ids::IncarnationId;
+use foldhaven_core::opaque::account_demand::{AccountTag, LocalDemand, RegionDemand, VmDemand};
 use foldhaven_core::opaque::account_table::{
     AccountDescription, AccountLimit, ClientAccount, KeyPrint, LimitUnit,
 };
 use foldhaven_core::opaque::affinity::UpstreamTag;
-use foldhaven_core::opaque::demand_book::{AccountTag, NearDemand, RegionDemand, VmDemand};
 use foldhaven_core::opaque::peer_table::{
     AskedBeats, BeatMessage, KnownCounts, NewsNotice, PeerBeat, PeerPhase, PeerPulse, RegionTag,
     ViewList, ViewNotice, VmLife, VmTag,
@@ -101,18 +101,18 @@
 fn region_demand() -> RegionDemand {
     RegionDemand {
         region: RegionTag(1),
-        teller: VmTag(2),
+        delegate: VmTag(2),
         incarnation: IncarnationId(3),
         sequence: 4,
-        hears: vec![RegionTag(5)],
-        wants: vec![(AccountTag(6), 7.5)],
+        heard_regions: vec![RegionTag(5)],
+        demands: vec![(AccountTag(6), 7.5)],
     }
 }
 
 fn demand() -> PeerMessage {
-    let wants = vec![(AccountTag(6), 7.5)];
-    let own = VmDemand { vm: VmTag(2), incarnation: IncarnationId(3), sequence: 4, wants };
-    PeerMessage::Demand(NearDemand { own: Some(own), regions: vec![region_demand()] })
+    let demands = vec![(AccountTag(6), 7.5)];
+    let own = VmDemand { vm: VmTag(2), incarnation: IncarnationId(3), sequence: 4, demands };
+    PeerMessage::Demand(LocalDemand { own: Some(own), regions: vec![region_demand()] })
 }
 
 fn limits() -> PeerMessage {
--- a/crates/foldhaven-testkit/src/limits/vm.rs
+++ b/crates/foldhaven-testkit/src/limits/vm.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use foldhaven_core::ids::IncarnationId;
+use foldhaven_core::opaque::account_demand::{AccountTag, LocalDemand, RegionDemand};
 use foldhaven_core::opaque::account_table::{AccountLimit, LimitUnit};
-use foldhaven_core::opaque::demand_book::{AccountTag, NearDemand, RegionDemand};
-use foldhaven_core::opaque::demand_share::{DemandShare, LimitedWant, NearSharers};
-use foldhaven_core::opaque::limit_part::{LimitMeter, LimitPart, LimitSlack};
+use foldhaven_core::opaque::demand_exchange::{DemandExchange, LimitedDemand, LocalSharers};
+use foldhaven_core::opaque::limit_share::{LimitMeter, LimitShare, LimitSlack};
 use foldhaven_core::opaque::peer_table::{RegionTag, VmTag};
 use foldhaven_core::time::MonoTime;
 use serde::{Deserialize, Serialize};
@@ -43,7 +43,7 @@
 /// What is sent from VM to VM.
 #[derive(Debug, Clone)]
 pub(super) enum Telling {
-    Near(NearDemand),
+    Near(LocalDemand),
     Far(RegionDemand),
     /// How much a VM, by its number, has let through in its life.
     Count(usize, u64, f64),
@@ -68,7 +68,7 @@
     life: u64,
     started: u64,
     pub meter: LimitMeter,
-    demands: DemandShare,
+    demands: DemandExchange,
     /// When each VM of the region was heard last.
     heard: BTreeMap<usize, u64>,
     /// What each VM told that it let through, by its life.
@@ -93,7 +93,7 @@
         let PlaySize { regions, region_vms } = size;
         let tag = |region: usize| RegionTag(region as u32 + 1);
         let now = MonoTime::from_millis(at);
-        let demands = DemandShare::new(VmTag(number as u32), tag(region), (0..regions).map(tag));
+        let demands = DemandExchange::new(VmTag(number as u32), tag(region), (0..regions).map(tag));
         Self {
             number,
             region,
@@ -102,7 +102,7 @@
             way,
             life: at,
             started: at,
-            meter: LimitMeter::new(LimitPart::default(), now, now),
+            meter: LimitMeter::new(LimitShare::default(), now, now),
             demands,
             heard: BTreeMap::new(),
             counts: BTreeMap::new(),
@@ -134,8 +134,8 @@
     pub fn hear(&mut self, telling: Telling, at: u64) -> Option<(usize, Telling)> {
         let now = MonoTime::from_millis(at);
         match telling {
-            Telling::Near(demand) => self.demands.hear_near(&demand, now),
-            Telling::Far(demand) => self.demands.hear_region(demand, now),
+            Telling::Near(demand) => self.demands.apply_local(&demand, now),
+            Telling::Far(demand) => self.demands.apply_region(demand, now),
             Telling::Count(vm, life, count) => self.hear_count(vm, life, count),
             Telling::Ask(vm) => return self.grant(at).map(|grant| (vm, Telling::Grant(grant))),
             Telling::Grant(grant) => {
@@ -149,7 +149,7 @@
     fn hear_count(&mut self, vm: usize, life: u64, count: f64) {
         let before = self.counts.insert(vm, (life, count));
         let known = before.filter(|(held, _)| *held == life).map_or(0.0, |(_, count)| count);
-        self.meter.give_back(known - count);
+        self.meter.refund(known - count);
     }
 
     /// Grants an amount out of what the limit permits by now.
@@ -173,11 +173,11 @@
                 (None, None)
             }
             LimitWay::AddedCounts => {
-                let part = LimitPart {
+                let part = LimitShare {
                     per_s: limit.per_s,
                     equal_per_s: limit.per_s,
                     burst: limit.burst,
-                    owed: 0.0,
+                    max_debt: 0.0,
                 };
                 self.meter.renew(part, now);
                 let told = Telling::Count(self.number, self.life, self.let_through);
@@ -190,25 +190,25 @@
         let heard: Vec<usize> = self.heard_now(at).collect();
         let tags = heard.iter().map(|vm| VmTag(*vm as u32)).collect();
         let known = self.heard.len() + 1;
-        let near = NearSharers {
+        let near = LocalSharers {
             vms: known,
             heard: heard.len(),
             is_informed: at - self.started >= LEARNT_AFTER && known > 1 || self.region_vms == 1,
         };
         let wants =
-            [LimitedWant { account: ACCOUNT, limit: self.limit, want: self.meter.want(now) }];
+            [LimitedDemand { account: ACCOUNT, limit: self.limit, demand: self.meter.demand(now) }];
         let view = self.demands.view(near, now);
         let life = IncarnationId(self.life);
-        let told = self.demands.tell_near(&wants, &view, &tags, life, now);
-        self.meter.renew(self.demands.part(&wants[0], &view, &SLACK, now), now);
-        let far = self.demands.tell_far(&wants, life, now);
+        let told = self.demands.next_local_update(&wants, &view, &tags, life, now);
+        self.meter.renew(self.demands.share(&wants[0], &view, &SLACK, now), now);
+        let far = self.demands.next_region_update(&wants, life, now);
         (told.map(Telling::Near), far.map(Telling::Far))
     }
 
-    fn equal_part(&self) -> LimitPart {
+    fn equal_part(&self) -> LimitShare {
         let count = (self.regions * self.region_vms) as f64;
         let per_s = self.limit.per_s / count;
-        LimitPart { per_s, equal_per_s: per_s, burst: self.limit.burst / count, owed: 0.0 }
+        LimitShare { per_s, equal_per_s: per_s, burst: self.limit.burst / count, max_debt: 0.0 }
     }
 
     /// Whether a request is let through.
@@ -221,7 +221,7 @@
             }
             // Without an answer of an owner for a while, the equal part is left.
             LimitWay::GrantingOwner if self.has_asked.is_none_or(|asked| at < asked + 500) => false,
-            _ => self.meter.ask(cost, now).is_ok(),
+            _ => self.meter.try_acquire(cost, now).is_ok(),
         };
         if is_let {
             self.let_through += cost;
--- a/crates/foldhaven-testkit/src/limits/world.rs
+++ b/crates/foldhaven-testkit/src/limits/world.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use foldhaven_core::opaque::demand_book::DEMAND_INTERVAL;
+use foldhaven_core::opaque::account_demand::DEMAND_INTERVAL;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp, Poisson};
@@ -114,8 +114,8 @@
         self.messages += 1;
         self.wants += match &telling {
             Telling::Near(demand) => {
-                let regions: usize = demand.regions.iter().map(|it| it.wants.len()).sum();
-                (demand.own.as_ref().map_or(0, |own| own.wants.len()) + regions) as u64
+                let regions: usize = demand.regions.iter().map(|it| it.demands.len()).sum();
+                (demand.own.as_ref().map_or(0, |own| own.demands.len()) + regions) as u64
             }
             _ => 1,
         };
