--- a/crates/foldhaven-core/src/opaque/account_demand.rs
+++ b/crates/foldhaven-core/src/opaque/account_demand.rs
@@ -1,4 +1,4 @@
-//! What VMs and regions tell each other of what the callers of limited accounts want.
+//! The demand of the callers of limited accounts, as VMs and regions report it to each other.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,47 +11,48 @@
 use crate::rank::rank_hash;
 use crate::time::MonoTime;
 
-/// Between two rounds in which VMs look what they have to tell. Delegates tell the other regions in each.
+/// The interval between two rounds in which a VM checks what it has to report. Delegates report to
+/// the other regions in each round.
 pub const DEMAND_INTERVAL: Duration = Duration::from_millis(300);
-/// Each so many rounds a VM tells what has not changed much either, since messages are lost.
+/// A VM repeats unchanged demand every this many rounds, since messages can be lost.
 pub const REPEAT_ROUNDS: u32 = 6;
-/// What was told of a region counts for this long: four rounds of its delegates.
+/// How long the report of a region is valid: four rounds of its delegates.
 const MAX_REGION_AGE: Duration = Duration::from_millis(1_200);
-/// The most accounts in one message; a datagram holds them.
+/// The maximum number of accounts in one message, which must fit into a datagram.
 pub const MAX_ACCOUNTS_PER_MESSAGE: usize = 1_200;
-/// More than any deployment sends in a second.
+/// The maximum valid demand; more than any deployment sends in a second.
 const MAX_DEMAND_PER_S: f32 = 1e15;
 
-/// An account in messages between VMs: the hash of its name.
+/// Identifies an account in messages between VMs by the hash of its name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct AccountTag(pub u32);
 
 impl AccountTag {
-    /// The tag of an account.
+    /// Returns the tag of an account.
     pub fn of(name: &AccountName) -> Self {
         Self(rank_hash(&[name.as_str()]) as u32)
     }
 }
 
-/// What the callers of one account want, in the unit of its limit by the second.
+/// The demand of the callers of one account, in units of its limit per second.
 pub type AccountDemand = (AccountTag, f32);
 
-/// What is wanted at one VM; accounts that are not among it want next to nothing.
+/// The demand at one VM. Accounts that are missing have almost no demand.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct VmDemand {
     /// The VM.
     pub vm: VmTag,
-    /// Its process lifetime.
+    /// Its process incarnation.
     pub incarnation: IncarnationId,
-    /// Rises with each message of one lifetime.
+    /// Increases with each message of one incarnation.
     pub sequence: u32,
-    /// What is wanted there.
+    /// The demand of each account at the VM.
     #[serde(rename = "wants")]
     pub demands: Vec<AccountDemand>,
 }
 
-/// What is wanted in one region, as one of its delegates tells.
+/// The demand in one region, as reported by one of its delegates.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RegionDemand {
     /// The region.
@@ -59,24 +60,24 @@
     /// The delegate.
     #[serde(rename = "teller")]
     pub delegate: VmTag,
-    /// Its process lifetime.
+    /// Its process incarnation.
     pub incarnation: IncarnationId,
-    /// Rises with each message of one lifetime.
+    /// Increases with each message of one incarnation.
     pub sequence: u32,
-    /// The regions that it hears of.
+    /// The regions that the delegate hears from.
     #[serde(rename = "hears")]
     pub heard_regions: Vec<RegionTag>,
-    /// What is wanted in all of the region.
+    /// The demand of each account in the whole region.
     #[serde(rename = "wants")]
     pub demands: Vec<AccountDemand>,
 }
 
-/// What a VM tells the others of its region of what callers of limited accounts want.
+/// The demand that a VM reports to the other VMs of its region.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LocalDemand {
-    /// At this VM, when that has changed.
+    /// The demand at this VM; `None` if it has not changed.
     pub own: Option<VmDemand>,
-    /// In other regions, as their delegates told this VM.
+    /// The demand in other regions, as their delegates reported it to this VM.
     pub regions: Vec<RegionDemand>,
 }
 
@@ -95,11 +96,11 @@
     demands: BTreeMap<AccountTag, f64>,
 }
 
-/// The newest that others told.
+/// The newest reports of other VMs and regions.
 #[derive(Debug)]
 pub struct DemandTable {
     own_region: RegionTag,
-    /// The other regions that there may be.
+    /// The other regions that may exist.
     regions: BTreeSet<RegionTag>,
     vms: BTreeMap<VmTag, VmEntry>,
     other_regions: BTreeMap<RegionTag, RegionEntry>,
@@ -108,7 +109,7 @@
 }
 
 impl DemandTable {
-    /// An empty book of a VM of a region, of all that there may be.
+    /// Creates an empty table for a VM of `own_region`, where `regions` are all that may exist.
     pub fn new(own_region: RegionTag, regions: impl IntoIterator<Item = RegionTag>) -> Self {
         let regions = regions.into_iter().filter(|region| *region != own_region).collect();
         let (vms, other_regions, newest_by_delegate) =
@@ -116,12 +117,12 @@
         Self { own_region, regions, vms, other_regions, newest_by_delegate }
     }
 
-    /// How many regions there may be, the own one included.
+    /// Returns the number of regions that may exist, including this one.
     pub fn region_count(&self) -> usize {
         self.regions.len() + 1
     }
 
-    /// Takes in what a VM of the own region tells. Returns whether it is newer than what is held.
+    /// Applies the report of a VM of this region. Returns whether it is newer than the one held.
     pub fn apply_vm(&mut self, demand: &VmDemand) -> bool {
         let order = (demand.incarnation, demand.sequence);
         if self.vms.get(&demand.vm).is_some_and(|newest| order <= newest.order) {
@@ -132,7 +133,8 @@
         true
     }
 
-    /// Takes in what a delegate of another region tells. Returns whether it is newer than what was heard of it.
+    /// Applies the report of a delegate of another region. Returns whether it is newer than the
+    /// last one from this delegate.
     pub fn apply_region(&mut self, demand: &RegionDemand, now: MonoTime) -> bool {
         if !self.regions.contains(&demand.region)
             || demand.heard_regions.len() > self.region_count()
@@ -152,27 +154,29 @@
         true
     }
 
-    /// Leaves out VMs of which nothing is heard any more; a part is set aside for them instead.
+    /// Drops the reports of VMs that are no longer heard from. A share is reserved for them
+    /// instead.
     pub fn retain_vms(&mut self, is_heard: impl Fn(VmTag) -> bool) {
         self.vms.retain(|vm, _| is_heard(*vm));
     }
 
-    /// The regions of which something fresh is known.
+    /// Returns the regions with a fresh report.
     pub fn heard_regions(&self, now: MonoTime) -> Vec<RegionTag> {
         self.fresh(now).map(|(region, _)| region).collect()
     }
 
-    /// For how long what is known of a region is; nothing where nothing is.
+    /// Returns the age of the newest report of a region; `None` if there is none.
     pub fn region_age(&self, region: RegionTag, now: MonoTime) -> Option<Duration> {
         self.other_regions.get(&region).map(|received| now.since(received.received))
     }
 
-    /// How many other regions are not heard of, or do not hear this one.
+    /// Returns the number of other regions that are not heard from, or that do not hear from this
+    /// one.
     pub fn silent_regions(&self, now: MonoTime) -> usize {
         self.regions.len() - self.mutual(now).count()
     }
 
-    /// What was told of an account, where `own` is what this VM told.
+    /// Returns the reported demand of an account, where `own` is what this VM reported.
     pub fn reported_demand(&self, account: AccountTag, own: f64, now: MonoTime) -> ReportedDemand {
         let local_peers = self.local_peers_demand(account);
         let other_regions =
@@ -186,7 +190,7 @@
         }
     }
 
-    /// What the other VMs of the region told of an account.
+    /// Returns the demand of an account that the other VMs of this region reported.
     pub fn local_peers_demand(&self, account: AccountTag) -> f64 {
         self.vms.values().filter_map(|received| received.demands.get(&account)).sum()
     }
@@ -199,14 +203,14 @@
             .map(|(tag, received)| (*tag, received))
     }
 
-    /// The regions that are heard and hear this one.
+    /// The regions that are heard from and hear from this one.
     fn mutual(&self, now: MonoTime) -> impl Iterator<Item = &RegionEntry> {
         let fresh = self.fresh(now).map(|(_, received)| received);
         fresh.filter(|received| received.heard_regions.contains(&self.own_region))
     }
 }
 
-/// What a message tells; nothing when it is none that a VM would send.
+/// Parses the demands of a message; `None` if no VM would send them.
 fn parse_demands(demands: &[AccountDemand]) -> Option<BTreeMap<AccountTag, f64>> {
     let is_valid = |demand: f32| (0.0..=MAX_DEMAND_PER_S).contains(&demand);
     if demands.len() > MAX_ACCOUNTS_PER_MESSAGE
--- a/crates/foldhaven-core/src/opaque/cpu_demand.rs
+++ b/crates/foldhaven-core/src/opaque/cpu_demand.rs
@@ -1,15 +1,15 @@
-//! The processor time that the requests of a region take, kept for a while after a peak.
+//! The CPU time that the requests of a region use, with a peak that decays over seconds.
 
 use std::time::Duration;
 
 use crate::time::MonoTime;
 use crate::units::CoreShare;
 
-/// A peak counts less by the factor e after so long. Callers who are told of fewer VMs leave the connections that
-/// they have to the others, so that a pause between two bursts must not cost all of them.
+/// The time constant with which a peak decays. Callers that are directed to fewer VMs leave their
+/// connections to the others, so a pause between two bursts must not cost them all.
 const DECAY_TIME: Duration = Duration::from_secs(10);
 
-/// The highest demand of the last seconds.
+/// The highest recent CPU demand, with exponential decay.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct PeakCpuDemand {
     peak: f64,
@@ -17,7 +17,7 @@
 }
 
 impl PeakCpuDemand {
-    /// Takes in what is used now. Returns the highest of the last seconds, less what has faded of it.
+    /// Records the current demand. Returns the highest recent demand after decay.
     pub fn record(&mut self, demand: CoreShare, now: MonoTime) -> CoreShare {
         let passed = now.since(self.recorded).div_duration_f64(DECAY_TIME);
         self.peak = (self.peak * (-passed).exp()).max(demand.as_f64());
--- a/crates/foldhaven-core/src/opaque/demand_exchange.rs
+++ b/crates/foldhaven-core/src/opaque/demand_exchange.rs
@@ -1,4 +1,5 @@
-//! When a VM tells what callers of limited accounts want, and how it divides their limits by what was told.
+//! Decides when a VM reports the demand of the callers of limited accounts, and divides the limits
+//! by what was reported.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -13,56 +14,57 @@
 use crate::opaque::peer_table::{RegionTag, VmTag};
 use crate::time::MonoTime;
 
-/// The share of a VM's equal part up to which a want is not worth telling.
+/// Demand up to this fraction of a VM's equal share is not reported.
 const MIN_ANNOUNCED_SHARE: f64 = 0.1;
-/// A want is told at once when it has changed by this share of the part.
+/// Demand is reported at once when it has changed by this fraction of the VM's share.
 const ANNOUNCED_CHANGE_SHARE: f64 = 0.25;
 
-/// After this time all VMs of other regions know what was told in this one: a round of its delegates, one of the VMs
-/// that pass it on there, and the way.
+/// The time after which all VMs of other regions know what was reported in this one: a round of its
+/// delegates, a round of the VM that relays it there, and the transmission.
 const REMOTE_DELAY: Duration = Duration::from_millis(800);
 
-/// An account with a limit, and what its callers want at this VM.
+/// An account with a limit, and the demand of its callers at this VM.
 #[derive(Debug, Clone, Copy)]
 pub struct LimitedDemand {
     /// The account.
     pub account: AccountTag,
     /// Its limit.
     pub limit: AccountLimit,
-    /// What they want, in the unit of the limit by the second.
+    /// The demand, in units of the limit per second.
     pub demand: f64,
 }
 
-/// The VMs of the region, as a VM knows them.
+/// What a VM knows about the VMs of its region.
 #[derive(Debug, Clone, Copy)]
 pub struct LocalSharers {
-    /// How many there may be, this one included.
+    /// The number of VMs that may exist, including this one.
     pub vms: usize,
-    /// How many of the others were heard a moment ago.
+    /// The number of other VMs that were heard from recently.
     pub heard: usize,
-    /// Whether this process has had the time to hear of the others, and has heard of one that all ask first.
+    /// Whether this process has run long enough to hear from the others, and has heard from a VM
+    /// that every starting process asks first.
     pub is_informed: bool,
 }
 
-/// What a VM knows of wants, and what it told of its own.
+/// The demand that a VM knows of, and what it has reported of its own.
 #[derive(Debug)]
 pub struct DemandExchange {
     vm: VmTag,
     region: RegionTag,
     table: DemandTable,
-    /// What this VM told last.
+    /// What this VM last reported.
     announced: BTreeMap<AccountTag, f64>,
-    /// What delegates of other regions told, of which the VMs of this region are still to be told.
+    /// Reports of other regions' delegates that are yet to be relayed to the VMs of this region.
     relayed: Vec<RegionDemand>,
-    /// What was wanted in the region in the last rounds.
+    /// The demand in this region in the last rounds.
     past: BTreeMap<AccountTag, VecDeque<(MonoTime, f64)>>,
     rounds: u32,
-    /// Rises with each message.
+    /// Increases with each message.
     sequence: u32,
 }
 
 impl DemandExchange {
-    /// That of a VM of a region, of all regions that there may be.
+    /// Creates the exchange of a VM of `region`, where `regions` are all that may exist.
     pub fn new(vm: VmTag, region: RegionTag, regions: impl IntoIterator<Item = RegionTag>) -> Self {
         let table = DemandTable::new(region, regions);
         let (announced, relayed) = (BTreeMap::new(), Vec::new());
@@ -70,7 +72,7 @@
         Self { vm, region, table, announced, relayed, past, rounds: 0, sequence: 0 }
     }
 
-    /// Takes in what another VM of the region tells.
+    /// Applies the report of another VM of this region.
     pub fn apply_local(&mut self, demand: &LocalDemand, now: MonoTime) {
         if let Some(own) = &demand.own {
             self.table.apply_vm(own);
@@ -80,17 +82,18 @@
         }
     }
 
-    /// Takes in what a delegate of another region tells; the VMs of this region are told of it.
+    /// Applies the report of a delegate of another region, and queues it for the VMs of this
+    /// region.
     pub fn apply_region(&mut self, demand: RegionDemand, now: MonoTime) {
         let age = self.table.region_age(demand.region, now);
-        // Several delegates tell several VMs; one relay in each round is enough for all.
+        // Several delegates report to several VMs; one relay per round is enough for all.
         let is_due = age.is_none_or(|age| age >= DEMAND_INTERVAL);
         if self.table.apply_region(&demand, now) && is_due {
             self.relayed.push(demand);
         }
     }
 
-    /// How sure this VM is of those that share limits with it.
+    /// Returns what this VM knows about those that share limits with it.
     pub fn view(&self, local: LocalSharers, now: MonoTime) -> SharerView {
         let vms = local.vms.max(1);
         SharerView {
@@ -102,8 +105,8 @@
         }
     }
 
-    /// Begins a round, in which of the VMs of the region those of `heard` were heard a moment ago. Returns what they are
-    /// to be told; nothing while it is about what they know.
+    /// Begins a round, where `heard` are the VMs of the region that were heard from recently.
+    /// Returns what to report to the VMs of the region; `None` if there is nothing new.
     pub fn next_local_update(
         &mut self,
         demands: &[LimitedDemand],
@@ -149,13 +152,14 @@
         })
     }
 
-    /// Whether a want is so far from what was told that others should divide by it.
+    /// Whether the demand differs so much from what was reported that the others should divide by
+    /// it.
     fn has_changed(&self, demand: &LimitedDemand, view: &SharerView, now: MonoTime) -> bool {
         let change = (demand.demand - self.announced_demand(demand.account)).abs();
         change > self.current_share(demand, view, now).per_s * ANNOUNCED_CHANGE_SHARE
     }
 
-    /// The part of this VM, by what is known now alone.
+    /// The share of this VM by what is known now, without the demand of earlier rounds.
     fn current_share(
         &self,
         demand: &LimitedDemand,
@@ -171,7 +175,7 @@
         self.announced.get(&account).copied().unwrap_or_default()
     }
 
-    /// This VM's part of a limit now.
+    /// Returns this VM's share of a limit.
     pub fn share(
         &mut self,
         demand: &LimitedDemand,
@@ -189,7 +193,8 @@
         limit_share(&demand.limit, &reported, view, slack)
     }
 
-    /// What was wanted in this region when the news of it left that others have by now; `wanted` is what is now.
+    /// Returns the demand in this region as of the last report that other regions have received by
+    /// now; `demand` is the current one.
     fn region_demand_known_remotely(
         &mut self,
         account: AccountTag,
@@ -204,7 +209,8 @@
         past.front().filter(|(at, _)| now.since(*at) >= REMOTE_DELAY).map_or(0.0, |(_, it)| *it)
     }
 
-    /// What other regions are told of this one, where this VM speaks for it; nothing where there is none.
+    /// Returns what to report to other regions if this VM is a delegate of its region; `None` if
+    /// there is only one region.
     pub fn next_region_update(
         &mut self,
         demands: &[LimitedDemand],
@@ -235,7 +241,7 @@
         })
     }
 
-    /// Forgets what is still to be passed on, where no account has a limit.
+    /// Drops pending relays and past demand while no account has a limit.
     pub fn clear_pending(&mut self) {
         self.relayed.clear();
         self.past.clear();
--- a/crates/foldhaven-core/src/opaque/limit_share.rs
+++ b/crates/foldhaven-core/src/opaque/limit_share.rs
@@ -1,66 +1,76 @@
-//! The part of a limit that one VM may use, where all VMs together have one limit and nobody keeps a common count.
+//! The share of a limit that one VM may use, where one limit holds for all VMs together and there
+//! is no shared counter.
 //!
-//! The pattern that it answers: a rate that holds over all VMs, callers that move from one region to another within a
-//! second, one account that sends many times its usual, and VMs and regions that hear nobody, are killed together or wake
-//! after seconds. Equal parts refuse callers far below the limit where they meet few VMs; counts that are added up let all
-//! VMs spend the same room until they have heard of each other.
+//! The limit must hold when callers move from one region to another within a second, when one
+//! account sends many times its usual load, and when VMs and regions are partitioned, killed
+//! together or resume after seconds. Equal shares would refuse callers far below the limit where
+//! they reach only a few VMs. Counts that are added up would let all VMs spend the same headroom
+//! until they have heard of each other.
 //!
-//! Here each VM tells what its callers want, and all divide the limit by what was *told*: everybody gets what it told, and
-//! an equal part of what nobody wants; when more is wanted than there is, parts are in proportion. A VM's own part goes by
-//! what it told too, and not by what it sees now, so that the parts of VMs that heard the same add up to the limit whatever
-//! callers do next. For those of which nothing is heard an equal part is set aside, and a region that does not hear another
-//! one, or is not heard there, keeps to its own equal part and to what the others leave of theirs. The idea of dividing by
-//! demand is that of distributed rate limiting (Raghavan et al., 2007); what is set aside for the silent is what leases
-//! of equal parts would give them.
+//! Instead, each VM reports the demand of its callers, and all VMs divide the limit by the
+//! *reported* demand: each gets what it reported, plus a share of the capacity that nobody claims.
+//! If the total demand exceeds the limit, shares are proportional to demand. A VM computes its own
+//! share from what it reported too, not from what it measures now, so that the shares of VMs that
+//! received the same reports add up to the limit whatever callers do next. An equal share is
+//! reserved for each VM that is not heard from. A region that does not hear from another one, or is
+//! not heard there, keeps to its own equal share and to what the others leave unused of theirs.
+//! Division by demand follows distributed rate limiting (Raghavan et al., 2007); the reserve for
+//! unresponsive sharers equals what leases of equal shares would grant them.
 
 use std::time::Duration;
 
 use crate::opaque::account_table::AccountLimit;
 use crate::time::MonoTime;
 
-/// The part of a limit that is given out. The rest covers what was told and has changed since.
+/// The fraction of a limit that is distributed. The rest covers demand that has changed since it
+/// was reported.
 const USED_SHARE: f64 = 0.97;
-/// The part of what is permitted above a limit that VMs may owe at one moment: a request is let through whole while
-/// anything is left, and a second request of a caller does not wait until the first one's debt is told.
+/// The fraction of the slack above a limit that VMs may owe at one moment: a request is let through
+/// whole while any allowance is left, and a caller's second request does not wait until the debt of
+/// the first one is reported.
 const DEBT_SHARE: f64 = 0.5;
-/// While a process does not know who there is, it takes its region for at least this large.
+/// The minimum region size that a process assumes until it knows the other VMs.
 const MIN_ASSUMED_VMS: usize = 32;
-/// The share of what nobody wants that all have equal parts of. The rest goes by wants as well: where many requests come, long
-/// ones come in clusters too, and a VM that stands by needs no more than to begin with.
+/// The fraction of unclaimed capacity that is split equally. The rest is split by demand: where
+/// many requests arrive, long ones cluster too, and a VM that stands by needs only enough to start
+/// with.
 const EVEN_SPLIT_SHARE: f64 = 0.25;
-/// How much a region may take of what the others leave to it before they know that it wants more: when callers come to
-/// all regions at one moment, each of them would take the same room otherwise.
+/// The maximum growth factor of a region over the demand that the other regions know of. Without
+/// it, regions that callers reach at the same moment would each take the same headroom.
 const MAX_GROWTH: f64 = 2.0;
-/// The share of an equal part that a VM has whatever others want, for callers that it has not told of yet.
+/// The minimum share of a VM, as a fraction of its equal share, for callers that it has not
+/// reported yet.
 const MIN_EQUAL_SHARE: f64 = 0.2;
-/// A part that was not renewed for this long is no permission beyond the equal part.
+/// How long a share is valid after its renewal. After that, only the equal share is permitted.
 const SHARE_LIFETIME: Duration = Duration::from_millis(2_000);
-/// The time over which the wants of callers are averaged.
+/// The time constant over which the demand of callers is averaged.
 const DEMAND_WINDOW: Duration = Duration::from_millis(2_000);
 
-/// How sure a VM is of those that share its limits.
+/// What a VM knows about the VMs and regions that share its limits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SharerView {
-    /// The regions that there may be, the own one included.
+    /// The number of regions that may exist, including this one.
     pub regions: usize,
-    /// Those of the others from which nothing fresh was heard, or that do not hear this one.
+    /// The number of other regions that are not heard from, or that do not hear from this one.
     pub silent_regions: usize,
-    /// The VMs of the own region that there may be, the own one included.
+    /// The number of VMs that may exist in this region, including this one.
     pub vms: usize,
-    /// Those of the others from which nothing fresh was heard.
+    /// The number of other VMs in this region that are not heard from.
     pub silent_vms: usize,
-    /// Whether this process has had the time to hear of the others, and has heard of one that all ask first.
+    /// Whether this process has run long enough to hear from the others, and has heard from a VM
+    /// that every starting process asks first.
     pub is_informed: bool,
 }
 
 impl SharerView {
-    /// What a process knows that has heard nothing: that there are others.
+    /// Returns the view of a process that has heard from nobody and knows only that there are
+    /// others.
     pub fn unknown(regions: usize) -> Self {
         let regions = regions.max(1);
         Self { regions, silent_regions: regions - 1, vms: 1, silent_vms: 0, is_informed: false }
     }
 
-    /// How many VMs of the region are to be reckoned with.
+    /// The number of VMs in this region to divide by.
     fn assumed_vms(&self) -> usize {
         match self.is_informed {
             true => self.vms.max(1),
@@ -68,59 +78,60 @@
         }
     }
 
-    /// Those of them for which an equal part is set aside.
+    /// The number of VMs in this region for which an equal share is reserved.
     fn reserved_vms(&self) -> usize {
         let unknown = self.assumed_vms() - self.vms.clamp(1, self.assumed_vms());
         self.silent_vms + unknown
     }
 }
 
-/// What callers of one account want, as it was told, by the second.
+/// The reported demand of the callers of one account, in units of the limit per second.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ReportedDemand {
     /// At this VM.
     pub own: f64,
-    /// At the other VMs of the region that are heard of, together.
+    /// At the other VMs of this region that are heard from, in total.
     pub local_peers: f64,
-    /// In each other region that hears this one and is heard.
+    /// In each other region that hears from this one and is heard from.
     pub other_regions: Vec<f64>,
-    /// In this region, as the others know it by now.
+    /// In this region, as the other regions know it by now.
     pub region_as_known_remotely: f64,
 }
 
-/// What is permitted above all limits of accounts, since VMs cannot know everything at once.
+/// What may exceed the limits of all accounts, since VMs cannot know everything at once.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct LimitSlack {
-    /// As a share of what a limit permits in a window.
+    /// As a fraction of what a limit permits in one window.
     pub share: f64,
-    /// On top, in the unit of the limit.
+    /// On top of that, in the unit of the limit.
     pub extra: f64,
-    /// The window.
+    /// The length of the window.
     pub window: Duration,
 }
 
 impl LimitSlack {
-    /// How much may be owed by all VMs together.
+    /// The maximum debt of all VMs together.
     fn max_debt(&self, limit: &AccountLimit) -> f64 {
         let permitted = limit.per_s * self.window.as_secs_f64() + limit.burst;
         DEBT_SHARE * (self.share * permitted + self.extra)
     }
 }
 
-/// A part of a limit.
+/// The share of a limit that one VM may use.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct LimitShare {
-    /// How much it permits a second.
+    /// The permitted rate per second.
     pub per_s: f64,
-    /// The same when it is not renewed.
+    /// The permitted rate per second once the share has expired.
     pub equal_per_s: f64,
-    /// How much it permits at once after a rest.
+    /// The maximum amount that is permitted at once after a pause.
     pub burst: f64,
-    /// How much may be owed.
+    /// The maximum debt.
     pub max_debt: f64,
 }
 
-/// Divides a limit: the part of a VM, by what was told and by how sure the VM is of that.
+/// Computes this VM's share of a limit from the reported demand and from its view of the other
+/// sharers.
 pub fn limit_share(
     limit: &AccountLimit,
     demand: &ReportedDemand,
@@ -142,7 +153,7 @@
     LimitShare { per_s, equal_per_s, burst: limit.burst * fraction, max_debt }
 }
 
-/// The part of the own region.
+/// Returns the rate of this region.
 fn region_rate(rate: f64, demand: &ReportedDemand, view: &SharerView) -> f64 {
     let regions = view.regions.max(1) as f64;
     if view.silent_regions == 0 {
@@ -153,13 +164,13 @@
     }
     let equal = rate / regions;
     let others = (regions - 1.0).max(1.0);
-    // Each other region may take the same of what is left over.
+    // Each other region may take the same amount of what is left unused.
     let unused: f64 =
         demand.other_regions.iter().map(|region| (equal - region).max(0.0) / others).sum();
     equal + unused
 }
 
-/// What one of `count` gets that wants `own` of `all` that is wanted.
+/// Returns the rate of one of `count` sharers with demand `own` out of a total demand of `all`.
 fn proportional_share(rate: f64, own: f64, all: f64, count: f64) -> f64 {
     if all > rate {
         return rate * own / all;
@@ -168,7 +179,7 @@
     own + (rate - all) * (EVEN_SPLIT_SHARE / count + (1.0 - EVEN_SPLIT_SHARE) * by_demand)
 }
 
-/// How much callers want a second, over about [`WANT_SPAN`].
+/// The demand of callers per second, averaged over about [`DEMAND_WINDOW`].
 #[derive(Debug, Clone, Copy, Default)]
 struct DemandRate {
     per_s: f64,
@@ -187,22 +198,22 @@
     }
 }
 
-/// Counts what one account uses at one VM.
+/// Meters the use of one account at one VM.
 #[derive(Debug, Clone, Copy)]
 pub struct LimitMeter {
     share: LimitShare,
-    /// When the part was renewed last.
+    /// When the share was last renewed.
     renewed: MonoTime,
-    /// What may be used at once; below 0 it is owed.
+    /// The amount that may be used at once; a negative value is debt.
     level: f64,
-    /// Of when the level is.
+    /// When `level` was last updated.
     at: MonoTime,
     demand: DemandRate,
 }
 
 impl LimitMeter {
-    /// The meter of an account of which nothing was used here since `started`. What was used by an earlier process is
-    /// not known, so that it starts with all owed that may be.
+    /// Creates the meter of an account that has not been used here since `started`. The use by an
+    /// earlier process is unknown, so the meter starts with the maximum debt.
     pub fn new(share: LimitShare, started: MonoTime, now: MonoTime) -> Self {
         let demand = DemandRate::default();
         let mut meter = Self { share, renewed: now, level: -share.max_debt, at: started, demand };
@@ -210,7 +221,7 @@
         meter
     }
 
-    /// Puts a part in force.
+    /// Puts a new share in force.
     pub fn renew(&mut self, share: LimitShare, now: MonoTime) {
         self.refill(now);
         self.share = share;
@@ -218,27 +229,27 @@
         self.level = self.level.min(share.burst);
     }
 
-    /// The part in force.
+    /// Returns the share in force.
     pub fn share(&self) -> LimitShare {
         self.share
     }
 
-    /// For how long it has been so.
+    /// Returns the time since the share was last renewed.
     pub fn share_age(&self, now: MonoTime) -> Duration {
         now.since(self.renewed)
     }
 
-    /// How much callers want a second.
+    /// Returns the demand of callers per second.
     pub fn demand(&self, now: MonoTime) -> f64 {
         self.demand.now(now)
     }
 
-    /// What may be used at once.
+    /// Returns the amount that may be used at once.
     pub fn level(&self) -> f64 {
         self.level
     }
 
-    /// Lets a request through, or tells after which time one could be.
+    /// Lets a request through, or returns the time after which one could be let through.
     pub fn try_acquire(&mut self, cost: f64, now: MonoTime) -> Result<(), Duration> {
         self.refill(now);
         self.demand.record(cost, now);
@@ -252,12 +263,12 @@
         Err(wait.min(MAX_WAIT))
     }
 
-    /// Gives back what a request counted for that has not run.
+    /// Returns the cost of a request that has not run.
     pub fn refund(&mut self, cost: f64) {
         self.level = (self.level + cost).min(self.share.burst);
     }
 
-    /// The part a second that counts at a time.
+    /// The rate per second that is permitted now.
     fn per_s(&self, now: MonoTime) -> f64 {
         match self.share_age(now) <= SHARE_LIFETIME {
             true => self.share.per_s,
@@ -265,7 +276,7 @@
         }
     }
 
-    /// Adds what the time since the last look permits.
+    /// Adds what has been permitted since the last update.
     fn refill(&mut self, now: MonoTime) {
         let valid_until = (self.renewed + SHARE_LIFETIME).max(self.at).min(now);
         let full = valid_until.since(self.at).as_secs_f64() * self.share.per_s;
@@ -276,5 +287,5 @@
     }
 }
 
-/// The longest time after which a caller is told to come back.
+/// The maximum wait that a caller is told before it may retry.
 const MAX_WAIT: Duration = Duration::from_secs(30);
--- a/crates/foldhaven-core/tests/testsuite/opaque_account_limits.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_account_limits.rs
@@ -1,4 +1,4 @@
-//! Parts of a limit: what one VM may use, by what it knows of the others.
+//! The share of an account limit that one VM may use, given what it knows of the other VMs.
 
 use std::time::Duration;
 
@@ -34,7 +34,8 @@
 }
 
 proptest! {
-    /// Where all VMs have heard the same, their parts add up to no more than the limit and what each has in any case.
+    /// If all VMs have received the same reports, their shares add up to no more than the limit and
+    /// the minimum share of each VM.
     #[test]
     fn shares_of_one_view_stay_within_the_limit(
         reported in prop::collection::vec(prop::collection::vec(0.0..2_000.0_f64, 1..7), 1..5),
@@ -61,7 +62,7 @@
         prop_assert!(all <= LIMIT.per_s + least + 1e-6, "{all}");
     }
 
-    /// Whatever was told, a VM that hears of nobody uses no more than its equal part.
+    /// Whatever was reported, a VM that hears from nobody uses no more than its equal share.
     #[test]
     fn isolated_vm_keeps_to_its_equal_share(
         own in 0.0..1e6_f64,
@@ -79,8 +80,8 @@
         prop_assert!(share.per_s <= LIMIT.per_s / (regions * vms) as f64 + 1e-9);
     }
 
-    /// What a meter lets through in any span is what its part permits there, what it may save up and owe, and the last
-    /// request.
+    /// What a meter lets through in any time span is at most the rate of its share, its maximum
+    /// debt and the last request. A new meter has no burst.
     #[test]
     fn meter_lets_through_no_more_than_its_share(
         asks in prop::collection::vec((0..400_u64, 1.0..300.0_f64), 1..200),
@@ -121,7 +122,8 @@
     assert!(per_s <= most, "{per_s}");
 }
 
-/// A region whose neighbours do not hear it takes its own equal part, and what those that do leave of theirs.
+/// A region that the others do not hear from uses its own equal share, and what those that do hear
+/// it leave unused of theirs.
 #[test]
 fn unheard_region_keeps_to_its_share() {
     let cut = SharerView { silent_regions: 2, ..view(1, 0) };
@@ -132,7 +134,8 @@
     assert!((450.0..=500.0).contains(&with_idle), "{with_idle}");
 }
 
-/// After a stand-still a meter has what it may save up, and a part that nobody renewed is the equal one.
+/// After a long pause a meter has saved up no more than its burst, and a share that was not renewed
+/// is the equal one.
 #[test]
 fn resume_after_a_pause_causes_no_burst() {
     let share = LimitShare { per_s: 500.0, equal_per_s: 10.0, burst: 100.0, max_debt: 0.0 };
@@ -173,7 +176,8 @@
     }
 }
 
-/// Nonsense changes nothing: wants below zero, none or without end, regions that there are not, old messages.
+/// Guards against invalid reports: demand that is negative, NaN or infinite, too many accounts or
+/// regions, unknown regions, outdated messages.
 #[rstest]
 #[case::negative(region_demand(7, &[1], -1.0))]
 #[case::not_a_number(region_demand(7, &[1], f32::NAN))]
