--- a/crates/foldhaven-core/src/opaque/peer_table/senders.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/senders.rs
@@ -4,7 +4,7 @@
 
 use super::{PeerBeat, PeerEntry, PeerPhase, PeerTable, VmLife, VmTag};
 use crate::ids::VmName;
-use crate::opaque::rate_part::SenderList;
+use crate::opaque::rate_share::SenderList;
 use crate::opaque::sender_pact::ListDigest;
 use crate::opaque::service_order::{ServiceCandidate, ServiceOrder};
 use crate::rank::rank_hash;
@@ -31,7 +31,7 @@
         let serving: Vec<&PeerEntry> = self.serving_near().collect();
         let live = || serving.iter().copied().filter(|entry| self.is_live(entry, now));
         let live_names = self.standing_of(live());
-        let with_silent = self.standing_of(serving.iter().copied());
+        let with_unresponsive = self.standing_of(serving.iter().copied());
         if !live_names.contains(&self.own) {
             return SenderView::default();
         }
@@ -41,7 +41,7 @@
         let lives = others.iter().map(|beat| beat.life()).chain([own]);
         let digest = Some(digest_of(lives.collect()));
         let others = others.iter().map(|beat| (VmTag::of(&beat.vm), beat.peer)).collect();
-        SenderView { list: SenderList { live: live_names, with_silent }, digest, others }
+        SenderView { list: SenderList { live: live_names, with_unresponsive }, digest, others }
     }
 
     /// The other VMs of this region that served when they were heard last.
--- a/crates/foldhaven-core/src/opaque/rate_part.rs
+++ b/crates/foldhaven-core/src/opaque/rate_share.rs
@@ -18,13 +18,13 @@
 pub const MAX_SENDERS: usize = 3;
 /// The limit, in requests a second, that is used for one that is lower: an upstream that gets nothing could not say that
 /// its limit has ended.
-const LEAST_LIMIT: f64 = 0.1;
+const MIN_LIMIT_PER_S: f64 = 0.1;
 /// The part of the permitted rate that is used. What is above it in one second comes from places that fall due at
 /// the same moment.
 const USED_SHARE: f64 = 0.9;
 /// How much of the time between two places may be made up for when one is taken late: requests come at any time, and
 /// without it a VM that is asked every 40 ms used 0.8 of its part in place of 0.9.
-const MADE_UP: f64 = 0.25;
+const CATCH_UP_SHARE: f64 = 0.25;
 
 /// A rate that holds over all VMs of a region.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -43,12 +43,12 @@
 
     /// The limit that an upstream names. More VMs may share a higher one: what they send at one moment is small against it.
     pub fn of_limit(limit: RequestRate) -> Self {
-        let per_s = limit.per_s().max(LEAST_LIMIT);
+        let per_s = limit.per_s().max(MIN_LIMIT_PER_S);
         Self { per_s, senders: MAX_SENDERS + per_s as usize }
     }
 
     /// The rate that keeps to both.
-    pub fn narrower(self, other: Self) -> Self {
+    pub fn stricter(self, other: Self) -> Self {
         Self { per_s: self.per_s.min(other.per_s), senders: self.senders.min(other.senders) }
     }
 }
@@ -59,82 +59,86 @@
     /// Those that live, this one among them.
     pub live: Vec<VmName>,
     /// The same list if those that fell silent a moment ago still lived: they may be cut off and send too.
-    pub with_silent: Vec<VmName>,
+    pub with_unresponsive: Vec<VmName>,
 }
 
 /// The part of one VM of a shared rate.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct RatePart {
+pub struct RateShare {
     /// Requests a second.
     pub per_s: f64,
     /// How long after it gets this part a VM takes its first place: places of several VMs that begin together are spaced.
-    pub first_after: Duration,
+    pub first_delay: Duration,
 }
 
 /// The part of the rate of an upstream that this VM may use while its list holds.
-pub fn rate_part(
+pub fn rate_share(
     rate: SharedRate,
     upstream: &UpstreamName,
     own: &VmName,
     senders: &SenderList,
-) -> RatePart {
-    let place = |list: &[VmName]| -> Option<usize> {
+) -> RateShare {
+    let rank = |list: &[VmName]| -> Option<usize> {
         let ranked = rank_by(upstream.as_str(), list, |name| name.as_str());
         ranked.into_iter().take(rate.senders).position(|name| name == own)
     };
     // One that is first only because silent ones are left out might send beside them.
-    let (Some(turn), Some(_)) = (place(&senders.live), place(&senders.with_silent)) else {
-        return RatePart::default();
+    let (Some(position), Some(_)) = (rank(&senders.live), rank(&senders.with_unresponsive)) else {
+        return RateShare::default();
     };
     if rate.per_s <= 0.0 {
-        return RatePart::default();
+        return RateShare::default();
     }
-    let used = rate.per_s * USED_SHARE;
-    RatePart {
-        per_s: used / senders.live.len().min(rate.senders) as f64,
-        first_after: Duration::from_secs_f64((turn + 1) as f64 / used),
+    let usable = rate.per_s * USED_SHARE;
+    RateShare {
+        per_s: usable / senders.live.len().min(rate.senders) as f64,
+        first_delay: Duration::from_secs_f64((position + 1) as f64 / usable),
     }
 }
 
 /// Spaces the requests of one VM to one upstream evenly.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RatePacer {
-    next: MonoTime,
+    next_slot: MonoTime,
 }
 
 impl RatePacer {
     /// Takes a place for one request at a rate; fails when none is free now.
-    pub fn take(&mut self, rate: f64, now: MonoTime) -> bool {
-        if !self.is_free(rate, now) {
+    pub fn try_acquire(&mut self, rate: f64, now: MonoTime) -> bool {
+        if !self.is_ready(rate, now) {
             return false;
         }
-        let pause = Duration::from_secs_f64(1.0 / rate);
-        let late = now.since(self.next);
+        let interval = Duration::from_secs_f64(1.0 / rate);
+        let lateness = now.since(self.next_slot);
         // A place that fell due long ago is not made up for: nobody asked for it.
-        let made_up = if late < pause { late.min(pause.mul_f64(MADE_UP)) } else { Duration::ZERO };
-        self.next = now - made_up + pause;
+        let caught_up = if lateness < interval {
+            lateness.min(interval.mul_f64(CATCH_UP_SHARE))
+        } else {
+            Duration::ZERO
+        };
+        self.next_slot = now - caught_up + interval;
         true
     }
 
     /// Whether a place is free now.
-    pub fn is_free(&self, rate: f64, now: MonoTime) -> bool {
-        rate > 0.0 && now >= self.next
+    pub fn is_ready(&self, rate: f64, now: MonoTime) -> bool {
+        rate > 0.0 && now >= self.next_slot
     }
 
     /// The time until a place is free at a rate; nothing where none will be.
     pub fn wait(&self, rate: f64, now: MonoTime) -> Option<Duration> {
-        (rate > 0.0).then(|| self.next.since(now))
+        (rate > 0.0).then(|| self.next_slot.since(now))
     }
 
     /// Gives no place before a moment.
-    pub fn hold_until(&mut self, moment: MonoTime) {
-        self.next = self.next.max(moment);
+    pub fn delay_until(&mut self, moment: MonoTime) {
+        self.next_slot = self.next_slot.max(moment);
     }
 
     /// Takes in that a higher rate is in force from now on.
-    pub fn quicken(&mut self, rate: f64, now: MonoTime) {
-        if let Ok(pause) = Duration::try_from_secs_f64(1.0 / rate) {
-            self.next = self.next.min(now + pause);
+    pub fn raise_rate(&mut self, rate: f64, now: MonoTime) {
+        if let Ok(interval) = Duration::try_from_secs_f64(1.0 / rate) {
+            self.next_slot = self.next_slot.min(now + interval);
         }
     }
 }
--- a/crates/foldhaven-core/src/opaque/retry_share.rs
+++ b/crates/foldhaven-core/src/opaque/retry_share.rs
@@ -65,7 +65,7 @@
     }
 
     /// Counts a request that a caller sent.
-    pub fn note_request(&mut self, now: MonoTime) {
+    pub fn record_request(&mut self, now: MonoTime) {
         self.slice(now).requests += 1;
     }
 
@@ -74,12 +74,12 @@
     /// `vms` is how many VMs may exist; without it only the share of the own requests counts.
     /// `uptime` is how long this process has run: the fixed part of a process that has just started
     /// grows over the first window, since an earlier process of this VM may have spent it.
-    pub fn take(&mut self, vms: Option<usize>, uptime: Duration, now: MonoTime) -> bool {
+    pub fn try_withdraw(&mut self, vms: Option<usize>, uptime: Duration, now: MonoTime) -> bool {
         self.slice(now);
         let requests: u32 = self.slices.iter().map(|slice| slice.requests).sum();
         let retries: u32 = self.slices.iter().map(|slice| slice.retries).sum();
-        let grown = uptime.div_duration_f64(self.limits.window).min(1.0);
-        let fixed = vms.map_or(0.0, |vms| self.limits.extra * grown / vms.max(1) as f64);
+        let ramp = uptime.div_duration_f64(self.limits.window).min(1.0);
+        let fixed = vms.map_or(0.0, |vms| self.limits.extra * ramp / vms.max(1) as f64);
         let permitted =
             self.limits.ratio * f64::from(requests) * USED_SHARE + fixed * USED_FIXED_SHARE;
         if f64::from(retries) + 1.0 > permitted {
--- a/crates/foldhaven-core/tests/testsuite/opaque_limits.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_limits.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use foldhaven_core::ids::{UpstreamName, VmName};
-use foldhaven_core::opaque::connection_share::kept_connections;
-use foldhaven_core::opaque::rate_part::{
-    MAX_SENDERS, RatePacer, SenderList, SharedRate, rate_part,
+use foldhaven_core::opaque::idle_connections::max_idle_connections;
+use foldhaven_core::opaque::rate_share::{
+    MAX_SENDERS, RatePacer, SenderList, SharedRate, rate_share,
 };
 use foldhaven_core::opaque::retry_share::{RetryLimits, RetryShare};
 use foldhaven_core::time::MonoTime;
@@ -53,11 +53,11 @@
                     *it = RetryVm { started: now, share: RetryShare::new(LIMITS) };
                 }
                 for _ in 0..rates[at] {
-                    it.share.note_request(now);
+                    it.share.record_request(now);
                     *requests.entry(step).or_default() += 1;
                 }
                 let uptime = now.since(it.started);
-                while it.share.take(Some(vms), uptime, now) {
+                while it.share.try_withdraw(Some(vms), uptime, now) {
                     *retries.entry(step).or_default() += 1;
                 }
             }
@@ -78,10 +78,10 @@
 
     /// VMs that see each other send no more to a cold upstream than it bears, whatever its name.
     #[test]
-    fn a_cold_upstream_gets_no_more_than_it_bears(vms in 1usize..60, name in 0u32..1000) {
+    fn cold_upstream_gets_no_more_than_its_rate(vms in 1usize..60, name in 0u32..1000) {
         let upstream: UpstreamName = format!("i-{name}").parse().unwrap();
         let live: Vec<VmName> = (0..vms).map(vm).collect();
-        let rates: Vec<f64> = live.iter().map(|own| part(&upstream, own, &live, &live)).collect();
+        let rates: Vec<f64> = live.iter().map(|own| share(&upstream, own, &live, &live)).collect();
         prop_assert!(rates.iter().sum::<f64>() <= 9.7);
         prop_assert!(rates.iter().filter(|rate| **rate > 0.0).count() <= MAX_SENDERS);
         prop_assert!(rates.iter().any(|rate| *rate > 0.0));
@@ -90,16 +90,16 @@
     /// Where VMs disagree on who lives, at most the union of their choices sends: with one VM that
     /// some see and others do not, the rate grows by one sender's part at most.
     #[test]
-    fn one_doubtful_vm_adds_one_part(vms in 4usize..60, name in 0u32..1000, doubtful in 0usize..60) {
+    fn one_disputed_vm_adds_at_most_one_share(vms in 4usize..60, name in 0u32..1000, disputed in 0usize..60) {
         let upstream: UpstreamName = format!("i-{name}").parse().unwrap();
         let all: Vec<VmName> = (0..vms).map(vm).collect();
         let without: Vec<VmName> =
-            all.iter().filter(|it| **it != vm(doubtful % vms)).cloned().collect();
+            all.iter().filter(|it| **it != vm(disputed % vms)).cloned().collect();
         // Each VM may hold either view; the worst of both is summed.
         let worst = |own: &VmName| {
-            let sees = part(&upstream, own, &all, &all);
+            let sees = share(&upstream, own, &all, &all);
             let misses = match without.contains(own) {
-                true => part(&upstream, own, &without, &without),
+                true => share(&upstream, own, &without, &without),
                 false => 0.0,
             };
             sees.max(misses)
@@ -110,21 +110,26 @@
 }
 
 /// The part of a VM of a rate of 9.7 a second, by those that live and by those that may.
-fn part(upstream: &UpstreamName, own: &VmName, live: &[VmName], with_silent: &[VmName]) -> f64 {
-    let senders = SenderList { live: live.to_vec(), with_silent: with_silent.to_vec() };
-    rate_part(SharedRate::of_cold(9.7), upstream, own, &senders).per_s
+fn share(
+    upstream: &UpstreamName,
+    own: &VmName,
+    live: &[VmName],
+    with_unresponsive: &[VmName],
+) -> f64 {
+    let senders = SenderList { live: live.to_vec(), with_unresponsive: with_unresponsive.to_vec() };
+    rate_share(SharedRate::of_cold(9.7), upstream, own, &senders).per_s
 }
 
 /// Two halves of a region that lost sight of each other both reach the upstreams. As long as each remembers the other, both
 /// together send no more than a cold upstream bears.
 #[test]
-fn halves_that_lost_each_other_share_as_before() {
+fn partitioned_halves_stay_within_the_rate() {
     let upstream: UpstreamName = "i-1".parse().unwrap();
     for vms in 2..40 {
         let all: Vec<VmName> = (0..vms).map(vm).collect();
         let (left, right) = all.split_at(vms / 2);
         let sum = |half: &[VmName]| -> f64 {
-            half.iter().map(|own| part(&upstream, own, half, &all)).sum()
+            half.iter().map(|own| share(&upstream, own, half, &all)).sum()
         };
         let both = sum(left) + sum(right);
         assert!(both <= 9.7 * MAX_SENDERS as f64 / MAX_SENDERS.min(left.len()) as f64, "{both}");
@@ -136,15 +141,15 @@
 fn most_sent(rate: SharedRate, vms: usize) -> usize {
     let upstream: UpstreamName = "i-1".parse().unwrap();
     let live: Vec<VmName> = (0..vms).map(vm).collect();
-    let senders = SenderList { live: live.clone(), with_silent: live.clone() };
+    let senders = SenderList { live: live.clone(), with_unresponsive: live.clone() };
     let started = MonoTime::from_millis(1_000);
     let mut sent: Vec<MonoTime> = Vec::new();
     for own in &live {
-        let part = rate_part(rate, &upstream, own, &senders);
+        let share = rate_share(rate, &upstream, own, &senders);
         let mut pacer = RatePacer::default();
-        pacer.hold_until(started + part.first_after);
+        pacer.delay_until(started + share.first_delay);
         let moments = (0..3_000).map(|step| started + Duration::from_millis(20) * step);
-        sent.extend(moments.filter(|now| pacer.take(part.per_s, *now)));
+        sent.extend(moments.filter(|now| pacer.try_acquire(share.per_s, *now)));
     }
     sent.sort();
     let within = |first: &MonoTime| {
@@ -156,7 +161,7 @@
 
 /// Guards against parts of a named limit that add up to more than it allows, in a region of any size.
 #[rstest]
-fn parts_of_a_named_limit_hold_in_a_region_of_any_size(
+fn shares_of_a_limit_hold_in_a_region_of_any_size(
     #[values(1, 9, 74, 295)] vms: usize,
     #[values(0.0, 0.2, 1.0, 2.0, 9.7, 50.0)] per_s: f64,
 ) {
@@ -168,42 +173,42 @@
 
 /// Guards against a limit that rises and is not used until a place of the lower one falls due.
 #[test]
-fn a_higher_rate_is_used_at_once() {
+fn higher_rate_is_used_at_once() {
     let mut pacer = RatePacer::default();
     let now = MonoTime::from_millis(1_000);
-    assert!(pacer.take(0.05, now));
-    pacer.quicken(2.0, now + Duration::from_secs(1));
-    assert!(pacer.take(2.0, now + Duration::from_millis(1_500)));
+    assert!(pacer.try_acquire(0.05, now));
+    pacer.raise_rate(2.0, now + Duration::from_secs(1));
+    assert!(pacer.try_acquire(2.0, now + Duration::from_millis(1_500)));
 }
 
 /// What is not described is not permitted.
 #[test]
-fn a_cold_upstream_without_a_described_rate_gets_nothing() {
+fn cold_upstream_without_a_rate_gets_no_requests() {
     let (upstream, own) = ("i-1".parse().unwrap(), vm(0));
-    let alone = SenderList { live: vec![own.clone()], with_silent: vec![own.clone()] };
+    let alone = SenderList { live: vec![own.clone()], with_unresponsive: vec![own.clone()] };
     let nothing = SharedRate::of_cold(0.0);
-    assert_eq!(rate_part(nothing, &upstream, &own, &alone).per_s, 0.0);
+    assert_eq!(rate_share(nothing, &upstream, &own, &alone).per_s, 0.0);
     let bears = SharedRate::of_cold(9.7);
-    assert_eq!(rate_part(bears, &upstream, &own, &SenderList::default()).per_s, 0.0);
+    assert_eq!(rate_share(bears, &upstream, &own, &SenderList::default()).per_s, 0.0);
 }
 
 #[test]
-fn a_process_that_does_not_know_the_others_spends_nothing_on_top() {
+fn unknown_vm_count_permits_no_extra_retries() {
     let mut share = RetryShare::new(LIMITS);
     let now = MonoTime::from_millis(1_000);
-    assert!(!share.take(None, Duration::from_secs(60), now));
-    (0..20).for_each(|_| share.note_request(now));
-    assert!(share.take(None, Duration::from_secs(60), now));
+    assert!(!share.try_withdraw(None, Duration::from_secs(60), now));
+    (0..20).for_each(|_| share.record_request(now));
+    assert!(share.try_withdraw(None, Duration::from_secs(60), now));
 }
 
 #[test]
-fn places_at_a_cold_upstream_are_spaced() {
+fn requests_to_a_cold_upstream_are_spaced() {
     let mut pacer = RatePacer::default();
     let now = MonoTime::from_millis(1_000);
-    assert!(pacer.take(2.0, now));
-    assert!(!pacer.is_free(2.0, now + Duration::from_millis(499)));
-    assert!(pacer.take(2.0, now + Duration::from_millis(500)));
-    assert!(!pacer.take(0.0, now + Duration::from_secs(60)), "no rate, no place");
+    assert!(pacer.try_acquire(2.0, now));
+    assert!(!pacer.is_ready(2.0, now + Duration::from_millis(499)));
+    assert!(pacer.try_acquire(2.0, now + Duration::from_millis(500)));
+    assert!(!pacer.try_acquire(0.0, now + Duration::from_secs(60)), "no rate, no slot");
 }
 
 /// 28 VMs that each kept 24 unused connections would have met the limit of 540 of an upstream.
@@ -212,10 +217,10 @@
 #[case::many_vms(540, 28, 9)]
 #[case::more_vms_than_connections(110, 300, 1)]
 #[case::no_limit(0, 300, 24)]
-fn all_vms_together_leave_room_for_requests(
+fn idle_connections_leave_capacity_for_requests(
     #[case] limit: u32,
     #[case] vms: usize,
     #[case] kept: usize,
 ) {
-    assert_eq!(kept_connections(limit, vms), kept);
+    assert_eq!(max_idle_connections(limit, vms), kept);
 }
--- a/crates/foldhaven-gateway/src/keeper/rate_parts.rs
+++ b/crates/foldhaven-gateway/src/keeper/rate_parts.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use foldhaven_core::opaque::peer_table::{PeerPhase, VmTag};
-use foldhaven_core::opaque::rate_part::{RatePart, SharedRate, rate_part};
+use foldhaven_core::opaque::rate_share::{RateShare, SharedRate, rate_share};
 use foldhaven_core::opaque::sender_pact::PactNotice;
 use foldhaven_core::time::MonoTime;
 use xtra::{Context, Handler};
@@ -78,7 +78,7 @@
         for upstream in bounded {
             let part = match until {
                 Some(_) => self.part_of(&upstream, now),
-                None => RatePart::default(),
+                None => RateShare::default(),
             };
             note_part(&upstream, part, others.len() + 1);
             upstream.set_part(part, until, now);
@@ -99,16 +99,16 @@
         let described = service.map_or(0.0, |service| service.cold_rate);
         let cold = upstream.is_cold(now).then(|| SharedRate::of_cold(described));
         let named = self.shared.limits.limit(upstream).map(SharedRate::of_limit);
-        cold.into_iter().chain(named).reduce(SharedRate::narrower)
+        cold.into_iter().chain(named).reduce(SharedRate::stricter)
     }
 
-    fn part_of(&self, upstream: &Upstream, now: MonoTime) -> RatePart {
-        let Some(rate) = self.shared_rate(upstream, now) else { return RatePart::default() };
+    fn part_of(&self, upstream: &Upstream, now: MonoTime) -> RateShare {
+        let Some(rate) = self.shared_rate(upstream, now) else { return RateShare::default() };
         let own = &self.shared.settings.vm;
-        let part = rate_part(rate, upstream.name(), own, &self.senders.list);
+        let part = rate_share(rate, upstream.name(), own, &self.senders.list);
         match self.is_witnessed() {
             true => part,
-            false => RatePart { per_s: part.per_s * UNWITNESSED_PART, ..part },
+            false => RateShare { per_s: part.per_s * UNWITNESSED_PART, ..part },
         }
     }
 
@@ -120,7 +120,7 @@
 }
 
 /// Logs the part of an upstream's rate that this VM takes, when it has changed.
-fn note_part(upstream: &Upstream, part: RatePart, senders: usize) {
+fn note_part(upstream: &Upstream, part: RateShare, senders: usize) {
     let before = upstream.noted_part();
     if before != part.per_s {
         tracing::info!(
--- a/crates/foldhaven-gateway/src/keeper/traffic_view.rs
+++ b/crates/foldhaven-gateway/src/keeper/traffic_view.rs
@@ -5,7 +5,7 @@
 
 use foldhaven_core::ids::{RegionName, ServiceName};
 use foldhaven_core::opaque::affinity::UpstreamTag;
-use foldhaven_core::opaque::connection_share::kept_connections;
+use foldhaven_core::opaque::idle_connections::max_idle_connections;
 use foldhaven_core::opaque::peer_table::{PeerBeat, PeerPhase};
 use foldhaven_core::opaque::route_table::RouteTable;
 use foldhaven_core::opaque::service_order::{ServiceCandidate, ServiceOrder};
@@ -99,7 +99,7 @@
             self.shared.leavers.apply(&upstream);
             let service = routes.service(&upstream.identity.service);
             let limit = service.map_or(0, |service| service.connection_limit);
-            upstream.pool.keep_at_most(kept_connections(limit, vms));
+            upstream.pool.keep_at_most(max_idle_connections(limit, vms));
             by_service.entry(upstream.identity.service.clone()).or_default().push(upstream.clone());
             kept.insert(upstream.name().clone(), upstream);
         }
--- a/crates/foldhaven-gateway/src/places/near.rs
+++ b/crates/foldhaven-gateway/src/places/near.rs
@@ -44,7 +44,7 @@
     pub(super) fn take(self, shared: &GatewayShared) -> Result<PlaceChoice, Refusal> {
         let now = shared.now();
         if let Some(rate) = self.upstream.bound_rate(now) {
-            if !self.upstream.pacer.lock().take(rate, now) {
+            if !self.upstream.pacer.lock().try_acquire(rate, now) {
                 shared.metrics.count_event("bounded_place_lost");
                 return Err(Refusal::NoUpstream);
             }
--- a/crates/foldhaven-gateway/src/shared.rs
+++ b/crates/foldhaven-gateway/src/shared.rs
@@ -323,14 +323,14 @@
     pub fn note_request(&self, service: &ServiceName, size: u32) {
         let now = self.now();
         self.with_pace(service, |pace| pace.note_size(size));
-        self.with_share(service, |share| share.note_request(now));
+        self.with_share(service, |share| share.record_request(now));
     }
 
     /// Takes one retry out of this VM's part of the budget.
     pub fn take_retry(&self, service: &ServiceName, view: &GatewayView) -> bool {
         let now = self.now();
         let uptime = self.uptime();
-        self.with_share(service, |share| share.take(view.assumed_vms, uptime, now))
+        self.with_share(service, |share| share.try_withdraw(view.assumed_vms, uptime, now))
     }
 
     fn with_share<T>(&self, service: &ServiceName, act: impl FnOnce(&mut RetryShare) -> T) -> T {
--- a/crates/foldhaven-gateway/src/upstream.rs
+++ b/crates/foldhaven-gateway/src/upstream.rs
@@ -11,7 +11,7 @@
 use foldhaven_core::opaque::load_share::UpstreamShare;
 use foldhaven_core::opaque::pace::{QueueFacts, UpstreamPace};
 use foldhaven_core::opaque::queue_rank::{QueueRank, UnreadTokens};
-use foldhaven_core::opaque::rate_part::{RatePacer, RatePart};
+use foldhaven_core::opaque::rate_share::{RatePacer, RateShare};
 use foldhaven_core::opaque::request_print::RequestPrint;
 use foldhaven_core::opaque::suspects::{GuestBook, GuestId};
 use foldhaven_core::opaque::upstream_table::UpstreamRecord;
@@ -162,14 +162,14 @@
     }
 
     /// Takes in this VM's part of what it may get while it is cold or names a limit, and until when that may be used.
-    pub fn set_part(&self, part: RatePart, until: Option<MonoTime>, now: MonoTime) {
+    pub fn set_part(&self, part: RateShare, until: Option<MonoTime>, now: MonoTime) {
         let has_part = now.0 < self.part_until.load(Ordering::Relaxed) && self.noted_part() > 0.0;
         let mut pacer = self.pacer.lock();
         if part.per_s > self.noted_part() {
-            pacer.quicken(part.per_s, now);
+            pacer.raise_rate(part.per_s, now);
         }
         if !has_part {
-            pacer.hold_until(now + part.first_after);
+            pacer.delay_until(now + part.first_delay);
         }
         drop(pacer);
         self.part_rate.store(part.per_s.to_bits(), Ordering::Relaxed);
