--- a/crates/foldhaven-core/src/opaque/idle_connections.rs
+++ b/crates/foldhaven-core/src/opaque/idle_connections.rs
@@ -1,14 +1,16 @@
-//! How many unused connections one VM may keep to an upstream that takes a limited number from all.
+//! The number of idle connections that one VM may keep to an upstream with a connection limit over
+//! all VMs.
 
-/// The part of the limit that unused connections may take up; the rest is for requests under way.
+/// The fraction of the limit that idle connections may use. The rest is for requests in flight.
 const IDLE_SHARE: f64 = 0.5;
-/// The most that are kept where no limit is described, or a high one.
+/// The maximum number of idle connections if the limit is high or there is none.
 const MAX_IDLE: usize = 24;
 
-/// How many unused connections this VM may keep to one upstream.
+/// Returns how many idle connections this VM may keep to one upstream.
 ///
-/// `limit` is how many the upstream takes from all VMs together, 0 for no limit; `vms` how many VMs reach
-/// it. One is kept at least: opening one for each request would take up as many.
+/// `limit` is the number of connections that the upstream accepts from all VMs together, 0 for no
+/// limit; `vms` is the number of VMs that reach it. The result is at least 1: opening a connection
+/// for each request would use as many.
 pub fn max_idle_connections(limit: u32, vms: usize) -> usize {
     if limit == 0 {
         return MAX_IDLE;
--- a/crates/foldhaven-core/src/opaque/retry_share.rs
+++ b/crates/foldhaven-core/src/opaque/retry_share.rs
@@ -1,35 +1,36 @@
-//! The part of a retry budget that one VM may spend, where all VMs together have one budget.
+//! The share of a retry budget that one VM may spend, where one budget holds for all VMs together.
 //!
-//! The budget permits, in any window, a share of the requests of that window and a fixed number on
-//! top. The share can be split without talk: each VM spends it on the requests that it saw itself.
-//! The fixed number is divided by the number of VMs that may exist. The sum over all VMs then stays
-//! within the budget as long as no VM assumes fewer VMs than there are.
+//! In any window, the budget permits a fraction of the requests of that window plus a fixed number
+//! of retries. The fraction needs no communication: each VM spends it on the requests that it
+//! received itself. The fixed number is divided by the number of VMs that may exist. The sum over
+//! all VMs stays within the budget as long as no VM assumes fewer VMs than there are.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::time::MonoTime;
 
-/// The part of the share of requests that is used; the rest covers windows of another phase.
+/// The fraction of the request-based budget that is used. The rest covers windows that are aligned
+/// differently.
 const USED_SHARE: f64 = 0.85;
-/// The part of the fixed number that is used: a VM that is killed may have spent its part, and its
-/// next process spends another one within the same window.
+/// The fraction of the fixed budget that is used: a VM that is killed may have spent its share, and
+/// its next process spends another one within the same window.
 const USED_FIXED_SHARE: f64 = 0.45;
-/// The time slices by which a window is counted.
+/// The number of time slices in a window.
 const SLICES: u32 = 10;
 
-/// A retry budget over all VMs.
+/// A retry budget for all VMs together.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryLimits {
-    /// Retries permitted for each request.
+    /// Retries permitted per request.
     pub ratio: f64,
-    /// Retries permitted on top, over all VMs, in each window.
+    /// Additional retries permitted in each window, over all VMs.
     pub extra: f64,
     /// The length of the window.
     pub window: Duration,
 }
 
-/// The counts of one part of the window.
+/// The counts of one time slice.
 #[derive(Debug, Clone, Copy)]
 struct RetrySlice {
     start: MonoTime,
@@ -45,12 +46,12 @@
 }
 
 impl RetryShare {
-    /// An empty count.
+    /// Creates an empty count.
     pub fn new(limits: RetryLimits) -> Self {
         Self { limits, slices: VecDeque::new() }
     }
 
-    /// The current slice; those that the window has left are dropped.
+    /// Returns the current slice, after dropping those that have left the window.
     fn slice(&mut self, now: MonoTime) -> &mut RetrySlice {
         let length = self.limits.window / SLICES;
         let oldest = now - (self.limits.window + length);
@@ -64,15 +65,15 @@
         self.slices.back_mut().expect("a slice was just made")
     }
 
-    /// Counts a request that a caller sent.
+    /// Counts a request from a caller.
     pub fn record_request(&mut self, now: MonoTime) {
         self.slice(now).requests += 1;
     }
 
-    /// Takes one retry out, if this VM's part permits it.
+    /// Withdraws one retry if this VM's share permits it.
     ///
-    /// `vms` is how many VMs may exist; without it only the share of the own requests counts.
-    /// `uptime` is how long this process has run: the fixed part of a process that has just started
+    /// `vms` is the number of VMs that may exist; if `None`, only the fraction of this VM's own
+    /// requests counts. `uptime` is how long this process has run: its share of the fixed budget
     /// grows over the first window, since an earlier process of this VM may have spent it.
     pub fn try_withdraw(&mut self, vms: Option<usize>, uptime: Duration, now: MonoTime) -> bool {
         self.slice(now);
--- a/crates/foldhaven-core/tests/testsuite/opaque_limits.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_limits.rs
@@ -1,4 +1,4 @@
-//! Limits over all VMs: the sum of what the VMs do by themselves stays within them.
+//! Limits that hold over all VMs: the sum of what the VMs do independently stays within them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -21,15 +21,15 @@
     format!("vm-{number}").parse().unwrap()
 }
 
-/// One VM with the share of its present process.
+/// One VM with the retry share of its current process.
 struct RetryVm {
     started: MonoTime,
     share: RetryShare,
 }
 
 proptest! {
-    /// VMs that all want to retry as often as they can, and that are killed at any moment, together
-    /// stay within the budget in every window.
+    /// VMs that all retry as often as they can, and that are killed at any moment, together stay
+    /// within the budget in every window.
     #[test]
     fn retries_of_all_vms_stay_within_the_budget(
         vms in 1usize..12,
@@ -37,7 +37,7 @@
         kills in prop::collection::vec((0usize..12, 0u64..300), 0..10),
     ) {
         let zero = MonoTime::from_millis(1_000_000);
-        // Long-running processes at first, so that all fixed parts are grown.
+        // The processes have run long enough for their fixed shares to be fully grown.
         let mut fleet: Vec<RetryVm> = (0..vms)
             .map(|_| RetryVm {
                 started: zero - Duration::from_secs(600),
@@ -68,7 +68,8 @@
                 counts.range(window).map(|(_, count)| *count).sum::<u32>()
             };
             let made = in_window(&retries, window.clone());
-            // The rules count the requests of this window, the one before, or half a one before.
+            // The budget counts the requests of this window, the previous one, or one that starts
+            // half a window earlier.
             let before = first.saturating_sub(100)..first;
             let most = in_window(&requests, window).max(in_window(&requests, before));
             let permitted = LIMITS.ratio * f64::from(most) + LIMITS.extra;
@@ -76,7 +77,7 @@
         }
     }
 
-    /// VMs that see each other send no more to a cold upstream than it bears, whatever its name.
+    /// VMs that see each other send no more to a cold upstream than its rate, whatever its name.
     #[test]
     fn cold_upstream_gets_no_more_than_its_rate(vms in 1usize..60, name in 0u32..1000) {
         let upstream: UpstreamName = format!("i-{name}").parse().unwrap();
@@ -87,15 +88,15 @@
         prop_assert!(rates.iter().any(|rate| *rate > 0.0));
     }
 
-    /// Where VMs disagree on who lives, at most the union of their choices sends: with one VM that
-    /// some see and others do not, the rate grows by one sender's part at most.
+    /// Guards against VMs that disagree on who is live: if some VMs see one VM and others do not,
+    /// the total rate grows by one sender's share at most.
     #[test]
     fn one_disputed_vm_adds_at_most_one_share(vms in 4usize..60, name in 0u32..1000, disputed in 0usize..60) {
         let upstream: UpstreamName = format!("i-{name}").parse().unwrap();
         let all: Vec<VmName> = (0..vms).map(vm).collect();
         let without: Vec<VmName> =
             all.iter().filter(|it| **it != vm(disputed % vms)).cloned().collect();
-        // Each VM may hold either view; the worst of both is summed.
+        // Each VM may hold either view; the sum takes the worse one for each.
         let worst = |own: &VmName| {
             let sees = share(&upstream, own, &all, &all);
             let misses = match without.contains(own) {
@@ -109,7 +110,8 @@
     }
 }
 
-/// The part of a VM of a rate of 9.7 a second, by those that live and by those that may.
+/// The share of a VM in a rate of 9.7 requests per second, given the live VMs and those that may be
+/// live.
 fn share(
     upstream: &UpstreamName,
     own: &VmName,
@@ -120,8 +122,8 @@
     rate_share(SharedRate::of_cold(9.7), upstream, own, &senders).per_s
 }
 
-/// Two halves of a region that lost sight of each other both reach the upstreams. As long as each remembers the other, both
-/// together send no more than a cold upstream bears.
+/// Guards against two partitioned halves of a region that both reach the upstreams. As long as each
+/// remembers the other, both together send no more than a cold upstream can handle.
 #[test]
 fn partitioned_halves_stay_within_the_rate() {
     let upstream: UpstreamName = "i-1".parse().unwrap();
@@ -137,7 +139,7 @@
     }
 }
 
-/// The most requests of VMs that ask all the time, in 4 s.
+/// The maximum number of requests within 4 s from VMs that send as often as they can.
 fn most_sent(rate: SharedRate, vms: usize) -> usize {
     let upstream: UpstreamName = "i-1".parse().unwrap();
     let live: Vec<VmName> = (0..vms).map(vm).collect();
@@ -159,7 +161,8 @@
     sent.iter().map(within).max().unwrap_or_default()
 }
 
-/// Guards against parts of a named limit that add up to more than it allows, in a region of any size.
+/// Guards against shares of a named limit that add up to more than the limit, in a region of any
+/// size.
 #[rstest]
 fn shares_of_a_limit_hold_in_a_region_of_any_size(
     #[values(1, 9, 74, 295)] vms: usize,
@@ -171,7 +174,7 @@
     assert!(most > 0, "an upstream that gets nothing cannot end its limit");
 }
 
-/// Guards against a limit that rises and is not used until a place of the lower one falls due.
+/// Guards against a limit that rises but is not used until the next slot of the lower limit.
 #[test]
 fn higher_rate_is_used_at_once() {
     let mut pacer = RatePacer::default();
@@ -181,7 +184,7 @@
     assert!(pacer.try_acquire(2.0, now + Duration::from_millis(1_500)));
 }
 
-/// What is not described is not permitted.
+/// Without a described rate nothing may be sent.
 #[test]
 fn cold_upstream_without_a_rate_gets_no_requests() {
     let (upstream, own) = ("i-1".parse().unwrap(), vm(0));
@@ -211,7 +214,8 @@
     assert!(!pacer.try_acquire(0.0, now + Duration::from_secs(60)), "no rate, no slot");
 }
 
-/// 28 VMs that each kept 24 unused connections would have met the limit of 540 of an upstream.
+/// Guards against idle connections that use up the limit: 28 VMs with 24 idle connections each
+/// would have exhausted an upstream's limit of 540.
 #[rstest]
 #[case::few_vms(370, 4, 24)]
 #[case::many_vms(540, 28, 9)]
