--- a/crates/foldhaven-core/src/opaque/account_table.rs
+++ b/crates/foldhaven-core/src/opaque/account_table.rs
@@ -11,35 +11,36 @@
 
 /// What the key of all prints is derived from. It is the same at all VMs, so that they can tell each other of keys
 /// without the keys.
-const PRINT_CONTEXT: &str = "foldhaven account key print v1";
-static PRINT_KEY: LazyLock<[u8; 32]> = LazyLock::new(|| blake3::derive_key(PRINT_CONTEXT, &[]));
+const FINGERPRINT_CONTEXT: &str = "foldhaven account key print v1";
+static FINGERPRINT_KEY: LazyLock<[u8; 32]> =
+    LazyLock::new(|| blake3::derive_key(FINGERPRINT_CONTEXT, &[]));
 /// The bytes of a print.
-const PRINT_BYTES: usize = 16;
+const FINGERPRINT_BYTES: usize = 16;
 /// The longest key that is taken, in bytes.
 pub const MAX_KEY_BYTES: usize = 512;
 
 /// The keyed hash of a caller's key, which stands for it wherever it is kept or told.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct KeyPrint([u8; PRINT_BYTES]);
+pub struct KeyFingerprint([u8; FINGERPRINT_BYTES]);
 
-impl KeyPrint {
+impl KeyFingerprint {
     /// The print of a key.
     pub fn of(key: &[u8]) -> Self {
-        let hash = blake3::keyed_hash(&PRINT_KEY, key);
-        let mut bytes = [0; PRINT_BYTES];
-        bytes.copy_from_slice(&hash.as_bytes()[..PRINT_BYTES]);
+        let hash = blake3::keyed_hash(&FINGERPRINT_KEY, key);
+        let mut bytes = [0; FINGERPRINT_BYTES];
+        bytes.copy_from_slice(&hash.as_bytes()[..FINGERPRINT_BYTES]);
         Self(bytes)
     }
 }
 
-impl fmt::Debug for KeyPrint {
+impl fmt::Debug for KeyFingerprint {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str("KeyPrint")
     }
 }
 
-impl fmt::Display for KeyPrint {
+impl fmt::Display for KeyFingerprint {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.iter().try_for_each(|byte| write!(formatter, "{byte:02x}"))
     }
@@ -47,19 +48,19 @@
 
 /// A text is no key print.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
-pub struct KeyPrintError;
+pub struct ParseFingerprintError;
 
-impl FromStr for KeyPrint {
-    type Err = KeyPrintError;
+impl FromStr for KeyFingerprint {
+    type Err = ParseFingerprintError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        if text.len() != 2 * PRINT_BYTES || !text.is_ascii() {
-            return Err(KeyPrintError);
+        if text.len() != 2 * FINGERPRINT_BYTES || !text.is_ascii() {
+            return Err(ParseFingerprintError);
         }
-        let mut bytes = [0; PRINT_BYTES];
+        let mut bytes = [0; FINGERPRINT_BYTES];
         for (at, byte) in bytes.iter_mut().enumerate() {
             let digits = &text[2 * at..2 * at + 2];
-            *byte = u8::from_str_radix(digits, 16).map_err(|_| KeyPrintError)?;
+            *byte = u8::from_str_radix(digits, 16).map_err(|_| ParseFingerprintError)?;
         }
         Ok(Self(bytes))
     }
@@ -73,7 +74,8 @@
     /// Each request counts as its prompt tokens and its longest answer, or as `plain` where it names neither.
     Tokens {
         /// What a request counts for that names no tokens.
-        plain: u32,
+        #[serde(rename = "plain")]
+        default_tokens: u32,
     },
 }
 
@@ -93,7 +95,9 @@
     pub fn cost(&self, tokens: Option<u64>) -> f64 {
         match self.unit {
             LimitUnit::Requests => 1.0,
-            LimitUnit::Tokens { plain } => tokens.unwrap_or(u64::from(plain)) as f64,
+            LimitUnit::Tokens { default_tokens } => {
+                tokens.unwrap_or(u64::from(default_tokens)) as f64
+            }
         }
     }
 }
@@ -104,7 +108,7 @@
     /// Its name, which upstreams are told.
     pub name: AccountName,
     /// The prints of its keys.
-    pub keys: BTreeSet<KeyPrint>,
+    pub keys: BTreeSet<KeyFingerprint>,
     /// The rank of its requests, in place of that of their routes; 0 goes first.
     pub priority: Option<u8>,
     /// The regions in which its requests may run; all when empty.
@@ -132,7 +136,7 @@
 /// The accounts with their look-ups.
 #[derive(Debug, Default)]
 pub struct AccountTable {
-    by_key: HashMap<KeyPrint, Arc<ClientAccount>>,
+    by_key: HashMap<KeyFingerprint, Arc<ClientAccount>>,
     is_described: bool,
 }
 
@@ -151,7 +155,7 @@
     }
 
     /// The account that holds a key.
-    pub fn find(&self, key: &KeyPrint) -> Option<&Arc<ClientAccount>> {
+    pub fn find(&self, key: &KeyFingerprint) -> Option<&Arc<ClientAccount>> {
         self.by_key.get(key)
     }
 }
@@ -179,42 +183,41 @@
 
 impl AccountDelta {
     /// The difference between two descriptions.
-    pub fn between(
-        held: Option<&AccountDescription>,
-        offered: Option<&AccountDescription>,
-    ) -> Self {
-        let (held, offered) = match (held, offered) {
-            (held, offered) if held == offered => return Self::Same,
+    pub fn between(old: Option<&AccountDescription>, new: Option<&AccountDescription>) -> Self {
+        let (old, new) = match (old, new) {
+            (old, new) if old == new => return Self::Same,
             (_, None) => return Self::Gone,
-            (None, Some(offered)) => return Self::All(offered.clone()),
-            (Some(held), Some(offered)) => (held, offered),
+            (None, Some(new)) => return Self::All(new.clone()),
+            (Some(old), Some(new)) => (old, new),
         };
-        let is_written =
-            |(name, account): &(&AccountName, _)| held.accounts.get(*name) != Some(*account);
-        let written = offered.accounts.iter().filter(is_written);
-        let is_removed = |name: &&AccountName| !offered.accounts.contains_key(*name);
-        let is_open_changed = held.open_routes != offered.open_routes;
+        let is_changed =
+            |(name, account): &(&AccountName, _)| old.accounts.get(*name) != Some(*account);
+        let written = new.accounts.iter().filter(is_changed);
+        let is_removed = |name: &&AccountName| !new.accounts.contains_key(*name);
+        let has_open_routes_changed = old.open_routes != new.open_routes;
         Self::Some {
             written: written.map(|(name, account)| (name.clone(), account.clone())).collect(),
-            removed: held.accounts.keys().filter(is_removed).cloned().collect(),
-            open_routes: is_open_changed.then(|| offered.open_routes.clone()),
+            removed: old.accounts.keys().filter(is_removed).cloned().collect(),
+            open_routes: has_open_routes_changed.then(|| new.open_routes.clone()),
         }
     }
 
     /// The accounts after this change; nothing where none are described.
-    pub fn apply(&self, held: Option<&AccountDescription>) -> Option<AccountDescription> {
+    pub fn apply(&self, old: Option<&AccountDescription>) -> Option<AccountDescription> {
         match self {
-            Self::Same => held.cloned(),
+            Self::Same => old.cloned(),
             Self::Gone => None,
             Self::All(all) => Some(all.clone()),
             Self::Some { written, removed, open_routes } => {
-                let mut made = held.cloned().unwrap_or_default();
-                made.accounts.retain(|name, _| !removed.contains(name));
-                made.accounts.extend(written.iter().map(|(name, it)| (name.clone(), it.clone())));
+                let mut updated = old.cloned().unwrap_or_default();
+                updated.accounts.retain(|name, _| !removed.contains(name));
+                updated
+                    .accounts
+                    .extend(written.iter().map(|(name, it)| (name.clone(), it.clone())));
                 if let Some(open_routes) = open_routes {
-                    made.open_routes.clone_from(open_routes);
+                    updated.open_routes.clone_from(open_routes);
                 }
-                Some(made)
+                Some(updated)
             }
         }
     }
@@ -229,16 +232,23 @@
             }
             (
                 Self::Some { written, removed, open_routes },
-                Self::Some { written: then, removed: gone, open_routes: open },
+                Self::Some {
+                    written: next_written,
+                    removed: next_removed,
+                    open_routes: next_open_routes,
+                },
             ) => {
                 let mut written = written.clone();
-                written.retain(|name, _| !gone.contains(name));
-                written.extend(then.iter().map(|(name, account)| (name.clone(), account.clone())));
-                let removed = removed.union(gone).filter(|name| !then.contains_key(*name));
+                written.retain(|name, _| !next_removed.contains(name));
+                written.extend(
+                    next_written.iter().map(|(name, account)| (name.clone(), account.clone())),
+                );
+                let removed =
+                    removed.union(next_removed).filter(|name| !next_written.contains_key(*name));
                 Self::Some {
                     written,
                     removed: removed.cloned().collect(),
-                    open_routes: open.clone().or_else(|| open_routes.clone()),
+                    open_routes: next_open_routes.clone().or_else(|| open_routes.clone()),
                 }
             }
         }
--- a/crates/foldhaven-core/src/opaque/mod.rs
+++ b/crates/foldhaven-core/src/opaque/mod.rs
@@ -32,7 +32,7 @@
 pub mod route_delta;
 pub mod route_history;
 pub mod route_table;
-pub mod sender_pact;
+pub mod sender_agreement;
 pub mod service_order;
 pub mod suspects;
 pub mod upstream_signals;
--- a/crates/foldhaven-core/src/opaque/peer_table/senders.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/senders.rs
@@ -5,7 +5,7 @@
 use super::{PeerBeat, PeerEntry, PeerPhase, PeerTable, VmLife, VmTag};
 use crate::ids::VmName;
 use crate::opaque::rate_share::SenderList;
-use crate::opaque::sender_pact::ListDigest;
+use crate::opaque::sender_agreement::ListDigest;
 use crate::opaque::service_order::{ServiceCandidate, ServiceOrder};
 use crate::rank::rank_hash;
 use crate::time::MonoTime;
--- a/crates/foldhaven-core/src/opaque/sender_pact.rs
+++ b/crates/foldhaven-core/src/opaque/sender_agreement.rs
@@ -20,15 +20,15 @@
 use crate::time::MonoTime;
 
 /// Between two rounds of notices, while a limit that they guard is in use.
-pub const PACT_INTERVAL: Duration = Duration::from_millis(150);
+pub const AGREEMENT_INTERVAL: Duration = Duration::from_millis(150);
 /// So long the word of a VM counts, from when it was asked for: three rounds, so that with one message in twenty lost a word is
 /// missed once in thousands of rounds.
-pub const FRESH_FOR: Duration = Duration::from_millis(500);
+pub const CONFIRMATION_LIFETIME: Duration = Duration::from_millis(500);
 /// So long after a change of its list a VM names none. Longer than [`FRESH_FOR`], by the time that a request may take from its
 /// place being taken to its arrival.
-pub const SETTLE_FOR: Duration = Duration::from_millis(700);
+pub const SETTLE_TIME: Duration = Duration::from_millis(700);
 /// How many rounds are remembered, to know when one was sent that is answered.
-const REMEMBERED: usize = 16;
+const MAX_REMEMBERED_ROUNDS: usize = 16;
 
 /// A digest of a list of VMs; equal lists of equal lives have equal ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -37,7 +37,7 @@
 
 /// The round of notices of one lifetime of a VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PactRound {
+pub struct AgreementRound {
     /// The lifetime.
     pub incarnation: IncarnationId,
     /// Its number.
@@ -46,50 +46,51 @@
 
 /// The word of a VM on its list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PactNotice {
+pub struct AgreementNotice {
     /// The VM.
     pub vm: VmTag,
     /// Its newest round.
-    pub round: PactRound,
+    pub round: AgreementRound,
     /// Its list; nothing while it has none that it has held for long enough.
     pub list: Option<ListDigest>,
     /// The newest round of the receiver that it heard.
-    pub answers: Option<PactRound>,
+    pub answers: Option<AgreementRound>,
     /// Whether an answer is wanted at once.
-    pub is_call: bool,
+    #[serde(rename = "is_call")]
+    pub requests_reply: bool,
 }
 
 /// What was heard of one VM.
 #[derive(Debug, Clone, Copy)]
-struct HeardWord {
-    round: PactRound,
+struct PeerState {
+    round: AgreementRound,
     /// Its list by its newest word, and since when at least that counts.
-    word: Option<(ListDigest, MonoTime)>,
+    confirmation: Option<(ListDigest, MonoTime)>,
 }
 
 /// The list of this VM, and the words of others.
 #[derive(Debug)]
-pub struct SenderPact {
+pub struct SenderAgreement {
     own: VmTag,
     list: Option<ListDigest>,
     /// Since when this is the list.
     since: MonoTime,
-    round: PactRound,
+    round: AgreementRound,
     /// When the last rounds were sent.
     sent: VecDeque<(u32, MonoTime)>,
-    heard: BTreeMap<VmTag, HeardWord>,
+    peers: BTreeMap<VmTag, PeerState>,
 }
 
-impl SenderPact {
+impl SenderAgreement {
     /// A pact of a process that starts now.
     pub fn new(own: VmTag, incarnation: IncarnationId, now: MonoTime) -> Self {
-        let round = PactRound { incarnation, number: 0 };
-        let (sent, heard) = (VecDeque::new(), BTreeMap::new());
-        Self { own, list: None, since: now, round, sent, heard }
+        let round = AgreementRound { incarnation, number: 0 };
+        let (sent, peers) = (VecDeque::new(), BTreeMap::new());
+        Self { own, list: None, since: now, round, sent, peers }
     }
 
     /// Takes in which list this VM holds now; nothing when it is on none.
-    pub fn note_list(&mut self, list: Option<ListDigest>, now: MonoTime) {
+    pub fn set_list(&mut self, list: Option<ListDigest>, now: MonoTime) {
         if list != self.list {
             self.list = list;
             self.since = now;
@@ -97,72 +98,73 @@
     }
 
     /// The list that this VM gives its word for.
-    fn settled(&self, now: MonoTime) -> Option<ListDigest> {
-        self.list.filter(|_| now.since(self.since) >= SETTLE_FOR)
+    fn settled_list(&self, now: MonoTime) -> Option<ListDigest> {
+        self.list.filter(|_| now.since(self.since) >= SETTLE_TIME)
     }
 
     /// Begins a round of notices.
     pub fn begin_round(&mut self, incarnation: IncarnationId, now: MonoTime) {
         if incarnation != self.round.incarnation {
-            self.round = PactRound { incarnation, number: 0 };
+            self.round = AgreementRound { incarnation, number: 0 };
             self.sent.clear();
         }
         self.round.number += 1;
         self.sent.push_back((self.round.number, now));
-        if self.sent.len() > REMEMBERED {
+        if self.sent.len() > MAX_REMEMBERED_ROUNDS {
             self.sent.pop_front();
         }
     }
 
     /// The notice to one VM.
-    pub fn notice_to(&self, vm: VmTag, is_call: bool, now: MonoTime) -> PactNotice {
-        let answers = self.heard.get(&vm).map(|heard| heard.round);
-        let list = self.settled(now);
-        PactNotice { vm: self.own, round: self.round, list, answers, is_call }
+    pub fn notice_to(&self, vm: VmTag, requests_reply: bool, now: MonoTime) -> AgreementNotice {
+        let answers = self.peers.get(&vm).map(|peer| peer.round);
+        let list = self.settled_list(now);
+        AgreementNotice { vm: self.own, round: self.round, list, answers, requests_reply }
     }
 
     /// Takes in the word of another VM.
-    pub fn hear(&mut self, notice: &PactNotice) {
-        let counts_from = notice.answers.and_then(|answered| self.sent_at(answered));
-        let word = notice.list.zip(counts_from);
-        let rank = |round: PactRound| (round.incarnation, round.number);
-        let heard = self.heard.entry(notice.vm).or_insert(HeardWord { round: notice.round, word });
-        if rank(notice.round) > rank(heard.round) {
-            heard.round = notice.round;
+    pub fn apply(&mut self, notice: &AgreementNotice) {
+        let confirmed_at = notice.answers.and_then(|answered| self.sent_at(answered));
+        let confirmation = notice.list.zip(confirmed_at);
+        let rank = |round: AgreementRound| (round.incarnation, round.number);
+        let peer =
+            self.peers.entry(notice.vm).or_insert(PeerState { round: notice.round, confirmation });
+        if rank(notice.round) > rank(peer.round) {
+            peer.round = notice.round;
         }
-        let is_older = match (heard.word, counts_from) {
+        let is_older = match (peer.confirmation, confirmed_at) {
             (Some((_, held)), Some(from)) => from < held,
             (Some(_), None) => true,
             (None, _) => false,
         };
         if !is_older {
-            heard.word = word;
+            peer.confirmation = confirmation;
         }
     }
 
     /// When a round of this lifetime was sent.
-    fn sent_at(&self, round: PactRound) -> Option<MonoTime> {
+    fn sent_at(&self, round: AgreementRound) -> Option<MonoTime> {
         let is_own = round.incarnation == self.round.incarnation;
         let sent = self.sent.iter().find(|(number, _)| is_own && *number == round.number);
         sent.map(|(_, at)| *at)
     }
 
     /// Until when this VM may use its part of its list, where `others` are the other VMs on it; nothing when not all agree.
-    pub fn holds_until(&self, others: &[VmTag], now: MonoTime) -> Option<MonoTime> {
-        let own = self.settled(now)?;
-        let mut until = now + FRESH_FOR;
+    pub fn agreed_until(&self, others: &[VmTag], now: MonoTime) -> Option<MonoTime> {
+        let own = self.settled_list(now)?;
+        let mut until = now + CONFIRMATION_LIFETIME;
         for other in others {
-            let (list, from) = self.heard.get(other)?.word?;
+            let (list, from) = self.peers.get(other)?.confirmation?;
             if list != own {
                 return None;
             }
-            until = until.min(from + FRESH_FOR);
+            until = until.min(from + CONFIRMATION_LIFETIME);
         }
         (now < until).then_some(until)
     }
 
     /// Forgets VMs that are on no list any more.
-    pub fn keep_only(&mut self, known: impl Fn(VmTag) -> bool) {
-        self.heard.retain(|vm, _| known(*vm));
+    pub fn retain(&mut self, known: impl Fn(VmTag) -> bool) {
+        self.peers.retain(|vm, _| known(*vm));
     }
 }
--- a/crates/foldhaven-core/tests/testsuite/opaque_account_limits.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_account_limits.rs
@@ -14,7 +14,7 @@
 use rstest::rstest;
 
 const LIMIT: AccountLimit =
-    AccountLimit { unit: LimitUnit::Tokens { plain: 200 }, per_s: 1_000.0, burst: 500.0 };
+    AccountLimit { unit: LimitUnit::Tokens { default_tokens: 200 }, per_s: 1_000.0, burst: 500.0 };
 
 fn view(vms: usize, silent_vms: usize) -> SharerView {
     SharerView { regions: 3, silent_regions: 0, vms, silent_vms, is_informed: true }
--- a/crates/foldhaven-core/tests/testsuite/opaque_deltas.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_deltas.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use foldhaven_core::ids::AccountName;
-use foldhaven_core::opaque::account_table::{AccountDescription, ClientAccount, KeyPrint};
+use foldhaven_core::opaque::account_table::{AccountDescription, ClientAccount, KeyFingerprint};
 use foldhaven_core::opaque::route_delta::{DeltaError, RouteDelta};
 use foldhaven_core::opaque::route_table::{
     CallerLimits, OpaqueRoute, OpaqueService, RouteDescription, RouteVersion,
@@ -57,7 +57,7 @@
         let name: AccountName = format!("a{number}").parse().unwrap();
         let account = ClientAccount {
             name: name.clone(),
-            keys: keys.iter().map(|key| KeyPrint::of(&[*number, *key])).collect(),
+            keys: keys.iter().map(|key| KeyFingerprint::of(&[*number, *key])).collect(),
             priority: None,
             homes: Vec::new(),
             limit: None,
--- a/crates/foldhaven-core/tests/testsuite/opaque_pact.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_sender_agreement.rs
@@ -10,8 +10,9 @@
 
 use foldhaven_core::ids::{IncarnationId, VmName};
 use foldhaven_core::opaque::peer_table::VmTag;
-use foldhaven_core::opaque::sender_pact::{
-    FRESH_FOR, ListDigest, PACT_INTERVAL, PactNotice, SETTLE_FOR, SenderPact,
+use foldhaven_core::opaque::sender_agreement::{
+    AGREEMENT_INTERVAL, AgreementNotice, CONFIRMATION_LIFETIME, ListDigest, SETTLE_TIME,
+    SenderAgreement,
 };
 use foldhaven_core::time::MonoTime;
 use rand::rngs::SmallRng;
@@ -28,25 +29,25 @@
 }
 
 /// A VM with the list that it believes in.
-struct Believer {
-    pact: SenderPact,
+struct SimVm {
+    agreement: SenderAgreement,
     incarnation: u64,
     list: BTreeSet<usize>,
     /// The list of which it uses a part, and until when.
     used: Option<(BTreeSet<usize>, MonoTime)>,
     next_round: MonoTime,
-    still_until: MonoTime,
+    paused_until: MonoTime,
 }
 
-impl Believer {
+impl SimVm {
     fn start(vm: usize, incarnation: u64, vms: usize, now: MonoTime) -> Self {
         Self {
-            pact: SenderPact::new(tag(vm), IncarnationId(incarnation), now),
+            agreement: SenderAgreement::new(tag(vm), IncarnationId(incarnation), now),
             incarnation,
             list: (0..vms).collect(),
             used: None,
             next_round: now,
-            still_until: now,
+            paused_until: now,
         }
     }
 
@@ -55,25 +56,25 @@
     }
 
     /// Looks at what is believed, as a daemon does at each message and round.
-    fn look(&mut self, own: usize, now: MonoTime) {
+    fn update(&mut self, own: usize, now: MonoTime) {
         let digest = self.list.iter().fold(17, |sum, vm| sum * 31 + *vm as u64 + 1);
-        self.pact.note_list(Some(ListDigest(digest)), now);
-        let until = self.pact.holds_until(&self.others(own), now);
+        self.agreement.set_list(Some(ListDigest(digest)), now);
+        let until = self.agreement.agreed_until(&self.others(own), now);
         self.used = until.map(|until| (self.list.clone(), until));
     }
 }
 
-struct Play {
+struct Simulation {
     rng: SmallRng,
-    vms: Vec<Believer>,
-    on_way: Vec<(MonoTime, usize, PactNotice)>,
+    vms: Vec<SimVm>,
+    in_flight: Vec<(MonoTime, usize, AgreementNotice)>,
     /// How often parts were used, over all VMs and steps.
     used: u64,
 }
 
-impl Play {
-    fn send(&mut self, from: usize, to: usize, is_call: bool, now: MonoTime) {
-        let notice = self.vms[from].pact.notice_to(tag(to), is_call, now);
+impl Simulation {
+    fn send(&mut self, from: usize, to: usize, requests_reply: bool, now: MonoTime) {
+        let notice = self.vms[from].agreement.notice_to(tag(to), requests_reply, now);
         if self.rng.random_bool(0.1) {
             return;
         }
@@ -81,7 +82,7 @@
         for _ in 0..copies {
             let longest = if self.rng.random_bool(0.1) { 3_000 } else { 20 };
             let way = Duration::from_millis(self.rng.random_range(0..=longest));
-            self.on_way.push((now + way, to, notice));
+            self.in_flight.push((now + way, to, notice));
         }
     }
 
@@ -99,12 +100,12 @@
             self.vms[vm].list = if is_whole { (0..count).collect() } else { list };
         }
         if self.rng.random_bool(change_share / 4.0) {
-            let still = Duration::from_millis(self.rng.random_range(10..2_000));
-            self.vms[vm].still_until = now + still;
+            let pause = Duration::from_millis(self.rng.random_range(10..2_000));
+            self.vms[vm].paused_until = now + pause;
         }
         if self.rng.random_bool(change_share / 4.0) {
             let incarnation = self.vms[vm].incarnation + 1;
-            self.vms[vm] = Believer::start(vm, incarnation, count, now);
+            self.vms[vm] = SimVm::start(vm, incarnation, count, now);
         }
     }
 
@@ -112,32 +113,32 @@
         for vm in 0..self.vms.len() {
             self.disturb(vm, change_share, now);
         }
-        let due: Vec<(MonoTime, usize, PactNotice)> =
-            self.on_way.extract_if(.., |(due, ..)| *due <= now).collect();
+        let due: Vec<(MonoTime, usize, AgreementNotice)> =
+            self.in_flight.extract_if(.., |(due, ..)| *due <= now).collect();
         for (_, to, notice) in due {
-            if now < self.vms[to].still_until {
+            if now < self.vms[to].paused_until {
                 // It waits in the socket.
-                self.on_way.push((now + STEP, to, notice));
+                self.in_flight.push((now + STEP, to, notice));
                 continue;
             }
-            self.vms[to].pact.hear(&notice);
-            self.vms[to].look(to, now);
+            self.vms[to].agreement.apply(&notice);
+            self.vms[to].update(to, now);
             let from = (0..self.vms.len()).find(|vm| tag(*vm) == notice.vm).expect("one of them");
-            if notice.is_call {
+            if notice.requests_reply {
                 self.send(to, from, false, now);
             }
         }
         for vm in 0..self.vms.len() {
-            let believer = &mut self.vms[vm];
-            if now < believer.next_round.max(believer.still_until) {
+            let sim_vm = &mut self.vms[vm];
+            if now < sim_vm.next_round.max(sim_vm.paused_until) {
                 continue;
             }
-            believer.next_round = now + PACT_INTERVAL;
-            let incarnation = IncarnationId(believer.incarnation);
-            believer.pact.begin_round(incarnation, now);
-            believer.look(vm, now);
+            sim_vm.next_round = now + AGREEMENT_INTERVAL;
+            let incarnation = IncarnationId(sim_vm.incarnation);
+            sim_vm.agreement.begin_round(incarnation, now);
+            sim_vm.update(vm, now);
             let others: Vec<usize> =
-                believer.list.iter().copied().filter(|other| *other != vm).collect();
+                sim_vm.list.iter().copied().filter(|other| *other != vm).collect();
             others.into_iter().for_each(|other| self.send(vm, other, true, now));
         }
     }
@@ -156,49 +157,50 @@
         let pairs = used.iter().flat_map(|left| used.iter().map(move |right| (left, right)));
         let mut conflicts =
             pairs.filter(|((_, left), (_, right))| left != right && !left.is_disjoint(right));
-        conflicts.next().map(|(left, right)| format!("{left:?} beside {right:?}"))
+        conflicts.next().map(|(left, right)| format!("{left:?} conflicts with {right:?}"))
     }
 }
 
 /// Plays drawn beliefs. Returns how often parts were used.
-fn play(seed: u64, vms: usize, change_share: f64) -> u64 {
-    let believers = (0..vms).map(|vm| Believer::start(vm, 1, vms, at(0))).collect();
+fn simulate(seed: u64, vms: usize, change_share: f64) -> u64 {
+    let vms = (0..vms).map(|vm| SimVm::start(vm, 1, vms, at(0))).collect();
     let rng = SmallRng::seed_from_u64(seed);
-    let mut play = Play { rng, vms: believers, on_way: Vec::new(), used: 0 };
+    let mut simulation = Simulation { rng, vms, in_flight: Vec::new(), used: 0 };
     for step in 0..STEPS {
         let now = at(0) + STEP * step as u32;
-        play.step(change_share, now);
-        if let Some(conflict) = play.conflict(now) {
+        simulation.step(change_share, now);
+        if let Some(conflict) = simulation.conflict(now) {
             panic!("seed {seed}, step {step}: {conflict}");
         }
     }
-    play.used
+    simulation.used
 }
 
 /// How many plays of each kind there are: some by themselves, others by hand.
-fn plays(usual: u64) -> u64 {
-    std::env::var("PACT_PLAYS").ok().and_then(|plays| plays.parse().ok()).unwrap_or(usual)
+fn run_count(usual: u64) -> u64 {
+    std::env::var("PACT_PLAYS").ok().and_then(|count| count.parse().ok()).unwrap_or(usual)
 }
 
 #[rstest::rstest]
-fn lists_that_have_a_vm_in_common_are_never_used_beside_each_other(
+fn overlapping_lists_are_never_used_at_the_same_time(
     #[values(2, 3, 5, 9)] vms: usize,
     #[values(0.002, 0.01)] change_share: f64,
 ) {
-    let used: u64 = (0..plays(20)).map(|seed| play(seed, vms, change_share)).sum();
-    assert!(used > 0, "no part was ever used, so that nothing is shown");
+    let used: u64 = (0..run_count(20)).map(|seed| simulate(seed, vms, change_share)).sum();
+    assert!(used > 0, "no share was ever used, so the test shows nothing");
 }
 
 /// In calm nearly all of a limit can be used, also with messages lost and late.
 #[test]
-fn vms_that_agree_use_their_parts() {
+fn agreeing_vms_use_their_shares() {
     let most = STEPS * 4;
-    let used: u64 = (0..plays(20)).map(|seed| play(seed, 4, 0.0)).sum::<u64>() / plays(20);
-    let settling = SETTLE_FOR.as_millis() as u64 / STEP.as_millis() as u64 * 4;
-    assert!(used as f64 >= 0.85 * (most - settling) as f64, "{used} of {most}");
+    let used: u64 =
+        (0..run_count(20)).map(|seed| simulate(seed, 4, 0.0)).sum::<u64>() / run_count(20);
+    let settle_steps = SETTLE_TIME.as_millis() as u64 / STEP.as_millis() as u64 * 4;
+    assert!(used as f64 >= 0.85 * (most - settle_steps) as f64, "{used} of {most}");
 }
 
 #[test]
-fn the_word_of_a_vm_counts_for_less_time_than_it_is_bound_by_it() {
-    assert!(FRESH_FOR < SETTLE_FOR);
+fn confirmation_expires_before_a_changed_list_settles() {
+    assert!(CONFIRMATION_LIFETIME < SETTLE_TIME);
 }
--- a/crates/foldhaven-gateway/src/credential.rs
+++ b/crates/foldhaven-gateway/src/credential.rs
@@ -4,7 +4,7 @@
 
 use foldhaven_core::headers;
 use foldhaven_core::ids::RegionName;
-use foldhaven_core::opaque::account_table::{ClientAccount, KeyPrint, MAX_KEY_BYTES};
+use foldhaven_core::opaque::account_table::{ClientAccount, KeyFingerprint, MAX_KEY_BYTES};
 use foldhaven_core::opaque::route_table::{OpaqueRoute, RouteTable};
 use http::header::AUTHORIZATION;
 use http::{HeaderMap, HeaderValue};
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone)]
 pub struct JobAccount {
     pub account: Arc<ClientAccount>,
-    pub key: KeyPrint,
+    pub key: KeyFingerprint,
     /// What it counted for where the account is limited.
     pub cost: Option<f64>,
 }
@@ -35,7 +35,7 @@
     /// Something that is no key.
     Malformed,
     /// A key.
-    Key(KeyPrint),
+    Key(KeyFingerprint),
 }
 
 /// Why a request belongs to no account.
@@ -65,7 +65,7 @@
     let key = key.trim();
     let is_key = (1..=MAX_KEY_BYTES).contains(&key.len()) && !key.contains(' ');
     match named.eq_ignore_ascii_case(scheme) && is_key {
-        true => Credential::Key(KeyPrint::of(key.as_bytes())),
+        true => Credential::Key(KeyFingerprint::of(key.as_bytes())),
         false => Credential::Malformed,
     }
 }
@@ -102,7 +102,7 @@
 }
 
 /// What another VM is told of the caller's key in its place.
-pub fn print_value(key: &KeyPrint) -> HeaderValue {
+pub fn print_value(key: &KeyFingerprint) -> HeaderValue {
     HeaderValue::from_str(&key.to_string()).expect("hexadecimal digits")
 }
 
--- a/crates/foldhaven-gateway/src/datagrams.rs
+++ b/crates/foldhaven-gateway/src/datagrams.rs
@@ -11,7 +11,7 @@
 use foldhaven_core::opaque::load_share::LoadReport;
 use foldhaven_core::opaque::peer_table::{AskedBeats, LEARNING_INTERVAL, PlannedBeats, ViewAnswer};
 use foldhaven_core::opaque::report_plan::{ReportLeg, ReportNews};
-use foldhaven_core::opaque::sender_pact::PACT_INTERVAL;
+use foldhaven_core::opaque::sender_agreement::AGREEMENT_INTERVAL;
 use foldhaven_core::opaque::suspects::RecordSource;
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, watch};
@@ -293,7 +293,7 @@
         for (target, notice) in planned {
             send_to(&socket, &[target], &PeerMessage::Pact(notice)).await;
         }
-        sleep(PACT_INTERVAL).await;
+        sleep(AGREEMENT_INTERVAL).await;
     }
 }
 
--- a/crates/foldhaven-gateway/src/keeper/mod.rs
+++ b/crates/foldhaven-gateway/src/keeper/mod.rs
@@ -32,7 +32,7 @@
 use foldhaven_core::opaque::region_book::{RegionBook, RegionReport};
 use foldhaven_core::opaque::report_plan::ReportPlan;
 use foldhaven_core::opaque::route_table::RouteVersion;
-use foldhaven_core::opaque::sender_pact::SenderPact;
+use foldhaven_core::opaque::sender_agreement::SenderAgreement;
 use foldhaven_core::time::MonoTime;
 use tokio::sync::{mpsc, watch};
 use xtra::{Context, Handler};
@@ -111,7 +111,7 @@
     /// Who shares the limits of the region, as it was looked at last.
     senders: SenderView,
     /// Whether the VMs that share the limits of the region agree on who they are.
-    pact: SenderPact,
+    pact: SenderAgreement,
     /// What callers of limited accounts want, here and elsewhere.
     demands: DemandExchange,
     /// Whether an upstream of the region is cold or names a limit.
@@ -168,7 +168,7 @@
             region: settings.region().clone(),
             cores: settings.cores,
         };
-        let pact = SenderPact::new(VmTag::of(&settings.vm), incarnation, shared.now());
+        let pact = SenderAgreement::new(VmTag::of(&settings.vm), incarnation, shared.now());
         let peers = PeerTable::new(own, incarnation);
         let regions = settings.regions.values().map(RegionTag::of);
         let demands =
@@ -304,7 +304,7 @@
         self.peers.forget(now);
         self.regions.forget(now);
         let peers = &self.peers;
-        self.pact.keep_only(|vm| peers.address_of(vm).is_some());
+        self.pact.retain(|vm| peers.address_of(vm).is_some());
         self.shared.suspects.forget(&self.shared.change_context());
         self.forget_signals();
         self.note_growth();
--- a/crates/foldhaven-gateway/src/keeper/rate_parts.rs
+++ b/crates/foldhaven-gateway/src/keeper/rate_parts.rs
@@ -6,7 +6,7 @@
 
 use foldhaven_core::opaque::peer_table::{PeerPhase, VmTag};
 use foldhaven_core::opaque::rate_share::{RateShare, SharedRate, rate_share};
-use foldhaven_core::opaque::sender_pact::PactNotice;
+use foldhaven_core::opaque::sender_agreement::AgreementNotice;
 use foldhaven_core::time::MonoTime;
 use xtra::{Context, Handler};
 
@@ -17,14 +17,14 @@
 const UNWITNESSED_PART: f64 = 0.5;
 
 /// Notices with their receivers.
-pub type PlannedPact = Vec<(SocketAddr, PactNotice)>;
+pub type PlannedPact = Vec<(SocketAddr, AgreementNotice)>;
 
 /// Asks for the notices of a round.
 pub struct PlanPact;
 
 /// Another VM told which list of senders it holds.
 pub struct HearPact {
-    pub notice: PactNotice,
+    pub notice: AgreementNotice,
 }
 
 impl Handler<PlanPact> for ControlKeeper {
@@ -42,16 +42,16 @@
 }
 
 impl Handler<HearPact> for ControlKeeper {
-    type Return = Option<(SocketAddr, PactNotice)>;
+    type Return = Option<(SocketAddr, AgreementNotice)>;
 
     async fn handle(&mut self, message: HearPact, _: &mut Context<Self>) -> Self::Return {
         let now = self.now();
         let notice = message.notice;
-        self.pact.hear(&notice);
+        self.pact.apply(&notice);
         // The list was looked at in this VM's own last round: ranking a hundred VMs for each of a hundred notices a second
         // would cost more than all else.
         self.share_rates(now);
-        let peer = self.peers.address_of(notice.vm).filter(|_| notice.is_call)?;
+        let peer = self.peers.address_of(notice.vm).filter(|_| notice.requests_reply)?;
         Some((peer, self.pact.notice_to(notice.vm, false, now)))
     }
 }
@@ -62,7 +62,7 @@
         let has_learnt = self.assumed_vms().is_some();
         let is_serving = has_learnt && self.phase() == PeerPhase::Serving;
         self.senders = self.peers.senders(is_serving, now);
-        self.pact.note_list(self.senders.digest, now);
+        self.pact.set_list(self.senders.digest, now);
     }
 
     /// Takes this VM's part of each rate that holds over the region, or gives it back.
@@ -74,7 +74,7 @@
             return;
         }
         let others: Vec<VmTag> = self.senders.others.iter().map(|(vm, _)| *vm).collect();
-        let until = self.pact.holds_until(&others, now);
+        let until = self.pact.agreed_until(&others, now);
         for upstream in bounded {
             let part = match until {
                 Some(_) => self.part_of(&upstream, now),
--- a/crates/foldhaven-gateway/src/peer_message.rs
+++ b/crates/foldhaven-gateway/src/peer_message.rs
@@ -12,7 +12,7 @@
 use foldhaven_core::opaque::load_share::LoadReport;
 use foldhaven_core::opaque::peer_table::{BeatMessage, NewsNotice, ViewList, ViewNotice};
 use foldhaven_core::opaque::region_book::RegionReport;
-use foldhaven_core::opaque::sender_pact::PactNotice;
+use foldhaven_core::opaque::sender_agreement::AgreementNotice;
 use foldhaven_core::opaque::suspects::SuspectRecord;
 use foldhaven_core::opaque::upstream_signals::{LeavingNotice, LimitNotice};
 use serde::{Deserialize, Serialize};
@@ -54,7 +54,7 @@
     /// The same in full.
     ViewList(ViewList),
     /// Which list of senders a VM holds.
-    Pact(PactNotice),
+    Pact(AgreementNotice),
     /// How far a VM knows the platform's changes.
     News(NewsNotice),
     /// What callers of limited accounts want at a VM of the region.
--- a/crates/foldhaven-gateway/tests/testsuite/known.rs
+++ b/crates/foldhaven-gateway/tests/testsuite/known.rs
@@ -13,7 +13,7 @@
 
 use bincode::Options;
 use foldhaven_core::ids::UpstreamBirth;
-use foldhaven_core::opaque::account_table::{AccountDescription, ClientAccount, KeyPrint};
+use foldhaven_core::opaque::account_table::{AccountDescription, ClientAccount, KeyFingerprint};
 use foldhaven_core::opaque::route_table::{
     CallerLimits, OpaqueRoute, RepeatKind, RouteDescription, RouteVersion, WeightedService,
 };
@@ -68,7 +68,7 @@
     let make = |name: &str| {
         let account = ClientAccount {
             name: name.parse().unwrap(),
-            keys: [KeyPrint::of(&[random.random_range(0..3)])].into(),
+            keys: [KeyFingerprint::of(&[random.random_range(0..3)])].into(),
             priority: None,
             homes: Vec::new(),
             limit: None,
--- a/crates/foldhaven-gateway/tests/testsuite/peer_messages.rs
+++ b/crates/foldhaven-gateway/tests/testsuite/peer_messages.rs
@@ -9,7 +9,7 @@
 use foldhaven_core::ids::IncarnationId;
 use foldhaven_core::opaque::account_demand::{AccountTag, LocalDemand, RegionDemand, VmDemand};
 use foldhaven_core::opaque::account_table::{
-    AccountDescription, AccountLimit, ClientAccount, KeyPrint, LimitUnit,
+    AccountDescription, AccountLimit, ClientAccount, KeyFingerprint, LimitUnit,
 };
 use foldhaven_core::opaque::affinity::UpstreamTag;
 use foldhaven_core::opaque::peer_table::{
@@ -18,7 +18,7 @@
 };
 use foldhaven_core::opaque::route_delta::RouteDelta;
 use foldhaven_core::opaque::route_table::{CallerLimits, RouteDescription, RouteVersion};
-use foldhaven_core::opaque::sender_pact::{ListDigest, PactNotice, PactRound};
+use foldhaven_core::opaque::sender_agreement::{AgreementNotice, AgreementRound, ListDigest};
 use foldhaven_core::opaque::upstream_signals::{LeavingNotice, LimitNotice};
 use foldhaven_core::units::CoreShare;
 use foldhaven_gateway::feed::{ChangeSet, CountedChange, FeedChange};
@@ -78,13 +78,13 @@
 }
 
 fn pact() -> PeerMessage {
-    let round = |number| PactRound { incarnation: IncarnationId(2), number };
-    PeerMessage::Pact(PactNotice {
+    let round = |number| AgreementRound { incarnation: IncarnationId(2), number };
+    PeerMessage::Pact(AgreementNotice {
         vm: VmTag(1),
         round: round(3),
         list: Some(ListDigest(4)),
         answers: Some(round(5)),
-        is_call: true,
+        requests_reply: true,
     })
 }
 
@@ -129,7 +129,7 @@
 fn keyed_changes() -> PeerMessage {
     let account = ClientAccount {
         name: "one".parse().unwrap(),
-        keys: [KeyPrint::of(b"key")].into(),
+        keys: [KeyFingerprint::of(b"key")].into(),
         priority: Some(1),
         homes: vec!["north".parse().unwrap()],
         limit: Some(AccountLimit { unit: LimitUnit::Requests, per_s: 2.0, burst: 3.0 }),
--- a/crates/foldhaven-testkit/src/limits/vm.rs
+++ b/crates/foldhaven-testkit/src/limits/vm.rs
@@ -55,7 +55,7 @@
 /// The limit at a time, as VMs know it.
 pub(super) fn limit_of(share: f64) -> AccountLimit {
     let per_s = RATE * share;
-    AccountLimit { unit: LimitUnit::Tokens { plain: 200 }, per_s, burst: per_s }
+    AccountLimit { unit: LimitUnit::Tokens { default_tokens: 200 }, per_s, burst: per_s }
 }
 
 /// One VM.
