--- a/crates/foldhaven-core/src/opaque/account_table.rs
+++ b/crates/foldhaven-core/src/opaque/account_table.rs
@@ -1,4 +1,4 @@
-//! The client accounts of opaque requests: their keys, homes, priorities and limits.
+//! The client accounts of opaque requests: their keys, home regions, priorities and limits.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::fmt;
@@ -9,23 +9,23 @@
 
 use crate::ids::{AccountName, RegionName, RouteName};
 
-/// What the key of all prints is derived from. It is the same at all VMs, so that they can tell each other of keys
-/// without the keys.
+/// The context from which the key of all fingerprints is derived. It is the same at all VMs, so
+/// that they can refer to account keys without exchanging them.
 const FINGERPRINT_CONTEXT: &str = "foldhaven account key print v1";
 static FINGERPRINT_KEY: LazyLock<[u8; 32]> =
     LazyLock::new(|| blake3::derive_key(FINGERPRINT_CONTEXT, &[]));
-/// The bytes of a print.
+/// The length of a fingerprint in bytes.
 const FINGERPRINT_BYTES: usize = 16;
-/// The longest key that is taken, in bytes.
+/// The maximum length of an account key in bytes.
 pub const MAX_KEY_BYTES: usize = 512;
 
-/// The keyed hash of a caller's key, which stands for it wherever it is kept or told.
+/// The keyed hash of a caller's key, which replaces the key in memory and in messages.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct KeyFingerprint([u8; FINGERPRINT_BYTES]);
 
 impl KeyFingerprint {
-    /// The print of a key.
+    /// Returns the fingerprint of a key.
     pub fn of(key: &[u8]) -> Self {
         let hash = blake3::keyed_hash(&FINGERPRINT_KEY, key);
         let mut bytes = [0; FINGERPRINT_BYTES];
@@ -46,7 +46,7 @@
     }
 }
 
-/// A text is no key print.
+/// the text is not a key fingerprint
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub struct ParseFingerprintError;
 
@@ -71,9 +71,10 @@
 pub enum LimitUnit {
     /// Each request counts as one.
     Requests,
-    /// Each request counts as its prompt tokens and its longest answer, or as `plain` where it names neither.
+    /// Each request counts as its prompt tokens plus its maximum output, or as `default_tokens` if
+    /// it names neither.
     Tokens {
-        /// What a request counts for that names no tokens.
+        /// The cost of a request that names no tokens.
         #[serde(rename = "plain")]
         default_tokens: u32,
     },
@@ -84,14 +85,14 @@
 pub struct AccountLimit {
     /// What is counted.
     pub unit: LimitUnit,
-    /// How much of it a second; more than 0.
+    /// The permitted rate per second; more than 0.
     pub per_s: f64,
-    /// How much above that at once.
+    /// How much may exceed the rate at once.
     pub burst: f64,
 }
 
 impl AccountLimit {
-    /// What a request counts for, where `tokens` are those that it names.
+    /// Returns the cost of a request that names `tokens`.
     pub fn cost(&self, tokens: Option<u64>) -> f64 {
         match self.unit {
             LimitUnit::Requests => 1.0,
@@ -102,18 +103,18 @@
     }
 }
 
-/// One client account.
+/// A client account.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ClientAccount {
-    /// Its name, which upstreams are told.
+    /// Its name, which is passed to upstreams.
     pub name: AccountName,
-    /// The prints of its keys.
+    /// The fingerprints of its keys.
     pub keys: BTreeSet<KeyFingerprint>,
-    /// The rank of its requests, in place of that of their routes; 0 goes first.
+    /// The priority of its requests, which overrides that of their routes; 0 is the highest.
     pub priority: Option<u8>,
-    /// The regions in which its requests may run; all when empty.
+    /// The regions in which its requests may run; all if empty.
     pub homes: Vec<RegionName>,
-    /// How much it may send; nothing where that is not limited.
+    /// The limit on its requests; `None` if they are not limited.
     pub limit: Option<AccountLimit>,
 }
 
@@ -124,16 +125,16 @@
     }
 }
 
-/// The accounts of a deployment, and which routes need none.
+/// The accounts of a deployment, and the routes that need none.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct AccountDescription {
-    /// The accounts by their names.
+    /// The accounts by name.
     pub accounts: BTreeMap<AccountName, Arc<ClientAccount>>,
     /// The routes that can be used without a key.
     pub open_routes: BTreeSet<RouteName>,
 }
 
-/// The accounts with their look-ups.
+/// The accounts with a lookup by key.
 #[derive(Debug, Default)]
 pub struct AccountTable {
     by_key: HashMap<KeyFingerprint, Arc<ClientAccount>>,
@@ -141,7 +142,7 @@
 }
 
 impl AccountTable {
-    /// Makes the look-ups; where no accounts are described, no request needs a key.
+    /// Builds the lookup. If no accounts are described, requests need no key.
     pub fn new(description: Option<&AccountDescription>) -> Self {
         let accounts = description.into_iter().flat_map(|it| it.accounts.values());
         let by_key = accounts
@@ -154,35 +155,35 @@
         self.is_described
     }
 
-    /// The account that holds a key.
+    /// Returns the account that holds a key.
     pub fn find(&self, key: &KeyFingerprint) -> Option<&Arc<ClientAccount>> {
         self.by_key.get(key)
     }
 }
 
-/// What changes between the accounts of two descriptions.
+/// The difference between the accounts of two descriptions.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub enum AccountDelta {
-    /// Nothing.
+    /// No difference.
     #[default]
     Same,
-    /// None are described any more.
+    /// The new description has no accounts.
     Gone,
-    /// All of them are told.
+    /// The complete accounts of the new description.
     All(AccountDescription),
-    /// Some of them.
+    /// The accounts that differ.
     Some {
-        /// The accounts that are new or differ.
+        /// The accounts that are new or changed.
         written: BTreeMap<AccountName, Arc<ClientAccount>>,
-        /// The accounts that are gone.
+        /// The accounts that were removed.
         removed: BTreeSet<AccountName>,
-        /// The open routes, when these differ.
+        /// The open routes, if they changed.
         open_routes: Option<BTreeSet<RouteName>>,
     },
 }
 
 impl AccountDelta {
-    /// The difference between two descriptions.
+    /// Returns the difference between two descriptions.
     pub fn between(old: Option<&AccountDescription>, new: Option<&AccountDescription>) -> Self {
         let (old, new) = match (old, new) {
             (old, new) if old == new => return Self::Same,
@@ -202,7 +203,7 @@
         }
     }
 
-    /// The accounts after this change; nothing where none are described.
+    /// Applies this difference. Returns the resulting accounts; `None` if none are described.
     pub fn apply(&self, old: Option<&AccountDescription>) -> Option<AccountDescription> {
         match self {
             Self::Same => old.cloned(),
@@ -222,7 +223,7 @@
         }
     }
 
-    /// One change in place of this one and the next.
+    /// Combines this difference and the next one into one.
     pub fn followed_by(&self, next: &Self) -> Self {
         match (self, next) {
             (_, Self::Same) => self.clone(),
@@ -254,7 +255,7 @@
         }
     }
 
-    /// How many accounts it writes or removes.
+    /// Returns how many accounts this difference writes or removes.
     pub fn size(&self) -> usize {
         match self {
             Self::Same | Self::Gone => 0,
--- a/crates/foldhaven-core/tests/testsuite/opaque_sender_agreement.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_sender_agreement.rs
@@ -1,9 +1,9 @@
-//! VMs use their parts of a limit only while they agree on who shares it, whatever each of them believes.
+//! Guards against VMs that use shares of a limit without agreeing on who shares it.
 //!
-//! A cold upstream got 18 to 23 requests in a second where 17.5 were allowed, since each VM divided the rate by its own
-//! list of VMs. Played here without a network: VMs whose lists are drawn anew at any moment, messages that are lost, come
-//! twice, out of order or seconds late, processes that stand still or start again. At no moment two VMs with a VM in common on
-//! their lists use parts of different lists.
+//! A cold upstream got 18 to 23 requests in a second where 17.5 were allowed, since each VM divided
+//! the rate by its own list of VMs. This simulation without a network changes the lists of VMs at
+//! random, loses, duplicates, reorders and delays messages by seconds, and pauses and restarts
+//! processes. At no moment may two VMs use shares of different lists that have a VM in common.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -28,12 +28,12 @@
     VmTag::of(&format!("vm-{vm}").parse::<VmName>().unwrap())
 }
 
-/// A VM with the list that it believes in.
+/// A VM and the list that it holds.
 struct SimVm {
     agreement: SenderAgreement,
     incarnation: u64,
     list: BTreeSet<usize>,
-    /// The list of which it uses a part, and until when.
+    /// The list whose share it uses, and until when.
     used: Option<(BTreeSet<usize>, MonoTime)>,
     next_round: MonoTime,
     paused_until: MonoTime,
@@ -55,7 +55,7 @@
         self.list.iter().filter(|vm| **vm != own).map(|vm| tag(*vm)).collect()
     }
 
-    /// Looks at what is believed, as a daemon does at each message and round.
+    /// Updates the list and the agreement, as a daemon does after each message and round.
     fn update(&mut self, own: usize, now: MonoTime) {
         let digest = self.list.iter().fold(17, |sum, vm| sum * 31 + *vm as u64 + 1);
         self.agreement.set_list(Some(ListDigest(digest)), now);
@@ -68,7 +68,7 @@
     rng: SmallRng,
     vms: Vec<SimVm>,
     in_flight: Vec<(MonoTime, usize, AgreementNotice)>,
-    /// How often parts were used, over all VMs and steps.
+    /// How often a share was in use, over all VMs and steps.
     used: u64,
 }
 
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Something happens to a VM now and then.
+    /// Changes the list of a VM, pauses it or restarts it at random.
     fn disturb(&mut self, vm: usize, change_share: f64, now: MonoTime) {
         let count = self.vms.len();
         if self.rng.random_bool(change_share) {
@@ -95,7 +95,7 @@
             let mut list: BTreeSet<usize> =
                 all.choose_multiple(&mut self.rng, size).copied().collect();
             list.insert(vm);
-            // Often all believe the same again.
+            // Often all VMs return to the same list.
             let is_whole = self.rng.random_bool(0.6);
             self.vms[vm].list = if is_whole { (0..count).collect() } else { list };
         }
@@ -117,7 +117,7 @@
             self.in_flight.extract_if(.., |(due, ..)| *due <= now).collect();
         for (_, to, notice) in due {
             if now < self.vms[to].paused_until {
-                // It waits in the socket.
+                // The message waits in the socket.
                 self.in_flight.push((now + STEP, to, notice));
                 continue;
             }
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Two VMs that use parts of different lists which have a VM in common.
+    /// Finds two VMs that use shares of different lists with a VM in common.
     fn conflict(&mut self, now: MonoTime) -> Option<String> {
         let used: Vec<(usize, &BTreeSet<usize>)> = self
             .vms
@@ -161,7 +161,7 @@
     }
 }
 
-/// Plays drawn beliefs. Returns how often parts were used.
+/// Simulates one seed. Returns how often a share was in use.
 fn simulate(seed: u64, vms: usize, change_share: f64) -> u64 {
     let vms = (0..vms).map(|vm| SimVm::start(vm, 1, vms, at(0))).collect();
     let rng = SmallRng::seed_from_u64(seed);
@@ -176,7 +176,7 @@
     simulation.used
 }
 
-/// How many plays of each kind there are: some by themselves, others by hand.
+/// The number of simulations per case, which an environment variable raises for longer runs.
 fn run_count(usual: u64) -> u64 {
     std::env::var("PACT_PLAYS").ok().and_then(|count| count.parse().ok()).unwrap_or(usual)
 }
@@ -190,7 +190,7 @@
     assert!(used > 0, "no share was ever used, so the test shows nothing");
 }
 
-/// In calm nearly all of a limit can be used, also with messages lost and late.
+/// Without changes nearly all of a limit can be used, even if messages are lost and delayed.
 #[test]
 fn agreeing_vms_use_their_shares() {
     let most = STEPS * 4;
