--- a/crates/foldhaven-core/src/opaque/far_queue.rs
+++ b/crates/foldhaven-core/src/opaque/far_queue.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use crate::opaque::load_share::UpstreamShare;
+use crate::opaque::load_reports::UpstreamShare;
 use crate::opaque::pace::QueueFacts;
 
 /// Another region, as far as a service needs it.
--- a/crates/foldhaven-core/src/opaque/load_share.rs
+++ b/crates/foldhaven-core/src/opaque/load_reports.rs
@@ -10,15 +10,15 @@
 use crate::opaque::affinity::{PromptPlacement, UpstreamTag};
 use crate::opaque::peer_table::VmTag;
 use crate::opaque::queue_rank::UnreadTokens;
-use crate::opaque::region_book::RegionReport;
+use crate::opaque::region_reports::RegionReport;
 use crate::time::MonoTime;
 use crate::units::CoreShare;
 
 /// Between two reports of a VM, where few VMs share a region.
-pub const SHARE_INTERVAL: Duration = Duration::from_millis(50);
+pub const REPORT_INTERVAL: Duration = Duration::from_millis(50);
 /// With more VMs that have requests the interval grows by this for each of them, so that a VM hears about as many
 /// reports a second in any region.
-pub const SHARE_INTERVAL_PER_VM: Duration = Duration::from_millis(3);
+pub const REPORT_INTERVAL_PER_VM: Duration = Duration::from_millis(3);
 /// A VM that reported nothing for this many intervals has no requests any more, or nobody knows.
 const STALE_INTERVALS: u32 = 8;
 
@@ -62,9 +62,9 @@
 }
 
 #[derive(Debug)]
-struct HeardReport {
+struct ReceivedReport {
     order: (IncarnationId, u32),
-    heard: MonoTime,
+    received: MonoTime,
     shares: Vec<(UpstreamTag, UpstreamShare)>,
     busy: CoreShare,
 }
@@ -91,7 +91,7 @@
         self.unread_behind += u64::from(share.unread.behind);
     }
 
-    fn take_off(&mut self, share: &UpstreamShare) {
+    fn subtract(&mut self, share: &UpstreamShare) {
         self.vms -= 1;
         self.in_flight -= u64::from(share.in_flight);
         self.whole -= u64::from(share.whole);
@@ -121,39 +121,40 @@
 /// between these: with 51 VMs, 200 ms apart, in an overload of 1.4 times what 46 engines do, that is the
 /// difference between 75 and 83 in 100 of the work answered in time (`foldhaven-testkit simulate`).
 #[derive(Debug, Default)]
-pub struct LoadBook {
-    reports: BTreeMap<VmTag, HeardReport>,
+pub struct LoadTable {
+    reports: BTreeMap<VmTag, ReceivedReport>,
     sums: HashMap<UpstreamTag, ShareSum>,
 }
 
-impl LoadBook {
+impl LoadTable {
     /// Takes in a report. Returns the upstreams at which its VM has or had requests; nothing when the report is not
     /// newer than the one held.
-    pub fn hear(&mut self, report: LoadReport, now: MonoTime) -> Option<Vec<UpstreamTag>> {
+    pub fn apply(&mut self, report: LoadReport, now: MonoTime) -> Option<Vec<UpstreamTag>> {
         let order = (report.incarnation, report.sequence);
-        if self.reports.get(&report.vm).is_some_and(|held| order <= held.order) {
+        if self.reports.get(&report.vm).is_some_and(|newest| order <= newest.order) {
             return None;
         }
-        let mut touched: Vec<UpstreamTag> = report.shares.iter().map(|(tag, _)| *tag).collect();
+        let mut affected: Vec<UpstreamTag> = report.shares.iter().map(|(tag, _)| *tag).collect();
         for (tag, share) in &report.shares {
             self.sums.entry(*tag).or_default().add(share);
         }
-        let heard = HeardReport { order, heard: now, shares: report.shares, busy: report.busy };
-        if let Some(before) = self.reports.insert(report.vm, heard) {
-            touched.extend(before.shares.iter().map(|(tag, _)| *tag));
-            take_off(&mut self.sums, &before);
+        let received =
+            ReceivedReport { order, received: now, shares: report.shares, busy: report.busy };
+        if let Some(previous) = self.reports.insert(report.vm, received) {
+            affected.extend(previous.shares.iter().map(|(tag, _)| *tag));
+            subtract(&mut self.sums, &previous);
         }
-        touched.sort_unstable();
-        touched.dedup();
-        Some(touched)
+        affected.sort_unstable();
+        affected.dedup();
+        Some(affected)
     }
 
     /// Leaves out the VMs that reported nothing for some intervals, where `interval` lies between two reports.
-    pub fn forget_silent(&mut self, interval: Duration, now: MonoTime) {
+    pub fn remove_stale(&mut self, interval: Duration, now: MonoTime) {
         let limit = interval * STALE_INTERVALS;
-        let is_silent = |report: &HeardReport| now.since(report.heard) >= limit;
-        for silent in self.reports.extract_if(.., |_, report| is_silent(report)) {
-            take_off(&mut self.sums, &silent.1);
+        let is_stale = |report: &ReceivedReport| now.since(report.received) >= limit;
+        for stale in self.reports.extract_if(.., |_, report| is_stale(report)) {
+            subtract(&mut self.sums, &stale.1);
         }
     }
 
@@ -163,9 +164,9 @@
     }
 
     /// The VMs that had requests at an upstream by their newest reports.
-    pub fn active(&self) -> impl Iterator<Item = VmTag> {
-        let with_requests = self.reports.iter().filter(|(_, report)| !report.shares.is_empty());
-        with_requests.map(|(vm, _)| *vm)
+    pub fn active_vms(&self) -> impl Iterator<Item = VmTag> {
+        let active = self.reports.iter().filter(|(_, report)| !report.shares.is_empty());
+        active.map(|(vm, _)| *vm)
     }
 
     /// The processor time that the requests of the other VMs take together.
@@ -176,10 +177,10 @@
 }
 
 /// Takes a report out of the sums.
-fn take_off(sums: &mut HashMap<UpstreamTag, ShareSum>, report: &HeardReport) {
+fn subtract(sums: &mut HashMap<UpstreamTag, ShareSum>, report: &ReceivedReport) {
     for (tag, share) in &report.shares {
         if let Some(sum) = sums.get_mut(tag) {
-            sum.take_off(share);
+            sum.subtract(share);
             if sum.vms == 0 {
                 sums.remove(tag);
             }
@@ -188,6 +189,6 @@
 }
 
 /// The interval between two reports where so many other VMs report.
-pub fn share_interval(others: usize) -> Duration {
-    SHARE_INTERVAL.max(SHARE_INTERVAL_PER_VM * others as u32)
+pub fn report_interval(others: usize) -> Duration {
+    REPORT_INTERVAL.max(REPORT_INTERVAL_PER_VM * others as u32)
 }
--- a/crates/foldhaven-core/src/opaque/region_book.rs
+++ b/crates/foldhaven-core/src/opaque/region_reports.rs
@@ -17,9 +17,9 @@
 /// Between two reports of a delegate.
 pub const REGION_INTERVAL: Duration = Duration::from_millis(250);
 /// Each so many reports tell who serves; waits go with all of them.
-pub const LIVES_EVERY: u32 = 3;
+pub const VM_LIST_EVERY: u32 = 3;
 /// Waits that were told this long ago are not believed any more: a peak moves within seconds.
-const WAIT_LIMIT: Duration = Duration::from_secs(4);
+const MAX_WAIT_AGE: Duration = Duration::from_secs(4);
 
 /// What a delegate tells of its region.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -27,7 +27,8 @@
     /// The region.
     pub region: RegionName,
     /// The delegate.
-    pub teller: VmTag,
+    #[serde(rename = "teller")]
+    pub delegate: VmTag,
     /// Its process lifetime.
     pub incarnation: IncarnationId,
     /// Rises with each report of one lifetime.
@@ -35,38 +36,39 @@
     /// The waits at the upstreams of the region.
     pub waits: Vec<ServiceWait>,
     /// The VMs that serve there, as the delegate heard from each of them; empty in most reports.
-    pub lives: Vec<VmLife>,
+    #[serde(rename = "lives")]
+    pub live_vms: Vec<VmLife>,
 }
 
 #[derive(Debug)]
-struct HeardRegion {
+struct ReceivedReport {
     order: (IncarnationId, u32),
-    heard: MonoTime,
+    received_at: MonoTime,
     waits: Vec<ServiceWait>,
 }
 
 /// The newest reports of the delegates of other regions.
 #[derive(Debug, Default)]
-pub struct RegionBook {
-    reports: BTreeMap<(RegionName, VmTag), HeardRegion>,
+pub struct RegionReportTable {
+    reports: BTreeMap<(RegionName, VmTag), ReceivedReport>,
 }
 
-impl RegionBook {
+impl RegionReportTable {
     /// Takes in a report. Returns whether it is newer than the one held of its delegate.
-    pub fn hear(&mut self, report: &RegionReport, now: MonoTime) -> bool {
+    pub fn apply(&mut self, report: &RegionReport, now: MonoTime) -> bool {
         let order = (report.incarnation, report.sequence);
-        let key = (report.region.clone(), report.teller);
-        if self.reports.get(&key).is_some_and(|held| order <= held.order) {
+        let key = (report.region.clone(), report.delegate);
+        if self.reports.get(&key).is_some_and(|latest| order <= latest.order) {
             return false;
         }
-        let heard = HeardRegion { order, heard: now, waits: report.waits.clone() };
-        self.reports.insert(key, heard);
+        let received = ReceivedReport { order, received_at: now, waits: report.waits.clone() };
+        self.reports.insert(key, received);
         true
     }
 
     /// Drops reports of delegates that tell nothing any more.
-    pub fn forget(&mut self, now: MonoTime) {
-        self.reports.retain(|_, report| now.since(report.heard) < WAIT_LIMIT);
+    pub fn remove_stale(&mut self, now: MonoTime) {
+        self.reports.retain(|_, report| now.since(report.received_at) < MAX_WAIT_AGE);
     }
 
     /// What a request for a service would meet in a region by the newest report; nothing when none is
@@ -87,9 +89,9 @@
     }
 
     /// The newest report of a region, if it is fresh.
-    fn newest(&self, region: &RegionName, now: MonoTime) -> Option<&HeardRegion> {
+    fn newest(&self, region: &RegionName, now: MonoTime) -> Option<&ReceivedReport> {
         let of_region = self.reports.iter().filter(|((name, _), _)| name == region);
-        let newest = of_region.map(|(_, report)| report).max_by_key(|report| report.heard)?;
-        (now.since(newest.heard) < WAIT_LIMIT).then_some(newest)
+        let latest = of_region.map(|(_, report)| report).max_by_key(|report| report.received_at)?;
+        (now.since(latest.received_at) < MAX_WAIT_AGE).then_some(latest)
     }
 }
--- a/crates/foldhaven-core/src/opaque/report_plan.rs
+++ b/crates/foldhaven-core/src/opaque/report_planner.rs
@@ -9,22 +9,22 @@
 use std::time::Duration;
 
 use crate::opaque::affinity::PromptPlacement;
-use crate::opaque::region_book::RegionReport;
+use crate::opaque::region_reports::RegionReport;
 
 /// How often a VM without requests hears of one that has some. It counts on nothing else while it stands by but that
 /// the other lives; with its first request it is told in each round.
-const SLOW_INTERVAL: Duration = Duration::from_millis(700);
+const INACTIVE_INTERVAL: Duration = Duration::from_millis(700);
 
 /// What is told once, besides what each report tells anew.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct ReportNews {
+pub struct ReportUpdates {
     /// Long prompts that were sent.
     pub placements: Vec<PromptPlacement>,
     /// What delegates of other regions told.
     pub regions: Vec<RegionReport>,
 }
 
-impl ReportNews {
+impl ReportUpdates {
     /// Whether there is nothing to tell.
     pub fn is_empty(&self) -> bool {
         self.placements.is_empty() && self.regions.is_empty()
@@ -47,64 +47,67 @@
 
 /// One report of a round: to whom, and with which news.
 #[derive(Debug, Clone, PartialEq)]
-pub struct ReportLeg {
+pub struct ReportBatch {
     /// Who gets it.
     pub targets: Vec<SocketAddr>,
     /// What it tells besides the load.
-    pub news: ReportNews,
+    pub updates: ReportUpdates,
 }
 
 /// Whose turn it is, and what the others are still to be told.
 #[derive(Debug, Default)]
-pub struct ReportPlan {
+pub struct ReportPlanner {
     /// The news of the last rounds, the oldest first.
-    told: VecDeque<ReportNews>,
+    recent: VecDeque<ReportUpdates>,
     /// How many rounds were planned.
     rounds: usize,
 }
 
-impl ReportPlan {
+impl ReportPlanner {
     /// Plans the report of a VM without requests: to `standing` that it lives, and to all `targets` when there is
     /// news, also what those whose turn had not come were still to be told.
-    pub fn next_idle(
+    pub fn plan_idle(
         &mut self,
         targets: &[ReportTarget],
-        standing: Vec<SocketAddr>,
-        news: ReportNews,
-    ) -> ReportLeg {
-        let mut pending = ReportNews::default();
-        self.told.drain(..).for_each(|told| pending.append(&told));
-        pending.append(&news);
+        baseline: Vec<SocketAddr>,
+        updates: ReportUpdates,
+    ) -> ReportBatch {
+        let mut pending = ReportUpdates::default();
+        self.recent.drain(..).for_each(|updates| pending.append(&updates));
+        pending.append(&updates);
         let targets = match pending.is_empty() {
-            true => standing,
+            true => baseline,
             false => targets.iter().map(|target| target.address).collect(),
         };
-        ReportLeg { targets, news: pending }
+        ReportBatch { targets, updates: pending }
     }
 
     /// Plans the reports of one round, of which the next comes after `interval`.
-    pub fn next(
+    pub fn plan_round(
         &mut self,
         targets: &[ReportTarget],
-        news: ReportNews,
+        updates: ReportUpdates,
         interval: Duration,
-    ) -> Vec<ReportLeg> {
-        let rounds = (SLOW_INTERVAL.div_duration_f64(interval).round() as usize).max(1);
+    ) -> Vec<ReportBatch> {
+        let rounds = (INACTIVE_INTERVAL.div_duration_f64(interval).round() as usize).max(1);
         self.rounds = self.rounds.wrapping_add(1);
-        self.told.push_back(news.clone());
-        while self.told.len() > rounds {
-            self.told.pop_front();
+        self.recent.push_back(updates.clone());
+        while self.recent.len() > rounds {
+            self.recent.pop_front();
         }
         let turn = self.rounds % rounds;
         let (active, others): (Vec<&ReportTarget>, Vec<&ReportTarget>) =
             targets.iter().partition(|target| target.is_active);
-        let in_turn = others.iter().skip(turn).step_by(rounds);
-        let mut since_turn = ReportNews::default();
-        self.told.iter().for_each(|told| since_turn.append(told));
-        let legs = [
-            ReportLeg { targets: active.iter().map(|target| target.address).collect(), news },
-            ReportLeg { targets: in_turn.map(|target| target.address).collect(), news: since_turn },
+        let due = others.iter().skip(turn).step_by(rounds);
+        let mut updates_since_turn = ReportUpdates::default();
+        self.recent.iter().for_each(|updates| updates_since_turn.append(updates));
+        let batches = [
+            ReportBatch { targets: active.iter().map(|target| target.address).collect(), updates },
+            ReportBatch {
+                targets: due.map(|target| target.address).collect(),
+                updates: updates_since_turn,
+            },
         ];
-        legs.into_iter().filter(|leg| !leg.targets.is_empty()).collect()
+        batches.into_iter().filter(|batch| !batch.targets.is_empty()).collect()
     }
 }
--- a/crates/foldhaven-core/tests/testsuite/opaque_reports.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_reports.rs
@@ -4,10 +4,10 @@
 
 use foldhaven_core::ids::IncarnationId;
 use foldhaven_core::opaque::affinity::UpstreamTag;
-use foldhaven_core::opaque::load_share::{LoadBook, LoadReport, UpstreamShare, share_interval};
+use foldhaven_core::opaque::load_reports::{LoadReport, LoadTable, UpstreamShare, report_interval};
 use foldhaven_core::opaque::peer_table::{ServiceTag, ServiceWait, VmTag};
 use foldhaven_core::opaque::queue_rank::UnreadTokens;
-use foldhaven_core::opaque::region_book::{RegionBook, RegionReport};
+use foldhaven_core::opaque::region_reports::{RegionReport, RegionReportTable};
 use foldhaven_core::time::MonoTime;
 use foldhaven_core::units::CoreShare;
 
@@ -27,19 +27,19 @@
 }
 
 #[test]
-fn loads_add_up_and_old_reports_do_not_count() {
-    let interval = share_interval(2);
+fn loads_add_up_without_outdated_reports() {
+    let interval = report_interval(2);
     let after = |intervals: u32| at(0) + interval * intervals;
-    let mut book = LoadBook::default();
-    assert!(book.hear(report("a", 2, 3), after(0)).is_some());
-    assert!(book.hear(report("a", 1, 9), after(1)).is_none(), "overtaken");
-    assert!(book.hear(report("b", 1, 4), after(5)).is_some());
-    let total = |book: &mut LoadBook, now| {
-        book.forget_silent(interval, now);
-        book.total(UpstreamTag(1)).in_flight
+    let mut table = LoadTable::default();
+    assert!(table.apply(report("a", 2, 3), after(0)).is_some());
+    assert!(table.apply(report("a", 1, 9), after(1)).is_none(), "superseded");
+    assert!(table.apply(report("b", 1, 4), after(5)).is_some());
+    let total = |table: &mut LoadTable, now| {
+        table.remove_stale(interval, now);
+        table.total(UpstreamTag(1)).in_flight
     };
-    assert_eq!(total(&mut book, after(6)), 7);
-    assert_eq!(total(&mut book, after(12)), 4, "a is silent");
+    assert_eq!(total(&mut table, after(6)), 7);
+    assert_eq!(total(&mut table, after(12)), 4, "a is stale");
 }
 
 /// The sums follow each report at once, whatever comes: nonsense of another VM, an upstream named twice, reports
@@ -63,22 +63,22 @@
 
     proptest! {
         #[test]
-        fn they_are_those_of_the_newest_reports(
+        fn sums_match_the_newest_reports(
             steps in prop::collection::vec((0_usize..4, 0_u32..20, 0_u32..6, shares()), 1..60),
         ) {
-            let interval = share_interval(4);
+            let interval = report_interval(4);
             let mut now = at(0);
-            let mut book = LoadBook::default();
+            let mut table = LoadTable::default();
             let mut newest: Vec<Option<(u32, MonoTime, Shares)>> =
                 vec![None; 4];
             for (vm, sequence, pause, shares) in steps {
                 now = now + interval * pause;
-                book.forget_silent(interval, now);
-                let is_silent = |heard: MonoTime| now.since(heard) >= interval * 8;
-                newest.iter_mut().for_each(|held| drop(held.take_if(|held| is_silent(held.1))));
-                let told = LoadReport { shares: shares.clone(), ..report(&format!("vm{vm}"), sequence, 0) };
+                table.remove_stale(interval, now);
+                let is_stale = |received_at: MonoTime| now.since(received_at) >= interval * 8;
+                newest.iter_mut().for_each(|held| drop(held.take_if(|held| is_stale(held.1))));
+                let reported = LoadReport { shares: shares.clone(), ..report(&format!("vm{vm}"), sequence, 0) };
                 let is_newer = newest[vm].as_ref().is_none_or(|held| sequence > held.0);
-                prop_assert_eq!(book.hear(told, now).is_some(), is_newer);
+                prop_assert_eq!(table.apply(reported, now).is_some(), is_newer);
                 if is_newer {
                     newest[vm] = Some((sequence, now, shares));
                 }
@@ -88,18 +88,18 @@
                         .filter(|(of, _)| *of == tag)
                         .map(|(_, share)| u64::from(share.in_flight))
                         .sum();
-                    let told = u64::from(book.total(tag).in_flight);
-                    prop_assert_eq!(told, sum.min(u64::from(u16::MAX)));
+                    let reported = u64::from(table.total(tag).in_flight);
+                    prop_assert_eq!(reported, sum.min(u64::from(u16::MAX)));
                 }
             }
         }
     }
 }
 
-fn region_report(teller: &str, sequence: u32, wait_ms: u16) -> RegionReport {
+fn region_report(delegate: &str, sequence: u32, wait_ms: u16) -> RegionReport {
     RegionReport {
         region: "south".parse().unwrap(),
-        teller: VmTag::of(&teller.parse().unwrap()),
+        delegate: VmTag::of(&delegate.parse().unwrap()),
         incarnation: IncarnationId(1),
         sequence,
         waits: vec![ServiceWait {
@@ -108,38 +108,38 @@
             load: 0,
             long_pauses: 0,
         }],
-        lives: Vec::new(),
+        live_vms: Vec::new(),
     }
 }
 
 #[test]
-fn the_newest_delegate_is_believed_and_an_old_wait_is_not() {
-    let mut book = RegionBook::default();
-    assert!(book.hear(&region_report("a", 2, 30), at(0)));
-    assert!(!book.hear(&region_report("a", 1, 90), at(10)), "overtaken");
-    assert!(!book.hear(&region_report("a", 2, 30), at(10)), "relayed by another VM too");
-    assert!(book.hear(&region_report("b", 1, 50), at(500)));
-    let wait = |book: &RegionBook, region: &str, now| {
-        let told = book.wait(&region.parse().unwrap(), &"desk".parse().unwrap(), now);
-        told.map(|told| Duration::from_millis(told.wait_ms.into()))
+fn newest_delegate_report_applies_until_it_expires() {
+    let mut table = RegionReportTable::default();
+    assert!(table.apply(&region_report("a", 2, 30), at(0)));
+    assert!(!table.apply(&region_report("a", 1, 90), at(10)), "superseded");
+    assert!(!table.apply(&region_report("a", 2, 30), at(10)), "relayed by another VM too");
+    assert!(table.apply(&region_report("b", 1, 50), at(500)));
+    let wait = |table: &RegionReportTable, region: &str, now| {
+        let reported = table.wait(&region.parse().unwrap(), &"desk".parse().unwrap(), now);
+        reported.map(|reported| Duration::from_millis(reported.wait_ms.into()))
     };
-    assert_eq!(wait(&book, "south", at(600)), Some(Duration::from_millis(50)));
-    assert_eq!(wait(&book, "east", at(600)), None);
-    assert_eq!(wait(&book, "south", at(5_000)), None);
-    book.forget(at(5_000));
-    assert!(book.hear(&region_report("b", 1, 50), at(5_000)), "it is forgotten");
+    assert_eq!(wait(&table, "south", at(600)), Some(Duration::from_millis(50)));
+    assert_eq!(wait(&table, "east", at(600)), None);
+    assert_eq!(wait(&table, "south", at(5_000)), None);
+    table.remove_stale(at(5_000));
+    assert!(table.apply(&region_report("b", 1, 50), at(5_000)), "it was dropped");
 }
 
 /// Found in a recorded day: a region whose upstreams had all crashed told no wait, and was taken for one of
 /// which nothing is known.
 #[test]
-fn a_region_that_tells_no_wait_for_a_service_is_closed() {
-    let mut book = RegionBook::default();
+fn region_that_reports_no_wait_for_a_service_is_closed() {
+    let mut table = RegionReportTable::default();
     let south = "south".parse().unwrap();
     let (desk, other) = ("desk".parse().unwrap(), "other".parse().unwrap());
-    assert!(!book.is_closed(&south, &desk, at(0)), "nothing is known of it");
-    book.hear(&region_report("a", 1, 30), at(0));
-    assert!(!book.is_closed(&south, &desk, at(10)));
-    assert!(book.is_closed(&south, &other, at(10)));
-    assert!(!book.is_closed(&south, &other, at(5_000)), "the report is old");
+    assert!(!table.is_closed(&south, &desk, at(0)), "it has not reported");
+    table.apply(&region_report("a", 1, 30), at(0));
+    assert!(!table.is_closed(&south, &desk, at(10)));
+    assert!(table.is_closed(&south, &other, at(10)));
+    assert!(!table.is_closed(&south, &other, at(5_000)), "the report is old");
 }
--- a/crates/foldhaven-core/tests/testsuite/opaque_service.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_service.rs
@@ -7,10 +7,10 @@
 use foldhaven_core::ids::{DataCentreName, IncarnationId, RegionName, VmName};
 use foldhaven_core::opaque::cpu_demand::PeakCpuDemand;
 use foldhaven_core::opaque::directory::{MAX_NAMED, NearService, name_vms};
-use foldhaven_core::opaque::load_share::share_interval;
+use foldhaven_core::opaque::load_reports::report_interval;
 use foldhaven_core::opaque::peer_table::{OwnVm, PeerBeat, PeerTable, VmTag};
-use foldhaven_core::opaque::region_book::RegionReport;
-use foldhaven_core::opaque::report_plan::{ReportNews, ReportPlan, ReportTarget};
+use foldhaven_core::opaque::region_reports::RegionReport;
+use foldhaven_core::opaque::report_planner::{ReportPlanner, ReportTarget, ReportUpdates};
 use foldhaven_core::opaque::service_order::{ServiceCandidate, ServiceOrder};
 use foldhaven_core::units::CoreShare;
 use rstest::rstest;
@@ -237,14 +237,14 @@
     let address = |at: usize| SocketAddr::from(([127, 9, (at >> 8) as u8, at as u8], 7660));
     let targets: Vec<ReportTarget> =
         (1..vms).map(|at| ReportTarget { address: address(at), is_active: at < ACTIVE }).collect();
-    let interval = share_interval(ACTIVE - 1);
+    let interval = report_interval(ACTIVE - 1);
     assert_eq!(interval, Duration::from_millis(50));
-    let mut plan = ReportPlan::default();
+    let mut plan = ReportPlanner::default();
     let mut heard: BTreeMap<SocketAddr, u32> = BTreeMap::new();
     let rounds = Duration::from_secs(3).div_duration_f64(interval) as u32;
     for _ in 0..rounds {
-        let legs = plan.next(&targets, ReportNews::default(), interval);
-        let told = legs.iter().flat_map(|leg| &leg.targets);
+        let batches = plan.plan_round(&targets, ReportUpdates::default(), interval);
+        let told = batches.iter().flat_map(|batch| &batch.targets);
         told.for_each(|target| *heard.entry(*target).or_default() += 1);
     }
     assert_eq!(heard.len(), vms - 1);
@@ -266,16 +266,16 @@
             is_active: at <= 2,
         })
         .collect();
-    let news = |number: u32| ReportNews {
+    let news = |number: u32| ReportUpdates {
         regions: vec![RegionReport { sequence: number, ..told_region() }],
-        ..ReportNews::default()
+        ..ReportUpdates::default()
     };
-    let mut plan = ReportPlan::default();
+    let mut plan = ReportPlanner::default();
     let mut heard: BTreeMap<SocketAddr, Vec<u32>> = BTreeMap::new();
     for number in 0..60 {
-        for leg in plan.next(&targets, news(number), Duration::from_millis(50)) {
-            for target in leg.targets {
-                let told = leg.news.regions.iter().map(|region| region.sequence);
+        for batch in plan.plan_round(&targets, news(number), Duration::from_millis(50)) {
+            for target in batch.targets {
+                let told = batch.updates.regions.iter().map(|region| region.sequence);
                 heard.entry(target).or_default().extend(told);
             }
         }
@@ -293,23 +293,23 @@
     let address = |at: u8| SocketAddr::from(([127, 9, 0, at], 7660));
     let targets: Vec<ReportTarget> =
         (1..=20).map(|at| ReportTarget { address: address(at), is_active: false }).collect();
-    let news = ReportNews { regions: vec![told_region()], ..ReportNews::default() };
-    let mut plan = ReportPlan::default();
-    plan.next(&targets, news.clone(), Duration::from_millis(50));
+    let news = ReportUpdates { regions: vec![told_region()], ..ReportUpdates::default() };
+    let mut plan = ReportPlanner::default();
+    plan.plan_round(&targets, news.clone(), Duration::from_millis(50));
     let standing = vec![address(1)];
-    let flushed = plan.next_idle(&targets, standing.clone(), ReportNews::default());
-    assert_eq!((flushed.targets.len(), flushed.news), (20, news));
-    let later = plan.next_idle(&targets, standing.clone(), ReportNews::default());
-    assert_eq!((later.targets, later.news.is_empty()), (standing, true));
+    let flushed = plan.plan_idle(&targets, standing.clone(), ReportUpdates::default());
+    assert_eq!((flushed.targets.len(), flushed.updates), (20, news));
+    let later = plan.plan_idle(&targets, standing.clone(), ReportUpdates::default());
+    assert_eq!((later.targets, later.updates.is_empty()), (standing, true));
 }
 
 fn told_region() -> RegionReport {
     RegionReport {
         region: "south".parse().unwrap(),
-        teller: VmTag(1),
+        delegate: VmTag(1),
         incarnation: IncarnationId(1),
         sequence: 0,
         waits: Vec::new(),
-        lives: Vec::new(),
+        live_vms: Vec::new(),
     }
 }
--- a/crates/foldhaven-gateway/src/datagrams.rs
+++ b/crates/foldhaven-gateway/src/datagrams.rs
@@ -8,9 +8,9 @@
     DEMAND_INTERVAL, LocalDemand, MAX_ACCOUNTS_PER_MESSAGE,
 };
 use foldhaven_core::opaque::affinity::PromptPlacement;
-use foldhaven_core::opaque::load_share::LoadReport;
+use foldhaven_core::opaque::load_reports::LoadReport;
 use foldhaven_core::opaque::peer_table::{AskedBeats, LEARNING_INTERVAL, PlannedBeats, ViewAnswer};
-use foldhaven_core::opaque::report_plan::{ReportLeg, ReportNews};
+use foldhaven_core::opaque::report_planner::{ReportBatch, ReportUpdates};
 use foldhaven_core::opaque::sender_agreement::AGREEMENT_INTERVAL;
 use foldhaven_core::opaque::suspects::RecordSource;
 use tokio::net::UdpSocket;
@@ -87,12 +87,12 @@
     loop {
         let Ok(planned) = keeper.send(PlanReport { late }).await else { return };
         let PlannedReport { report, legs, far_targets, far_placements, region, interval } = planned;
-        let is_idle = !report.is_active() && legs.iter().all(|leg| leg.news.is_empty());
+        let is_idle = !report.is_active() && legs.iter().all(|leg| leg.updates.is_empty());
         // The first idle report says that the earlier requests have ended; later ones that this VM
         // lives.
         if !is_idle || idle_rounds % IDLE_ROUNDS == 0 {
-            for ReportLeg { targets, news } in legs {
-                let ReportNews { placements, regions } = news;
+            for ReportBatch { targets, updates } in legs {
+                let ReportUpdates { placements, regions } = updates;
                 let report = LoadReport { placements, regions, ..report.clone() };
                 send_report(&socket, &targets, report).await;
             }
--- a/crates/foldhaven-gateway/src/keeper/load_reports.rs
+++ b/crates/foldhaven-gateway/src/keeper/load_reports.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 
 use foldhaven_core::opaque::affinity::PromptPlacement;
-use foldhaven_core::opaque::load_share::{LoadReport, share_interval};
+use foldhaven_core::opaque::load_reports::{LoadReport, report_interval};
 use foldhaven_core::opaque::peer_table::{PeerBeat, PeerPhase, VmTag};
-use foldhaven_core::opaque::region_book::{LIVES_EVERY, REGION_INTERVAL, RegionReport};
-use foldhaven_core::opaque::report_plan::{ReportLeg, ReportNews, ReportTarget};
+use foldhaven_core::opaque::region_reports::{REGION_INTERVAL, RegionReport, VM_LIST_EVERY};
+use foldhaven_core::opaque::report_planner::{ReportBatch, ReportTarget, ReportUpdates};
 use xtra::{Context, Handler};
 
 use super::ControlKeeper;
@@ -27,7 +27,7 @@
         let regions = std::mem::take(&mut report.regions);
         let now = self.now();
         let (vm, incarnation) = (report.vm, report.incarnation);
-        let Some(touched) = self.loads.hear(report, now) else { return };
+        let Some(touched) = self.loads.apply(report, now) else { return };
         for upstream in touched.iter().filter_map(|tag| self.by_tag.get(tag)) {
             upstream.set_others(self.loads.total(upstream.tag));
         }
@@ -78,7 +78,7 @@
 pub struct PlannedReport {
     /// The load; each leg has its own news.
     pub report: LoadReport,
-    pub legs: Vec<ReportLeg>,
+    pub legs: Vec<ReportBatch>,
     /// A VM of each other region, which tells the rest there of these prompts.
     pub far_targets: Vec<SocketAddr>,
     pub far_placements: Vec<PromptPlacement>,
@@ -99,7 +99,7 @@
         let far_placements = std::mem::take(&mut *self.shared.placements.lock());
         let mut placements = std::mem::take(&mut self.relayed);
         placements.extend(far_placements.iter().cloned());
-        let news = ReportNews { placements, regions: std::mem::take(&mut self.relayed_regions) };
+        let news = ReportUpdates { placements, regions: std::mem::take(&mut self.relayed_regions) };
         let report = self.own_report();
         let (legs, interval) = self.plan_legs(&targets, news, report.is_active());
         let region = self.due_region_report();
@@ -116,7 +116,7 @@
 impl ControlKeeper {
     /// The other VMs of this region, and which of them have requests.
     fn report_targets(&self) -> Vec<ReportTarget> {
-        let active: HashSet<VmTag> = self.loads.active().collect();
+        let active: HashSet<VmTag> = self.loads.active_vms().collect();
         let near = self.peers.near(self.now());
         let target = |beat: &PeerBeat| ReportTarget {
             address: beat.peer,
@@ -130,18 +130,18 @@
     fn plan_legs(
         &mut self,
         targets: &[ReportTarget],
-        news: ReportNews,
+        news: ReportUpdates,
         is_active: bool,
-    ) -> (Vec<ReportLeg>, Duration) {
+    ) -> (Vec<ReportBatch>, Duration) {
         if !is_active {
-            let interval = share_interval(targets.len());
+            let interval = report_interval(targets.len());
             let standing = self.peers.standing_addresses(self.now());
-            let leg = self.report_plan.next_idle(targets, standing, news);
+            let leg = self.report_plan.plan_idle(targets, standing, news);
             return (vec![leg], interval);
         }
         let active = targets.iter().filter(|target| target.is_active).count();
-        let interval = share_interval(active);
-        (self.report_plan.next(targets, news, interval), interval)
+        let interval = report_interval(active);
+        (self.report_plan.plan_round(targets, news, interval), interval)
     }
 
     /// The requests that this VM has at each upstream.
@@ -169,27 +169,27 @@
         self.region_told = Some(now);
         self.region_reports += 1;
         let mut lives = Vec::new();
-        if self.region_reports.is_multiple_of(LIVES_EVERY) {
+        if self.region_reports.is_multiple_of(VM_LIST_EVERY) {
             lives = self.peers.heard_lives(now);
             lives.push(self.own_beat().life());
         }
         Some(RegionReport {
             region: self.shared.settings.region().clone(),
-            teller: VmTag::of(&self.shared.settings.vm),
+            delegate: VmTag::of(&self.shared.settings.vm),
             incarnation: self.peers.incarnation(),
             sequence: self.region_reports,
             waits: self.own_waits(),
-            lives,
+            live_vms: lives,
         })
     }
 
     /// Takes in what a delegate tells of its region. Returns whether it is new.
     fn note_region(&mut self, report: &RegionReport) -> bool {
         let now = self.now();
-        if report.region == *self.shared.settings.region() || !self.regions.hear(report, now) {
+        if report.region == *self.shared.settings.region() || !self.regions.apply(report, now) {
             return false;
         }
-        if self.peers.note_lives(&report.lives, now) {
+        if self.peers.note_lives(&report.live_vms, now) {
             self.publish_soon();
         }
         true
@@ -204,8 +204,8 @@
 
     /// Leaves out VMs that are silent, and hands the requests of the others to the upstreams that they are at.
     fn take_totals(&mut self) {
-        let interval = share_interval(self.near_peers().len());
-        self.loads.forget_silent(interval, self.now());
+        let interval = report_interval(self.near_peers().len());
+        self.loads.remove_stale(interval, self.now());
         for upstream in self.upstreams.values() {
             upstream.set_others(self.loads.total(upstream.tag));
         }
--- a/crates/foldhaven-gateway/src/keeper/mod.rs
+++ b/crates/foldhaven-gateway/src/keeper/mod.rs
@@ -25,12 +25,12 @@
 use foldhaven_core::opaque::belief_age::BeliefAge;
 use foldhaven_core::opaque::cpu_demand::PeakCpuDemand;
 use foldhaven_core::opaque::demand_exchange::DemandExchange;
-use foldhaven_core::opaque::load_share::LoadBook;
+use foldhaven_core::opaque::load_reports::LoadTable;
 use foldhaven_core::opaque::peer_table::{
     LEARNING_TIME, OfferedRevision, OwnVm, PeerPhase, PeerTable, RegionTag, SenderView, VmTag,
 };
-use foldhaven_core::opaque::region_book::{RegionBook, RegionReport};
-use foldhaven_core::opaque::report_plan::ReportPlan;
+use foldhaven_core::opaque::region_reports::{RegionReport, RegionReportTable};
+use foldhaven_core::opaque::report_planner::ReportPlanner;
 use foldhaven_core::opaque::route_table::RouteVersion;
 use foldhaven_core::opaque::sender_agreement::SenderAgreement;
 use foldhaven_core::time::MonoTime;
@@ -97,9 +97,9 @@
     /// Connections to those of them that serve.
     links: HashMap<VmName, Arc<PeerLink>>,
     /// The load reports of other VMs.
-    loads: LoadBook,
+    loads: LoadTable,
     /// Whom the next ones of this VM go to.
-    report_plan: ReportPlan,
+    report_plan: ReportPlanner,
     /// The processor time that the requests of this VM take.
     meter: DemandMeter,
     /// The processor time that those of the region took in the last seconds at most.
@@ -117,7 +117,7 @@
     /// Whether an upstream of the region is cold or names a limit.
     rate_watch: watch::Sender<bool>,
     /// What delegates of other regions told.
-    regions: RegionBook,
+    regions: RegionReportTable,
     /// Reports of them, of which the VMs of this region are still to be told.
     relayed_regions: Vec<RegionReport>,
     /// When the other regions were told of this one.
@@ -183,8 +183,8 @@
             by_tag: HashMap::new(),
             peers,
             links: HashMap::new(),
-            loads: LoadBook::default(),
-            report_plan: ReportPlan::default(),
+            loads: LoadTable::default(),
+            report_plan: ReportPlanner::default(),
             meter: DemandMeter::default(),
             demand: PeakCpuDemand::default(),
             in_service: InService::default(),
@@ -193,7 +193,7 @@
             pact,
             demands,
             rate_watch: watch::Sender::new(false),
-            regions: RegionBook::default(),
+            regions: RegionReportTable::default(),
             relayed_regions: Vec::new(),
             region_told: None,
             region_reports: 0,
@@ -302,7 +302,7 @@
         self.note_standstill();
         let now = self.now();
         self.peers.forget(now);
-        self.regions.forget(now);
+        self.regions.remove_stale(now);
         let peers = &self.peers;
         self.pact.retain(|vm| peers.address_of(vm).is_some());
         self.shared.suspects.forget(&self.shared.change_context());
--- a/crates/foldhaven-gateway/src/keeper/traffic_view.rs
+++ b/crates/foldhaven-gateway/src/keeper/traffic_view.rs
@@ -44,7 +44,7 @@
             beats,
             doubted: self.peers.doubted(now),
             demand,
-            senders: self.loads.active().count() + 1,
+            senders: self.loads.active_vms().count() + 1,
             heard: self.peers.heard_by_centre(),
             assumed_vms: self.assumed_vms(),
             offer,
--- a/crates/foldhaven-gateway/src/places/far.rs
+++ b/crates/foldhaven-gateway/src/places/far.rs
@@ -9,7 +9,7 @@
     CostParts, RequestCost, pause_cost, slowing_cost, streaming_cost,
 };
 use foldhaven_core::opaque::far_queue::FarService;
-use foldhaven_core::opaque::load_share::UpstreamShare;
+use foldhaven_core::opaque::load_reports::UpstreamShare;
 use foldhaven_core::opaque::pace::QueueFacts;
 use foldhaven_core::opaque::queue_rank::QueueRank;
 
--- a/crates/foldhaven-gateway/src/upstream.rs
+++ b/crates/foldhaven-gateway/src/upstream.rs
@@ -8,7 +8,7 @@
 use foldhaven_core::health::TargetHealth;
 use foldhaven_core::ids::{DataCentreName, RegionName, ServiceName, UpstreamBirth, UpstreamName};
 use foldhaven_core::opaque::affinity::UpstreamTag;
-use foldhaven_core::opaque::load_share::UpstreamShare;
+use foldhaven_core::opaque::load_reports::UpstreamShare;
 use foldhaven_core::opaque::pace::{QueueFacts, UpstreamPace};
 use foldhaven_core::opaque::queue_rank::{QueueRank, UnreadTokens};
 use foldhaven_core::opaque::rate_share::{RatePacer, RateShare};
--- a/crates/foldhaven-gateway/src/view.rs
+++ b/crates/foldhaven-gateway/src/view.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use foldhaven_core::ids::{DataCentreName, RegionName, ServiceName, VmName};
-use foldhaven_core::opaque::load_share::{UpstreamShare, share_interval};
+use foldhaven_core::opaque::load_reports::{UpstreamShare, report_interval};
 use foldhaven_core::opaque::peer_table::PeerBeat;
 use foldhaven_core::opaque::queue_rank::QueueRank;
 use foldhaven_core::opaque::route_table::RouteTable;
@@ -101,7 +101,7 @@
 
     /// How old reports of other VMs are at most when the next ones come.
     pub fn news_age(&self) -> Duration {
-        share_interval(self.senders.saturating_sub(1))
+        report_interval(self.senders.saturating_sub(1))
     }
 
     /// The upstreams of a service.
--- a/crates/foldhaven-testkit/src/simulate/vm.rs
+++ b/crates/foldhaven-testkit/src/simulate/vm.rs
@@ -8,11 +8,13 @@
 use foldhaven_core::opaque::admission::{PlaceOffer, TimeLimits, admit};
 use foldhaven_core::opaque::affinity::UpstreamTag;
 use foldhaven_core::opaque::choice::{ChoiceQuery, UpstreamFacts, choose_upstream};
-use foldhaven_core::opaque::load_share::{LoadBook, LoadReport, UpstreamShare, share_interval};
+use foldhaven_core::opaque::load_reports::{LoadReport, LoadTable, UpstreamShare, report_interval};
 use foldhaven_core::opaque::pace::{QueueFacts, ServicePace, UpstreamPace};
 use foldhaven_core::opaque::peer_table::VmTag;
 use foldhaven_core::opaque::queue_rank::QueueRank;
-use foldhaven_core::opaque::report_plan::{ReportLeg, ReportNews, ReportPlan, ReportTarget};
+use foldhaven_core::opaque::report_planner::{
+    ReportBatch, ReportPlanner, ReportTarget, ReportUpdates,
+};
 use foldhaven_core::time::MonoTime;
 use foldhaven_core::units::CoreShare;
 use rand::Rng;
@@ -41,8 +43,8 @@
     engines: Vec<KnownEngine>,
     /// The place of each engine by its tag.
     tags: HashMap<UpstreamTag, usize>,
-    book: LoadBook,
-    plan: ReportPlan,
+    book: LoadTable,
+    plan: ReportPlanner,
     pace: ServicePace,
     sequence: u32,
     idle_rounds: u32,
@@ -87,8 +89,8 @@
             tag: VmTag::of(&name.parse().expect("a number makes a name")),
             engines: engines.iter().map(|_| KnownEngine::default()).collect(),
             tags: tags.collect(),
-            book: LoadBook::default(),
-            plan: ReportPlan::default(),
+            book: LoadTable::default(),
+            plan: ReportPlanner::default(),
             pace: ServicePace::default(),
             sequence: 0,
             idle_rounds: 0,
@@ -120,7 +122,7 @@
         let any = random.random_range(0..queues.len());
         let chosen = match policy {
             ChoicePolicy::Cost => {
-                let news_age = share_interval(self.book.active().count());
+                let news_age = report_interval(self.book.active_vms().count());
                 return self.cheapest(request, names, &queues, news_age, now, random);
             }
             ChoicePolicy::CostOfAll | ChoicePolicy::Perfect => {
@@ -270,11 +272,11 @@
         &mut self,
         others: &[(VmTag, SocketAddr)],
         now: MonoTime,
-    ) -> (LoadReport, Vec<ReportLeg>, Duration) {
+    ) -> (LoadReport, Vec<ReportBatch>, Duration) {
         self.take_totals(others.len(), now);
         self.sequence += 1;
         let is_active = self.is_active();
-        let active: HashSet<VmTag> = self.book.active().collect();
+        let active: HashSet<VmTag> = self.book.active_vms().collect();
         let target = |(tag, address): &(VmTag, SocketAddr)| ReportTarget {
             address: *address,
             is_active: active.contains(tag),
@@ -283,21 +285,21 @@
         let (legs, interval) = match is_active {
             true => {
                 let count = targets.iter().filter(|target| target.is_active).count();
-                let interval = share_interval(count);
-                (self.plan.next(&targets, ReportNews::default(), interval), interval)
+                let interval = report_interval(count);
+                (self.plan.plan_round(&targets, ReportUpdates::default(), interval), interval)
             }
-            false => (self.idle_legs(&targets), share_interval(targets.len())),
+            false => (self.idle_legs(&targets), report_interval(targets.len())),
         };
         self.idle_rounds = if is_active { 0 } else { self.idle_rounds + 1 };
         (self.own_report(), legs, interval)
     }
 
-    fn idle_legs(&self, targets: &[ReportTarget]) -> Vec<ReportLeg> {
+    fn idle_legs(&self, targets: &[ReportTarget]) -> Vec<ReportBatch> {
         if !self.idle_rounds.is_multiple_of(IDLE_ROUNDS) {
             return Vec::new();
         }
         let targets = targets.iter().map(|target| target.address).collect();
-        vec![ReportLeg { targets, news: ReportNews::default() }]
+        vec![ReportBatch { targets, updates: ReportUpdates::default() }]
     }
 
     fn own_report(&self) -> LoadReport {
@@ -316,13 +318,13 @@
     /// Takes in the report of another VM.
     pub(super) fn hear(&mut self, report: LoadReport, now: MonoTime) {
         self.heard += 1;
-        for tag in self.book.hear(report, now).into_iter().flatten() {
+        for tag in self.book.apply(report, now).into_iter().flatten() {
             self.engines[self.tags[&tag]].others = self.book.total(tag);
         }
     }
 
     fn take_totals(&mut self, others: usize, now: MonoTime) {
-        self.book.forget_silent(share_interval(others), now);
+        self.book.remove_stale(report_interval(others), now);
         for (tag, at) in &self.tags {
             self.engines[*at].others = self.book.total(*tag);
         }
--- a/crates/foldhaven-testkit/src/simulate/world.rs
+++ b/crates/foldhaven-testkit/src/simulate/world.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use foldhaven_core::ids::{DataCentreName, UpstreamName, VmName};
-use foldhaven_core::opaque::load_share::LoadReport;
+use foldhaven_core::opaque::load_reports::LoadReport;
 use foldhaven_core::opaque::pace::QueueFacts;
 use foldhaven_core::opaque::peer_table::VmTag;
 use foldhaven_core::opaque::queue_rank::QueueRank;
