--- a/crates/foldhaven-core/src/opaque/load_reports.rs
+++ b/crates/foldhaven-core/src/opaque/load_reports.rs
@@ -1,5 +1,5 @@
-//! What the VMs of one region tell each other of their requests at its upstreams, so that each can
-//! expect the queues that all of them make.
+//! Load reports: what the VMs of one region report to each other about their requests at its
+//! upstreams, so that each can estimate the queues that all of them cause.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -14,48 +14,49 @@
 use crate::time::MonoTime;
 use crate::units::CoreShare;
 
-/// Between two reports of a VM, where few VMs share a region.
+/// The minimum interval between two reports of a VM, which applies if few VMs share a region.
 pub const REPORT_INTERVAL: Duration = Duration::from_millis(50);
-/// With more VMs that have requests the interval grows by this for each of them, so that a VM hears about as many
-/// reports a second in any region.
+/// The interval per other VM with requests, so that a VM receives about the same number of reports
+/// per second in a region of any size.
 pub const REPORT_INTERVAL_PER_VM: Duration = Duration::from_millis(3);
-/// A VM that reported nothing for this many intervals has no requests any more, or nobody knows.
+/// The report of a VM is dropped after this many intervals without a new one: the VM has no
+/// requests any more, or its state is unknown.
 const STALE_INTERVALS: u32 = 8;
 
 /// The requests of one VM at one upstream.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamShare {
-    /// Requests that it has.
+    /// Requests in flight.
     pub in_flight: u16,
-    /// Those of them that can still be answered as wanted.
+    /// Requests that can still be answered within their target.
     pub whole: u16,
-    /// Those that go behind all others, and were not answered yet.
+    /// Unanswered requests that are queued behind all others.
     pub behind: u16,
-    /// Prompt tokens of those that were not answered yet.
+    /// Prompt tokens of requests that have not been answered yet.
     pub unread: UnreadTokens,
 }
 
-/// What one VM reports.
+/// A report of one VM.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
     /// The VM.
     pub vm: VmTag,
-    /// Its process lifetime.
+    /// Its process incarnation.
     pub incarnation: IncarnationId,
-    /// Rises with each report of one lifetime.
+    /// Increases with each report of one incarnation.
     pub sequence: u32,
-    /// The upstreams at which it has requests.
+    /// The upstreams at which the VM has requests.
     pub shares: Vec<(UpstreamTag, UpstreamShare)>,
-    /// Long prompts that it sent since its last report.
+    /// Long prompts that the VM sent since its last report.
     pub placements: Vec<PromptPlacement>,
-    /// What delegates of other regions told it since its last report.
+    /// The reports of other regions' delegates that the VM received since its last report.
     pub regions: Vec<RegionReport>,
-    /// The processor time that its requests take.
+    /// The CPU time that the VM uses for its requests.
     pub busy: CoreShare,
 }
 
 impl LoadReport {
-    /// Whether its VM has requests at an upstream.
+    /// Whether the VM has requests at any upstream.
     pub fn is_active(&self) -> bool {
         !self.shares.is_empty()
     }
@@ -69,8 +70,8 @@
     busy: CoreShare,
 }
 
-/// The requests of several VMs at one upstream. Wider than [`UpstreamShare`], so that what was added can be taken
-/// off again whatever the sum.
+/// The requests of several VMs at one upstream. The counters are wider than those of
+/// [`UpstreamShare`], so that subtraction is exact whatever the sum.
 #[derive(Debug, Clone, Copy, Default)]
 struct ShareSum {
     vms: u32,
@@ -117,9 +118,10 @@
 
 /// The newest reports of the other VMs, and their sums.
 ///
-/// The sums follow each report at once. Taken only with the own reports they would be older by half of what lies
-/// between these: with 51 VMs, 200 ms apart, in an overload of 1.4 times what 46 engines do, that is the
-/// difference between 75 and 83 in 100 of the work answered in time (`foldhaven-testkit simulate`).
+/// The sums are updated with each report. If they were updated only when this VM reports, they
+/// would be older by half of its report interval: with 51 VMs, an interval of 200 ms and an
+/// overload of 1.4 times the capacity of 46 engines, 75 % instead of 83 % of the work is answered
+/// in time.
 #[derive(Debug, Default)]
 pub struct LoadTable {
     reports: BTreeMap<VmTag, ReceivedReport>,
@@ -127,8 +129,8 @@
 }
 
 impl LoadTable {
-    /// Takes in a report. Returns the upstreams at which its VM has or had requests; nothing when the report is not
-    /// newer than the one held.
+    /// Applies a report. Returns the upstreams at which its VM has or had requests; `None` if the
+    /// report is not newer than the one held.
     pub fn apply(&mut self, report: LoadReport, now: MonoTime) -> Option<Vec<UpstreamTag>> {
         let order = (report.incarnation, report.sequence);
         if self.reports.get(&report.vm).is_some_and(|newest| order <= newest.order) {
@@ -149,7 +151,8 @@
         Some(affected)
     }
 
-    /// Leaves out the VMs that reported nothing for some intervals, where `interval` lies between two reports.
+    /// Drops the VMs that have not reported for several intervals, where `interval` is the time
+    /// between two reports.
     pub fn remove_stale(&mut self, interval: Duration, now: MonoTime) {
         let limit = interval * STALE_INTERVALS;
         let is_stale = |report: &ReceivedReport| now.since(report.received) >= limit;
@@ -158,25 +161,25 @@
         }
     }
 
-    /// The sum over the other VMs for an upstream.
+    /// Returns the sum over the other VMs for an upstream.
     pub fn total(&self, upstream: UpstreamTag) -> UpstreamShare {
         self.sums.get(&upstream).map_or(UpstreamShare::default(), ShareSum::share)
     }
 
-    /// The VMs that had requests at an upstream by their newest reports.
+    /// Returns the VMs that had requests at an upstream according to their newest reports.
     pub fn active_vms(&self) -> impl Iterator<Item = VmTag> {
         let active = self.reports.iter().filter(|(_, report)| !report.shares.is_empty());
         active.map(|(vm, _)| *vm)
     }
 
-    /// The processor time that the requests of the other VMs take together.
+    /// Returns the CPU time that the other VMs use for their requests, in total.
     pub fn busy(&self) -> CoreShare {
         let reports = self.reports.values();
         reports.fold(CoreShare::default(), |sum, report| sum.plus(report.busy))
     }
 }
 
-/// Takes a report out of the sums.
+/// Subtracts a report from the sums.
 fn subtract(sums: &mut HashMap<UpstreamTag, ShareSum>, report: &ReceivedReport) {
     for (tag, share) in &report.shares {
         if let Some(sum) = sums.get_mut(tag) {
@@ -188,7 +191,7 @@
     }
 }
 
-/// The interval between two reports where so many other VMs report.
+/// Returns the interval between two reports if `others` other VMs report.
 pub fn report_interval(others: usize) -> Duration {
     REPORT_INTERVAL.max(REPORT_INTERVAL_PER_VM * others as u32)
 }
--- a/crates/foldhaven-core/src/opaque/region_reports.rs
+++ b/crates/foldhaven-core/src/opaque/region_reports.rs
@@ -1,9 +1,10 @@
-//! What regions tell each other of themselves: which of their VMs serve, and the waits that requests
-//! would meet at their upstreams.
+//! Region reports: what regions report to each other about themselves, which are the VMs that serve
+//! and the waits that requests would have at their upstreams.
 //!
-//! A few delegates of each region report for all of its VMs, to one VM of each other region at a time,
-//! which tells the rest there. So what crosses regions does not grow with the square of the VMs, and is
-//! as fresh at every VM as at the one that took it.
+//! A few delegates of each region report on behalf of all its VMs, each time to one VM of each
+//! other region, which relays the report within its region. This way, traffic between regions does
+//! not grow with the square of the number of VMs, and every VM has a report as fresh as that of the
+//! VM that received it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,14 +15,14 @@
 use crate::opaque::peer_table::{ServiceTag, ServiceWait, VmLife, VmTag};
 use crate::time::MonoTime;
 
-/// Between two reports of a delegate.
+/// The interval between two reports of a delegate.
 pub const REGION_INTERVAL: Duration = Duration::from_millis(250);
-/// Each so many reports tell who serves; waits go with all of them.
+/// One in this many reports lists the VMs that serve; every report contains waits.
 pub const VM_LIST_EVERY: u32 = 3;
-/// Waits that were told this long ago are not believed any more: a peak moves within seconds.
+/// The maximum age of reported waits. Load peaks move within seconds.
 const MAX_WAIT_AGE: Duration = Duration::from_secs(4);
 
-/// What a delegate tells of its region.
+/// A report of a delegate about its region.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RegionReport {
     /// The region.
@@ -29,13 +30,14 @@
     /// The delegate.
     #[serde(rename = "teller")]
     pub delegate: VmTag,
-    /// Its process lifetime.
+    /// Its process incarnation.
     pub incarnation: IncarnationId,
-    /// Rises with each report of one lifetime.
+    /// Increases with each report of one incarnation.
     pub sequence: u32,
     /// The waits at the upstreams of the region.
     pub waits: Vec<ServiceWait>,
-    /// The VMs that serve there, as the delegate heard from each of them; empty in most reports.
+    /// The VMs that serve in the region, as the delegate heard from each of them. Empty in most
+    /// reports.
     #[serde(rename = "lives")]
     pub live_vms: Vec<VmLife>,
 }
@@ -54,7 +56,7 @@
 }
 
 impl RegionReportTable {
-    /// Takes in a report. Returns whether it is newer than the one held of its delegate.
+    /// Applies a report. Returns whether it is newer than the one held from this delegate.
     pub fn apply(&mut self, report: &RegionReport, now: MonoTime) -> bool {
         let order = (report.incarnation, report.sequence);
         let key = (report.region.clone(), report.delegate);
@@ -66,13 +68,13 @@
         true
     }
 
-    /// Drops reports of delegates that tell nothing any more.
+    /// Drops the reports of delegates that have stopped reporting.
     pub fn remove_stale(&mut self, now: MonoTime) {
         self.reports.retain(|_, report| now.since(report.received_at) < MAX_WAIT_AGE);
     }
 
-    /// What a request for a service would meet in a region by the newest report; nothing when none is
-    /// fresh.
+    /// Returns the wait of a service in a region according to the newest report; `None` if the
+    /// report is stale or lacks the service.
     pub fn wait(
         &self,
         region: &RegionName,
@@ -83,12 +85,13 @@
         self.newest(region, now)?.waits.iter().find(|wait| wait.service == tag).copied()
     }
 
-    /// Whether a region tells of itself, but of no wait for a service: none of its upstreams takes requests.
+    /// Whether a region reports, but reports no wait for a service: none of its upstreams accepts
+    /// requests.
     pub fn is_closed(&self, region: &RegionName, service: &ServiceName, now: MonoTime) -> bool {
         self.newest(region, now).is_some() && self.wait(region, service, now).is_none()
     }
 
-    /// The newest report of a region, if it is fresh.
+    /// Returns the newest report of a region if it is fresh.
     fn newest(&self, region: &RegionName, now: MonoTime) -> Option<&ReceivedReport> {
         let of_region = self.reports.iter().filter(|((name, _), _)| name == region);
         let latest = of_region.map(|(_, report)| report).max_by_key(|report| report.received_at)?;
--- a/crates/foldhaven-core/src/opaque/report_planner.rs
+++ b/crates/foldhaven-core/src/opaque/report_planner.rs
@@ -1,8 +1,10 @@
-//! Whom a load report goes to, and what it repeats for those that hear of this VM less often.
+//! Plans which VMs receive a load report, and which updates it repeats for those that receive fewer
+//! reports.
 //!
-//! VMs that have requests tell each other in each round. The others are told in turn: each of them once in
-//! `SLOW_INTERVAL`, of everything since its last turn. So what a VM hears grows with those that have requests,
-//! not with the VMs of its region.
+//! VMs that have requests report to each other in each round. Each of the other VMs receives one
+//! report per `INACTIVE_INTERVAL`, with all updates since the previous one. This way, the number of
+//! reports that a VM receives grows with the VMs that have requests, not with all VMs of its
+//! region.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -11,21 +13,21 @@
 use crate::opaque::affinity::PromptPlacement;
 use crate::opaque::region_reports::RegionReport;
 
-/// How often a VM without requests hears of one that has some. It counts on nothing else while it stands by but that
-/// the other lives; with its first request it is told in each round.
+/// How often a VM without requests receives a report from a VM that has some. While it stands by it
+/// needs only to know that the other is live; with its first request it receives every round.
 const INACTIVE_INTERVAL: Duration = Duration::from_millis(700);
 
-/// What is told once, besides what each report tells anew.
+/// Updates that are sent once, in addition to the load that each report contains.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ReportUpdates {
     /// Long prompts that were sent.
     pub placements: Vec<PromptPlacement>,
-    /// What delegates of other regions told.
+    /// Reports received from delegates of other regions.
     pub regions: Vec<RegionReport>,
 }
 
 impl ReportUpdates {
-    /// Whether there is nothing to tell.
+    /// Whether there are no updates.
     pub fn is_empty(&self) -> bool {
         self.placements.is_empty() && self.regions.is_empty()
     }
@@ -36,36 +38,37 @@
     }
 }
 
-/// A VM of the region, as far as reports look at it.
+/// A VM of the region that receives reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReportTarget {
-    /// Where it hears reports.
+    /// The address at which it receives reports.
     pub address: SocketAddr,
     /// Whether it has requests.
     pub is_active: bool,
 }
 
-/// One report of a round: to whom, and with which news.
+/// The report of one round to a group of VMs.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ReportBatch {
-    /// Who gets it.
+    /// The receivers.
     pub targets: Vec<SocketAddr>,
-    /// What it tells besides the load.
+    /// The updates to send with the load.
     pub updates: ReportUpdates,
 }
 
-/// Whose turn it is, and what the others are still to be told.
+/// Rotates through the VMs without requests, and keeps the updates that they have yet to receive.
 #[derive(Debug, Default)]
 pub struct ReportPlanner {
-    /// The news of the last rounds, the oldest first.
+    /// The updates of the last rounds, oldest first.
     recent: VecDeque<ReportUpdates>,
-    /// How many rounds were planned.
+    /// The number of rounds planned so far.
     rounds: usize,
 }
 
 impl ReportPlanner {
-    /// Plans the report of a VM without requests: to `standing` that it lives, and to all `targets` when there is
-    /// news, also what those whose turn had not come were still to be told.
+    /// Plans the report of a VM without requests. The `baseline` VMs receive it as a sign of life.
+    /// If there are updates, all `targets` receive it, along with updates that some of them have
+    /// yet to receive.
     pub fn plan_idle(
         &mut self,
         targets: &[ReportTarget],
@@ -82,7 +85,7 @@
         ReportBatch { targets, updates: pending }
     }
 
-    /// Plans the reports of one round, of which the next comes after `interval`.
+    /// Plans the reports of one round; the next round follows after `interval`.
     pub fn plan_round(
         &mut self,
         targets: &[ReportTarget],
--- a/crates/foldhaven-core/tests/testsuite/opaque_reports.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_reports.rs
@@ -1,4 +1,4 @@
-//! What is believed of loads and waits, from reports that come late, twice or not at all.
+//! Load and region reports that arrive late, twice or not at all.
 
 use std::time::Duration;
 
@@ -42,8 +42,8 @@
     assert_eq!(total(&mut table, after(12)), 4, "a is stale");
 }
 
-/// The sums follow each report at once, whatever comes: nonsense of another VM, an upstream named twice, reports
-/// that are overtaken, silence.
+/// Guards the sums, which are updated with each report, against invalid reports of other VMs,
+/// upstreams that are listed twice, superseded reports and VMs that stop reporting.
 mod sums {
     use proptest::prelude::*;
 
@@ -130,8 +130,8 @@
     assert!(table.apply(&region_report("b", 1, 50), at(5_000)), "it was dropped");
 }
 
-/// Found in a recorded day: a region whose upstreams had all crashed told no wait, and was taken for one of
-/// which nothing is known.
+/// Guards against a region being treated as unknown when it reports no wait because all its
+/// upstreams have crashed.
 #[test]
 fn region_that_reports_no_wait_for_a_service_is_closed() {
     let mut table = RegionReportTable::default();
