--- a/crates/foldhaven-core/src/opaque/account_table.rs
+++ b/crates/foldhaven-core/src/opaque/account_table.rs
@@ -1,4 +1,4 @@
-//! The client accounts of opaque requests: their keys, homes, priorities and limits.
+//! The client accounts of opaque requests: their keys, home regions, priorities and limits.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::fmt;
@@ -9,57 +9,58 @@
 
 use crate::ids::{AccountName, RegionName, RouteName};
 
-/// What the key of all prints is derived from. It is the same at all VMs, so that they can tell each other of keys
-/// without the keys.
-const PRINT_CONTEXT: &str = "foldhaven account key print v1";
-static PRINT_KEY: LazyLock<[u8; 32]> = LazyLock::new(|| blake3::derive_key(PRINT_CONTEXT, &[]));
-/// The bytes of a print.
-const PRINT_BYTES: usize = 16;
-/// The longest key that is taken, in bytes.
+/// The context from which the key of all fingerprints is derived. It is the same at all VMs, so
+/// that they can refer to account keys without exchanging them.
+const FINGERPRINT_CONTEXT: &str = "foldhaven account key print v1";
+static FINGERPRINT_KEY: LazyLock<[u8; 32]> =
+    LazyLock::new(|| blake3::derive_key(FINGERPRINT_CONTEXT, &[]));
+/// The length of a fingerprint in bytes.
+const FINGERPRINT_BYTES: usize = 16;
+/// The maximum length of an account key in bytes.
 pub const MAX_KEY_BYTES: usize = 512;
 
-/// The keyed hash of a caller's key, which stands for it wherever it is kept or told.
+/// The keyed hash of a caller's key, which replaces the key in memory and in messages.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct KeyPrint([u8; PRINT_BYTES]);
+pub struct KeyFingerprint([u8; FINGERPRINT_BYTES]);
 
-impl KeyPrint {
-    /// The print of a key.
+impl KeyFingerprint {
+    /// Returns the fingerprint of a key.
     pub fn of(key: &[u8]) -> Self {
-        let hash = blake3::keyed_hash(&PRINT_KEY, key);
-        let mut bytes = [0; PRINT_BYTES];
-        bytes.copy_from_slice(&hash.as_bytes()[..PRINT_BYTES]);
+        let hash = blake3::keyed_hash(&FINGERPRINT_KEY, key);
+        let mut bytes = [0; FINGERPRINT_BYTES];
+        bytes.copy_from_slice(&hash.as_bytes()[..FINGERPRINT_BYTES]);
         Self(bytes)
     }
 }
 
-impl fmt::Debug for KeyPrint {
+impl fmt::Debug for KeyFingerprint {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str("KeyPrint")
     }
 }
 
-impl fmt::Display for KeyPrint {
+impl fmt::Display for KeyFingerprint {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.iter().try_for_each(|byte| write!(formatter, "{byte:02x}"))
     }
 }
 
-/// A text is no key print.
+/// the text is not a key fingerprint
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
-pub struct KeyPrintError;
+pub struct ParseFingerprintError;
 
-impl FromStr for KeyPrint {
-    type Err = KeyPrintError;
+impl FromStr for KeyFingerprint {
+    type Err = ParseFingerprintError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        if text.len() != 2 * PRINT_BYTES || !text.is_ascii() {
-            return Err(KeyPrintError);
+        if text.len() != 2 * FINGERPRINT_BYTES || !text.is_ascii() {
+            return Err(ParseFingerprintError);
         }
-        let mut bytes = [0; PRINT_BYTES];
+        let mut bytes = [0; FINGERPRINT_BYTES];
         for (at, byte) in bytes.iter_mut().enumerate() {
             let digits = &text[2 * at..2 * at + 2];
-            *byte = u8::from_str_radix(digits, 16).map_err(|_| KeyPrintError)?;
+            *byte = u8::from_str_radix(digits, 16).map_err(|_| ParseFingerprintError)?;
         }
         Ok(Self(bytes))
     }
@@ -70,10 +71,12 @@
 pub enum LimitUnit {
     /// Each request counts as one.
     Requests,
-    /// Each request counts as its prompt tokens and its longest answer, or as `plain` where it names neither.
+    /// Each request counts as its prompt tokens plus its maximum output, or as `default_tokens` if
+    /// it names neither.
     Tokens {
-        /// What a request counts for that names no tokens.
-        plain: u32,
+        /// The cost of a request that names no tokens.
+        #[serde(rename = "plain")]
+        default_tokens: u32,
     },
 }
 
@@ -82,34 +85,36 @@
 pub struct AccountLimit {
     /// What is counted.
     pub unit: LimitUnit,
-    /// How much of it a second; more than 0.
+    /// The permitted rate per second; more than 0.
     pub per_s: f64,
-    /// How much above that at once.
+    /// How much may exceed the rate at once.
     pub burst: f64,
 }
 
 impl AccountLimit {
-    /// What a request counts for, where `tokens` are those that it names.
+    /// Returns the cost of a request that names `tokens`.
     pub fn cost(&self, tokens: Option<u64>) -> f64 {
         match self.unit {
             LimitUnit::Requests => 1.0,
-            LimitUnit::Tokens { plain } => tokens.unwrap_or(u64::from(plain)) as f64,
+            LimitUnit::Tokens { default_tokens } => {
+                tokens.unwrap_or(u64::from(default_tokens)) as f64
+            }
         }
     }
 }
 
-/// One client account.
+/// A client account.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ClientAccount {
-    /// Its name, which upstreams are told.
+    /// Its name, which is passed to upstreams.
     pub name: AccountName,
-    /// The prints of its keys.
-    pub keys: BTreeSet<KeyPrint>,
-    /// The rank of its requests, in place of that of their routes; 0 goes first.
+    /// The fingerprints of its keys.
+    pub keys: BTreeSet<KeyFingerprint>,
+    /// The priority of its requests, which overrides that of their routes; 0 is the highest.
     pub priority: Option<u8>,
-    /// The regions in which its requests may run; all when empty.
+    /// The regions in which its requests may run; all if empty.
     pub homes: Vec<RegionName>,
-    /// How much it may send; nothing where that is not limited.
+    /// The limit on its requests; `None` if they are not limited.
     pub limit: Option<AccountLimit>,
 }
 
@@ -120,24 +125,24 @@
     }
 }
 
-/// The accounts of a deployment, and which routes need none.
+/// The accounts of a deployment, and the routes that need none.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct AccountDescription {
-    /// The accounts by their names.
+    /// The accounts by name.
     pub accounts: BTreeMap<AccountName, Arc<ClientAccount>>,
     /// The routes that can be used without a key.
     pub open_routes: BTreeSet<RouteName>,
 }
 
-/// The accounts with their look-ups.
+/// The accounts with a lookup by key.
 #[derive(Debug, Default)]
 pub struct AccountTable {
-    by_key: HashMap<KeyPrint, Arc<ClientAccount>>,
+    by_key: HashMap<KeyFingerprint, Arc<ClientAccount>>,
     is_described: bool,
 }
 
 impl AccountTable {
-    /// Makes the look-ups; where no accounts are described, no request needs a key.
+    /// Builds the lookup. If no accounts are described, requests need no key.
     pub fn new(description: Option<&AccountDescription>) -> Self {
         let accounts = description.into_iter().flat_map(|it| it.accounts.values());
         let by_key = accounts
@@ -150,76 +155,75 @@
         self.is_described
     }
 
-    /// The account that holds a key.
-    pub fn find(&self, key: &KeyPrint) -> Option<&Arc<ClientAccount>> {
+    /// Returns the account that holds a key.
+    pub fn find(&self, key: &KeyFingerprint) -> Option<&Arc<ClientAccount>> {
         self.by_key.get(key)
     }
 }
 
-/// What changes between the accounts of two descriptions.
+/// The difference between the accounts of two descriptions.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub enum AccountDelta {
-    /// Nothing.
+    /// No difference.
     #[default]
     Same,
-    /// None are described any more.
+    /// The new description has no accounts.
     Gone,
-    /// All of them are told.
+    /// The complete accounts of the new description.
     All(AccountDescription),
-    /// Some of them.
+    /// The accounts that differ.
     Some {
-        /// The accounts that are new or differ.
+        /// The accounts that are new or changed.
         written: BTreeMap<AccountName, Arc<ClientAccount>>,
-        /// The accounts that are gone.
+        /// The accounts that were removed.
         removed: BTreeSet<AccountName>,
-        /// The open routes, when these differ.
+        /// The open routes, if they changed.
         open_routes: Option<BTreeSet<RouteName>>,
     },
 }
 
 impl AccountDelta {
-    /// The difference between two descriptions.
-    pub fn between(
-        held: Option<&AccountDescription>,
-        offered: Option<&AccountDescription>,
-    ) -> Self {
-        let (held, offered) = match (held, offered) {
-            (held, offered) if held == offered => return Self::Same,
+    /// Returns the difference between two descriptions.
+    pub fn between(old: Option<&AccountDescription>, new: Option<&AccountDescription>) -> Self {
+        let (old, new) = match (old, new) {
+            (old, new) if old == new => return Self::Same,
             (_, None) => return Self::Gone,
-            (None, Some(offered)) => return Self::All(offered.clone()),
-            (Some(held), Some(offered)) => (held, offered),
+            (None, Some(new)) => return Self::All(new.clone()),
+            (Some(old), Some(new)) => (old, new),
         };
-        let is_written =
-            |(name, account): &(&AccountName, _)| held.accounts.get(*name) != Some(*account);
-        let written = offered.accounts.iter().filter(is_written);
-        let is_removed = |name: &&AccountName| !offered.accounts.contains_key(*name);
-        let is_open_changed = held.open_routes != offered.open_routes;
+        let is_changed =
+            |(name, account): &(&AccountName, _)| old.accounts.get(*name) != Some(*account);
+        let written = new.accounts.iter().filter(is_changed);
+        let is_removed = |name: &&AccountName| !new.accounts.contains_key(*name);
+        let has_open_routes_changed = old.open_routes != new.open_routes;
         Self::Some {
             written: written.map(|(name, account)| (name.clone(), account.clone())).collect(),
-            removed: held.accounts.keys().filter(is_removed).cloned().collect(),
-            open_routes: is_open_changed.then(|| offered.open_routes.clone()),
+            removed: old.accounts.keys().filter(is_removed).cloned().collect(),
+            open_routes: has_open_routes_changed.then(|| new.open_routes.clone()),
         }
     }
 
-    /// The accounts after this change; nothing where none are described.
-    pub fn apply(&self, held: Option<&AccountDescription>) -> Option<AccountDescription> {
+    /// Applies this difference. Returns the resulting accounts; `None` if none are described.
+    pub fn apply(&self, old: Option<&AccountDescription>) -> Option<AccountDescription> {
         match self {
-            Self::Same => held.cloned(),
+            Self::Same => old.cloned(),
             Self::Gone => None,
             Self::All(all) => Some(all.clone()),
             Self::Some { written, removed, open_routes } => {
-                let mut made = held.cloned().unwrap_or_default();
-                made.accounts.retain(|name, _| !removed.contains(name));
-                made.accounts.extend(written.iter().map(|(name, it)| (name.clone(), it.clone())));
+                let mut updated = old.cloned().unwrap_or_default();
+                updated.accounts.retain(|name, _| !removed.contains(name));
+                updated
+                    .accounts
+                    .extend(written.iter().map(|(name, it)| (name.clone(), it.clone())));
                 if let Some(open_routes) = open_routes {
-                    made.open_routes.clone_from(open_routes);
+                    updated.open_routes.clone_from(open_routes);
                 }
-                Some(made)
+                Some(updated)
             }
         }
     }
 
-    /// One change in place of this one and the next.
+    /// Combines this difference and the next one into one.
     pub fn followed_by(&self, next: &Self) -> Self {
         match (self, next) {
             (_, Self::Same) => self.clone(),
@@ -229,22 +233,29 @@
             }
             (
                 Self::Some { written, removed, open_routes },
-                Self::Some { written: then, removed: gone, open_routes: open },
+                Self::Some {
+                    written: next_written,
+                    removed: next_removed,
+                    open_routes: next_open_routes,
+                },
             ) => {
                 let mut written = written.clone();
-                written.retain(|name, _| !gone.contains(name));
-                written.extend(then.iter().map(|(name, account)| (name.clone(), account.clone())));
-                let removed = removed.union(gone).filter(|name| !then.contains_key(*name));
+                written.retain(|name, _| !next_removed.contains(name));
+                written.extend(
+                    next_written.iter().map(|(name, account)| (name.clone(), account.clone())),
+                );
+                let removed =
+                    removed.union(next_removed).filter(|name| !next_written.contains_key(*name));
                 Self::Some {
                     written,
                     removed: removed.cloned().collect(),
-                    open_routes: open.clone().or_else(|| open_routes.clone()),
+                    open_routes: next_open_routes.clone().or_else(|| open_routes.clone()),
                 }
             }
         }
     }
 
-    /// How many accounts it writes or removes.
+    /// Returns how many accounts this difference writes or removes.
     pub fn size(&self) -> usize {
         match self {
             Self::Same | Self::Gone => 0,
--- a/crates/foldhaven-gateway/src/datagrams.rs
+++ b/crates/foldhaven-gateway/src/datagrams.rs
@@ -4,12 +4,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use foldhaven_core::opaque::account_demand::{
+    DEMAND_INTERVAL, LocalDemand, MAX_ACCOUNTS_PER_MESSAGE,
+};
 use foldhaven_core::opaque::affinity::PromptPlacement;
-use foldhaven_core::opaque::demand_book::{DEMAND_INTERVAL, MAX_WANTS, NearDemand};
-use foldhaven_core::opaque::load_share::LoadReport;
+use foldhaven_core::opaque::load_reports::LoadReport;
 use foldhaven_core::opaque::peer_table::{AskedBeats, LEARNING_INTERVAL, PlannedBeats, ViewAnswer};
-use foldhaven_core::opaque::report_plan::{ReportLeg, ReportNews};
-use foldhaven_core::opaque::sender_pact::PACT_INTERVAL;
+use foldhaven_core::opaque::report_planner::{ReportBatch, ReportUpdates};
+use foldhaven_core::opaque::sender_agreement::AGREEMENT_INTERVAL;
 use foldhaven_core::opaque::suspects::RecordSource;
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, watch};
@@ -85,12 +87,12 @@
     loop {
         let Ok(planned) = keeper.send(PlanReport { late }).await else { return };
         let PlannedReport { report, legs, far_targets, far_placements, region, interval } = planned;
-        let is_idle = !report.is_active() && legs.iter().all(|leg| leg.news.is_empty());
+        let is_idle = !report.is_active() && legs.iter().all(|leg| leg.updates.is_empty());
         // The first idle report says that the earlier requests have ended; later ones that this VM
         // lives.
         if !is_idle || idle_rounds % IDLE_ROUNDS == 0 {
-            for ReportLeg { targets, news } in legs {
-                let ReportNews { placements, regions } = news;
+            for ReportBatch { targets, updates } in legs {
+                let ReportUpdates { placements, regions } = updates;
                 let report = LoadReport { placements, regions, ..report.clone() };
                 send_report(&socket, &targets, report).await;
             }
@@ -291,7 +293,7 @@
         for (target, notice) in planned {
             send_to(&socket, &[target], &PeerMessage::Pact(notice)).await;
         }
-        sleep(PACT_INTERVAL).await;
+        sleep(AGREEMENT_INTERVAL).await;
     }
 }
 
@@ -310,16 +312,16 @@
 }
 
 /// Sends what one VM tells its region; in messages of one part each where all together may not fit a datagram.
-async fn send_near_demand(socket: &UdpSocket, targets: &[SocketAddr], demand: NearDemand) {
-    let own = demand.own.as_ref().map_or(0, |own| own.wants.len());
-    let wants: usize = own + demand.regions.iter().map(|it| it.wants.len()).sum::<usize>();
-    if wants <= MAX_WANTS {
+async fn send_near_demand(socket: &UdpSocket, targets: &[SocketAddr], demand: LocalDemand) {
+    let own = demand.own.as_ref().map_or(0, |own| own.demands.len());
+    let wants: usize = own + demand.regions.iter().map(|it| it.demands.len()).sum::<usize>();
+    if wants <= MAX_ACCOUNTS_PER_MESSAGE {
         send_to(socket, targets, &PeerMessage::Demand(demand)).await;
         return;
     }
-    let NearDemand { own, regions } = demand;
-    let own = own.map(|own| NearDemand { own: Some(own), regions: Vec::new() });
-    let regions = regions.into_iter().map(|it| NearDemand { own: None, regions: vec![it] });
+    let LocalDemand { own, regions } = demand;
+    let own = own.map(|own| LocalDemand { own: Some(own), regions: Vec::new() });
+    let regions = regions.into_iter().map(|it| LocalDemand { own: None, regions: vec![it] });
     for part in own.into_iter().chain(regions) {
         send_to(socket, targets, &PeerMessage::Demand(part)).await;
     }
--- a/crates/foldhaven-gateway/src/keeper/load_reports.rs
+++ b/crates/foldhaven-gateway/src/keeper/load_reports.rs
@@ -5,209 +5,209 @@
 use std::time::Duration;
 
 use foldhaven_core::opaque::affinity::PromptPlacement;
-use foldhaven_core::opaque::load_share::{LoadReport, share_interval};
+use foldhaven_core::opaque::load_reports::{LoadReport, report_interval};
 use foldhaven_core::opaque::peer_table::{PeerBeat, PeerPhase, VmTag};
-use foldhaven_core::opaque::region_book::{LIVES_EVERY, REGION_INTERVAL, RegionReport};
-use foldhaven_core::opaque::report_plan::{ReportLeg, ReportNews, ReportTarget};
+use foldhaven_core::opaque::region_reports::{REGION_INTERVAL, RegionReport, VM_LIST_EVERY};
+use foldhaven_core::opaque::report_planner::{ReportBatch, ReportTarget, ReportUpdates};
 use xtra::{Context, Handler};
 
 use super::ControlKeeper;
 
 /// A load report of another VM of the region arrived.
 pub struct HearLoad {
-    pub report: LoadReport,
+pub report: LoadReport,
 }
 
 impl Handler<HearLoad> for ControlKeeper {
-    type Return = ();
-
-    async fn handle(&mut self, message: HearLoad, _: &mut Context<Self>) {
-        let mut report = message.report;
-        let placements = std::mem::take(&mut report.placements);
-        let regions = std::mem::take(&mut report.regions);
-        let now = self.now();
-        let (vm, incarnation) = (report.vm, report.incarnation);
-        let Some(touched) = self.loads.hear(report, now) else { return };
-        for upstream in touched.iter().filter_map(|tag| self.by_tag.get(tag)) {
-            upstream.set_others(self.loads.total(upstream.tag));
-        }
-        self.peers.note_report(vm, incarnation, now);
-        self.note_placements(&placements);
-        for region in &regions {
-            self.note_region(region);
-        }
-    }
+type Return = ();
+
+async fn handle(&mut self, message: HearLoad, _: &mut Context<Self>) {
+let mut report = message.report;
+let placements = std::mem::take(&mut report.placements);
+let regions = std::mem::take(&mut report.regions);
+let now = self.now();
+let (vm, incarnation) = (report.vm, report.incarnation);
+let Some(touched) = self.loads.apply(report, now) else { return };
+for upstream in touched.iter().filter_map(|tag| self.by_tag.get(tag)) {
+upstream.set_others(self.loads.total(upstream.tag));
+}
+self.peers.note_report(vm, incarnation, now);
+self.note_placements(&placements);
+for region in &regions {
+self.note_region(region);
+}
+}
 }
 
 /// A delegate of another region told of it.
 pub struct HearRegion {
-    pub report: RegionReport,
+pub report: RegionReport,
 }
 
 impl Handler<HearRegion> for ControlKeeper {
-    type Return = ();
+type Return = ();
 
-    async fn handle(&mut self, message: HearRegion, _: &mut Context<Self>) {
-        if self.note_region(&message.report) {
-            self.relayed_regions.push(message.report);
-        }
-    }
+async fn handle(&mut self, message: HearRegion, _: &mut Context<Self>) {
+if self.note_region(&message.report) {
+self.relayed_regions.push(message.report);
+}
+}
 }
 
 /// A VM of another region told of prompts that were sent there.
 pub struct HearPlacements {
-    pub placements: Vec<PromptPlacement>,
+pub placements: Vec<PromptPlacement>,
 }
 
 impl Handler<HearPlacements> for ControlKeeper {
-    type Return = ();
+type Return = ();
 
-    async fn handle(&mut self, message: HearPlacements, _: &mut Context<Self>) {
-        self.note_placements(&message.placements);
-        self.relayed.extend(message.placements);
-    }
+async fn handle(&mut self, message: HearPlacements, _: &mut Context<Self>) {
+self.note_placements(&message.placements);
+self.relayed.extend(message.placements);
+}
 }
 
 /// Asks for the load report of a round.
 pub struct PlanReport {
-    /// How much later than planned the timer of the round fired.
-    pub late: Duration,
+/// How much later than planned the timer of the round fired.
+pub late: Duration,
 }
 
 /// A load report, whom to send it to, and when the next one is due.
 pub struct PlannedReport {
-    /// The load; each leg has its own news.
-    pub report: LoadReport,
-    pub legs: Vec<ReportLeg>,
-    /// A VM of each other region, which tells the rest there of these prompts.
-    pub far_targets: Vec<SocketAddr>,
-    pub far_placements: Vec<PromptPlacement>,
-    /// What the VMs of the far targets are told of this region, where this VM speaks for it.
-    pub region: Option<RegionReport>,
-    pub interval: Duration,
+/// The load; each leg has its own news.
+pub report: LoadReport,
+pub legs: Vec<ReportBatch>,
+/// A VM of each other region, which tells the rest there of these prompts.
+pub far_targets: Vec<SocketAddr>,
+pub far_placements: Vec<PromptPlacement>,
+/// What the VMs of the far targets are told of this region, where this VM speaks for it.
+pub region: Option<RegionReport>,
+pub interval: Duration,
 }
 
 impl Handler<PlanReport> for ControlKeeper {
-    type Return = PlannedReport;
-
-    async fn handle(&mut self, plan: PlanReport, _: &mut Context<Self>) -> PlannedReport {
-        self.meter.note_timer(plan.late);
-        self.reports += 1;
-        self.publish_stale();
-        self.take_totals();
-        let targets = self.report_targets();
-        let far_placements = std::mem::take(&mut *self.shared.placements.lock());
-        let mut placements = std::mem::take(&mut self.relayed);
-        placements.extend(far_placements.iter().cloned());
-        let news = ReportNews { placements, regions: std::mem::take(&mut self.relayed_regions) };
-        let report = self.own_report();
-        let (legs, interval) = self.plan_legs(&targets, news, report.is_active());
-        let region = self.due_region_report();
-        let is_far = region.is_some() || !far_placements.is_empty();
-        let now = self.now();
-        let far_targets = match is_far {
-            true => self.peers.one_in_service_of_each_region(now),
-            false => Vec::new(),
-        };
-        PlannedReport { report, legs, far_targets, far_placements, region, interval }
-    }
+type Return = PlannedReport;
+
+async fn handle(&mut self, plan: PlanReport, _: &mut Context<Self>) -> PlannedReport {
+self.meter.note_timer(plan.late);
+self.reports += 1;
+self.publish_stale();
+self.take_totals();
+let targets = self.report_targets();
+let far_placements = std::mem::take(&mut *self.shared.placements.lock());
+let mut placements = std::mem::take(&mut self.relayed);
+placements.extend(far_placements.iter().cloned());
+let news = ReportUpdates { placements, regions: std::mem::take(&mut self.relayed_regions) };
+let report = self.own_report();
+let (legs, interval) = self.plan_legs(&targets, news, report.is_active());
+let region = self.due_region_report();
+let is_far = region.is_some() || !far_placements.is_empty();
+let now = self.now();
+let far_targets = match is_far {
+true => self.peers.one_in_service_of_each_region(now),
+false => Vec::new(),
+};
+PlannedReport { report, legs, far_targets, far_placements, region, interval }
+}
 }
 
 impl ControlKeeper {
-    /// The other VMs of this region, and which of them have requests.
-    fn report_targets(&self) -> Vec<ReportTarget> {
-        let active: HashSet<VmTag> = self.loads.active().collect();
-        let near = self.peers.near(self.now());
-        let target = |beat: &PeerBeat| ReportTarget {
-            address: beat.peer,
-            is_active: active.contains(&VmTag::of(&beat.vm)),
-        };
-        near.map(target).collect()
-    }
-
-    /// Who is told in this round, and when the next one is due. A VM without requests tells that it lives to those
-    /// that speak for the region; others hear of that by heartbeats.
-    fn plan_legs(
-        &mut self,
-        targets: &[ReportTarget],
-        news: ReportNews,
-        is_active: bool,
-    ) -> (Vec<ReportLeg>, Duration) {
-        if !is_active {
-            let interval = share_interval(targets.len());
-            let standing = self.peers.standing_addresses(self.now());
-            let leg = self.report_plan.next_idle(targets, standing, news);
-            return (vec![leg], interval);
-        }
-        let active = targets.iter().filter(|target| target.is_active).count();
-        let interval = share_interval(active);
-        (self.report_plan.next(targets, news, interval), interval)
-    }
-
-    /// The requests that this VM has at each upstream.
-    fn own_report(&mut self) -> LoadReport {
-        let busy = self.meter.busy(self.shared.taken(), self.shared.settings.cores);
-        let own = self.upstreams.values().map(|upstream| (upstream.tag, upstream.load.share()));
-        LoadReport {
-            vm: VmTag::of(&self.shared.settings.vm),
-            incarnation: self.peers.incarnation(),
-            sequence: self.reports,
-            shares: own.filter(|(_, share)| share.in_flight > 0).collect(),
-            placements: Vec::new(),
-            regions: Vec::new(),
-            busy,
-        }
-    }
-
-    /// The report of this region to the others, when this VM speaks for it and one is due.
-    fn due_region_report(&mut self) -> Option<RegionReport> {
-        let now = self.now();
-        let is_due = self.region_told.is_none_or(|told| now.since(told) >= REGION_INTERVAL);
-        if !is_due || self.phase() != PeerPhase::Serving || !self.peers.is_delegate(now) {
-            return None;
-        }
-        self.region_told = Some(now);
-        self.region_reports += 1;
-        let mut lives = Vec::new();
-        if self.region_reports.is_multiple_of(LIVES_EVERY) {
-            lives = self.peers.heard_lives(now);
-            lives.push(self.own_beat().life());
-        }
-        Some(RegionReport {
-            region: self.shared.settings.region().clone(),
-            teller: VmTag::of(&self.shared.settings.vm),
-            incarnation: self.peers.incarnation(),
-            sequence: self.region_reports,
-            waits: self.own_waits(),
-            lives,
-        })
-    }
-
-    /// Takes in what a delegate tells of its region. Returns whether it is new.
-    fn note_region(&mut self, report: &RegionReport) -> bool {
-        let now = self.now();
-        if report.region == *self.shared.settings.region() || !self.regions.hear(report, now) {
-            return false;
-        }
-        if self.peers.note_lives(&report.lives, now) {
-            self.publish_soon();
-        }
-        true
-    }
-
-    fn note_placements(&self, placements: &[PromptPlacement]) {
-        let mut hints = self.shared.hints.lock();
-        for placement in placements {
-            hints.record(placement);
-        }
-    }
-
-    /// Leaves out VMs that are silent, and hands the requests of the others to the upstreams that they are at.
-    fn take_totals(&mut self) {
-        let interval = share_interval(self.near_peers().len());
-        self.loads.forget_silent(interval, self.now());
-        for upstream in self.upstreams.values() {
-            upstream.set_others(self.loads.total(upstream.tag));
-        }
-    }
+/// The other VMs of this region, and which of them have requests.
+fn report_targets(&self) -> Vec<ReportTarget> {
+let active: HashSet<VmTag> = self.loads.active_vms().collect();
+let near = self.peers.near(self.now());
+let target = |beat: &PeerBeat| ReportTarget {
+address: beat.peer,
+is_active: active.contains(&VmTag::of(&beat.vm)),
+};
+near.map(target).collect()
+}
+
+/// Who is told in this round, and when the next one is due. A VM without requests tells that it lives to those
+/// that speak for the region; others hear of that by heartbeats.
+fn plan_legs(
+&mut self,
+targets: &[ReportTarget],
+news: ReportUpdates,
+is_active: bool,
+) -> (Vec<ReportBatch>, Duration) {
+if !is_active {
+let interval = report_interval(targets.len());
+let standing = self.peers.standing_addresses(self.now());
+let leg = self.report_plan.plan_idle(targets, standing, news);
+return (vec![leg], interval);
+}
+let active = targets.iter().filter(|target| target.is_active).count();
+let interval = report_interval(active);
+(self.report_plan.plan_round(targets, news, interval), interval)
+}
+
+/// The requests that this VM has at each upstream.
+fn own_report(&mut self) -> LoadReport {
+let busy = self.meter.busy(self.shared.taken(), self.shared.settings.cores);
+let own = self.upstreams.values().map(|upstream| (upstream.tag, upstream.load.share()));
+LoadReport {
+vm: VmTag::of(&self.shared.settings.vm),
+incarnation: self.peers.incarnation(),
+sequence: self.reports,
+shares: own.filter(|(_, share)| share.in_flight > 0).collect(),
+placements: Vec::new(),
+regions: Vec::new(),
+busy,
+}
+}
+
+/// The report of this region to the others, when this VM speaks for it and one is due.
+fn due_region_report(&mut self) -> Option<RegionReport> {
+let now = self.now();
+let is_due = self.region_told.is_none_or(|told| now.since(told) >= REGION_INTERVAL);
+if !is_due || self.phase() != PeerPhase::Serving || !self.peers.is_delegate(now) {
+return None;
+}
+self.region_told = Some(now);
+self.region_reports += 1;
+let mut lives = Vec::new();
+if self.region_reports.is_multiple_of(VM_LIST_EVERY) {
+lives = self.peers.heard_lives(now);
+lives.push(self.own_beat().life());
+}
+Some(RegionReport {
+region: self.shared.settings.region().clone(),
+delegate: VmTag::of(&self.shared.settings.vm),
+incarnation: self.peers.incarnation(),
+sequence: self.region_reports,
+waits: self.own_waits(),
+live_vms: lives,
+})
+}
+
+/// Takes in what a delegate tells of its region. Returns whether it is new.
+fn note_region(&mut self, report: &RegionReport) -> bool {
+let now = self.now();
+if report.region == *self.shared.settings.region() || !self.regions.apply(report, now) {
+return false;
+}
+if self.peers.note_lives(&report.live_vms, now) {
+self.publish_soon();
+}
+true
+}
+
+fn note_placements(&self, placements: &[PromptPlacement]) {
+let mut hints = self.shared.hints.lock();
+for placement in placements {
+hints.record(placement);
+}
+}
+
+/// Leaves out VMs that are silent, and hands the requests of the others to the upstreams that they are at.
+fn take_totals(&mut self) {
+let interval = report_interval(self.near_peers().len());
+self.loads.remove_stale(interval, self.now());
+for upstream in self.upstreams.values() {
+upstream.set_others(self.loads.total(upstream.tag));
+}
+}
 }
--- a/crates/foldhaven-gateway/src/keeper/mod.rs
+++ b/crates/foldhaven-gateway/src/keeper/mod.rs
@@ -23,16 +23,16 @@
 use foldhaven_core::ids::{IncarnationId, UpstreamName, VmName};
 use foldhaven_core::opaque::affinity::{PromptPlacement, UpstreamTag};
 use foldhaven_core::opaque::belief_age::BeliefAge;
-use foldhaven_core::opaque::demand::DemandPeak;
-use foldhaven_core::opaque::demand_share::DemandShare;
-use foldhaven_core::opaque::load_share::LoadBook;
+use foldhaven_core::opaque::cpu_demand::PeakCpuDemand;
+use foldhaven_core::opaque::demand_exchange::DemandExchange;
+use foldhaven_core::opaque::load_reports::LoadTable;
 use foldhaven_core::opaque::peer_table::{
     LEARNING_TIME, OfferedRevision, OwnVm, PeerPhase, PeerTable, RegionTag, SenderView, VmTag,
 };
-use foldhaven_core::opaque::region_book::{RegionBook, RegionReport};
-use foldhaven_core::opaque::report_plan::ReportPlan;
+use foldhaven_core::opaque::region_reports::{RegionReport, RegionReportTable};
+use foldhaven_core::opaque::report_planner::ReportPlanner;
 use foldhaven_core::opaque::route_table::RouteVersion;
-use foldhaven_core::opaque::sender_pact::SenderPact;
+use foldhaven_core::opaque::sender_agreement::SenderAgreement;
 use foldhaven_core::time::MonoTime;
 use tokio::sync::{mpsc, watch};
 use xtra::{Context, Handler};
@@ -97,13 +97,13 @@
     /// Connections to those of them that serve.
     links: HashMap<VmName, Arc<PeerLink>>,
     /// The load reports of other VMs.
-    loads: LoadBook,
+    loads: LoadTable,
     /// Whom the next ones of this VM go to.
-    report_plan: ReportPlan,
+    report_plan: ReportPlanner,
     /// The processor time that the requests of this VM take.
     meter: DemandMeter,
     /// The processor time that those of the region took in the last seconds at most.
-    demand: DemandPeak,
+    demand: PeakCpuDemand,
     /// Which VMs of the region that puts in service.
     in_service: InService,
     /// Which VMs of the region are known, as far as the log tells.
@@ -111,13 +111,13 @@
     /// Who shares the limits of the region, as it was looked at last.
     senders: SenderView,
     /// Whether the VMs that share the limits of the region agree on who they are.
-    pact: SenderPact,
+    pact: SenderAgreement,
     /// What callers of limited accounts want, here and elsewhere.
-    demands: DemandShare,
+    demands: DemandExchange,
     /// Whether an upstream of the region is cold or names a limit.
     rate_watch: watch::Sender<bool>,
     /// What delegates of other regions told.
-    regions: RegionBook,
+    regions: RegionReportTable,
     /// Reports of them, of which the VMs of this region are still to be told.
     relayed_regions: Vec<RegionReport>,
     /// When the other regions were told of this one.
@@ -168,11 +168,11 @@
             region: settings.region().clone(),
             cores: settings.cores,
         };
-        let pact = SenderPact::new(VmTag::of(&settings.vm), incarnation, shared.now());
+        let pact = SenderAgreement::new(VmTag::of(&settings.vm), incarnation, shared.now());
         let peers = PeerTable::new(own, incarnation);
         let regions = settings.regions.values().map(RegionTag::of);
         let demands =
-            DemandShare::new(VmTag::of(&settings.vm), RegionTag::of(settings.region()), regions);
+            DemandExchange::new(VmTag::of(&settings.vm), RegionTag::of(settings.region()), regions);
         Self {
             shared,
             settings,
@@ -183,17 +183,17 @@
             by_tag: HashMap::new(),
             peers,
             links: HashMap::new(),
-            loads: LoadBook::default(),
-            report_plan: ReportPlan::default(),
+            loads: LoadTable::default(),
+            report_plan: ReportPlanner::default(),
             meter: DemandMeter::default(),
-            demand: DemandPeak::default(),
+            demand: PeakCpuDemand::default(),
             in_service: InService::default(),
             members: LoggedMembers::default(),
             senders: SenderView::default(),
             pact,
             demands,
             rate_watch: watch::Sender::new(false),
-            regions: RegionBook::default(),
+            regions: RegionReportTable::default(),
             relayed_regions: Vec::new(),
             region_told: None,
             region_reports: 0,
@@ -302,9 +302,9 @@
         self.note_standstill();
         let now = self.now();
         self.peers.forget(now);
-        self.regions.forget(now);
+        self.regions.remove_stale(now);
         let peers = &self.peers;
-        self.pact.keep_only(|vm| peers.address_of(vm).is_some());
+        self.pact.retain(|vm| peers.address_of(vm).is_some());
         self.shared.suspects.forget(&self.shared.change_context());
         self.forget_signals();
         self.note_growth();
--- a/crates/foldhaven-gateway/src/keeper/rate_parts.rs
+++ b/crates/foldhaven-gateway/src/keeper/rate_parts.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 
 use foldhaven_core::opaque::peer_table::{PeerPhase, VmTag};
-use foldhaven_core::opaque::rate_part::{RatePart, SharedRate, rate_part};
-use foldhaven_core::opaque::sender_pact::PactNotice;
+use foldhaven_core::opaque::rate_share::{RateShare, SharedRate, rate_share};
+use foldhaven_core::opaque::sender_agreement::AgreementNotice;
 use foldhaven_core::time::MonoTime;
 use xtra::{Context, Handler};
 
@@ -17,14 +17,14 @@
 const UNWITNESSED_PART: f64 = 0.5;
 
 /// Notices with their receivers.
-pub type PlannedPact = Vec<(SocketAddr, PactNotice)>;
+pub type PlannedPact = Vec<(SocketAddr, AgreementNotice)>;
 
 /// Asks for the notices of a round.
 pub struct PlanPact;
 
 /// Another VM told which list of senders it holds.
 pub struct HearPact {
-    pub notice: PactNotice,
+    pub notice: AgreementNotice,
 }
 
 impl Handler<PlanPact> for ControlKeeper {
@@ -42,16 +42,16 @@
 }
 
 impl Handler<HearPact> for ControlKeeper {
-    type Return = Option<(SocketAddr, PactNotice)>;
+    type Return = Option<(SocketAddr, AgreementNotice)>;
 
     async fn handle(&mut self, message: HearPact, _: &mut Context<Self>) -> Self::Return {
         let now = self.now();
         let notice = message.notice;
-        self.pact.hear(&notice);
+        self.pact.apply(&notice);
         // The list was looked at in this VM's own last round: ranking a hundred VMs for each of a hundred notices a second
         // would cost more than all else.
         self.share_rates(now);
-        let peer = self.peers.address_of(notice.vm).filter(|_| notice.is_call)?;
+        let peer = self.peers.address_of(notice.vm).filter(|_| notice.requests_reply)?;
         Some((peer, self.pact.notice_to(notice.vm, false, now)))
     }
 }
@@ -62,7 +62,7 @@
         let has_learnt = self.assumed_vms().is_some();
         let is_serving = has_learnt && self.phase() == PeerPhase::Serving;
         self.senders = self.peers.senders(is_serving, now);
-        self.pact.note_list(self.senders.digest, now);
+        self.pact.set_list(self.senders.digest, now);
     }
 
     /// Takes this VM's part of each rate that holds over the region, or gives it back.
@@ -74,11 +74,11 @@
             return;
         }
         let others: Vec<VmTag> = self.senders.others.iter().map(|(vm, _)| *vm).collect();
-        let until = self.pact.holds_until(&others, now);
+        let until = self.pact.agreed_until(&others, now);
         for upstream in bounded {
             let part = match until {
                 Some(_) => self.part_of(&upstream, now),
-                None => RatePart::default(),
+                None => RateShare::default(),
             };
             note_part(&upstream, part, others.len() + 1);
             upstream.set_part(part, until, now);
@@ -99,16 +99,16 @@
         let described = service.map_or(0.0, |service| service.cold_rate);
         let cold = upstream.is_cold(now).then(|| SharedRate::of_cold(described));
         let named = self.shared.limits.limit(upstream).map(SharedRate::of_limit);
-        cold.into_iter().chain(named).reduce(SharedRate::narrower)
+        cold.into_iter().chain(named).reduce(SharedRate::stricter)
     }
 
-    fn part_of(&self, upstream: &Upstream, now: MonoTime) -> RatePart {
-        let Some(rate) = self.shared_rate(upstream, now) else { return RatePart::default() };
+    fn part_of(&self, upstream: &Upstream, now: MonoTime) -> RateShare {
+        let Some(rate) = self.shared_rate(upstream, now) else { return RateShare::default() };
         let own = &self.shared.settings.vm;
-        let part = rate_part(rate, upstream.name(), own, &self.senders.list);
+        let part = rate_share(rate, upstream.name(), own, &self.senders.list);
         match self.is_witnessed() {
             true => part,
-            false => RatePart { per_s: part.per_s * UNWITNESSED_PART, ..part },
+            false => RateShare { per_s: part.per_s * UNWITNESSED_PART, ..part },
         }
     }
 
@@ -120,7 +120,7 @@
 }
 
 /// Logs the part of an upstream's rate that this VM takes, when it has changed.
-fn note_part(upstream: &Upstream, part: RatePart, senders: usize) {
+fn note_part(upstream: &Upstream, part: RateShare, senders: usize) {
     let before = upstream.noted_part();
     if before != part.per_s {
         tracing::info!(
--- a/crates/foldhaven-gateway/src/keeper/traffic_view.rs
+++ b/crates/foldhaven-gateway/src/keeper/traffic_view.rs
@@ -5,7 +5,7 @@
 
 use foldhaven_core::ids::{RegionName, ServiceName};
 use foldhaven_core::opaque::affinity::UpstreamTag;
-use foldhaven_core::opaque::connection_share::kept_connections;
+use foldhaven_core::opaque::idle_connections::max_idle_connections;
 use foldhaven_core::opaque::peer_table::{PeerBeat, PeerPhase};
 use foldhaven_core::opaque::route_table::RouteTable;
 use foldhaven_core::opaque::service_order::{ServiceCandidate, ServiceOrder};
@@ -44,7 +44,7 @@
 beats,
 doubted: self.peers.doubted(now),
 demand,
-senders: self.loads.active().count() + 1,
+senders: self.loads.active_vms().count() + 1,
 heard: self.peers.heard_by_centre(),
 assumed_vms: self.assumed_vms(),
 offer,
@@ -99,7 +99,7 @@
 self.shared.leavers.apply(&upstream);
 let service = routes.service(&upstream.identity.service);
 let limit = service.map_or(0, |service| service.connection_limit);
-upstream.pool.keep_at_most(kept_connections(limit, vms));
+upstream.pool.keep_at_most(max_idle_connections(limit, vms));
 by_service.entry(upstream.identity.service.clone()).or_default().push(upstream.clone());
 kept.insert(upstream.name().clone(), upstream);
 }
@@ -158,7 +158,7 @@
 /// The processor time that the requests of this region took in the last seconds at most.
 fn current_demand(&mut self, now: MonoTime) -> CoreShare {
 let own = self.meter.busy(self.shared.taken(), self.shared.settings.cores);
-self.demand.note(self.loads.busy().saturating_add(own), now)
+self.demand.record(self.loads.busy().saturating_add(own), now)
 }
 
 /// Counts and logs which VMs of the region the demand puts in service.
--- a/crates/foldhaven-gateway/src/peer_message.rs
+++ b/crates/foldhaven-gateway/src/peer_message.rs
@@ -7,12 +7,12 @@
 
 use bincode::Options;
 use foldhaven_core::ids::RegionName;
+use foldhaven_core::opaque::account_demand::{LocalDemand, RegionDemand};
 use foldhaven_core::opaque::affinity::PromptPlacement;
-use foldhaven_core::opaque::demand_book::{NearDemand, RegionDemand};
-use foldhaven_core::opaque::load_share::LoadReport;
+use foldhaven_core::opaque::load_reports::LoadReport;
 use foldhaven_core::opaque::peer_table::{BeatMessage, NewsNotice, ViewList, ViewNotice};
-use foldhaven_core::opaque::region_book::RegionReport;
-use foldhaven_core::opaque::sender_pact::PactNotice;
+use foldhaven_core::opaque::region_reports::RegionReport;
+use foldhaven_core::opaque::sender_agreement::AgreementNotice;
 use foldhaven_core::opaque::suspects::SuspectRecord;
 use foldhaven_core::opaque::upstream_signals::{LeavingNotice, LimitNotice};
 use serde::{Deserialize, Serialize};
@@ -54,11 +54,11 @@
     /// The same in full.
     ViewList(ViewList),
     /// Which list of senders a VM holds.
-    Pact(PactNotice),
+    Pact(AgreementNotice),
     /// How far a VM knows the platform's changes.
     News(NewsNotice),
     /// What callers of limited accounts want at a VM of the region.
-    Demand(NearDemand),
+    Demand(LocalDemand),
     /// The same for a whole other region.
     RegionDemand(RegionDemand),
     /// The limits that upstreams of the region name.
--- a/crates/foldhaven-gateway/src/places/near.rs
+++ b/crates/foldhaven-gateway/src/places/near.rs
@@ -6,7 +6,7 @@
 
 use foldhaven_core::opaque::admission::DestinationEstimate;
 use foldhaven_core::opaque::choice::{
-    RequestCost, UpstreamCandidate, UpstreamChoice, choose_upstream, price_upstreams,
+RequestCost, UpstreamCandidate, UpstreamChoice, choose_upstream, price_upstreams,
 };
 use foldhaven_core::opaque::performance::ServicePerformance;
 use foldhaven_core::opaque::queue_rank::QueueRank;
@@ -28,166 +28,166 @@
 
 /// The best upstream of this region.
 pub(super) struct NearChoice {
-    upstream: Arc<Upstream>,
-    pub(super) choice: UpstreamChoice,
-    fetch_from: Option<SocketAddr>,
+upstream: Arc<Upstream>,
+pub(super) choice: UpstreamChoice,
+fetch_from: Option<SocketAddr>,
 }
 
 impl NearChoice {
-    /// The place, for the decision whether the request is sent there.
-    pub(super) fn offer(&self) -> DestinationEstimate {
-        let UpstreamChoice { time_to_first, breakdown, rank, is_full, .. } = self.choice;
-        DestinationEstimate {
-            time_to_first,
-            breakdown,
-            rank,
-            queue: self.upstream.queue(),
-            is_full,
-        }
-    }
-
-    /// Takes the place of an upstream that is cold or names a limit; fails when none is free.
-    pub(super) fn take(self, shared: &GatewayShared) -> Result<PlaceChoice, Refusal> {
-        let now = shared.now();
-        if let Some(rate) = self.upstream.bound_rate(now) {
-            if !self.upstream.pacer.lock().take(rate, now) {
-                shared.metrics.count_event("bounded_place_lost");
-                return Err(Refusal::NoUpstream);
-            }
-            self.upstream.count_bounded();
-            let event = if self.upstream.is_cold(now) { "cold_sent" } else { "limited_sent" };
-            shared.metrics.count_event(event);
-        }
-        let queue = self.upstream.queue();
-        Ok(PlaceChoice {
-            place: RequestPlace::Upstream(self.upstream),
-            first: self.choice.time_to_first,
-            read_tokens: self.choice.prefill_tokens,
-            queue,
-            rank: self.choice.rank,
-            prefill_before_answer: self.choice.prefill_before_answer,
-            fetch_from: self.fetch_from,
-        })
-    }
+/// The place, for the decision whether the request is sent there.
+pub(super) fn offer(&self) -> DestinationEstimate {
+let UpstreamChoice { time_to_first, breakdown, rank, is_full, .. } = self.choice;
+DestinationEstimate {
+time_to_first,
+breakdown,
+rank,
+queue: self.upstream.queue(),
+is_full,
+}
+}
+
+/// Takes the place of an upstream that is cold or names a limit; fails when none is free.
+pub(super) fn take(self, shared: &GatewayShared) -> Result<PlaceChoice, Refusal> {
+let now = shared.now();
+if let Some(rate) = self.upstream.bound_rate(now) {
+if !self.upstream.pacer.lock().try_acquire(rate, now) {
+shared.metrics.count_event("bounded_place_lost");
+return Err(Refusal::NoUpstream);
+}
+self.upstream.count_bounded();
+let event = if self.upstream.is_cold(now) { "cold_sent" } else { "limited_sent" };
+shared.metrics.count_event(event);
+}
+let queue = self.upstream.queue();
+Ok(PlaceChoice {
+place: RequestPlace::Upstream(self.upstream),
+first: self.choice.time_to_first,
+read_tokens: self.choice.prefill_tokens,
+queue,
+rank: self.choice.rank,
+prefill_before_answer: self.choice.prefill_before_answer,
+fetch_from: self.fetch_from,
+})
+}
 }
 
 /// Chooses among the upstreams of this region; nothing where none can take the request.
 pub(super) fn choose_near(
-    shared: &GatewayShared,
-    view: &GatewayView,
-    job: &GatewayJob,
-    tried: &TriedPlaces,
+shared: &GatewayShared,
+view: &GatewayView,
+job: &GatewayJob,
+tried: &TriedPlaces,
 ) -> Option<NearChoice> {
-    let near = near_upstreams(shared, view, job);
-    let candidates = candidates_of(shared, &near, job, tried);
-    let pace = shared.pace(&job.service, view);
-    let choice = choose_upstream(&candidates, &query_of(shared, view, job), &pace)?;
-    let fetch_from = choice.fetch_from.map(|at| near[at].identity.address);
-    Some(NearChoice { upstream: near[choice.index].clone(), choice, fetch_from })
+let near = near_upstreams(shared, view, job);
+let candidates = candidates_of(shared, &near, job, tried);
+let pace = shared.pace(&job.service, view);
+let choice = choose_upstream(&candidates, &query_of(shared, view, job), &pace)?;
+let fetch_from = choice.fetch_from.map(|at| near[at].identity.address);
+Some(NearChoice { upstream: near[choice.index].clone(), choice, fetch_from })
 }
 
 /// For how much longer an upstream gets nothing from this VM: it asked this VM to back off, or this VM's part of its rate is used up.
 fn held_back_for(upstream: &Upstream, now: MonoTime) -> Option<Duration> {
-    let backoff = upstream.backoff_left(now);
-    let part = upstream.bound_rate(now).map_or(Duration::ZERO, |rate| {
-        let pacer = *upstream.pacer.lock();
-        pacer.wait(rate, now).unwrap_or(PARTLESS_WAIT)
-    });
-    Some(backoff.max(part)).filter(|wait| !wait.is_zero())
+let backoff = upstream.backoff_left(now);
+let part = upstream.bound_rate(now).map_or(Duration::ZERO, |rate| {
+let pacer = *upstream.pacer.lock();
+pacer.wait(rate, now).unwrap_or(PARTLESS_WAIT)
+});
+Some(backoff.max(part)).filter(|wait| !wait.is_zero())
 }
 
 /// Whether an upstream of this region may get a request now.
 pub(super) fn has_open(shared: &GatewayShared, view: &GatewayView, job: &GatewayJob) -> bool {
-    let now = shared.now();
-    let mut near = near_upstreams(shared, view, job).into_iter();
-    near.any(|upstream| held_back_for(upstream, now).is_none())
+let now = shared.now();
+let mut near = near_upstreams(shared, view, job).into_iter();
+near.any(|upstream| held_back_for(upstream, now).is_none())
 }
 
 /// The shortest time until an upstream of this region that asked for a back-off or names a limit may get a request of this VM; nothing
 /// where none does.
 pub(super) fn signalled_wait(
-    shared: &GatewayShared,
-    view: &GatewayView,
-    job: &GatewayJob,
+shared: &GatewayShared,
+view: &GatewayView,
+job: &GatewayJob,
 ) -> Option<Duration> {
-    let now = shared.now();
-    let near = near_upstreams(shared, view, job).into_iter();
-    let has_said = |it: &&Arc<Upstream>| it.is_limited() || !it.backoff_left(now).is_zero();
-    let wait = |it: &Arc<Upstream>| held_back_for(it, now).unwrap_or_default();
-    near.filter(has_said).map(wait).min()
+let now = shared.now();
+let near = near_upstreams(shared, view, job).into_iter();
+let has_said = |it: &&Arc<Upstream>| it.is_limited() || !it.backoff_left(now).is_zero();
+let wait = |it: &Arc<Upstream>| held_back_for(it, now).unwrap_or_default();
+near.filter(has_said).map(wait).min()
 }
 
 /// Prices the upstreams of this region that a choice is made among.
 pub(super) fn price_near(
-    shared: &GatewayShared,
-    view: &GatewayView,
-    job: &GatewayJob,
+shared: &GatewayShared,
+view: &GatewayView,
+job: &GatewayJob,
 ) -> Vec<(Arc<Upstream>, UpstreamChoice)> {
-    let near = near_upstreams(shared, view, job);
-    let candidates = candidates_of(shared, &near, job, &TriedPlaces::default());
-    let pace = shared.pace(&job.service, view);
-    let priced = price_upstreams(&candidates, &query_of(shared, view, job), &pace);
-    priced.into_iter().map(|choice| (near[choice.index].clone(), choice)).collect()
+let near = near_upstreams(shared, view, job);
+let candidates = candidates_of(shared, &near, job, &TriedPlaces::default());
+let pace = shared.pace(&job.service, view);
+let priced = price_upstreams(&candidates, &query_of(shared, view, job), &pace);
+priced.into_iter().map(|choice| (near[choice.index].clone(), choice)).collect()
 }
 
 fn near_upstreams<'a>(
-    shared: &GatewayShared,
-    view: &'a GatewayView,
-    job: &GatewayJob,
+shared: &GatewayShared,
+view: &'a GatewayView,
+job: &GatewayJob,
 ) -> Vec<&'a Arc<Upstream>> {
-    let own_region = shared.settings.region();
-    let all = view.upstreams_of(&job.service).iter();
-    let near = all.filter(|upstream| upstream.identity.region == *own_region);
-    near.filter(|upstream| !upstream.is_leaving()).collect()
+let own_region = shared.settings.region();
+let all = view.upstreams_of(&job.service).iter();
+let near = all.filter(|upstream| upstream.identity.region == *own_region);
+near.filter(|upstream| !upstream.is_leaving()).collect()
 }
 
 fn candidates_of<'a>(
-    shared: &GatewayShared,
-    near: &[&'a Arc<Upstream>],
-    job: &GatewayJob,
-    tried: &TriedPlaces,
+shared: &GatewayShared,
+near: &[&'a Arc<Upstream>],
+job: &GatewayJob,
+tried: &TriedPlaces,
 ) -> Vec<UpstreamCandidate<'a>> {
-    let now = shared.now();
-    let hold = shared.measured_pace(&job.service).slot_time;
-    near.iter().map(|upstream| facts_of(shared, upstream, job, tried, hold, now)).collect()
+let now = shared.now();
+let hold = shared.measured_pace(&job.service).slot_time;
+near.iter().map(|upstream| facts_of(shared, upstream, job, tried, hold, now)).collect()
 }
 
 /// What the choice weighs of one upstream.
 fn facts_of<'a>(
-    shared: &GatewayShared,
-    upstream: &'a Upstream,
-    job: &GatewayJob,
-    tried: &TriedPlaces,
-    hold: Duration,
-    now: MonoTime,
+shared: &GatewayShared,
+upstream: &'a Upstream,
+job: &GatewayJob,
+tried: &TriedPlaces,
+hold: Duration,
+now: MonoTime,
 ) -> UpstreamCandidate<'a> {
-    let pace = *upstream.pace.lock();
-    let transfer_cost = match upstream.identity.data_centre == shared.settings.data_centre {
-        true => 0.0,
-        false => RequestCost::of_bytes(job.body.len(), CENTRE_BYTE_PRICE, job.size()).0,
-    };
-    let cached_tokens = match job.shared_parts() {
-        [] => 0,
-        parts => {
-            shared.hints.lock().cached_tokens(upstream.tag, parts, upstream.identity.prompt_memory)
-        }
-    };
-    UpstreamCandidate {
-        name: upstream.name(),
-        queue: pace.queue_after_refusal(upstream.queue(), hold, now),
-        latency_factor: pace.latency_factor(now),
-        failure_share: pace.failure_share(now),
-        long_pause_share: pace.long_pause_share(now),
-        transfer_cost,
-        cached_tokens,
-        is_ejected: upstream.health.lock().is_ejected(now),
-        is_throttled: held_back_for(upstream, now).is_some(),
-        is_tried: tried.upstreams.contains(upstream.name()),
-    }
+let pace = *upstream.pace.lock();
+let transfer_cost = match upstream.identity.data_centre == shared.settings.data_centre {
+true => 0.0,
+false => RequestCost::of_bytes(job.body.len(), CENTRE_BYTE_PRICE, job.size()).0,
+};
+let cached_tokens = match job.shared_parts() {
+[] => 0,
+parts => {
+shared.hints.lock().cached_tokens(upstream.tag, parts, upstream.identity.prompt_memory)
+}
+};
+UpstreamCandidate {
+name: upstream.name(),
+queue: pace.queue_after_refusal(upstream.queue(), hold, now),
+latency_factor: pace.latency_factor(now),
+failure_share: pace.failure_share(now),
+long_pause_share: pace.long_pause_share(now),
+transfer_cost,
+cached_tokens,
+is_ejected: upstream.health.lock().is_ejected(now),
+is_throttled: held_back_for(upstream, now).is_some(),
+is_tried: tried.upstreams.contains(upstream.name()),
+}
 }
 
 /// The wait of a timely request at an upstream, as this VM expects it.
 pub fn expected_wait(upstream: &Upstream, pace: &ServicePerformance, now: MonoTime) -> Duration {
-    let wait = pace.wait(upstream.queue(), QueueRank::Timely);
-    wait.mul_f64(upstream.pace.lock().latency_factor(now))
+let wait = pace.wait(upstream.queue(), QueueRank::Timely);
+wait.mul_f64(upstream.pace.lock().latency_factor(now))
 }
--- a/crates/foldhaven-gateway/tests/testsuite/peer_messages.rs
+++ b/crates/foldhaven-gateway/tests/testsuite/peer_messages.rs
@@ -7,18 +7,18 @@
 use std::time::Duration;
 
 use foldhaven_core::ids::IncarnationId;
+use foldhaven_core::opaque::account_demand::{AccountTag, LocalDemand, RegionDemand, VmDemand};
 use foldhaven_core::opaque::account_table::{
-    AccountDescription, AccountLimit, ClientAccount, KeyPrint, LimitUnit,
+    AccountDescription, AccountLimit, ClientAccount, KeyFingerprint, LimitUnit,
 };
 use foldhaven_core::opaque::affinity::UpstreamTag;
-use foldhaven_core::opaque::demand_book::{AccountTag, NearDemand, RegionDemand, VmDemand};
 use foldhaven_core::opaque::peer_table::{
     AskedBeats, BeatMessage, KnownCounts, NewsNotice, PeerBeat, PeerPhase, PeerPulse, RegionTag,
     ViewList, ViewNotice, VmLife, VmTag,
 };
 use foldhaven_core::opaque::route_delta::RouteDelta;
 use foldhaven_core::opaque::route_table::{CallerLimits, RouteDescription, RouteVersion};
-use foldhaven_core::opaque::sender_pact::{ListDigest, PactNotice, PactRound};
+use foldhaven_core::opaque::sender_agreement::{AgreementNotice, AgreementRound, ListDigest};
 use foldhaven_core::opaque::upstream_signals::{LeavingNotice, LimitNotice};
 use foldhaven_core::units::CoreShare;
 use foldhaven_gateway::feed::{ChangeSet, CountedChange, FeedChange};
@@ -78,13 +78,13 @@
 }
 
 fn pact() -> PeerMessage {
-    let round = |number| PactRound { incarnation: IncarnationId(2), number };
-    PeerMessage::Pact(PactNotice {
+    let round = |number| AgreementRound { incarnation: IncarnationId(2), number };
+    PeerMessage::Pact(AgreementNotice {
         vm: VmTag(1),
         round: round(3),
         list: Some(ListDigest(4)),
         answers: Some(round(5)),
-        is_call: true,
+        requests_reply: true,
     })
 }
 
@@ -101,18 +101,18 @@
 fn region_demand() -> RegionDemand {
     RegionDemand {
         region: RegionTag(1),
-        teller: VmTag(2),
+        delegate: VmTag(2),
         incarnation: IncarnationId(3),
         sequence: 4,
-        hears: vec![RegionTag(5)],
-        wants: vec![(AccountTag(6), 7.5)],
+        heard_regions: vec![RegionTag(5)],
+        demands: vec![(AccountTag(6), 7.5)],
     }
 }
 
 fn demand() -> PeerMessage {
-    let wants = vec![(AccountTag(6), 7.5)];
-    let own = VmDemand { vm: VmTag(2), incarnation: IncarnationId(3), sequence: 4, wants };
-    PeerMessage::Demand(NearDemand { own: Some(own), regions: vec![region_demand()] })
+    let demands = vec![(AccountTag(6), 7.5)];
+    let own = VmDemand { vm: VmTag(2), incarnation: IncarnationId(3), sequence: 4, demands };
+    PeerMessage::Demand(LocalDemand { own: Some(own), regions: vec![region_demand()] })
 }
 
 fn limits() -> PeerMessage {
@@ -129,7 +129,7 @@
 fn keyed_changes() -> PeerMessage {
     let account = ClientAccount {
         name: "one".parse().unwrap(),
-        keys: [KeyPrint::of(b"key")].into(),
+        keys: [KeyFingerprint::of(b"key")].into(),
         priority: Some(1),
         homes: vec!["north".parse().unwrap()],
         limit: Some(AccountLimit { unit: LimitUnit::Requests, per_s: 2.0, burst: 3.0 }),
