--- a/crates/foldhaven-core/src/opaque/directory.rs
+++ b/crates/foldhaven-core/src/opaque/directory.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use crate::ids::{RegionName, VmName};
-use crate::opaque::peer_table::{PeerBeat, PeerPhase};
+use crate::opaque::peer_table::{PeerHeartbeat, PeerPhase};
 use crate::opaque::service_order::{ServiceCandidate, ServiceOrder};
 use crate::rank::rank_hash;
 use crate::units::CoreShare;
@@ -35,7 +35,7 @@
 /// `bound` tells how many routes of the host are bound to a region, `has_bound` whether any is bound at
 /// all.
 pub fn name_vms(
-    serving: &[PeerBeat],
+    serving: &[PeerHeartbeat],
     region: &RegionName,
     near: &NearService<'_>,
     bound: impl Fn(&RegionName) -> usize,
@@ -54,12 +54,12 @@
 }
 
 fn select(
-    serving: &[PeerBeat],
+    serving: &[PeerHeartbeat],
     near: &NearService<'_>,
-    passes: impl Fn(&PeerBeat) -> bool,
+    passes: impl Fn(&PeerHeartbeat) -> bool,
 ) -> Vec<SocketAddr> {
     let open = serving.iter().filter(|beat| beat.phase == PeerPhase::Serving && passes(beat));
-    let open: Vec<&PeerBeat> = open.collect();
+    let open: Vec<&PeerHeartbeat> = open.collect();
     let regions: BTreeSet<&RegionName> = open.iter().map(|beat| &beat.region).collect();
     let in_service = regions.into_iter().flat_map(|region| {
         let there = open.iter().copied().filter(|beat| beat.region == *region).collect();
@@ -70,11 +70,11 @@
 
 /// Those that are to take the requests of one region.
 fn in_service<'a>(
-    open: Vec<&'a PeerBeat>,
+    open: Vec<&'a PeerHeartbeat>,
     near: &NearService<'_>,
     region: &RegionName,
-) -> Vec<&'a PeerBeat> {
-    let heard: Vec<&PeerBeat> =
+) -> Vec<&'a PeerHeartbeat> {
+    let heard: Vec<&PeerHeartbeat> =
         open.iter().copied().filter(|beat| !near.doubted.contains(&beat.vm)).collect();
     let open = if heard.len() * LEAST_HEARD > open.len() { heard } else { open };
     let order = ServiceOrder::of(open.iter().map(|beat| ServiceCandidate::of(beat)));
@@ -89,13 +89,14 @@
 /// The VMs that one answer names. Callers take each of them as often as any other, so that a VM is left out of
 /// answers the more often the smaller it is; by a rank of the VM that answers, so that its callers are told of the
 /// same ones each time and keep their connections.
-fn draw(chosen: &[&PeerBeat], teller: &VmName) -> Vec<SocketAddr> {
+fn draw(chosen: &[&PeerHeartbeat], teller: &VmName) -> Vec<SocketAddr> {
     let largest = chosen.iter().map(|beat| beat.cores.as_f64()).fold(0.0, f64::max);
-    let part = |beat: &PeerBeat| if largest > 0.0 { beat.cores.as_f64() / largest } else { 1.0 };
+    let part =
+        |beat: &PeerHeartbeat| if largest > 0.0 { beat.cores.as_f64() / largest } else { 1.0 };
     let parts: f64 = chosen.iter().map(|beat| part(beat)).sum();
     let fitting = (MAX_NAMED as f64 / parts).min(1.0);
-    let lot = |beat: &PeerBeat| rank_hash(&[teller.as_str(), beat.vm.as_str()]);
-    let mut drawn: Vec<(f64, &PeerBeat)> = chosen
+    let lot = |beat: &PeerHeartbeat| rank_hash(&[teller.as_str(), beat.vm.as_str()]);
+    let mut drawn: Vec<(f64, &PeerHeartbeat)> = chosen
         .iter()
         .map(|beat| (lot(beat) as f64 / u64::MAX as f64 / (part(beat) * fitting), *beat))
         .collect();
--- a/crates/foldhaven-core/src/opaque/peer_table/news.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/announcements.rs
@@ -14,11 +14,11 @@
 use crate::time::MonoTime;
 
 /// How many VMs of another region are told of a change, so that one lost message does not delay it.
-const FAR_TOLD: usize = 2;
+const REMOTE_ANNOUNCEMENTS: usize = 2;
 
 /// How far a VM knows the platform's changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NewsNotice {
+pub struct RevisionAnnouncement {
     /// The VM.
     pub vm: VmTag,
     /// Its process lifetime.
@@ -31,7 +31,7 @@
     pub is_offer: bool,
 }
 
-impl NewsNotice {
+impl RevisionAnnouncement {
     /// How long ago it was proven that there was no later revision.
     pub fn age(&self) -> Option<Duration> {
         self.age_ms.map(|age_ms| Duration::from_millis(u64::from(age_ms)))
@@ -46,9 +46,9 @@
 
 impl OfferedRevision {
     /// Takes in a notice.
-    pub fn note(&mut self, notice: &NewsNotice) {
-        if notice.is_offer {
-            self.0 = self.0.max(notice.revision);
+    pub fn note(&mut self, announcement: &RevisionAnnouncement) {
+        if announcement.is_offer {
+            self.0 = self.0.max(announcement.revision);
         }
     }
 
@@ -65,46 +65,47 @@
 
 impl PeerTable {
     /// Takes in how far a VM knows the platform's changes. Returns whether that VM is known; else it is asked for.
-    pub fn take_news(&mut self, notice: &NewsNotice) -> bool {
-        let Some(entry) = self.entry_of_mut(notice.vm) else {
-            self.wanted.insert(notice.vm);
+    pub fn apply_announcement(&mut self, announcement: &RevisionAnnouncement) -> bool {
+        let Some(entry) = self.entry_of_mut(announcement.vm) else {
+            self.missing_heartbeats.insert(announcement.vm);
             return false;
         };
-        if entry.beat.incarnation == notice.incarnation {
-            entry.beat.revision = entry.beat.revision.max(notice.revision);
+        if entry.heartbeat.incarnation == announcement.incarnation {
+            entry.heartbeat.revision = entry.heartbeat.revision.max(announcement.revision);
         }
-        entry.beat.incarnation == notice.incarnation
+        entry.heartbeat.incarnation == announcement.incarnation
     }
 
     /// Takes in up to which revision a VM told all it knows when it was asked. One that claimed more is not asked again for it.
-    pub fn note_told_revision(&mut self, peer: SocketAddr, revision: u64) {
-        let entry = self.peers.values_mut().find(|entry| entry.beat.peer == peer);
+    pub fn record_delivered_revision(&mut self, peer: SocketAddr, revision: u64) {
+        let entry = self.peers.values_mut().find(|entry| entry.heartbeat.peer == peer);
         if let Some(entry) = entry {
-            entry.beat.revision = entry.beat.revision.min(revision);
+            entry.heartbeat.revision = entry.heartbeat.revision.min(revision);
         }
     }
 
     /// A few VMs of each other region, for news that does not wait for its turn.
-    pub fn far_news_targets(&mut self, now: MonoTime) -> Vec<SocketAddr> {
+    pub fn remote_announcement_targets(&mut self, now: MonoTime) -> Vec<SocketAddr> {
         let mut targets = BTreeSet::new();
-        for _ in 0..FAR_TOLD {
-            targets.extend(self.one_in_service_of_each_region(now));
+        for _ in 0..REMOTE_ANNOUNCEMENTS {
+            targets.extend(self.one_serving_per_remote_region(now));
         }
         targets.into_iter().collect()
     }
 
     /// The other VMs of this region that take requests at any load, where they hear others.
     pub fn standing_addresses(&self, now: MonoTime) -> Vec<SocketAddr> {
-        let order = self.near_order(now);
+        let order = self.local_service_order(now);
         let standing: BTreeSet<_> = order.standing().iter().map(|it| it.vm).collect();
-        let near = self.near(now).filter(|beat| standing.contains(&beat.vm));
-        near.map(|beat| beat.peer).collect()
+        let local = self.live_local(now).filter(|heartbeat| standing.contains(&heartbeat.vm));
+        local.map(|heartbeat| heartbeat.peer).collect()
     }
 
     /// The place of this VM among those that ask other regions, the first one being 0; nothing when it is none of them.
     /// Whether the platform answers a VM does not matter for that.
-    pub fn asking_place(&self, now: MonoTime) -> Option<usize> {
-        let serving = self.near(now).filter(|beat| beat.phase == PeerPhase::Serving);
+    pub fn fetch_rank(&self, now: MonoTime) -> Option<usize> {
+        let serving =
+            self.live_local(now).filter(|heartbeat| heartbeat.phase == PeerPhase::Serving);
         let candidates = serving.map(ServiceCandidate::of).chain([self.own_candidate()]);
         let order = ServiceOrder::of(candidates);
         let names = order.standing().iter().map(|candidate| candidate.vm);
--- a/crates/foldhaven-core/src/opaque/peer_table/delegates.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/delegates.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use super::{PeerPhase, PeerTable, VmLife};
+use super::{PeerPhase, PeerTable, VmIncarnation};
 use crate::opaque::service_order::ServiceCandidate;
 use crate::time::MonoTime;
 
 /// A delegate tells of VMs that it heard from itself within this time.
-const HEARD_LIMIT: Duration = Duration::from_millis(1_200);
+const CONTACT_WINDOW: Duration = Duration::from_millis(1_200);
 /// How many VMs of a region tell the other regions of it.
 const DELEGATES: usize = 2;
 /// The key by which they are ranked.
@@ -16,48 +16,56 @@
 impl PeerTable {
     /// Takes in the VMs that serve in another region, as a delegate of it tells. Returns whether it is
     /// news that others decide by.
-    pub fn note_lives(&mut self, lives: &[VmLife], now: MonoTime) -> bool {
-        let mut is_news = false;
-        for life in lives {
-            is_news |= self.note_life(*life, now);
+    pub fn apply_reported_incarnations(
+        &mut self,
+        incarnations: &[VmIncarnation],
+        now: MonoTime,
+    ) -> bool {
+        let mut is_membership_change = false;
+        for incarnation in incarnations {
+            is_membership_change |= self.apply_reported_incarnation(*incarnation, now);
         }
-        is_news
+        is_membership_change
     }
 
     /// Takes in one of them. An unknown VM, or another lifetime of a known one, is asked for.
-    fn note_life(&mut self, life: VmLife, now: MonoTime) -> bool {
-        let known = self.entry_of(life.vm).filter(|entry| entry.beat.life() == life);
+    fn apply_reported_incarnation(&mut self, incarnation: VmIncarnation, now: MonoTime) -> bool {
+        let known = self
+            .entry_of(incarnation.vm)
+            .filter(|entry| entry.heartbeat.vm_incarnation() == incarnation);
         let Some(entry) = known else {
-            self.wanted.insert(life.vm);
+            self.missing_heartbeats.insert(incarnation.vm);
             return false;
         };
-        let is_news = !self.is_live(entry, now) || entry.beat.phase == PeerPhase::Starting;
-        let name = entry.beat.vm.clone();
+        let is_membership_change =
+            !self.is_live(entry, now) || entry.heartbeat.phase == PeerPhase::Starting;
+        let name = entry.heartbeat.vm.clone();
         if let Some(entry) = self.peers.get_mut(&name) {
-            entry.risen = now;
+            entry.last_seen = now;
             // One that leaves tells so itself, and a delegate may not have heard it yet.
-            if entry.beat.phase == PeerPhase::Starting {
-                entry.beat.phase = PeerPhase::Serving;
+            if entry.heartbeat.phase == PeerPhase::Starting {
+                entry.heartbeat.phase = PeerPhase::Serving;
             }
         }
-        is_news
+        is_membership_change
     }
 
     /// The VMs of this region that serve, of those that were heard from a moment ago; without this one.
-    pub fn heard_lives(&self, now: MonoTime) -> Vec<VmLife> {
-        let near = self.peers.values().filter(|entry| entry.beat.region == self.region);
-        let heard = near.filter(|entry| {
-            let is_recent = entry.heard.is_some_and(|heard| now.since(heard) < HEARD_LIMIT);
-            is_recent && entry.beat.phase == PeerPhase::Serving
+    pub fn directly_seen_incarnations(&self, now: MonoTime) -> Vec<VmIncarnation> {
+        let local = self.peers.values().filter(|entry| entry.heartbeat.region == self.region);
+        let in_contact = local.filter(|entry| {
+            let is_recent = entry.last_contact.is_some_and(|at| now.since(at) < CONTACT_WINDOW);
+            is_recent && entry.heartbeat.phase == PeerPhase::Serving
         });
-        heard.map(|entry| entry.beat.life()).collect()
+        in_contact.map(|entry| entry.heartbeat.vm_incarnation()).collect()
     }
 
     /// Whether this VM is one of those of its region that speak for it in the others.
     pub fn is_delegate(&self, now: MonoTime) -> bool {
-        let serving = self.near(now).filter(|beat| beat.phase == PeerPhase::Serving);
-        let mut open: Vec<ServiceCandidate<'_>> = serving.map(ServiceCandidate::of).collect();
-        open.push(self.own_candidate());
-        self.is_among_first(DELEGATES, DELEGATE_KEY, open)
+        let serving =
+            self.live_local(now).filter(|heartbeat| heartbeat.phase == PeerPhase::Serving);
+        let mut candidates: Vec<ServiceCandidate<'_>> = serving.map(ServiceCandidate::of).collect();
+        candidates.push(self.own_candidate());
+        self.is_among_first(DELEGATES, DELEGATE_KEY, candidates)
     }
 }
--- a/crates/foldhaven-core/src/opaque/peer_table/messages.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/messages.rs
@@ -11,27 +11,30 @@
 
 /// What one VM sends another in a round.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct BeatMessage {
+pub struct HeartbeatMessage {
     /// The sender's heartbeat.
-    pub own: PeerBeat,
+    pub own: PeerHeartbeat,
     /// Pulses of VMs that the sender heard.
-    pub pulses: Vec<PeerPulse>,
+    #[serde(rename = "pulses")]
+    pub liveness: Vec<LivenessUpdate>,
     /// Heartbeats of VMs that the receiver did not know.
-    pub heard: Vec<PeerBeat>,
+    #[serde(rename = "heard")]
+    pub others: Vec<PeerHeartbeat>,
     /// Which heartbeats the sender asks for.
-    pub asks: AskedBeats,
+    #[serde(rename = "asks")]
+    pub requests: RequestedHeartbeats,
 }
 
-impl BeatMessage {
+impl HeartbeatMessage {
     /// A message with one's own heartbeat and some of others, that asks for nothing.
-    pub fn of(own: PeerBeat, heard: Vec<PeerBeat>) -> Self {
-        Self { own, pulses: Vec::new(), heard, asks: AskedBeats::Of(Vec::new()) }
+    pub fn of(own: PeerHeartbeat, others: Vec<PeerHeartbeat>) -> Self {
+        Self { own, liveness: Vec::new(), others, requests: RequestedHeartbeats::Of(Vec::new()) }
     }
 }
 
 /// Which heartbeats of other VMs are asked for.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum AskedBeats {
+pub enum RequestedHeartbeats {
     /// Those of these VMs, of which no more than their tags or another lifetime is known.
     Of(Vec<VmTag>),
     /// All, by a process that knows nobody yet.
@@ -40,7 +43,7 @@
 
 /// The heartbeat of a VM: all that others know of it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct PeerBeat {
+pub struct PeerHeartbeat {
     /// The VM.
     pub vm: VmName,
     /// The process lifetime; a later one is larger.
@@ -67,10 +70,10 @@
     pub is_turned_away: bool,
 }
 
-impl PeerBeat {
+impl PeerHeartbeat {
     /// The pulse that repeats what changes often in this heartbeat.
-    pub(super) fn pulse(&self) -> PeerPulse {
-        PeerPulse {
+    pub(super) fn liveness_update(&self) -> LivenessUpdate {
+        LivenessUpdate {
             vm: VmTag::of(&self.vm),
             incarnation: self.incarnation,
             sequence: self.sequence,
@@ -81,19 +84,19 @@
     }
 
     /// This heartbeat with what a later pulse of the same lifetime says.
-    pub(super) fn with_pulse(&self, pulse: &PeerPulse) -> Self {
+    pub(super) fn with_liveness_update(&self, update: &LivenessUpdate) -> Self {
         Self {
-            sequence: pulse.sequence,
-            phase: pulse.phase,
-            revision: pulse.revision,
-            is_turned_away: pulse.is_turned_away,
+            sequence: update.sequence,
+            phase: update.phase,
+            revision: update.revision,
+            is_turned_away: update.is_turned_away,
             ..self.clone()
         }
     }
 
     /// The lifetime that this heartbeat is of.
-    pub fn life(&self) -> VmLife {
-        VmLife::of(&self.vm, self.incarnation)
+    pub fn vm_incarnation(&self) -> VmIncarnation {
+        VmIncarnation::of(&self.vm, self.incarnation)
     }
 
     /// Where this heartbeat stands among all of its VM; later ones are larger.
@@ -104,7 +107,7 @@
 
 /// That the sequence of a VM has risen, and what changes often of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PeerPulse {
+pub struct LivenessUpdate {
     /// The VM.
     pub vm: VmTag,
     /// Its process lifetime.
@@ -121,17 +124,18 @@
 
 /// One lifetime of a VM, short enough to be told of all VMs of a region at once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct VmLife {
+pub struct VmIncarnation {
     /// The VM.
     pub vm: VmTag,
     /// The last bits of its incarnation, by which it differs from the lifetimes next to it.
-    pub lifetime: u16,
+    #[serde(rename = "lifetime")]
+    pub incarnation_bits: u16,
 }
 
-impl VmLife {
+impl VmIncarnation {
     /// The lifetime of a VM.
     pub fn of(vm: &VmName, incarnation: IncarnationId) -> Self {
-        Self { vm: VmTag::of(vm), lifetime: incarnation.0 as u16 }
+        Self { vm: VmTag::of(vm), incarnation_bits: incarnation.0 as u16 }
     }
 }
 
--- a/crates/foldhaven-core/src/opaque/peer_table/targets.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/targets.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use super::{PeerBeat, PeerEntry, PeerPhase, PeerPulse, PeerTable, VmTag};
+use super::{LivenessUpdate, PeerEntry, PeerHeartbeat, PeerPhase, PeerTable, VmTag};
 use crate::ids::RegionName;
 use crate::opaque::service_order::{ServiceCandidate, ServiceOrder};
 use crate::time::MonoTime;
@@ -11,138 +11,149 @@
 /// How many VMs of the region get a heartbeat in one round.
 pub(super) const FAN_OUT: usize = 4;
 /// How many of them stand in other data centres, where there are several: bytes between data centres are paid for.
-const FAN_OUT_ACROSS: usize = 1;
+const CROSS_CENTRE_FAN_OUT: usize = 1;
 /// A VM that is no delegate sends a heartbeat to one far VM in so many rounds, so that halves that
 /// lost each other meet again whoever their delegates are.
-const FAR_ROUNDS: u32 = 16;
+const REMOTE_ROUND_INTERVAL: u32 = 16;
 /// How many pulses of others go with one's own heartbeat.
-pub(super) const RELAYED: usize = 48;
+pub(super) const MAX_RELAYED: usize = 48;
 
 /// Whom a round of heartbeats goes to.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct BeatTargets {
+pub struct HeartbeatTargets {
     /// VMs of this region.
-    pub near: Vec<SocketAddr>,
+    pub local: Vec<SocketAddr>,
     /// VMs of other regions; they are told of others by delegates, and get no pulses.
-    pub far: Vec<SocketAddr>,
+    pub remote: Vec<SocketAddr>,
 }
 
 impl PeerTable {
     /// The VMs that get the next round: a few of this region in turn, and of the other regions one each
     /// from a delegate; silent ones too, so that cuts that have healed are noticed.
-    pub fn next_targets(&mut self, now: MonoTime) -> BeatTargets {
+    pub fn next_targets(&mut self, now: MonoTime) -> HeartbeatTargets {
         self.rounds += 1;
-        let near = self.peers.values().filter(|entry| entry.beat.region == self.region);
-        let (same, across): (Vec<&PeerEntry>, Vec<&PeerEntry>) =
-            near.partition(|entry| entry.beat.data_centre == self.data_centre);
-        let addresses =
-            |it: Vec<&PeerEntry>| it.iter().map(|it| it.beat.peer).collect::<Vec<SocketAddr>>();
-        let (same, across) = (addresses(same), addresses(across));
-        let within = FAN_OUT.saturating_sub(across.len().min(FAN_OUT_ACROSS));
-        let mut near = take_in_turn(&same, within, &mut self.near_turn);
-        let left = FAN_OUT - near.len();
-        near.extend(take_in_turn(&across, left, &mut self.across_turn));
-        BeatTargets { near, far: self.next_far_targets(now) }
+        let local = self.peers.values().filter(|entry| entry.heartbeat.region == self.region);
+        let (same_centre, other_centres): (Vec<&PeerEntry>, Vec<&PeerEntry>) =
+            local.partition(|entry| entry.heartbeat.data_centre == self.data_centre);
+        let addresses = |it: Vec<&PeerEntry>| {
+            it.iter().map(|it| it.heartbeat.peer).collect::<Vec<SocketAddr>>()
+        };
+        let (same_centre, other_centres) = (addresses(same_centre), addresses(other_centres));
+        let within = FAN_OUT.saturating_sub(other_centres.len().min(CROSS_CENTRE_FAN_OUT));
+        let mut local = take_rotating(&same_centre, within, &mut self.local_cursor);
+        let left = FAN_OUT - local.len();
+        local.extend(take_rotating(&other_centres, left, &mut self.cross_centre_cursor));
+        HeartbeatTargets { local, remote: self.next_remote_targets(now) }
     }
 
     /// The VMs that are told again in a round of something that may have been lost: a few of this region in turn, and of the
     /// other regions one each from a delegate. Their turn is not the one of heartbeats: of two that take turns in one, each
     /// might always meet the same VMs.
-    pub fn next_told_targets(&mut self, now: MonoTime) -> BeatTargets {
-        let near = self.addresses_of(|region, own| region == own);
-        let near = take_in_turn(&near, FAN_OUT, &mut self.told_turn);
-        let far = match self.is_delegate(now) {
-            true => self.one_of_each_region_at(self.told_turn),
+    pub fn next_resend_targets(&mut self, now: MonoTime) -> HeartbeatTargets {
+        let local = self.addresses_where(|region, own| region == own);
+        let local = take_rotating(&local, FAN_OUT, &mut self.resend_cursor);
+        let remote = match self.is_delegate(now) {
+            true => self.one_per_remote_region_at(self.resend_cursor),
             false => Vec::new(),
         };
-        BeatTargets { near, far }
+        HeartbeatTargets { local, remote }
     }
 
-    fn next_far_targets(&mut self, now: MonoTime) -> Vec<SocketAddr> {
+    fn next_remote_targets(&mut self, now: MonoTime) -> Vec<SocketAddr> {
         if self.is_delegate(now) {
-            return self.one_of_each_region();
+            return self.one_per_remote_region();
         }
-        if !self.rounds.is_multiple_of(FAR_ROUNDS) {
+        if !self.rounds.is_multiple_of(REMOTE_ROUND_INTERVAL) {
             return Vec::new();
         }
-        let far = self.addresses_of(|region, own| region != own);
-        self.far_turn += 1;
-        far.get(self.far_turn % far.len().max(1)).copied().into_iter().collect()
+        let remote = self.addresses_where(|region, own| region != own);
+        self.remote_cursor += 1;
+        remote.get(self.remote_cursor % remote.len().max(1)).copied().into_iter().collect()
     }
 
     /// One VM of each other region, another one each time.
-    pub fn one_of_each_region(&mut self) -> Vec<SocketAddr> {
-        self.far_turn += 1;
-        self.one_of_each_region_at(self.far_turn)
+    pub fn one_per_remote_region(&mut self) -> Vec<SocketAddr> {
+        self.remote_cursor += 1;
+        self.one_per_remote_region_at(self.remote_cursor)
     }
 
-    fn one_of_each_region_at(&self, turn: usize) -> Vec<SocketAddr> {
-        let far = self.peers.values().filter(|entry| entry.beat.region != self.region);
+    fn one_per_remote_region_at(&self, cursor: usize) -> Vec<SocketAddr> {
+        let remote = self.peers.values().filter(|entry| entry.heartbeat.region != self.region);
         let mut regions: BTreeMap<&RegionName, Vec<SocketAddr>> = BTreeMap::new();
-        for entry in far {
-            regions.entry(&entry.beat.region).or_default().push(entry.beat.peer);
+        for entry in remote {
+            regions.entry(&entry.heartbeat.region).or_default().push(entry.heartbeat.peer);
         }
-        regions.into_values().map(|peers| peers[turn % peers.len()]).collect()
+        regions.into_values().map(|peers| peers[cursor % peers.len()]).collect()
     }
 
     /// One VM of each other region that takes requests there, another one each time: it hears and tells the
     /// others of its region most often.
-    pub fn one_in_service_of_each_region(&mut self, now: MonoTime) -> Vec<SocketAddr> {
-        self.far_turn += 1;
-        let turn = self.far_turn;
-        let serving = self.live(now).filter(|beat| beat.phase == PeerPhase::Serving);
-        let far = serving.filter(|beat| beat.region != self.region);
-        let mut regions: BTreeMap<&RegionName, Vec<&PeerBeat>> = BTreeMap::new();
-        for beat in far {
-            regions.entry(&beat.region).or_default().push(beat);
+    pub fn one_serving_per_remote_region(&mut self, now: MonoTime) -> Vec<SocketAddr> {
+        self.remote_cursor += 1;
+        let cursor = self.remote_cursor;
+        let serving = self.live(now).filter(|heartbeat| heartbeat.phase == PeerPhase::Serving);
+        let remote = serving.filter(|heartbeat| heartbeat.region != self.region);
+        let mut regions: BTreeMap<&RegionName, Vec<&PeerHeartbeat>> = BTreeMap::new();
+        for heartbeat in remote {
+            regions.entry(&heartbeat.region).or_default().push(heartbeat);
         }
-        let in_turn = regions.into_values().filter_map(|beats| {
-            let order = ServiceOrder::of(beats.iter().map(|beat| ServiceCandidate::of(beat)));
+        let in_turn = regions.into_values().filter_map(|heartbeats| {
+            let order = ServiceOrder::of(
+                heartbeats.iter().map(|heartbeat| ServiceCandidate::of(heartbeat)),
+            );
             let standing = order.standing();
-            let chosen = standing.get(turn % standing.len().max(1))?;
-            beats.iter().find(|beat| beat.vm == *chosen.vm).map(|beat| beat.peer)
+            let chosen = standing.get(cursor % standing.len().max(1))?;
+            heartbeats
+                .iter()
+                .find(|heartbeat| heartbeat.vm == *chosen.vm)
+                .map(|heartbeat| heartbeat.peer)
         });
         in_turn.collect()
     }
 
-    fn addresses_of(&self, is_meant: impl Fn(&RegionName, &RegionName) -> bool) -> Vec<SocketAddr> {
+    fn addresses_where(
+        &self,
+        matches: impl Fn(&RegionName, &RegionName) -> bool,
+    ) -> Vec<SocketAddr> {
         let entries = self.peers.values();
-        let meant = entries.filter(|entry| is_meant(&entry.beat.region, &self.region));
-        meant.map(|entry| entry.beat.peer).collect()
+        let meant = entries.filter(|entry| matches(&entry.heartbeat.region, &self.region));
+        meant.map(|entry| entry.heartbeat.peer).collect()
     }
 
     /// The addresses of all VMs, for news that does not wait for its turn.
     pub fn all_addresses(&self) -> Vec<SocketAddr> {
-        self.peers.values().map(|entry| entry.beat.peer).collect()
+        self.peers.values().map(|entry| entry.heartbeat.peer).collect()
     }
 
     /// The pulses that go with one's own heartbeat: none where everybody near is reached directly within
     /// two rounds, else those of live VMs of the region of which this one has told nobody yet. Of far ones their
     /// delegates tell.
-    pub fn relayed(&mut self, now: MonoTime) -> Vec<PeerPulse> {
-        if !self.is_large() {
+    pub fn next_liveness_updates(&mut self, now: MonoTime) -> Vec<LivenessUpdate> {
+        if !self.is_large_fleet() {
             return Vec::new();
         }
-        let news = self.near(now).filter(|beat| self.is_to_be_told(beat));
-        let news: Vec<PeerPulse> = news.map(PeerBeat::pulse).collect();
-        let told = take_in_turn(&news, RELAYED, &mut self.pulse_turn);
-        for pulse in &told {
-            self.told.insert(pulse.vm, (pulse.incarnation, pulse.sequence));
+        let updates = self.live_local(now).filter(|heartbeat| self.needs_relay(heartbeat));
+        let updates: Vec<LivenessUpdate> = updates.map(PeerHeartbeat::liveness_update).collect();
+        let relayed = take_rotating(&updates, MAX_RELAYED, &mut self.relay_cursor);
+        for update in &relayed {
+            self.last_relayed.insert(update.vm, (update.incarnation, update.sequence));
         }
-        told
+        relayed
     }
 
     /// Whether others were not told yet of a heartbeat. Telling of it once is enough: four VMs hear it from each
     /// that heard it, and a higher sequence comes within seconds.
-    fn is_to_be_told(&self, beat: &PeerBeat) -> bool {
-        self.told.get(&VmTag::of(&beat.vm)).is_none_or(|told| beat.order() > *told)
+    fn needs_relay(&self, heartbeat: &PeerHeartbeat) -> bool {
+        self.last_relayed
+            .get(&VmTag::of(&heartbeat.vm))
+            .is_none_or(|previous| heartbeat.order() > *previous)
     }
 }
 
 /// At most so many of the items, from the one whose turn it is; the next call begins after them.
-fn take_in_turn<T: Copy>(items: &[T], most: usize, turn: &mut usize) -> Vec<T> {
-    let count = most.min(items.len());
-    let taken = (0..count).map(|step| items[(*turn + step) % items.len()]).collect();
-    *turn += count;
-    taken
+fn take_rotating<T: Copy>(items: &[T], limit: usize, cursor: &mut usize) -> Vec<T> {
+    let count = limit.min(items.len());
+    let chosen = (0..count).map(|step| items[(*cursor + step) % items.len()]).collect();
+    *cursor += count;
+    chosen
 }
--- a/crates/foldhaven-core/src/opaque/region_book.rs
+++ b/crates/foldhaven-core/src/opaque/region_book.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{IncarnationId, RegionName, ServiceName};
-use crate::opaque::peer_table::{ServiceTag, ServiceWait, VmLife, VmTag};
+use crate::opaque::peer_table::{ServiceTag, ServiceWait, VmIncarnation, VmTag};
 use crate::time::MonoTime;
 
 /// Between two reports of a delegate.
@@ -35,7 +35,7 @@
     /// The waits at the upstreams of the region.
     pub waits: Vec<ServiceWait>,
     /// The VMs that serve there, as the delegate heard from each of them; empty in most reports.
-    pub lives: Vec<VmLife>,
+    pub lives: Vec<VmIncarnation>,
 }
 
 #[derive(Debug)]
--- a/crates/foldhaven-core/src/opaque/service_order.rs
+++ b/crates/foldhaven-core/src/opaque/service_order.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 
 use crate::ids::{DataCentreName, VmName};
-use crate::opaque::peer_table::PeerBeat;
+use crate::opaque::peer_table::PeerHeartbeat;
 use crate::rank::rank_hash;
 use crate::units::CoreShare;
 
@@ -42,7 +42,7 @@
 
 impl<'a> ServiceCandidate<'a> {
     /// The VM of a heartbeat.
-    pub fn of(beat: &'a PeerBeat) -> Self {
+    pub fn of(beat: &'a PeerHeartbeat) -> Self {
         Self { vm: &beat.vm, data_centre: &beat.data_centre, cores: beat.cores }
     }
 }
--- a/crates/foldhaven-core/tests/testsuite/opaque_heartbeats.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_heartbeats.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use foldhaven_core::ids::IncarnationId;
-use foldhaven_core::opaque::peer_table::{AskedBeats, PeerBeat, PeerTable, VmTag};
+use foldhaven_core::opaque::peer_table::{PeerHeartbeat, PeerTable, RequestedHeartbeats, VmTag};
 
 use crate::opaque_support::{at, beat, centre_table, table, table_of};
 
@@ -12,14 +12,14 @@
 fn in_a_large_fleet_pulses_of_all_live_vms_go_round() {
     let mut table = table();
     for number in 0..60 {
-        table.hear(beat(&format!("vm-{number}"), "north", 1), at(0));
+        table.apply_heartbeat(beat(&format!("vm-{number}"), "north", 1), at(0));
     }
     let mut told = std::collections::BTreeSet::new();
     for _ in 0..3 {
-        told.extend(table.relayed(at(100)).into_iter().map(|pulse| pulse.vm));
+        told.extend(table.next_liveness_updates(at(100)).into_iter().map(|pulse| pulse.vm));
     }
     assert_eq!(told.len(), 60);
-    assert!(table.relayed(at(10_000)).is_empty(), "silent ones are not told of");
+    assert!(table.next_liveness_updates(at(10_000)).is_empty(), "silent ones are not told of");
 }
 
 /// Found on a deployment of 69 VMs: all of them turned to the same few VMs at a time, so that the
@@ -31,9 +31,9 @@
     for own in &names {
         let mut table = table_of(own, 1);
         for name in names.iter().filter(|name| *name != own) {
-            table.hear(beat(name, "north", 1), at(0));
+            table.apply_heartbeat(beat(name, "north", 1), at(0));
         }
-        for target in table.next_targets(at(0)).near {
+        for target in table.next_targets(at(0)).local {
             *hits.entry(target).or_insert(0) += 1;
         }
     }
@@ -45,11 +45,11 @@
 fn every_vm_gets_a_heartbeat_in_its_turn() {
     let mut table = table();
     for number in 0..11 {
-        table.hear(beat(&format!("vm-{number}"), "north", 1), at(0));
+        table.apply_heartbeat(beat(&format!("vm-{number}"), "north", 1), at(0));
     }
     let mut reached = std::collections::BTreeSet::new();
     for _ in 0..3 {
-        reached.extend(table.next_targets(at(0)).near);
+        reached.extend(table.next_targets(at(0)).local);
     }
     assert_eq!(reached.len(), 11);
 }
@@ -61,18 +61,21 @@
     let mut table = table();
     let mut other = table_of("other", 1);
     for number in 0..20 {
-        table.hear(beat(&format!("vm-{number}"), "south", 1), at(0));
-        other.hear(beat(&format!("vm-{number}"), "south", 1), at(0));
+        table.apply_heartbeat(beat(&format!("vm-{number}"), "south", 1), at(0));
+        other.apply_heartbeat(beat(&format!("vm-{number}"), "south", 1), at(0));
     }
     let mut restarted = beat("vm-3", "south", 1);
     restarted.incarnation = IncarnationId(7);
-    other.hear(restarted.clone(), at(0));
-    table.take_asks();
-    table.note_lives(&[restarted.life(), beat("vm-4", "south", 1).life()], at(100));
-    let asks = table.take_asks();
-    assert_eq!(asks, AskedBeats::Of(vec![VmTag::of(&restarted.vm)]));
-    assert_eq!(other.answers(&asks, at(100)), [restarted]);
-    assert_eq!(other.answers(&AskedBeats::All, at(100)).len(), 20);
+    other.apply_heartbeat(restarted.clone(), at(0));
+    table.take_heartbeat_requests();
+    table.apply_reported_incarnations(
+        &[restarted.vm_incarnation(), beat("vm-4", "south", 1).vm_incarnation()],
+        at(100),
+    );
+    let asks = table.take_heartbeat_requests();
+    assert_eq!(asks, RequestedHeartbeats::Of(vec![VmTag::of(&restarted.vm)]));
+    assert_eq!(other.requested_heartbeats(&asks, at(100)), [restarted]);
+    assert_eq!(other.requested_heartbeats(&RequestedHeartbeats::All, at(100)).len(), 20);
 }
 
 #[test]
@@ -81,11 +84,11 @@
     for own in 0..12 {
         let mut table = table_of(&format!("vm-{own}"), 1);
         for other in (0..12).filter(|other| *other != own) {
-            table.hear(beat(&format!("vm-{other}"), "north", 1), at(0));
-            table.hear(beat(&format!("south-{other}"), "south", 1), at(0));
-            table.hear(beat(&format!("east-{other}"), "east", 1), at(0));
+            table.apply_heartbeat(beat(&format!("vm-{other}"), "north", 1), at(0));
+            table.apply_heartbeat(beat(&format!("south-{other}"), "south", 1), at(0));
+            table.apply_heartbeat(beat(&format!("east-{other}"), "east", 1), at(0));
         }
-        let far: Vec<usize> = (0..16).map(|_| table.next_targets(at(0)).far.len()).collect();
+        let far: Vec<usize> = (0..16).map(|_| table.next_targets(at(0)).remote.len()).collect();
         match table.is_delegate(at(0)) {
             true => assert_eq!(far, [2; 16], "one of each region"),
             false => assert_eq!(far.iter().sum::<usize>(), 1, "one in sixteen rounds"),
@@ -102,7 +105,7 @@
     const NEAR: usize = 98;
     const ROUNDS: u64 = 40;
     let centre = |number: usize| if number.is_multiple_of(2) { "north-hall" } else { "other-hall" };
-    let beat_of = |number: usize, sequence: u32| PeerBeat {
+    let beat_of = |number: usize, sequence: u32| PeerHeartbeat {
         data_centre: centre(number).parse().unwrap(),
         ..beat(&format!("vm-{number}"), "north", sequence)
     };
@@ -114,28 +117,32 @@
     let mut tables: Vec<PeerTable> =
         (0..NEAR).map(|own| centre_table(&format!("vm-{own}"), 1, "north", centre(own))).collect();
     for (own, table) in tables.iter_mut().enumerate() {
-        (0..NEAR).filter(|it| *it != own).for_each(|it| assert!(table.hear(beat_of(it, 0), at(0))));
-        (0..190).for_each(|it| assert!(table.hear(beat(&format!("far-{it}"), "south", 0), at(0))));
+        (0..NEAR)
+            .filter(|it| *it != own)
+            .for_each(|it| assert!(table.apply_heartbeat(beat_of(it, 0), at(0))));
+        (0..190).for_each(|it| {
+            assert!(table.apply_heartbeat(beat(&format!("far-{it}"), "south", 0), at(0)))
+        });
     }
     let mut missed = 0;
     let mut datagrams = 0_u32;
     for round in 1..=ROUNDS {
         for own in 0..NEAR {
             let now = at(round * 500 + own as u64 * 5);
-            let pulses = tables[own].relayed(now);
-            for target in tables[own].next_targets(now).near {
+            let pulses = tables[own].next_liveness_updates(now);
+            for target in tables[own].next_targets(now).local {
                 datagrams += 1;
                 if datagrams.is_multiple_of(50) {
                     continue; // lost on the way
                 }
                 for hearer in addresses[&target].iter().filter(|hearer| **hearer != own) {
-                    tables[*hearer].hear(beat_of(own, round as u32), now);
+                    tables[*hearer].apply_heartbeat(beat_of(own, round as u32), now);
                     for pulse in &pulses {
-                        tables[*hearer].hear_pulse(*pulse, now);
+                        tables[*hearer].apply_liveness_update(*pulse, now);
                     }
                 }
             }
-            missed += NEAR - 1 - tables[own].near(now).count();
+            missed += NEAR - 1 - tables[own].live_local(now).count();
         }
     }
     let looks = ROUNDS as usize * NEAR * (NEAR - 1);
@@ -149,13 +156,13 @@
     const OTHERS: usize = 8;
     let mut table = table_of("vm-0", 1);
     for number in 1..=OTHERS {
-        table.hear(beat(&format!("vm-{number}"), "north", 1), at(0));
+        table.apply_heartbeat(beat(&format!("vm-{number}"), "north", 1), at(0));
     }
     for _ in 0..6 {
         let (mut beats, mut told) = (BTreeSet::new(), BTreeSet::new());
         for _ in 0..2 {
-            beats.extend(table.next_targets(at(0)).near);
-            told.extend(table.next_told_targets(at(0)).near);
+            beats.extend(table.next_targets(at(0)).local);
+            told.extend(table.next_resend_targets(at(0)).local);
         }
         assert_eq!((beats.len(), told.len()), (OTHERS, OTHERS));
     }
--- a/crates/foldhaven-core/tests/testsuite/opaque_news.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_news.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use foldhaven_core::opaque::belief_age::{BeliefAge, RevisionProof};
-use foldhaven_core::opaque::peer_table::{NewsNotice, OfferedRevision, PeerTable, VmTag};
+use foldhaven_core::opaque::peer_table::{OfferedRevision, PeerTable, RevisionAnnouncement, VmTag};
 use foldhaven_core::time::MonoTime;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -20,10 +20,16 @@
     RevisionProof { revision, at: at(millis) }
 }
 
-fn notice(vm: &str, revision: u64) -> NewsNotice {
+fn notice(vm: &str, revision: u64) -> RevisionAnnouncement {
     let beat = beat(vm, "south", 1);
     let incarnation = beat.incarnation;
-    NewsNotice { vm: VmTag::of(&beat.vm), incarnation, revision, age_ms: None, is_offer: false }
+    RevisionAnnouncement {
+        vm: VmTag::of(&beat.vm),
+        incarnation,
+        revision,
+        age_ms: None,
+        is_offer: false,
+    }
 }
 
 /// The tables of twelve VMs of the north that know each other and twelve of the south.
@@ -32,8 +38,8 @@
     let table = |number: usize| {
         let mut table = region_table(&own(number), 1, "north");
         for other in 0..12 {
-            table.hear(beat(&own(other), "north", 1), at(0));
-            table.hear(beat(&format!("south-{other}"), "south", 1), at(0));
+            table.apply_heartbeat(beat(&own(other), "north", 1), at(0));
+            table.apply_heartbeat(beat(&format!("south-{other}"), "south", 1), at(0));
         }
         table
     };
@@ -105,23 +111,24 @@
         live.filter(|beat| beat.revision > 1).map(|beat| beat.vm.to_string()).collect()
     };
     assert!(ahead(&table).is_empty());
-    assert!(table.take_news(&notice("south-3", 5)));
+    assert!(table.apply_announcement(&notice("south-3", 5)));
     assert_eq!(ahead(&table), ["south-3"]);
     // A heartbeat that was sent before it comes after it.
-    table.hear(beat("south-3", "south", 2), at(100));
+    table.apply_heartbeat(beat("south-3", "south", 2), at(100));
     assert_eq!(ahead(&table), ["south-3"], "it knows no less than it said");
-    let of_another_life = NewsNotice { incarnation: Default::default(), ..notice("south-4", 9) };
-    assert!(!table.take_news(&of_another_life));
-    assert!(!table.take_news(&notice("stranger", 9)));
+    let of_another_life =
+        RevisionAnnouncement { incarnation: Default::default(), ..notice("south-4", 9) };
+    assert!(!table.apply_announcement(&of_another_life));
+    assert!(!table.apply_announcement(&notice("stranger", 9)));
     assert_eq!(ahead(&table), ["south-3"]);
 }
 
 #[test]
 fn what_a_vm_does_not_have_when_asked_is_not_believed_of_it() {
     let mut table = tables_of_the_north().remove(0);
-    table.take_news(&notice("south-3", u64::MAX));
+    table.apply_announcement(&notice("south-3", u64::MAX));
     let peer = beat("south-3", "south", 1).peer;
-    table.note_told_revision(peer, 4);
+    table.record_delivered_revision(peer, 4);
     assert!(table.live(at(100)).all(|beat| beat.revision <= 4));
 }
 
@@ -129,11 +136,11 @@
 fn two_vms_of_each_other_region_are_told() {
     let mut table = region_table("own", 1, "north");
     for number in 0..12 {
-        table.hear(beat(&format!("south-{number}"), "south", 1), at(0));
-        table.hear(beat(&format!("east-{number}"), "east", 1), at(0));
-        table.hear(beat(&format!("north-{number}"), "north", 1), at(0));
+        table.apply_heartbeat(beat(&format!("south-{number}"), "south", 1), at(0));
+        table.apply_heartbeat(beat(&format!("east-{number}"), "east", 1), at(0));
+        table.apply_heartbeat(beat(&format!("north-{number}"), "north", 1), at(0));
     }
-    let targets: BTreeSet<_> = table.far_news_targets(at(100)).into_iter().collect();
+    let targets: BTreeSet<_> = table.remote_announcement_targets(at(100)).into_iter().collect();
     let told = |region: &str| {
         let peers = (0..12).map(|number| beat(&format!("{region}-{number}"), region, 1).peer);
         peers.filter(|peer| targets.contains(peer)).count()
@@ -145,7 +152,7 @@
 #[test]
 fn those_that_ask_other_regions_do_so_one_after_the_other() {
     let places: Vec<Option<usize>> =
-        tables_of_the_north().iter().map(|table| table.asking_place(at(100))).collect();
+        tables_of_the_north().iter().map(|table| table.fetch_rank(at(100))).collect();
     let asking: BTreeSet<usize> = places.iter().flatten().copied().collect();
     assert_eq!(asking.len(), places.iter().flatten().count(), "no place twice: {places:?}");
     assert!(asking.contains(&0) && asking.len() >= 3, "{places:?}");
@@ -169,8 +176,8 @@
 fn an_offer_stands_until_its_revision_is_known() {
     let mut offered = OfferedRevision::default();
     assert!(!offered.is_beyond(0));
-    offered.note(&NewsNotice { is_offer: true, ..notice("vm-1", 100) });
-    offered.note(&NewsNotice { is_offer: true, ..notice("vm-2", 98) });
+    offered.note(&RevisionAnnouncement { is_offer: true, ..notice("vm-1", 100) });
+    offered.note(&RevisionAnnouncement { is_offer: true, ..notice("vm-2", 98) });
     offered.note(&notice("vm-3", 200));
     assert!(offered.is_beyond(98), "what leads to 98 does not answer the offer of 100");
     assert!(!offered.is_beyond(100));
--- a/crates/foldhaven-core/tests/testsuite/opaque_peers.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_peers.rs
@@ -3,7 +3,8 @@
 
 use foldhaven_core::ids::IncarnationId;
 use foldhaven_core::opaque::peer_table::{
-    AskedBeats, KnownCounts, PeerPhase, PeerPulse, PeerTable, RegionTag, ViewNotice, VmTag,
+    KnownCounts, LivenessUpdate, PeerPhase, PeerTable, RegionTag, RequestedHeartbeats, ViewDigest,
+    VmTag,
 };
 use foldhaven_core::time::MonoTime;
 
@@ -16,24 +17,27 @@
 #[test]
 fn repeating_what_a_dead_vm_said_does_not_keep_it_alive() {
     let mut table = table();
-    assert!(table.hear(beat("a", "north", 5), at(0)));
+    assert!(table.apply_heartbeat(beat("a", "north", 5), at(0)));
     for millis in (0..5_000).step_by(500) {
-        table.hear(beat("a", "north", 5), at(millis));
-        table.hear(beat("a", "north", 4), at(millis));
+        table.apply_heartbeat(beat("a", "north", 5), at(millis));
+        table.apply_heartbeat(beat("a", "north", 4), at(millis));
     }
     assert!(live(&table, at(5_000)).is_empty());
-    assert!(table.hear(beat("a", "north", 6), at(5_000)), "its return is news");
+    assert!(table.apply_heartbeat(beat("a", "north", 6), at(5_000)), "its return is news");
     assert_eq!(live(&table, at(5_000)), ["a"]);
 }
 
 #[test]
 fn a_later_lifetime_goes_before_any_sequence() {
     let mut table = table();
-    table.hear(beat("a", "north", 900), at(0));
+    table.apply_heartbeat(beat("a", "north", 900), at(0));
     let mut restarted = beat("a", "north", 1);
     restarted.incarnation = IncarnationId(2);
-    assert!(table.hear(restarted, at(10)));
-    assert!(!table.hear(beat("a", "north", 901), at(20)), "the earlier lifetime is over");
+    assert!(table.apply_heartbeat(restarted, at(10)));
+    assert!(
+        !table.apply_heartbeat(beat("a", "north", 901), at(20)),
+        "the earlier lifetime is over"
+    );
 }
 
 /// Lifetimes are named by the time of day. A VM whose clock was set back while it restarted was not
@@ -43,78 +47,78 @@
     let mut other = table_of("other", 1);
     let mut earlier = beat("own", "north", 40);
     earlier.incarnation = IncarnationId(9_000);
-    other.hear(earlier, at(0));
+    other.apply_heartbeat(earlier, at(0));
     let mut restarted = table_of("own", 7_000);
     let mut first = beat("own", "north", 1);
     first.incarnation = restarted.incarnation();
-    other.hear(first.clone(), at(8_000));
-    let told = other.later_lifetime(&first.vm, first.incarnation).expect("it is told").clone();
-    restarted.hear(told, at(8_010));
+    other.apply_heartbeat(first.clone(), at(8_000));
+    let told = other.later_incarnation(&first.vm, first.incarnation).expect("it is told").clone();
+    restarted.apply_heartbeat(told, at(8_010));
     let mut second = beat("own", "north", 2);
     second.incarnation = restarted.incarnation();
-    assert!(other.hear(second.clone(), at(8_500)), "it is news");
+    assert!(other.apply_heartbeat(second.clone(), at(8_500)), "it is news");
     assert_eq!(live(&other, at(8_500)), ["own"]);
-    assert!(other.later_lifetime(&second.vm, second.incarnation).is_none());
+    assert!(other.later_incarnation(&second.vm, second.incarnation).is_none());
 }
 
 #[test]
 fn a_pulse_of_an_earlier_lifetime_changes_nothing_and_one_of_a_later_is_outlived() {
     let mut table = table_of("own", 50);
-    table.hear_pulse(pulse("own", 49, 3), at(0));
+    table.apply_liveness_update(pulse("own", 49, 3), at(0));
     assert_eq!(table.incarnation(), IncarnationId(50));
-    table.hear_pulse(pulse("own", 60, 3), at(0));
+    table.apply_liveness_update(pulse("own", 60, 3), at(0));
     assert_eq!(table.incarnation(), IncarnationId(61));
 }
 
 #[test]
 fn leaving_is_news_and_ones_own_heartbeat_is_none() {
     let mut table = table();
-    table.hear(beat("a", "north", 1), at(0));
-    assert!(!table.hear(beat("a", "north", 2), at(10)));
+    table.apply_heartbeat(beat("a", "north", 1), at(0));
+    assert!(!table.apply_heartbeat(beat("a", "north", 2), at(10)));
     let mut leaving = beat("a", "north", 3);
     leaving.phase = PeerPhase::Leaving;
-    assert!(table.hear(leaving, at(20)));
-    assert!(!table.hear(beat("own", "north", 1), at(30)));
-    assert_eq!(table.assumed_count(), 2);
+    assert!(table.apply_heartbeat(leaving, at(20)));
+    assert!(!table.apply_heartbeat(beat("own", "north", 1), at(30)));
+    assert_eq!(table.vm_count(), 2);
 }
 
 #[test]
 fn silent_vms_still_count_where_limits_are_divided() {
     let mut table = table();
-    table.hear(beat("a", "north", 1), at(0));
+    table.apply_heartbeat(beat("a", "north", 1), at(0));
     table.forget(at(10_000));
     assert!(live(&table, at(10_000)).is_empty());
-    assert_eq!(table.assumed_count(), 2);
+    assert_eq!(table.vm_count(), 2);
     table.forget(at(60_000));
-    assert_eq!(table.assumed_count(), 1);
+    assert_eq!(table.vm_count(), 1);
 }
 
 /// Three VMs that knew only a fourth one each divided a limit by two, where four shared it.
 #[test]
 fn what_a_vm_does_not_know_does_not_make_its_part_larger() {
     let mut table = table();
-    table.hear(beat("a", "north", 1), at(0));
-    let counts = |near, all| KnownCounts { near, all };
+    table.apply_heartbeat(beat("a", "north", 1), at(0));
+    let counts = |local, all| KnownCounts { local, all };
     assert_eq!(table.assumed_counts(at(0)), counts(2, 2));
-    let notice = ViewNotice {
+    let notice = ViewDigest {
         vm: VmTag::of(&"a".parse().unwrap()),
         incarnation: IncarnationId(1),
         region: RegionTag::of(&"north".parse().unwrap()),
-        lives: 1,
+        digest: 1,
         known: counts(4, 9),
     };
-    table.take_view(&notice, at(10));
+    table.apply_view_digest(&notice, at(10));
     assert_eq!(table.assumed_counts(at(20)), counts(4, 9));
-    table.hear(beat("a", "north", 2), at(2_000));
+    table.apply_heartbeat(beat("a", "north", 2), at(2_000));
     assert_eq!(table.assumed_counts(at(2_000)), counts(4, 9), "it still holds");
     let mut restarted = beat("a", "north", 1);
     restarted.incarnation = IncarnationId(2);
-    table.hear(restarted, at(2_100));
+    table.apply_heartbeat(restarted, at(2_100));
     assert_eq!(table.assumed_counts(at(2_100)), counts(2, 2), "another process says so anew");
 }
 
-fn pulse(vm: &str, incarnation: u64, sequence: u32) -> PeerPulse {
-    PeerPulse {
+fn pulse(vm: &str, incarnation: u64, sequence: u32) -> LivenessUpdate {
+    LivenessUpdate {
         vm: VmTag::of(&vm.parse().unwrap()),
         incarnation: IncarnationId(incarnation),
         sequence,
@@ -127,26 +131,34 @@
 #[test]
 fn pulses_keep_known_vms_alive_and_make_unknown_ones_asked_for() {
     let mut table = table();
-    table.hear(beat("a", "south", 1), at(0));
-    assert_eq!(table.take_asks(), AskedBeats::All, "a process that has just started asks");
-    assert_eq!(table.take_asks(), AskedBeats::Of(Vec::new()));
-    let asked = |vm: &str| AskedBeats::Of(vec![VmTag::of(&vm.parse().unwrap())]);
+    table.apply_heartbeat(beat("a", "south", 1), at(0));
+    assert_eq!(
+        table.take_heartbeat_requests(),
+        RequestedHeartbeats::All,
+        "a process that has just started asks"
+    );
+    assert_eq!(table.take_heartbeat_requests(), RequestedHeartbeats::Of(Vec::new()));
+    let asked = |vm: &str| RequestedHeartbeats::Of(vec![VmTag::of(&vm.parse().unwrap())]);
     for step in 1..10 {
-        table.hear_pulse(pulse("a", 1, 1 + step), at(u64::from(step) * 1_000));
+        table.apply_liveness_update(pulse("a", 1, 1 + step), at(u64::from(step) * 1_000));
     }
     assert_eq!(live(&table, at(10_000)), ["a"]);
-    table.hear_pulse(pulse("unknown", 1, 1), at(10_000));
-    assert_eq!(table.take_asks(), asked("unknown"));
-    table.hear_pulse(pulse("a", 2, 1), at(10_000));
-    assert_eq!(table.take_asks(), asked("a"), "a new lifetime may have other addresses");
+    table.apply_liveness_update(pulse("unknown", 1, 1), at(10_000));
+    assert_eq!(table.take_heartbeat_requests(), asked("unknown"));
+    table.apply_liveness_update(pulse("a", 2, 1), at(10_000));
+    assert_eq!(
+        table.take_heartbeat_requests(),
+        asked("a"),
+        "a new lifetime may have other addresses"
+    );
 }
 
 #[test]
 fn a_load_report_of_the_same_lifetime_is_a_sign_of_life() {
     let mut table = table();
-    table.hear(beat("a", "north", 1), at(0));
-    table.note_report(VmTag::of(&"a".parse().unwrap()), IncarnationId(1), at(2_000));
-    table.note_report(VmTag::of(&"a".parse().unwrap()), IncarnationId(0), at(9_000));
+    table.apply_heartbeat(beat("a", "north", 1), at(0));
+    table.record_load_report(VmTag::of(&"a".parse().unwrap()), IncarnationId(1), at(2_000));
+    table.record_load_report(VmTag::of(&"a".parse().unwrap()), IncarnationId(0), at(9_000));
     assert_eq!(live(&table, at(4_000)), ["a"]);
     assert!(live(&table, at(5_000)).is_empty(), "an earlier lifetime's report");
 }
@@ -154,8 +166,8 @@
 #[test]
 fn far_vms_may_be_silent_for_longer() {
     let mut table = table();
-    table.hear(beat("near", "north", 1), at(0));
-    table.hear(beat("far", "south", 1), at(0));
+    table.apply_heartbeat(beat("near", "north", 1), at(0));
+    table.apply_heartbeat(beat("far", "south", 1), at(0));
     assert_eq!(live(&table, at(4_000)), ["far"]);
     assert!(live(&table, at(5_500)).is_empty());
 }
@@ -167,17 +179,17 @@
     let mut delegate = table_of("delegate", 1);
     let mut far = region_table("far", 1, "south");
     for vm in ["a", "b"] {
-        delegate.hear(beat(vm, "north", 1), at(0));
-        far.hear(beat(vm, "north", 1), at(0));
+        delegate.apply_heartbeat(beat(vm, "north", 1), at(0));
+        far.apply_heartbeat(beat(vm, "north", 1), at(0));
     }
     let died = 3_000;
     for millis in (0..12_000).step_by(250) {
         let now = at(millis);
-        delegate.note_heard(&"a".parse().unwrap(), now);
+        delegate.record_contact(&"a".parse().unwrap(), now);
         if millis < died {
-            delegate.note_heard(&"b".parse().unwrap(), now);
+            delegate.record_contact(&"b".parse().unwrap(), now);
         }
-        far.note_lives(&delegate.heard_lives(now), now);
+        far.apply_reported_incarnations(&delegate.directly_seen_incarnations(now), now);
         let expected = if millis < died + 5_000 { 2 } else { 1 };
         if millis != died && millis < died + 5_000 || millis > died + 6_500 {
             assert_eq!(live(&far, now).len(), expected, "at {millis}");
@@ -192,10 +204,10 @@
     starting.phase = PeerPhase::Starting;
     let mut leaving = beat("b", "south", 1);
     leaving.phase = PeerPhase::Leaving;
-    let lives = [starting.life(), leaving.life()];
-    table.hear(starting, at(0));
-    table.hear(leaving, at(0));
-    assert!(table.note_lives(&lives, at(100)));
+    let lives = [starting.vm_incarnation(), leaving.vm_incarnation()];
+    table.apply_heartbeat(starting, at(0));
+    table.apply_heartbeat(leaving, at(0));
+    assert!(table.apply_reported_incarnations(&lives, at(100)));
     let phases: Vec<PeerPhase> = table.live(at(100)).map(|beat| beat.phase).collect();
     assert_eq!(phases, [PeerPhase::Serving, PeerPhase::Leaving]);
 }
--- a/crates/foldhaven-core/tests/testsuite/opaque_readers.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_readers.rs
@@ -18,7 +18,9 @@
     };
     let table_of = |own: usize| {
         let mut table = table_of(&name(own), 1);
-        (0..vms).filter(|at| *at != own).for_each(|at| assert!(table.hear(told(at), at_start())));
+        (0..vms)
+            .filter(|at| *at != own)
+            .for_each(|at| assert!(table.apply_heartbeat(told(at), at_start())));
         (table, turned_away.contains(&own))
     };
     (0..vms).map(table_of).collect()
@@ -65,8 +67,8 @@
     #[case] is_told: bool,
 ) {
     let region = region(12, turned_away);
-    assert_eq!(region[0].0.hears_of_outage(at(100)), is_told);
-    assert!(!region[0].0.hears_of_outage(at(9_000)), "silent VMs tell nothing");
+    assert_eq!(region[0].0.is_outage_reported(at(100)), is_told);
+    assert!(!region[0].0.is_outage_reported(at(9_000)), "silent VMs tell nothing");
 }
 
 #[test]
@@ -76,7 +78,7 @@
         (0..12).filter(|at| tables[*at].0.is_reader(false, Duration::ZERO, at_start())).collect();
     for (own, (table, _)) in tables.iter_mut().enumerate() {
         for other in (0..12).filter(|other| *other != own && !readers.contains(other)) {
-            table.hear(beat(&format!("vm-{other}"), "north", 2), at(4_000));
+            table.apply_heartbeat(beat(&format!("vm-{other}"), "north", 2), at(4_000));
         }
     }
     let now_reading = |at_: &usize| tables[*at_].0.is_reader(false, Duration::ZERO, at(4_000));
--- a/crates/foldhaven-core/tests/testsuite/opaque_routes.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_routes.rs
@@ -7,7 +7,7 @@
 
 use foldhaven_core::ids::{RegionName, ServiceName};
 use foldhaven_core::opaque::directory::{NearService, name_vms};
-use foldhaven_core::opaque::peer_table::{PeerBeat, PeerPhase};
+use foldhaven_core::opaque::peer_table::{PeerHeartbeat, PeerPhase};
 use foldhaven_core::opaque::route_table::{
     CallerLimits, OpaqueRoute, RepeatKind, RouteDescription, RouteTable, RouteVersion,
     WeightedService,
@@ -108,7 +108,7 @@
 
 /// What a VM of the region `north` answers, where nothing has been asked for yet.
 fn named_by_first(
-    beats: &[PeerBeat],
+    beats: &[PeerHeartbeat],
     region: &RegionName,
     bound: impl Fn(&RegionName) -> usize,
     has_bound: bool,
@@ -132,7 +132,7 @@
     #[case] region: &str,
     #[case] expected: &[&str],
 ) {
-    let beats: Vec<PeerBeat> = vms.iter().map(|(vm, region)| beat(vm, region, 1)).collect();
+    let beats: Vec<PeerHeartbeat> = vms.iter().map(|(vm, region)| beat(vm, region, 1)).collect();
     let region: RegionName = region.parse().unwrap();
     let bound = |region: &RegionName| usize::from(region.as_str() == "south");
     let named = named_by_first(&beats, &region, bound, true);
@@ -153,7 +153,7 @@
     #[case] has_bound: bool,
     #[case] named: usize,
 ) {
-    let leaving = PeerBeat { phase: PeerPhase::Leaving, ..beat("s1", "south", 1) };
+    let leaving = PeerHeartbeat { phase: PeerPhase::Leaving, ..beat("s1", "south", 1) };
     let beats = [leaving, beat("e1", "east", 1)];
     let bound = |region: &RegionName| usize::from(region.as_str() == "south");
     let answer = named_by_first(&beats, &"north".parse().unwrap(), bound, has_bound);
@@ -163,6 +163,6 @@
 #[test]
 fn vms_that_start_or_leave_are_not_named() {
     let beats = [PeerPhase::Starting, PeerPhase::Leaving]
-        .map(|phase| PeerBeat { phase, ..beat("n1", "north", 1) });
+        .map(|phase| PeerHeartbeat { phase, ..beat("n1", "north", 1) });
     assert!(named_by_first(&beats, &"north".parse().unwrap(), |_| 0, false).is_empty());
 }
--- a/crates/foldhaven-core/tests/testsuite/opaque_service.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_service.rs
@@ -8,7 +8,7 @@
 use foldhaven_core::opaque::demand::DemandPeak;
 use foldhaven_core::opaque::directory::{MAX_NAMED, NearService, name_vms};
 use foldhaven_core::opaque::load_share::share_interval;
-use foldhaven_core::opaque::peer_table::{OwnVm, PeerBeat, PeerTable, VmTag};
+use foldhaven_core::opaque::peer_table::{OwnVm, PeerHeartbeat, PeerTable, VmTag};
 use foldhaven_core::opaque::region_book::RegionReport;
 use foldhaven_core::opaque::report_plan::{ReportNews, ReportPlan, ReportTarget};
 use foldhaven_core::opaque::service_order::{ServiceCandidate, ServiceOrder};
@@ -22,11 +22,11 @@
 }
 
 /// A region of two data centres with so many large and small VMs in each.
-fn region(large: usize, small: usize) -> Vec<PeerBeat> {
+fn region(large: usize, small: usize) -> Vec<PeerHeartbeat> {
     let mut beats = Vec::new();
     for centre in ["hall-a", "hall-b"] {
         for (count, size, kind) in [(large, 0.5, "large"), (small, 0.12, "small")] {
-            beats.extend((0..count).map(|at| PeerBeat {
+            beats.extend((0..count).map(|at| PeerHeartbeat {
                 data_centre: centre.parse().unwrap(),
                 cores: cores(size),
                 ..beat(&format!("{centre}-{kind}-{at}"), "north", 1)
@@ -36,7 +36,7 @@
     beats
 }
 
-fn order(beats: &[PeerBeat]) -> ServiceOrder<'_> {
+fn order(beats: &[PeerHeartbeat]) -> ServiceOrder<'_> {
     ServiceOrder::of(beats.iter().map(ServiceCandidate::of))
 }
 
@@ -89,7 +89,7 @@
     let beats = region(3, 46);
     let all = order(&beats);
     let lost = all.standing()[2].vm.clone();
-    let left: Vec<PeerBeat> = beats.iter().filter(|beat| beat.vm != lost).cloned().collect();
+    let left: Vec<PeerHeartbeat> = beats.iter().filter(|beat| beat.vm != lost).cloned().collect();
     let before: BTreeSet<VmName> = names(all.standing()).into_iter().collect();
     let after: BTreeSet<VmName> = names(order(&left).standing()).into_iter().collect();
     assert!(before.difference(&after).all(|vm| *vm == lost), "{before:?} {after:?}");
@@ -98,7 +98,7 @@
 #[test]
 fn a_lost_data_centre_is_made_up_for_by_the_other_one() {
     let beats = region(3, 46);
-    let left: Vec<PeerBeat> =
+    let left: Vec<PeerHeartbeat> =
         beats.iter().filter(|beat| beat.data_centre.as_str() == "hall-a").cloned().collect();
     let order = order(&left);
     let found: f64 = order.for_demand(cores(1.0)).iter().map(|it| it.cores.as_f64()).sum();
@@ -115,7 +115,7 @@
 }
 
 fn answer(
-    beats: &[PeerBeat],
+    beats: &[PeerHeartbeat],
     teller: &str,
     demand: f64,
     doubted: &BTreeSet<VmName>,
@@ -190,7 +190,7 @@
         };
         let mut table = PeerTable::new(vm, own.incarnation);
         let others = beats.iter().filter(|beat| beat.vm != own.vm);
-        others.for_each(|beat| assert!(table.hear(beat.clone(), at(0))));
+        others.for_each(|beat| assert!(table.apply_heartbeat(beat.clone(), at(0))));
         let duties = [table.is_reader(false, Duration::ZERO, at(100)), table.is_delegate(at(100))];
         let is_standing = order(&beats).standing().iter().any(|it| *it.vm == own.vm);
         assert!(is_standing || duties == [false, false], "{}", own.vm);
@@ -204,12 +204,12 @@
     let beats = region(3, 46);
     let standing: BTreeSet<VmName> = names(order(&beats).standing()).into_iter().collect();
     let mut table = region_table("far", 1, "south");
-    beats.iter().for_each(|beat| assert!(table.hear(beat.clone(), at(0))));
+    beats.iter().for_each(|beat| assert!(table.apply_heartbeat(beat.clone(), at(0))));
     let addresses: BTreeSet<SocketAddr> =
         beats.iter().filter(|beat| standing.contains(&beat.vm)).map(|beat| beat.peer).collect();
     let mut told = BTreeSet::new();
     for _ in 0..standing.len() {
-        let targets = table.one_in_service_of_each_region(at(100));
+        let targets = table.one_serving_per_remote_region(at(100));
         assert_eq!(targets.len(), 1);
         told.extend(targets);
     }
@@ -220,10 +220,10 @@
 fn a_vm_is_doubted_before_it_is_missed() {
     let mut table = table_of("own", 1);
     let other = beat("other", "north", 1);
-    table.hear(other.clone(), at(0));
-    assert!(table.doubted(at(1_400)).is_empty());
-    assert!(table.doubted(at(1_700)).contains(&other.vm));
-    assert_eq!(table.near(at(1_700)).count(), 1, "it still counts as live");
+    table.apply_heartbeat(other.clone(), at(0));
+    assert!(table.unresponsive_local_vms(at(1_400)).is_empty());
+    assert!(table.unresponsive_local_vms(at(1_700)).contains(&other.vm));
+    assert_eq!(table.live_local(at(1_700)).count(), 1, "it still counts as live");
 }
 
 /// What a VM hears in a second, of whatever size its region is. If all reported to all, 100 VMs would hear each other
--- a/crates/foldhaven-core/tests/testsuite/opaque_support.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_support.rs
@@ -1,7 +1,7 @@
 //! Values that the tests of opaque requests share.
 
 use foldhaven_core::ids::IncarnationId;
-use foldhaven_core::opaque::peer_table::{OwnVm, PeerBeat, PeerPhase, PeerTable};
+use foldhaven_core::opaque::peer_table::{OwnVm, PeerHeartbeat, PeerPhase, PeerTable};
 use foldhaven_core::opaque::route_table::RouteVersion;
 use foldhaven_core::time::MonoTime;
 use foldhaven_core::units::CoreShare;
@@ -39,10 +39,10 @@
 }
 
 /// A heartbeat of a VM, with addresses made from its name.
-pub fn beat(vm: &str, region: &str, sequence: u32) -> PeerBeat {
+pub fn beat(vm: &str, region: &str, sequence: u32) -> PeerHeartbeat {
     let [.., high, low] = xxh3_64(vm.as_bytes()).to_be_bytes();
     let address = |port: u16| format!("127.9.{high}.{low}:{port}").parse().unwrap();
-    PeerBeat {
+    PeerHeartbeat {
         vm: vm.parse().unwrap(),
         incarnation: IncarnationId(1),
         sequence,
--- a/crates/foldhaven-gateway/src/datagrams.rs
+++ b/crates/foldhaven-gateway/src/datagrams.rs
@@ -7,7 +7,9 @@
 use foldhaven_core::opaque::affinity::PromptPlacement;
 use foldhaven_core::opaque::demand_book::{DEMAND_INTERVAL, MAX_WANTS, NearDemand};
 use foldhaven_core::opaque::load_share::LoadReport;
-use foldhaven_core::opaque::peer_table::{AskedBeats, LEARNING_INTERVAL, PlannedBeats, ViewAnswer};
+use foldhaven_core::opaque::peer_table::{
+    LEARNING_INTERVAL, PlannedHeartbeats, RequestedHeartbeats, ViewAnswer,
+};
 use foldhaven_core::opaque::report_plan::{ReportLeg, ReportNews};
 use foldhaven_core::opaque::sender_pact::PACT_INTERVAL;
 use foldhaven_core::opaque::suspects::RecordSource;
@@ -186,7 +188,7 @@
 /// Messages with their receivers.
 type PlannedMessages = Vec<(SocketAddr, PeerMessage)>;
 
-fn beat_replies(replies: PlannedBeats) -> PlannedMessages {
+fn beat_replies(replies: PlannedHeartbeats) -> PlannedMessages {
     replies.into_iter().map(|(target, beat)| (target, PeerMessage::Beat(beat))).collect()
 }
 
@@ -234,7 +236,7 @@
 /// The address of a VM that has just started and asks for all there is to know.
 fn asker_of_all(message: &PeerMessage) -> Option<SocketAddr> {
     match message {
-        PeerMessage::Beat(beat) if beat.asks == AskedBeats::All => Some(beat.own.peer),
+        PeerMessage::Beat(beat) if beat.requests == RequestedHeartbeats::All => Some(beat.own.peer),
         _ => None,
     }
 }
--- a/crates/foldhaven-gateway/src/keeper/account_limits.rs
+++ b/crates/foldhaven-gateway/src/keeper/account_limits.rs
@@ -45,7 +45,7 @@
             self.demands.rest();
             return PlannedDemands::default();
         }
-        let heard = self.peers.heard_near(now);
+        let heard = self.peers.responsive_local_vms(now);
         let view = self.sharer_view(heard.len(), now);
         let incarnation = self.peers.incarnation();
         let near = self.demands.tell_near(&wants, &view, &heard, incarnation, now);
@@ -56,7 +56,7 @@
             near_targets: near.as_ref().map(|_| self.near_peers()).unwrap_or_default(),
             near,
             far_targets: match far.is_some() {
-                true => self.peers.one_in_service_of_each_region(now),
+                true => self.peers.one_serving_per_remote_region(now),
                 false => Vec::new(),
             },
             far,
@@ -117,8 +117,8 @@
 
     /// How sure this VM is of those that share limits of accounts with it, of which it heard so many a moment ago.
     fn sharer_view(&self, heard: usize, now: MonoTime) -> SharerView {
-        let known = self.peers.region_count();
-        let vms = usize::from(self.peers.assumed_counts(now).near).max(known);
+        let known = self.peers.region_vm_count();
+        let vms = usize::from(self.peers.assumed_counts(now).local).max(known);
         let is_informed = self.assumed_vms().is_some() && self.is_witnessed();
         self.demands.view(NearSharers { vms, heard, is_informed }, now)
     }
--- a/crates/foldhaven-gateway/src/keeper/behind.rs
+++ b/crates/foldhaven-gateway/src/keeper/behind.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use foldhaven_core::opaque::peer_table::{NewsNotice, PeerBeat, VmTag};
+use foldhaven_core::opaque::peer_table::{PeerHeartbeat, RevisionAnnouncement, VmTag};
 use foldhaven_core::rank::rank_hash;
 use foldhaven_core::time::MonoTime;
 use xtra::{Context, Handler};
@@ -78,7 +78,13 @@
         let fresh = BehindMark { since: now, revision, is_near, is_logged: false };
         let behind = self.note_behind(fresh, peer);
         if !is_near && behind >= RELAY_AFTER {
-            self.relay(NewsNotice { vm, incarnation, revision, age_ms: None, is_offer: false });
+            self.relay(RevisionAnnouncement {
+                vm,
+                incarnation,
+                revision,
+                age_ms: None,
+                is_offer: false,
+            });
         }
         self.set_turn();
         let is_due = self.known.routes().is_none() || self.known.needs_all() || behind >= limit;
@@ -95,7 +101,7 @@
 impl ControlKeeper {
     /// For how long this VM leaves it to others to ask other regions.
     fn far_limit(&self, now: MonoTime) -> Duration {
-        let place = self.peers.asking_place(now).and_then(|place| u32::try_from(place).ok());
+        let place = self.peers.fetch_rank(now).and_then(|place| u32::try_from(place).ok());
         let limit = place.map(|place| FIRST_FAR_LIMIT + ASKING_STEP.saturating_mul(place));
         limit.map_or(FAR_BEHIND_LIMIT, |limit| limit.min(FAR_BEHIND_LIMIT))
     }
@@ -108,22 +114,23 @@
     /// A VM that knows more of the platform's changes than this one. Those of this data centre go first,
     /// then those of this region. Of these, two are drawn, other ones by each VM and at each asking, and the
     /// one that knows more is taken: if all asked the same one, its link would carry everything.
-    fn ahead_peer(&self, avoided: Option<SocketAddr>) -> Option<&PeerBeat> {
+    fn ahead_peer(&self, avoided: Option<SocketAddr>) -> Option<&PeerHeartbeat> {
         let now = self.now();
         let settings = &self.shared.settings;
-        let is_ahead = |beat: &&PeerBeat| match self.known.needs_all() {
+        let is_ahead = |beat: &&PeerHeartbeat| match self.known.needs_all() {
             true => beat.revision >= self.known.revision(),
             false => beat.revision > self.known.revision(),
         };
-        let nearness = |beat: &PeerBeat| {
+        let nearness = |beat: &PeerHeartbeat| {
             let is_here = beat.data_centre == settings.data_centre;
             (avoided != Some(beat.peer), beat.region == *settings.region(), is_here)
         };
-        let mut ahead: Vec<&PeerBeat> = self.peers.live(now).filter(is_ahead).collect();
+        let mut ahead: Vec<&PeerHeartbeat> = self.peers.live(now).filter(is_ahead).collect();
         let nearest = ahead.iter().map(|beat| nearness(beat)).max()?;
         ahead.retain(|beat| nearness(beat) == nearest);
         let turn = self.askings.to_string();
-        let rank = |beat: &&PeerBeat| rank_hash(&[settings.vm.as_str(), beat.vm.as_str(), &turn]);
+        let rank =
+            |beat: &&PeerHeartbeat| rank_hash(&[settings.vm.as_str(), beat.vm.as_str(), &turn]);
         ahead.sort_by_cached_key(rank);
         ahead.into_iter().take(2).max_by_key(|beat| beat.revision)
     }
--- a/crates/foldhaven-gateway/src/keeper/feed_changes.rs
+++ b/crates/foldhaven-gateway/src/keeper/feed_changes.rs
@@ -43,7 +43,7 @@
     /// only have failed to renew its entry.
     pub(super) fn note_told_outage(&mut self) {
         let now = self.now();
-        let is_told = self.peers.hears_of_outage(now);
+        let is_told = self.peers.is_outage_reported(now);
         if is_told {
             self.known.table.note_disturbed(now);
         }
--- a/crates/foldhaven-gateway/src/keeper/heartbeats.rs
+++ b/crates/foldhaven-gateway/src/keeper/heartbeats.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use foldhaven_core::opaque::peer_table::{
-    BeatMessage, LEARNING_TIME, NewsNotice, PeerBeat, PlannedBeats, RegionTag, RoundCall,
-    ViewAnswer, ViewList, ViewNotice, VmTag,
+    HeartbeatMessage, LEARNING_TIME, PeerHeartbeat, PlannedHeartbeats, RegionTag,
+    RevisionAnnouncement, RoundInput, ViewAnswer, ViewDigest, ViewList, VmTag,
 };
 use foldhaven_core::time::MonoTime;
 use xtra::{Context, Handler};
@@ -14,12 +14,12 @@
 
 /// A heartbeat arrived.
 pub struct HearBeat {
-    pub message: BeatMessage,
+    pub message: HeartbeatMessage,
 }
 
 /// Another VM told which VMs of its region it holds to live, in short.
 pub struct HearView {
-    pub notice: ViewNotice,
+    pub notice: ViewDigest,
 }
 
 /// Another VM told which VMs of a region it holds to live.
@@ -29,12 +29,12 @@
 
 /// What is sent in a round, and when the next one is due.
 pub struct PlannedRound {
-    pub beats: PlannedBeats,
+    pub beats: PlannedHeartbeats,
     /// Who gets this VM's view.
     pub view_targets: Vec<SocketAddr>,
-    pub view: ViewNotice,
+    pub view: ViewDigest,
     /// How far this VM knows the platform's changes, for all that get a heartbeat; nothing before it knows any.
-    pub news: Option<NewsNotice>,
+    pub news: Option<RevisionAnnouncement>,
     pub pause: Duration,
 }
 
@@ -45,22 +45,22 @@
 }
 
 impl Handler<HearBeat> for ControlKeeper {
-    type Return = PlannedBeats;
+    type Return = PlannedHeartbeats;
 
-    async fn handle(&mut self, message: HearBeat, _: &mut Context<Self>) -> PlannedBeats {
+    async fn handle(&mut self, message: HearBeat, _: &mut Context<Self>) -> PlannedHeartbeats {
         let message = message.message;
         let now = self.now();
         let (vm, phase) = (&message.own.vm, message.own.phase);
         let before = self.peers.incarnation().0;
-        let heard = self.peers.take_message(&message, now);
-        if heard.is_sender_news {
+        let heard = self.peers.apply_message(&message, now);
+        if heard.is_sender_change {
             tracing::info!(peer = %vm, phase = ?phase, "peer heard");
         }
-        if let Some(after) = heard.outlived {
+        if let Some(after) = heard.adopted_incarnation {
             let after = after.0;
             tracing::info!(before, after, "took a later lifetime, since others held one");
         }
-        if let Some(later) = &heard.later {
+        if let Some(later) = &heard.later_incarnation {
             tracing::warn!(
                 peer = %vm,
                 held = later.incarnation.0,
@@ -68,7 +68,7 @@
                 "a VM names an earlier lifetime than it had"
             );
         }
-        if heard.is_news {
+        if heard.is_membership_change {
             self.publish_soon();
         }
         self.peers.reply_to(&message, &self.own_beat(), now)
@@ -80,7 +80,7 @@
 
     async fn handle(&mut self, plan: PlanBeats, _: &mut Context<Self>) -> PlannedRound {
         self.beats += 1;
-        let call = RoundCall {
+        let call = RoundInput {
             own: self.own_beat(),
             seeds: self.settings.seed_peers(),
             is_to_all: plan.to_all,
@@ -89,7 +89,7 @@
         let is_learning = self.shared.uptime() < LEARNING_TIME;
         let beats = self.peers.plan_round(call, now);
         let view_targets = self.peers.view_targets(&beats, is_learning, now);
-        let pause = self.peers.round_pause(is_learning, now);
+        let pause = self.peers.round_interval(is_learning, now);
         if self.turn.borrow().reads {
             // What was held back since the last notice.
             self.tell_far();
@@ -104,11 +104,11 @@
 
     async fn handle(&mut self, message: HearView, _: &mut Context<Self>) -> ViewAnswer {
         let now = self.now();
-        let answer = self.peers.take_view(&message.notice, now);
+        let answer = self.peers.apply_view_digest(&message.notice, now);
         if let ViewAnswer::List(peer, list) = &answer {
             self.shared.metrics.count_event("views_differed");
             if self.shared.quota.take(true) {
-                tracing::info!(peer = %peer, lives = list.lives.len(), "a VM told of another view");
+                tracing::info!(peer = %peer, lives = list.incarnations.len(), "a VM told of another view");
             }
         }
         answer
@@ -116,30 +116,30 @@
 }
 
 impl Handler<HearViewList> for ControlKeeper {
-    type Return = PlannedBeats;
+    type Return = PlannedHeartbeats;
 
-    async fn handle(&mut self, message: HearViewList, _: &mut Context<Self>) -> PlannedBeats {
+    async fn handle(&mut self, message: HearViewList, _: &mut Context<Self>) -> PlannedHeartbeats {
         let now = self.now();
         let own = self.own_beat();
-        self.peers.take_list(&message.list, &own, now)
+        self.peers.apply_view_list(&message.list, &own, now)
     }
 }
 
 impl ControlKeeper {
     /// Which VMs of its region this one holds to live, in short.
-    pub(super) fn own_view(&self, now: MonoTime) -> ViewNotice {
-        ViewNotice {
+    pub(super) fn own_view(&self, now: MonoTime) -> ViewDigest {
+        ViewDigest {
             vm: VmTag::of(&self.shared.settings.vm),
             incarnation: self.peers.incarnation(),
             region: RegionTag::of(self.shared.settings.region()),
-            lives: self.peers.region_digest(now),
+            digest: self.peers.region_digest(now),
             known: self.peers.known_counts(),
         }
     }
 
-    pub(super) fn own_beat(&self) -> PeerBeat {
+    pub(super) fn own_beat(&self) -> PeerHeartbeat {
         let settings = &self.shared.settings;
-        PeerBeat {
+        PeerHeartbeat {
             vm: settings.vm.clone(),
             incarnation: self.peers.incarnation(),
             sequence: self.beats,
--- a/crates/foldhaven-gateway/src/keeper/load_reports.rs
+++ b/crates/foldhaven-gateway/src/keeper/load_reports.rs
@@ -6,7 +6,7 @@
 
 use foldhaven_core::opaque::affinity::PromptPlacement;
 use foldhaven_core::opaque::load_share::{LoadReport, share_interval};
-use foldhaven_core::opaque::peer_table::{PeerBeat, PeerPhase, VmTag};
+use foldhaven_core::opaque::peer_table::{PeerHeartbeat, PeerPhase, VmTag};
 use foldhaven_core::opaque::region_book::{LIVES_EVERY, REGION_INTERVAL, RegionReport};
 use foldhaven_core::opaque::report_plan::{ReportLeg, ReportNews, ReportTarget};
 use xtra::{Context, Handler};
@@ -31,7 +31,7 @@
         for upstream in touched.iter().filter_map(|tag| self.by_tag.get(tag)) {
             upstream.set_others(self.loads.total(upstream.tag));
         }
-        self.peers.note_report(vm, incarnation, now);
+        self.peers.record_load_report(vm, incarnation, now);
         self.note_placements(&placements);
         for region in &regions {
             self.note_region(region);
@@ -106,7 +106,7 @@
         let is_far = region.is_some() || !far_placements.is_empty();
         let now = self.now();
         let far_targets = match is_far {
-            true => self.peers.one_in_service_of_each_region(now),
+            true => self.peers.one_serving_per_remote_region(now),
             false => Vec::new(),
         };
         PlannedReport { report, legs, far_targets, far_placements, region, interval }
@@ -117,8 +117,8 @@
     /// The other VMs of this region, and which of them have requests.
     fn report_targets(&self) -> Vec<ReportTarget> {
         let active: HashSet<VmTag> = self.loads.active().collect();
-        let near = self.peers.near(self.now());
-        let target = |beat: &PeerBeat| ReportTarget {
+        let near = self.peers.live_local(self.now());
+        let target = |beat: &PeerHeartbeat| ReportTarget {
             address: beat.peer,
             is_active: active.contains(&VmTag::of(&beat.vm)),
         };
@@ -170,8 +170,8 @@
         self.region_reports += 1;
         let mut lives = Vec::new();
         if self.region_reports.is_multiple_of(LIVES_EVERY) {
-            lives = self.peers.heard_lives(now);
-            lives.push(self.own_beat().life());
+            lives = self.peers.directly_seen_incarnations(now);
+            lives.push(self.own_beat().vm_incarnation());
         }
         Some(RegionReport {
             region: self.shared.settings.region().clone(),
@@ -189,7 +189,7 @@
         if report.region == *self.shared.settings.region() || !self.regions.hear(report, now) {
             return false;
         }
-        if self.peers.note_lives(&report.lives, now) {
+        if self.peers.apply_reported_incarnations(&report.lives, now) {
             self.publish_soon();
         }
         true
--- a/crates/foldhaven-gateway/src/keeper/members.rs
+++ b/crates/foldhaven-gateway/src/keeper/members.rs
@@ -32,9 +32,9 @@
 impl ControlKeeper {
     /// Counts and logs which VMs of the region are known, when that has changed and now and then.
     pub(super) fn note_members(&mut self, now: MonoTime) {
-        let near = || self.peers.near(now);
+        let near = || self.peers.live_local(now);
         let members = KnownMembers {
-            known: self.peers.region_count(),
+            known: self.peers.region_vm_count(),
             live: near().count() + 1,
             serving: near().filter(|beat| beat.phase == PeerPhase::Serving).count() + 1,
             digest: self.peers.region_digest(now),
--- a/crates/foldhaven-gateway/src/keeper/mod.rs
+++ b/crates/foldhaven-gateway/src/keeper/mod.rs
@@ -255,7 +255,7 @@
 
     /// Notes when this process has last heard of a VM that it did not know.
     fn note_growth(&mut self) {
-        let known = self.peers.assumed_count();
+        let known = self.peers.vm_count();
         if known > self.known_vms {
             self.grown = self.now();
         }
@@ -282,7 +282,7 @@
 
     /// The other VMs of this region.
     fn near_peers(&self) -> Vec<SocketAddr> {
-        self.peers.near(self.now()).map(|beat| beat.peer).collect()
+        self.peers.live_local(self.now()).map(|beat| beat.peer).collect()
     }
 
     /// How many VMs limits are divided by; nothing while this process is learning who there is.
--- a/crates/foldhaven-gateway/src/keeper/news.rs
+++ b/crates/foldhaven-gateway/src/keeper/news.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use foldhaven_core::opaque::belief_age::RevisionProof;
-use foldhaven_core::opaque::peer_table::{NewsNotice, PeerTable, VmTag};
+use foldhaven_core::opaque::peer_table::{PeerTable, RevisionAnnouncement, VmTag};
 use foldhaven_core::time::MonoTime;
 use xtra::{Context, Handler};
 
@@ -24,7 +24,7 @@
     /// Changes of the platform.
     Changes(ToldChanges),
     /// How far a VM knows them.
-    Notice { targets: Vec<SocketAddr>, notice: NewsNotice },
+    Notice { targets: Vec<SocketAddr>, notice: RevisionAnnouncement },
 }
 
 /// Changes that other VMs are to be told of.
@@ -32,7 +32,7 @@
     pub targets: Vec<SocketAddr>,
     pub changes: ChangeSet,
     /// What they are told where the changes do not fit a datagram.
-    pub offer: NewsNotice,
+    pub offer: RevisionAnnouncement,
 }
 
 /// Of which revisions others were told without waiting for heartbeats.
@@ -46,7 +46,7 @@
 
 /// Another VM told how far it knows the platform's changes.
 pub struct HearNews {
-    pub notice: NewsNotice,
+    pub notice: RevisionAnnouncement,
 }
 
 impl Handler<HearNews> for ControlKeeper {
@@ -54,7 +54,7 @@
 
     async fn handle(&mut self, message: HearNews, _: &mut Context<Self>) {
         let notice = message.notice;
-        if !self.peers.take_news(&notice) {
+        if !self.peers.apply_announcement(&notice) {
             return;
         }
         let now = self.now();
@@ -87,7 +87,7 @@
         if changes.changes.is_empty() {
             return;
         }
-        if self.near_peers().len() >= PeerTable::ALL_READ {
+        if self.near_peers().len() >= PeerTable::ALL_READ_BELOW {
             self.pass_on(changes);
         }
         self.tell_far();
@@ -96,7 +96,7 @@
     /// Passes changes on to the VMs of this region.
     pub(super) fn pass_on(&self, changes: ChangeSet) {
         let targets = self.near_peers();
-        let offer = NewsNotice { is_offer: true, ..self.own_news() };
+        let offer = RevisionAnnouncement { is_offer: true, ..self.own_news() };
         self.send_news(ToldNews::Changes(ToldChanges { targets, changes, offer }));
     }
 
@@ -109,12 +109,12 @@
             return;
         }
         self.told.far = Some((now, revision));
-        let targets = self.peers.far_news_targets(now);
+        let targets = self.peers.remote_announcement_targets(now);
         self.send_news(ToldNews::Notice { targets, notice: self.own_news() });
     }
 
     /// Tells those of this region that may ask other regions how far a VM there knows the changes.
-    pub(super) fn relay(&mut self, notice: NewsNotice) {
+    pub(super) fn relay(&mut self, notice: RevisionAnnouncement) {
         let (now, revision) = (self.now(), notice.revision);
         // Not by the larger one: a revision that there is not would keep all true ones from being told.
         let is_told = |(at, told): (MonoTime, u64)| told == revision || now.since(at) < RELAY_PAUSE;
@@ -132,9 +132,9 @@
     }
 
     /// How far this VM knows the platform's changes.
-    pub(super) fn own_news(&self) -> NewsNotice {
+    pub(super) fn own_news(&self) -> RevisionAnnouncement {
         let age = self.belief.age(self.now());
-        NewsNotice {
+        RevisionAnnouncement {
             vm: VmTag::of(&self.shared.settings.vm),
             incarnation: self.peers.incarnation(),
             revision: self.known.revision(),
--- a/crates/foldhaven-gateway/src/keeper/peer_changes.rs
+++ b/crates/foldhaven-gateway/src/keeper/peer_changes.rs
@@ -50,7 +50,7 @@
 
     async fn handle(&mut self, offer: OfferSnapshot, _: &mut Context<Self>) {
         let OfferSnapshot { snapshot, peer } = offer;
-        self.peers.note_told_revision(peer, snapshot.revision);
+        self.peers.record_delivered_revision(peer, snapshot.revision);
         let (before, revision) = (self.known.revision(), snapshot.revision);
         let is_news = revision > before || self.known.needs_all() && revision == before;
         if is_news {
@@ -75,7 +75,7 @@
 
     async fn handle(&mut self, message: TakeChanges, _: &mut Context<Self>) {
         let TakeChanges { changes, peer } = message;
-        self.peers.note_told_revision(peer, changes.revision);
+        self.peers.record_delivered_revision(peer, changes.revision);
         let (before, revision) = (self.known.revision(), changes.revision);
         if revision <= before {
             return;
--- a/crates/foldhaven-gateway/src/keeper/suspect_targets.rs
+++ b/crates/foldhaven-gateway/src/keeper/suspect_targets.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use foldhaven_core::opaque::peer_table::BeatTargets;
+use foldhaven_core::opaque::peer_table::HeartbeatTargets;
 use xtra::{Context, Handler};
 
 use super::ControlKeeper;
@@ -39,12 +39,12 @@
     async fn handle(&mut self, plan: PlanSuspectTargets, _: &mut Context<Self>) -> SuspectTargets {
         let now = self.now();
         if plan.occasion == TellOccasion::Repeat {
-            let BeatTargets { near, far } = self.peers.next_told_targets(now);
+            let HeartbeatTargets { local: near, remote: far } = self.peers.next_resend_targets(now);
             return SuspectTargets { near, far };
         }
         let mut far = Vec::new();
         for _ in 0..TOLD_OF_EACH_REGION {
-            far.extend(self.peers.one_in_service_of_each_region(now));
+            far.extend(self.peers.one_serving_per_remote_region(now));
         }
         far.sort_unstable();
         far.dedup();
--- a/crates/foldhaven-gateway/src/keeper/traffic_view.rs
+++ b/crates/foldhaven-gateway/src/keeper/traffic_view.rs
@@ -6,7 +6,7 @@
 use foldhaven_core::ids::{RegionName, ServiceName};
 use foldhaven_core::opaque::affinity::UpstreamTag;
 use foldhaven_core::opaque::connection_share::kept_connections;
-use foldhaven_core::opaque::peer_table::{PeerBeat, PeerPhase};
+use foldhaven_core::opaque::peer_table::{PeerHeartbeat, PeerPhase};
 use foldhaven_core::opaque::route_table::RouteTable;
 use foldhaven_core::opaque::service_order::{ServiceCandidate, ServiceOrder};
 use foldhaven_core::opaque::upstream_table::UpstreamEntry;
@@ -26,7 +26,7 @@
         let Some(routes) = self.known.routes().cloned() else { return };
         let now = self.now();
         let upstreams = self.current_upstreams(&routes, now);
-        let mut beats: Vec<PeerBeat> = self.peers.live(now).cloned().collect();
+        let mut beats: Vec<PeerHeartbeat> = self.peers.live(now).cloned().collect();
         let peers = self.current_links(&beats);
         let far_service = self.far_service(&beats);
         let waits = self.far_waits();
@@ -42,10 +42,10 @@
             waits,
             far_service,
             beats,
-            doubted: self.peers.doubted(now),
+            doubted: self.peers.unresponsive_local_vms(now),
             demand,
             senders: self.loads.active().count() + 1,
-            heard: self.peers.heard_by_centre(),
+            heard: self.peers.last_seen_by_data_centre(),
             assumed_vms: self.assumed_vms(),
             offer,
         });
@@ -86,7 +86,7 @@
         now: MonoTime,
     ) -> HashMap<ServiceName, Vec<Arc<Upstream>>> {
         // All VMs of a region connect to its upstreams.
-        let vms = usize::from(self.peers.assumed_counts(now).near);
+        let vms = usize::from(self.peers.assumed_counts(now).local);
         let mut kept = HashMap::new();
         let mut by_service: HashMap<ServiceName, Vec<Arc<Upstream>>> = HashMap::new();
         for entry in self.known.table.usable() {
@@ -139,7 +139,7 @@
     }
 
     /// Links to the VMs of the other regions that take requests at any load there.
-    fn far_service(&self, beats: &[PeerBeat]) -> HashMap<RegionName, Vec<Arc<PeerLink>>> {
+    fn far_service(&self, beats: &[PeerHeartbeat]) -> HashMap<RegionName, Vec<Arc<PeerLink>>> {
         let own_region = self.shared.settings.region();
         let serving = beats.iter().filter(|beat| beat.phase == PeerPhase::Serving);
         let mut by_region: HashMap<&RegionName, Vec<ServiceCandidate<'_>>> = HashMap::new();
@@ -163,7 +163,7 @@
 
     /// Counts and logs which VMs of the region the demand puts in service.
     fn note_service(&mut self, demand: CoreShare, now: MonoTime) {
-        let order = self.peers.near_order(now);
+        let order = self.peers.local_service_order(now);
         let (chosen, serving) = (order.for_demand(demand), order.len());
         let metrics = &self.shared.metrics;
         metrics.set_level("service_vms", chosen.len() as u64);
@@ -183,7 +183,7 @@
     }
 
     /// Links to the VMs that serve. Those known already are kept with their connections.
-    fn current_links(&mut self, beats: &[PeerBeat]) -> Vec<Arc<PeerLink>> {
+    fn current_links(&mut self, beats: &[PeerHeartbeat]) -> Vec<Arc<PeerLink>> {
         let mut links = HashMap::new();
         for beat in beats.iter().filter(|beat| beat.phase == PeerPhase::Serving) {
             let known = self.links.get(&beat.vm).filter(|link| link.address == beat.peer);
--- a/crates/foldhaven-gateway/src/keeper/upstream_signals.rs
+++ b/crates/foldhaven-gateway/src/keeper/upstream_signals.rs
@@ -70,7 +70,7 @@
                 self.share_rates(now);
                 self.near_peers()
             }
-            TellOccasion::Repeat => self.peers.next_told_targets(now).near,
+            TellOccasion::Repeat => self.peers.next_resend_targets(now).local,
         }
     }
 }
--- a/crates/foldhaven-gateway/src/operator_front/status.rs
+++ b/crates/foldhaven-gateway/src/operator_front/status.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use foldhaven_core::ids::{DataCentreName, IncarnationId};
-use foldhaven_core::opaque::peer_table::{PeerBeat, PeerPhase};
+use foldhaven_core::opaque::peer_table::{PeerHeartbeat, PeerPhase};
 use foldhaven_wire::operator::{
     CentreStatus, DaemonState, MemberStatus, StatusAnswer, UpstreamStatus,
 };
@@ -52,7 +52,7 @@
         let settings = &self.shared.settings;
         let others = view.beats.iter().filter(|beat| beat.vm != settings.vm);
         let near = others.filter(|beat| beat.data_centre == settings.data_centre);
-        let member = |beat: &PeerBeat| MemberStatus {
+        let member = |beat: &PeerHeartbeat| MemberStatus {
             vm: beat.vm.clone(),
             state: phase_name(beat.phase).to_owned(),
             stamp: Some(beat.version.to_string()),
@@ -80,7 +80,7 @@
     /// The other data centres with VMs that live.
     fn centres(&self, view: &GatewayView) -> Vec<CentreStatus> {
         let own = &self.shared.settings.data_centre;
-        let mut by_centre: BTreeMap<&DataCentreName, Vec<&PeerBeat>> = BTreeMap::new();
+        let mut by_centre: BTreeMap<&DataCentreName, Vec<&PeerHeartbeat>> = BTreeMap::new();
         for beat in view.beats.iter().filter(|beat| beat.data_centre != *own) {
             by_centre.entry(&beat.data_centre).or_default().push(beat);
         }
@@ -93,7 +93,7 @@
         &self,
         view: &GatewayView,
         data_centre: &DataCentreName,
-        beats: &[&PeerBeat],
+        beats: &[&PeerHeartbeat],
     ) -> CentreStatus {
         let now = self.shared.now();
         let heard = view.heard.get(data_centre);
@@ -110,7 +110,7 @@
     }
 
     /// Where operators reach another VM: at the same port as this one.
-    fn operator_address(&self, beat: &PeerBeat) -> SocketAddr {
+    fn operator_address(&self, beat: &PeerHeartbeat) -> SocketAddr {
         SocketAddr::new(beat.peer.ip(), self.shared.settings.addresses.operator.port())
     }
 }
--- a/crates/foldhaven-gateway/src/peer_message.rs
+++ b/crates/foldhaven-gateway/src/peer_message.rs
@@ -10,7 +10,9 @@
 use foldhaven_core::opaque::affinity::PromptPlacement;
 use foldhaven_core::opaque::demand_book::{NearDemand, RegionDemand};
 use foldhaven_core::opaque::load_share::LoadReport;
-use foldhaven_core::opaque::peer_table::{BeatMessage, NewsNotice, ViewList, ViewNotice};
+use foldhaven_core::opaque::peer_table::{
+    HeartbeatMessage, RevisionAnnouncement, ViewDigest, ViewList,
+};
 use foldhaven_core::opaque::region_book::RegionReport;
 use foldhaven_core::opaque::sender_pact::PactNotice;
 use foldhaven_core::opaque::suspects::SuspectRecord;
@@ -36,7 +38,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum PeerMessage {
     /// A heartbeat.
-    Beat(BeatMessage),
+    Beat(HeartbeatMessage),
     /// The requests of a VM at the upstreams of its region.
     Load(LoadReport),
     /// Where long prompts were sent, for another region.
@@ -50,13 +52,13 @@
     /// Requests under which upstreams ended.
     Suspects(SuspectTelling),
     /// Which VMs of its region one knows, in short.
-    View(ViewNotice),
+    View(ViewDigest),
     /// The same in full.
     ViewList(ViewList),
     /// Which list of senders a VM holds.
     Pact(PactNotice),
     /// How far a VM knows the platform's changes.
-    News(NewsNotice),
+    News(RevisionAnnouncement),
     /// What callers of limited accounts want at a VM of the region.
     Demand(NearDemand),
     /// The same for a whole other region.
--- a/crates/foldhaven-gateway/src/view.rs
+++ b/crates/foldhaven-gateway/src/view.rs
@@ -7,7 +7,7 @@
 
 use foldhaven_core::ids::{DataCentreName, RegionName, ServiceName, VmName};
 use foldhaven_core::opaque::load_share::{UpstreamShare, share_interval};
-use foldhaven_core::opaque::peer_table::PeerBeat;
+use foldhaven_core::opaque::peer_table::PeerHeartbeat;
 use foldhaven_core::opaque::queue_rank::QueueRank;
 use foldhaven_core::opaque::route_table::RouteTable;
 use foldhaven_core::time::MonoTime;
@@ -29,7 +29,7 @@
 }
 
 impl PeerLink {
-    pub fn new(beat: &PeerBeat) -> Self {
+    pub fn new(beat: &PeerHeartbeat) -> Self {
         Self {
             vm: beat.vm.clone(),
             region: beat.region.clone(),
@@ -77,7 +77,7 @@
     /// Those of each other region that take requests there at any load.
     pub far_service: HashMap<RegionName, Vec<Arc<PeerLink>>>,
     /// The heartbeats of all VMs that live, the own one included.
-    pub beats: Vec<PeerBeat>,
+    pub beats: Vec<PeerHeartbeat>,
     /// VMs of this region of which nothing has come for a while.
     pub doubted: BTreeSet<VmName>,
     /// The processor time that the requests of this region took in the last seconds at most.
--- a/crates/foldhaven-gateway/tests/testsuite/peer_messages.rs
+++ b/crates/foldhaven-gateway/tests/testsuite/peer_messages.rs
@@ -13,8 +13,8 @@
 use foldhaven_core::opaque::affinity::UpstreamTag;
 use foldhaven_core::opaque::demand_book::{AccountTag, NearDemand, RegionDemand, VmDemand};
 use foldhaven_core::opaque::peer_table::{
-    AskedBeats, BeatMessage, KnownCounts, NewsNotice, PeerBeat, PeerPhase, PeerPulse, RegionTag,
-    ViewList, ViewNotice, VmLife, VmTag,
+    HeartbeatMessage, KnownCounts, LivenessUpdate, PeerHeartbeat, PeerPhase, RegionTag,
+    RequestedHeartbeats, RevisionAnnouncement, ViewDigest, ViewList, VmIncarnation, VmTag,
 };
 use foldhaven_core::opaque::route_delta::RouteDelta;
 use foldhaven_core::opaque::route_table::{CallerLimits, RouteDescription, RouteVersion};
@@ -26,7 +26,7 @@
 use rstest::rstest;
 
 fn beat() -> PeerMessage {
-    let own = PeerBeat {
+    let own = PeerHeartbeat {
         vm: "vm-1".parse().unwrap(),
         incarnation: IncarnationId(1_700_000_000_000),
         sequence: 300,
@@ -40,7 +40,7 @@
         revision: 9,
         is_turned_away: false,
     };
-    let pulse = PeerPulse {
+    let pulse = LivenessUpdate {
         vm: VmTag(5),
         incarnation: IncarnationId(6),
         sequence: 7,
@@ -48,8 +48,8 @@
         revision: 8,
         is_turned_away: true,
     };
-    let asks = AskedBeats::Of(vec![VmTag(3)]);
-    PeerMessage::Beat(BeatMessage { own, pulses: vec![pulse], heard: Vec::new(), asks })
+    let requests = RequestedHeartbeats::Of(vec![VmTag(3)]);
+    PeerMessage::Beat(HeartbeatMessage { own, liveness: vec![pulse], others: Vec::new(), requests })
 }
 
 fn changes() -> PeerMessage {
@@ -62,19 +62,21 @@
 }
 
 fn view() -> PeerMessage {
-    PeerMessage::View(ViewNotice {
+    PeerMessage::View(ViewDigest {
         vm: VmTag(1),
         incarnation: IncarnationId(2),
         region: RegionTag(3),
-        lives: 4,
-        known: KnownCounts { near: 5, all: 6 },
+        digest: 4,
+        known: KnownCounts { local: 5, all: 6 },
     })
 }
 
 fn list() -> PeerMessage {
-    let lives =
-        vec![VmLife { vm: VmTag(3), lifetime: 4 }, VmLife { vm: VmTag(70_000), lifetime: 300 }];
-    PeerMessage::ViewList(ViewList { vm: VmTag(1), region: RegionTag(2), lives })
+    let lives = vec![
+        VmIncarnation { vm: VmTag(3), incarnation_bits: 4 },
+        VmIncarnation { vm: VmTag(70_000), incarnation_bits: 300 },
+    ];
+    PeerMessage::ViewList(ViewList { vm: VmTag(1), region: RegionTag(2), incarnations: lives })
 }
 
 fn pact() -> PeerMessage {
@@ -89,7 +91,7 @@
 }
 
 fn news() -> PeerMessage {
-    PeerMessage::News(NewsNotice {
+    PeerMessage::News(RevisionAnnouncement {
         vm: VmTag(1),
         incarnation: IncarnationId(2),
         revision: 3,
@@ -223,7 +225,10 @@
     let long = ViewList {
         vm: VmTag(1),
         region: RegionTag(2),
-        lives: vec![VmLife { vm: VmTag(u32::MAX), lifetime: u16::MAX }; 3_000],
+        incarnations: vec![
+            VmIncarnation { vm: VmTag(u32::MAX), incarnation_bits: u16::MAX };
+            3_000
+        ],
     };
     assert!(PeerMessage::ViewList(long).bytes().is_err(), "it fits no datagram");
 }
--- a/crates/foldhaven-testkit/src/membership/world.rs
+++ b/crates/foldhaven-testkit/src/membership/world.rs
@@ -7,8 +7,8 @@
 
 use foldhaven_core::ids::{DataCentreName, IncarnationId, RegionName, VmName};
 use foldhaven_core::opaque::peer_table::{
-    LEARNING_INTERVAL, LEARNING_TIME, OwnVm, PeerBeat, PeerPhase, PeerTable, RegionTag, RoundCall,
-    ViewAnswer, ViewNotice, VmTag,
+    LEARNING_INTERVAL, LEARNING_TIME, OwnVm, PeerHeartbeat, PeerPhase, PeerTable, RegionTag,
+    RoundInput, ViewAnswer, ViewDigest, VmTag,
 };
 use foldhaven_core::opaque::route_table::RouteVersion;
 use foldhaven_core::time::MonoTime;
@@ -162,11 +162,11 @@
         self.plan(started + micros(LEARNING_INTERVAL), StartEvent::Round(vm, incarnation));
     }
 
-    fn own_beat(&self, vm: usize) -> PeerBeat {
+    fn own_beat(&self, vm: usize) -> PeerHeartbeat {
         let StartVm { name, region, sequence, .. } = &self.vms[vm];
         let table = self.vms[vm].table.as_ref().expect("it is up");
         let address = address_of(vm);
-        PeerBeat {
+        PeerHeartbeat {
             vm: name.clone(),
             incarnation: table.incarnation(),
             sequence: *sequence,
@@ -197,18 +197,18 @@
         if self.way == TellingWay::AskingAgain && own.sequence.is_multiple_of(ASKING_ROUNDS) {
             table.ask_again();
         }
-        let call = RoundCall { own: own.clone(), seeds, is_to_all: false };
+        let call = RoundInput { own: own.clone(), seeds, is_to_all: false };
         let beats = table.plan_round(call, now);
         let targets = match self.way {
             TellingWay::Views => table.view_targets(&beats, is_learning, now),
             TellingWay::Heartbeats | TellingWay::AskingAgain => Vec::new(),
         };
-        let pause = table.round_pause(is_learning, now);
-        let notice = ViewNotice {
+        let pause = table.round_interval(is_learning, now);
+        let notice = ViewDigest {
             vm: VmTag::of(&own.vm),
             incarnation: own.incarnation,
             region: RegionTag::of(&own.region),
-            lives: table.region_digest(now),
+            digest: table.region_digest(now),
             known: table.known_counts(),
         };
         beats.into_iter().for_each(|(to, beat)| self.send(vm, to, PeerMessage::Beat(beat)));
@@ -247,19 +247,19 @@
         let table = self.vms[vm].table.as_mut().expect("it is up");
         match message {
             PeerMessage::Beat(message) => {
-                table.take_message(&message, now);
+                table.apply_message(&message, now);
                 let replies = table.reply_to(&message, &own, now);
                 replies
                     .into_iter()
                     .for_each(|(to, beat)| self.send(vm, to, PeerMessage::Beat(beat)));
             }
             PeerMessage::View(notice) => {
-                if let ViewAnswer::List(to, list) = table.take_view(&notice, now) {
+                if let ViewAnswer::List(to, list) = table.apply_view_digest(&notice, now) {
                     self.send(vm, to, PeerMessage::ViewList(list));
                 }
             }
             PeerMessage::ViewList(list) => {
-                let replies = table.take_list(&list, &own, now);
+                let replies = table.apply_view_list(&list, &own, now);
                 replies
                     .into_iter()
                     .for_each(|(to, beat)| self.send(vm, to, PeerMessage::Beat(beat)));
@@ -278,7 +278,7 @@
             let wanted: BTreeSet<&VmName> =
                 near.map(|other| &other.name).filter(|name| **name != vm.name).collect();
             let table = vm.table.as_ref().expect("it is up");
-            let known: BTreeSet<&VmName> = table.near(now).map(|beat| &beat.vm).collect();
+            let known: BTreeSet<&VmName> = table.live_local(now).map(|beat| &beat.vm).collect();
             if !wanted.is_subset(&known) {
                 let lacked: Vec<&&VmName> = wanted.difference(&known).take(3).collect();
                 strangers.push(format!("{} lacks {lacked:?}", vm.name));
