--- a/crates/foldhaven-core/src/opaque/account_table.rs
+++ b/crates/foldhaven-core/src/opaque/account_table.rs
@@ -14,21 +14,21 @@
 const PRINT_CONTEXT: &str = "foldhaven account key print v1";
 static PRINT_KEY: LazyLock<[u8; 32]> = LazyLock::new(|| blake3::derive_key(PRINT_CONTEXT, &[]));
 /// The bytes of a print.
-const PRINT_BYTES: usize = 16;
+const FINGERPRINT_BYTES: usize = 16;
 /// The longest key that is taken, in bytes.
 pub const MAX_KEY_BYTES: usize = 512;
 
 /// The keyed hash of a caller's key, which stands for it wherever it is kept or told.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct KeyPrint([u8; PRINT_BYTES]);
+pub struct KeyPrint([u8; FINGERPRINT_BYTES]);
 
 impl KeyPrint {
     /// The print of a key.
     pub fn of(key: &[u8]) -> Self {
         let hash = blake3::keyed_hash(&PRINT_KEY, key);
-        let mut bytes = [0; PRINT_BYTES];
-        bytes.copy_from_slice(&hash.as_bytes()[..PRINT_BYTES]);
+        let mut bytes = [0; FINGERPRINT_BYTES];
+        bytes.copy_from_slice(&hash.as_bytes()[..FINGERPRINT_BYTES]);
         Self(bytes)
     }
 }
@@ -53,10 +53,10 @@
     type Err = KeyPrintError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        if text.len() != 2 * PRINT_BYTES || !text.is_ascii() {
+        if text.len() != 2 * FINGERPRINT_BYTES || !text.is_ascii() {
             return Err(KeyPrintError);
         }
-        let mut bytes = [0; PRINT_BYTES];
+        let mut bytes = [0; FINGERPRINT_BYTES];
         for (at, byte) in bytes.iter_mut().enumerate() {
             let digits = &text[2 * at..2 * at + 2];
             *byte = u8::from_str_radix(digits, 16).map_err(|_| KeyPrintError)?;
--- a/crates/foldhaven-core/src/opaque/mod.rs
+++ b/crates/foldhaven-core/src/opaque/mod.rs
@@ -26,7 +26,7 @@
 pub mod reading_pace;
 pub mod region_book;
 pub mod report_plan;
-pub mod request_print;
+pub mod request_fingerprint;
 pub mod retry_share;
 pub mod round_trip;
 pub mod route_delta;
--- a/crates/foldhaven-core/src/opaque/request_print.rs
+++ b/crates/foldhaven-core/src/opaque/request_fingerprint.rs
@@ -14,11 +14,11 @@
 
 /// The bytes of a fingerprint. Nobody finds a second request with the fingerprint of a given one, so nobody can bring
 /// another's request into disrepute.
-const PRINT_BYTES: usize = 16;
+const FINGERPRINT_BYTES: usize = 16;
 
 /// What makes two requests the same: all that an upstream acts on, but neither id nor times.
 #[derive(Debug, Clone, Copy)]
-pub struct PrintedParts<'a> {
+pub struct FingerprintParts<'a> {
     /// The host that it names, in any case of letters.
     pub host: &'a str,
     /// The method.
@@ -32,18 +32,18 @@
 /// The fingerprint of a request. A request cannot be read from it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct RequestPrint([u8; PRINT_BYTES]);
+pub struct RequestFingerprint([u8; FINGERPRINT_BYTES]);
 
-impl RequestPrint {
+impl RequestFingerprint {
     /// The fingerprint of a request.
-    pub fn of(parts: &PrintedParts<'_>) -> Self {
+    pub fn of(parts: &FingerprintParts<'_>) -> Self {
         let mut hasher = Hasher::new_keyed(&KEY);
         for text in [&parts.host.to_ascii_lowercase(), parts.method, parts.target] {
             hasher.update(&(text.len() as u64).to_le_bytes());
             hasher.update(text.as_bytes());
         }
         hasher.update(parts.body);
-        let mut bytes = [0; PRINT_BYTES];
+        let mut bytes = [0; FINGERPRINT_BYTES];
         hasher.finalize_xof().fill(&mut bytes);
         Self(bytes)
     }
@@ -54,7 +54,7 @@
     }
 }
 
-impl fmt::Display for RequestPrint {
+impl fmt::Display for RequestFingerprint {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.iter().try_for_each(|byte| write!(formatter, "{byte:02x}"))
     }
@@ -62,19 +62,19 @@
 
 /// A fingerprint has 32 hexadecimal digits
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
-pub struct PrintError;
+pub struct FingerprintError;
 
-impl FromStr for RequestPrint {
-    type Err = PrintError;
+impl FromStr for RequestFingerprint {
+    type Err = FingerprintError;
 
-    fn from_str(text: &str) -> Result<Self, PrintError> {
-        if text.len() != 2 * PRINT_BYTES || !text.is_ascii() {
-            return Err(PrintError);
+    fn from_str(text: &str) -> Result<Self, FingerprintError> {
+        if text.len() != 2 * FINGERPRINT_BYTES || !text.is_ascii() {
+            return Err(FingerprintError);
         }
-        let mut bytes = [0; PRINT_BYTES];
+        let mut bytes = [0; FINGERPRINT_BYTES];
         for (at, byte) in bytes.iter_mut().enumerate() {
             let digits = &text[2 * at..2 * at + 2];
-            *byte = u8::from_str_radix(digits, 16).map_err(|_| PrintError)?;
+            *byte = u8::from_str_radix(digits, 16).map_err(|_| FingerprintError)?;
         }
         Ok(Self(bytes))
     }
--- a/crates/foldhaven-core/src/opaque/suspects/mod.rs
+++ b/crates/foldhaven-core/src/opaque/suspects/mod.rs
@@ -5,13 +5,13 @@
 //! at several upstreams that ended, and has never been answered whole, is refused. Notes of several VMs are joined
 //! in any order and any number of times with the same outcome, so no VM has to decide for the others.
 
-mod guests;
+mod in_flight;
 mod record;
 mod table;
 
-pub use self::guests::{GuestBook, GuestId};
-pub use self::record::{MAX_ENDS, MAX_TRIALS, RecordFault, SuspectRecord};
+pub use self::in_flight::{InFlightId, InFlightRequests};
+pub use self::record::{MAX_EXITS, MAX_PROBES, RecordError, SuspectRecord};
 pub use self::table::{
-    MAX_TOLD, NewsReach, REFUSED_ENDS, RecordSource, SuspectChange, SuspectNews, SuspectTable,
-    SuspectVerdict, TRIED_ENDS,
+    MAX_RECORDS_PER_MESSAGE, PROBE_EXITS, REFUSE_EXITS, RecordSource, SuspectChange, SuspectTable,
+    SuspectUpdate, SuspectVerdict, UpdateScope,
 };
--- a/crates/foldhaven-core/tests/testsuite/opaque_suspect_orders.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_suspect_orders.rs
@@ -4,9 +4,9 @@
 
 use foldhaven_core::opaque::affinity::UpstreamTag;
 use foldhaven_core::opaque::peer_table::VmTag;
-use foldhaven_core::opaque::request_print::{PrintedParts, RequestPrint};
+use foldhaven_core::opaque::request_fingerprint::{FingerprintParts, RequestFingerprint};
 use foldhaven_core::opaque::suspects::{
-    REFUSED_ENDS, RecordSource, SuspectRecord, SuspectTable, SuspectVerdict,
+    REFUSE_EXITS, RecordSource, SuspectRecord, SuspectTable, SuspectVerdict,
 };
 use foldhaven_core::time::MonoTime;
 use proptest::prelude::*;
@@ -21,9 +21,10 @@
 /// From so long after the third end on, sendings count.
 const KNOWN_MS: u64 = 2_000;
 
-fn print_of(body: &str) -> RequestPrint {
-    let parts = PrintedParts { host: "desk", method: "POST", target: "/x", body: body.as_bytes() };
-    RequestPrint::of(&parts)
+fn print_of(body: &str) -> RequestFingerprint {
+    let parts =
+        FingerprintParts { host: "desk", method: "POST", target: "/x", body: body.as_bytes() };
+    RequestFingerprint::of(&parts)
 }
 
 /// One thing that happens.
@@ -75,7 +76,7 @@
     /// Upstreams that end, with the VM that sent and when.
     dying: Vec<(u64, usize, UpstreamTag)>,
     /// When upstreams ended, and at which VM that was seen.
-    ends: Vec<(u64, usize)>,
+    exits: Vec<(u64, usize)>,
     /// How many upstreams were sent to; each is another one.
     upstreams: u32,
     /// How often VMs in touch sent the request on although all that is needed to hold it back could be known to them.
@@ -93,7 +94,7 @@
             cut_until: vec![0; VMS],
             messages: Vec::new(),
             dying: Vec::new(),
-            ends: Vec::new(),
+            exits: Vec::new(),
             upstreams: 0,
             late_sends: 0,
             is_deadly,
@@ -105,10 +106,10 @@
         at(self.now)
     }
 
-    fn act(&mut self, step: Step, print: RequestPrint) {
+    fn act(&mut self, step: Step, fingerprint: RequestFingerprint) {
         match step {
-            Step::Send { vm } => self.send(vm, print),
-            Step::Pass { ms } => self.pass(ms, print),
+            Step::Send { vm } => self.send(vm, fingerprint),
+            Step::Pass { ms } => self.pass(ms, fingerprint),
             Step::Lose if !self.messages.is_empty() => drop(self.messages.remove(0)),
             Step::Overtake => {
                 if let Some(last) = self.messages.pop() {
@@ -131,12 +132,12 @@
         self.now >= self.cut_until[vm] + KNOWN_MS || self.cut_until[vm] == 0
     }
 
-    fn send(&mut self, vm: usize, print: RequestPrint) {
+    fn send(&mut self, vm: usize, fingerprint: RequestFingerprint) {
         let now = self.time();
-        if let SuspectVerdict::Refused { .. } = self.tables[vm].judge(&print, now) {
+        if let SuspectVerdict::Refused { .. } = self.tables[vm].decide(&fingerprint, now) {
             return;
         }
-        if self.is_in_touch(vm) && self.knowable_ends() >= REFUSED_ENDS {
+        if self.is_in_touch(vm) && self.knowable_ends() >= REFUSE_EXITS {
             self.late_sends += 1;
         }
         self.upstreams += 1;
@@ -144,7 +145,7 @@
         match self.is_deadly {
             true => self.dying.push((self.now + DYING_MS, vm, upstream)),
             false => {
-                self.tables[vm].note_answered(print, now);
+                self.tables[vm].record_success(fingerprint, now);
             }
         }
         self.tell(vm);
@@ -152,8 +153,8 @@
 
     /// Tells all others what is news at a VM.
     fn tell(&mut self, vm: usize) {
-        let mut news = self.tables[vm].take_news();
-        news.extend(self.tables[vm].take_shared_news());
+        let mut news = self.tables[vm].take_updates();
+        news.extend(self.tables[vm].take_shared_updates());
         if self.tells {
             news.into_iter().for_each(|news| self.post(vm, news.record));
         }
@@ -170,25 +171,25 @@
 
     fn restart(&mut self, vm: usize) {
         let asked = (vm + 1) % VMS;
-        let known = self.tables[asked].told_to_starter();
+        let known = self.tables[asked].startup_records();
         self.tables[vm] = SuspectTable::new(VmTag(vm as u32));
         self.dying.retain(|(_, sender, _)| *sender != vm);
         // What it had seen a moment ago may have gone with it.
         let now = self.now;
-        self.ends.retain(|(at, seer)| *seer != vm || now > at + KNOWN_MS);
+        self.exits.retain(|(at, seer)| *seer != vm || now > at + KNOWN_MS);
         if self.tells {
             let now = self.time();
             for record in known {
-                self.tables[vm].hear(&record, RecordSource::Near, now).unwrap();
+                self.tables[vm].merge_record(&record, RecordSource::Local, now).unwrap();
             }
         }
     }
 
-    fn pass(&mut self, ms: u64, print: RequestPrint) {
+    fn pass(&mut self, ms: u64, fingerprint: RequestFingerprint) {
         for _ in 0..ms {
             self.now += 1;
             self.deliver();
-            self.end_upstreams(print);
+            self.end_upstreams(fingerprint);
             if self.now.is_multiple_of(ROUND_MS) {
                 self.repeat();
             }
@@ -199,17 +200,17 @@
         let now = self.time();
         while let Some(at) = self.messages.iter().position(|it| it.due <= self.now) {
             let Message { to, record, .. } = self.messages.remove(at);
-            self.tables[to].hear(&record, RecordSource::Near, now).unwrap();
+            self.tables[to].merge_record(&record, RecordSource::Local, now).unwrap();
             self.tell(to);
         }
     }
 
-    fn end_upstreams(&mut self, print: RequestPrint) {
+    fn end_upstreams(&mut self, fingerprint: RequestFingerprint) {
         while let Some(at) = self.dying.iter().position(|(due, ..)| *due <= self.now) {
             let (_, vm, upstream) = self.dying.swap_remove(at);
-            self.ends.push((self.now, vm));
+            self.exits.push((self.now, vm));
             let now = self.time();
-            self.tables[vm].note_end(print, upstream, now);
+            self.tables[vm].record_exit(fingerprint, upstream, now);
             self.tell(vm);
         }
     }
@@ -217,7 +218,7 @@
     fn repeat(&mut self) {
         let now = self.time();
         for vm in 0..VMS {
-            let records = self.tables[vm].next_repeated(now);
+            let records = self.tables[vm].next_resent(now);
             if self.tells {
                 records.into_iter().for_each(|record| self.post(vm, record));
             }
@@ -228,7 +229,7 @@
     fn knowable_ends(&self) -> usize {
         let is_knowable =
             |(at, seer): &&(u64, usize)| self.now > at + KNOWN_MS && self.is_in_touch(*seer);
-        self.ends.iter().filter(is_knowable).count()
+        self.exits.iter().filter(is_knowable).count()
     }
 }
 
@@ -239,12 +240,12 @@
 
 /// Plays some steps, and then sends every 40 ms, at one VM after another, for 30 s.
 fn play(steps: &[Step], is_deadly: bool, tells: bool) -> Model {
-    let print = print_of("a");
+    let fingerprint = print_of("a");
     let mut model = Model::new(is_deadly, tells);
-    steps.iter().for_each(|step| model.act(*step, print));
+    steps.iter().for_each(|step| model.act(*step, fingerprint));
     for number in 0..750 {
-        model.act(Step::Send { vm: number % VMS }, print);
-        model.pass(40, print);
+        model.act(Step::Send { vm: number % VMS }, fingerprint);
+        model.pass(40, fingerprint);
     }
     model
 }
@@ -257,30 +258,30 @@
     #[test]
     fn vms_hold_a_deadly_request_back_together(steps in steps()) {
         let model = play(&steps, true, true);
-        prop_assert!(model.late_sends <= 3, "{} late sends, ends {:?}", model.late_sends, model.ends);
+        prop_assert!(model.late_sends <= 3, "{} late sends, ends {:?}", model.late_sends, model.exits);
     }
 
     /// A request under which nothing ends is never held back.
     #[test]
     fn nothing_is_held_back_without_an_end(steps in steps()) {
         let model = play(&steps, false, true);
-        prop_assert!(model.tables.iter().all(|table| table.held_back() == 0));
+        prop_assert!(model.tables.iter().all(|table| table.quarantined_count() == 0));
     }
 
     /// A request that was blamed falsely is sent on freely again by all VMs a while after it harms nobody.
     #[test]
     fn false_blame_heals(steps in steps()) {
-        let print = print_of("a");
+        let fingerprint = print_of("a");
         let mut model = play(&steps, true, true);
-        model.pass(DYING_MS, print);
+        model.pass(DYING_MS, fingerprint);
         model.is_deadly = false;
         for number in 0..12_000 {
-            model.act(Step::Send { vm: number % VMS }, print);
-            model.pass(100, print);
+            model.act(Step::Send { vm: number % VMS }, fingerprint);
+            model.pass(100, fingerprint);
         }
         let now = model.time();
         for table in &mut model.tables {
-            prop_assert_eq!(table.judge(&print, now + Duration::from_millis(1)), SuspectVerdict::Free);
+            prop_assert_eq!(table.decide(&fingerprint, now + Duration::from_millis(1)), SuspectVerdict::Allowed);
         }
     }
 }
@@ -290,6 +291,6 @@
 fn without_messages_each_vm_makes_up_its_own_mind() {
     let sends: Vec<Step> =
         (0..60).flat_map(|it| [Step::Send { vm: it % VMS }, Step::Pass { ms: 40 }]).collect();
-    assert!(play(&sends, true, false).ends.len() >= VMS * REFUSED_ENDS);
-    assert!(play(&sends, true, true).ends.len() < 2 * REFUSED_ENDS);
+    assert!(play(&sends, true, false).exits.len() >= VMS * REFUSE_EXITS);
+    assert!(play(&sends, true, true).exits.len() < 2 * REFUSE_EXITS);
 }
--- a/crates/foldhaven-gateway/src/attempts/suspicion.rs
+++ b/crates/foldhaven-gateway/src/attempts/suspicion.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use foldhaven_core::opaque::suspects::{SuspectVerdict, TRIED_ENDS};
+use foldhaven_core::opaque::suspects::{PROBE_EXITS, SuspectVerdict};
 
 use super::RequestDriver;
 use crate::answer::Refusal;
@@ -19,7 +19,7 @@
         }
         match self.shared.suspects.look(&self.job.print, self.shared.now()) {
             SuspectVerdict::Refused { wait } => Err(self.hold_back(wait)),
-            SuspectVerdict::Free | SuspectVerdict::Trial => Ok(()),
+            SuspectVerdict::Allowed | SuspectVerdict::Probe => Ok(()),
         }
     }
 
@@ -31,8 +31,8 @@
         }
         let verdict = self.shared.suspects.judge(&self.job.print, &self.shared.change_context());
         match verdict {
-            SuspectVerdict::Free => {}
-            SuspectVerdict::Trial => self.is_trial = true,
+            SuspectVerdict::Allowed => {}
+            SuspectVerdict::Probe => self.is_trial = true,
             SuspectVerdict::Refused { wait } => return Err(self.hold_back(wait)),
         }
         Ok(())
@@ -63,7 +63,7 @@
     /// request twice, here or as other VMs tell, or it is on trial.
     pub(super) fn may_be_harmful(&self) -> bool {
         let known = self.shared.suspects.ends(&self.job.print);
-        self.is_trial || known.max(self.breaks as usize) >= TRIED_ENDS
+        self.is_trial || known.max(self.breaks as usize) >= PROBE_EXITS
     }
 
     /// Counts a try that ended with its connection after its answer had begun.
--- a/crates/foldhaven-gateway/src/datagrams.rs
+++ b/crates/foldhaven-gateway/src/datagrams.rs
@@ -251,8 +251,8 @@
 /// Takes in what another VM tells of suspected requests.
 fn hear_suspects(shared: &GatewayShared, telling: &SuspectTelling) {
     let source = match telling.region == *shared.settings.region() {
-        true => RecordSource::Near,
-        false => RecordSource::Far,
+        true => RecordSource::Local,
+        false => RecordSource::Remote,
     };
     shared.suspects.hear(&telling.records, source, &shared.change_context());
 }
--- a/crates/foldhaven-gateway/src/explain.rs
+++ b/crates/foldhaven-gateway/src/explain.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use foldhaven_core::opaque::affinity::PromptOutline;
-use foldhaven_core::opaque::request_print::{PrintedParts, RequestPrint};
+use foldhaven_core::opaque::request_fingerprint::{FingerprintParts, RequestFingerprint};
 use foldhaven_wire::operator::{PlacePrice, RouteExplanation};
 use http::{HeaderMap, HeaderValue, Method, Uri};
 
@@ -58,7 +58,7 @@
     let service = route.pick_service(0.0).ok_or(Refusal::NoRoute)?.clone();
     let job = GatewayJob {
         attempt: HeaderValue::from_static("explain"),
-        print: RequestPrint::of(&PrintedParts {
+        print: RequestFingerprint::of(&FingerprintParts {
             host: query.host,
             method: "GET",
             target: query.path,
--- a/crates/foldhaven-gateway/src/job.rs
+++ b/crates/foldhaven-gateway/src/job.rs
@@ -7,7 +7,7 @@
 use foldhaven_core::ids::{RegionName, ServiceName};
 use foldhaven_core::opaque::affinity::{PromptOutline, PromptPart};
 use foldhaven_core::opaque::choice::{OUTPUT_WEIGHT, PLAIN_SIZE};
-use foldhaven_core::opaque::request_print::{PrintedParts, RequestPrint};
+use foldhaven_core::opaque::request_fingerprint::{FingerprintParts, RequestFingerprint};
 use foldhaven_core::opaque::route_table::{CallerLimits, OpaqueRoute};
 use http::header::{
     CONNECTION, CONTENT_LENGTH, EXPECT, HOST, PROXY_AUTHENTICATE, PROXY_AUTHORIZATION, TE, TRAILER,
@@ -36,7 +36,7 @@
     /// The id by which the caller tells its tries apart; upstreams repeat it.
     pub attempt: HeaderValue,
     /// What it has in common with every other sending of the same request.
-    pub print: RequestPrint,
+    pub print: RequestFingerprint,
     pub route: Arc<OpaqueRoute>,
     /// The account that it came under; none where its route needs none.
     pub account: Option<JobAccount>,
@@ -170,8 +170,8 @@
 }
 
 /// The fingerprint of a request.
-fn print_of(head: &Parts, body: &[u8]) -> RequestPrint {
-    RequestPrint::of(&PrintedParts {
+fn print_of(head: &Parts, body: &[u8]) -> RequestFingerprint {
+    RequestFingerprint::of(&FingerprintParts {
         host: host_of(head).unwrap_or_default(),
         method: head.method.as_str(),
         target: head.uri.path_and_query().map_or("/", |target| target.as_str()),
--- a/crates/foldhaven-gateway/src/suspect_news.rs
+++ b/crates/foldhaven-gateway/src/suspect_news.rs
@@ -4,7 +4,9 @@
 use std::sync::Arc;
 
 use async_trait::async_trait;
-use foldhaven_core::opaque::suspects::{MAX_TOLD, NewsReach, SuspectNews, SuspectRecord};
+use foldhaven_core::opaque::suspects::{
+    MAX_RECORDS_PER_MESSAGE, SuspectRecord, SuspectUpdate, UpdateScope,
+};
 use tokio::net::UdpSocket;
 
 use crate::datagrams::send_to;
@@ -21,14 +23,14 @@
 }
 
 impl SuspectTeller {
-    async fn tell(&self, news: Vec<SuspectNews>) -> Result<(), xtra::Error> {
+    async fn tell(&self, news: Vec<SuspectUpdate>) -> Result<(), xtra::Error> {
         if news.is_empty() {
             return Ok(());
         }
         let occasion = TellOccasion::News;
         let SuspectTargets { near, far } =
             self.keeper.send(PlanSuspectTargets { occasion }).await?;
-        let wide = news.iter().filter(|news| news.reach == NewsReach::Wide);
+        let wide = news.iter().filter(|news| news.scope == UpdateScope::Global);
         let wide: Vec<SuspectRecord> = wide.map(|news| news.record.clone()).collect();
         let all: Vec<SuspectRecord> = news.into_iter().map(|news| news.record).collect();
         self.send(&far, &wide).await;
@@ -41,7 +43,7 @@
             return;
         }
         let region = self.shared.settings.region();
-        for chunk in records.chunks(MAX_TOLD) {
+        for chunk in records.chunks(MAX_RECORDS_PER_MESSAGE) {
             let telling = SuspectTelling { region: region.clone(), records: chunk.to_vec() };
             let bytes = send_to(&self.socket, targets, &PeerMessage::Suspects(telling)).await;
             let sum = (bytes * targets.len()) as u64;
--- a/crates/foldhaven-gateway/src/suspects.rs
+++ b/crates/foldhaven-gateway/src/suspects.rs
@@ -8,10 +8,10 @@
 use foldhaven_core::ids::RouteName;
 use foldhaven_core::opaque::affinity::UpstreamTag;
 use foldhaven_core::opaque::peer_table::VmTag;
-use foldhaven_core::opaque::request_print::RequestPrint;
+use foldhaven_core::opaque::request_fingerprint::RequestFingerprint;
 use foldhaven_core::opaque::suspects::{
-    REFUSED_ENDS, RecordSource, SuspectChange, SuspectNews, SuspectRecord, SuspectTable,
-    SuspectVerdict, TRIED_ENDS,
+    PROBE_EXITS, REFUSE_EXITS, RecordSource, SuspectChange, SuspectRecord, SuspectTable,
+    SuspectUpdate, SuspectVerdict,
 };
 use foldhaven_core::time::MonoTime;
 use lru::LruCache;
@@ -32,7 +32,7 @@
 pub struct SuspectDesk {
     table: Mutex<SuspectTable>,
     /// The routes of requests that were held back here.
-    routes: Mutex<LruCache<RequestPrint, RouteName>>,
+    routes: Mutex<LruCache<RequestFingerprint, RouteName>>,
     /// Limits how many lines on changes are logged.
     quota: LogQuota,
     /// Told when there is something to tell other VMs.
@@ -62,19 +62,19 @@
     }
 
     /// How many upstreams ended under a request.
-    pub fn ends(&self, print: &RequestPrint) -> usize {
-        self.table.lock().ends(print)
+    pub fn ends(&self, print: &RequestFingerprint) -> usize {
+        self.table.lock().exit_count(print)
     }
 
     /// What would be done with a request.
-    pub fn look(&self, print: &RequestPrint, now: MonoTime) -> SuspectVerdict {
-        self.table.lock().look(print, now)
+    pub fn look(&self, print: &RequestFingerprint, now: MonoTime) -> SuspectVerdict {
+        self.table.lock().peek_verdict(print, now)
     }
 
     /// What is done with a request that is about to be sent to an upstream.
-    pub fn judge(&self, print: &RequestPrint, context: &ChangeContext<'_>) -> SuspectVerdict {
-        let verdict = self.table.lock().judge(print, context.now);
-        if verdict == SuspectVerdict::Trial {
+    pub fn judge(&self, print: &RequestFingerprint, context: &ChangeContext<'_>) -> SuspectVerdict {
+        let verdict = self.table.lock().decide(print, context.now);
+        if verdict == SuspectVerdict::Probe {
             context.metrics.count_event("suspect_tried");
             tracing::info!(%print, "a suspected request is tried");
             self.news.notify_one();
@@ -83,28 +83,28 @@
     }
 
     /// Waits until a request is refused that was not before.
-    pub async fn until_refused(&self, print: &RequestPrint) {
+    pub async fn until_refused(&self, print: &RequestFingerprint) {
         let mut refused = self.refused.subscribe();
         // The sender lives as long as this desk.
         while refused.changed().await.is_ok() {
-            if self.ends(print) >= REFUSED_ENDS {
+            if self.ends(print) >= REFUSE_EXITS {
                 return;
             }
         }
     }
 
     /// Notes which route a request is of that is held back.
-    pub fn note_route(&self, print: RequestPrint, route: &RouteName) {
+    pub fn note_route(&self, print: RequestFingerprint, route: &RouteName) {
         self.routes.lock().get_or_insert(print, || route.clone());
     }
 
     /// The route of a request that was held back here.
-    pub fn route_of(&self, print: &RequestPrint) -> Option<RouteName> {
+    pub fn route_of(&self, print: &RequestFingerprint) -> Option<RouteName> {
         self.routes.lock().peek(print).cloned()
     }
 
     /// Clears a request as a whole answer does. Returns whether anything was held against it.
-    pub fn clear(&self, print: RequestPrint, context: &ChangeContext<'_>) -> bool {
+    pub fn clear(&self, print: RequestFingerprint, context: &ChangeContext<'_>) -> bool {
         let change = self.table.lock().clear(print, context.now);
         let is_cleared = change.is_some();
         self.note_change(change, "operator", context);
@@ -112,24 +112,24 @@
     }
 
     /// Notes that a trial of this VM is over, and whether an upstream may have got it.
-    pub fn end_trial(&self, print: &RequestPrint, was_sent: bool, now: MonoTime) {
-        self.table.lock().end_trial(print, was_sent, now);
+    pub fn end_trial(&self, print: &RequestFingerprint, was_sent: bool, now: MonoTime) {
+        self.table.lock().finish_probe(print, was_sent, now);
     }
 
     /// Notes that an upstream ended under a request of this VM.
     pub fn note_end(
         &self,
-        print: RequestPrint,
+        print: RequestFingerprint,
         upstream: UpstreamTag,
         context: &ChangeContext<'_>,
     ) {
-        let change = self.table.lock().note_end(print, upstream, context.now);
+        let change = self.table.lock().record_exit(print, upstream, context.now);
         self.note_change(change, "own", context);
     }
 
     /// Notes that a request was answered whole.
-    pub fn note_answered(&self, print: RequestPrint, context: &ChangeContext<'_>) {
-        let change = self.table.lock().note_answered(print, context.now);
+    pub fn note_answered(&self, print: RequestFingerprint, context: &ChangeContext<'_>) {
+        let change = self.table.lock().record_success(print, context.now);
         self.note_change(change, "own", context);
     }
 
@@ -142,13 +142,13 @@
     ) {
         self.is_informed.store(true, Ordering::Relaxed);
         for record in records {
-            let heard = self.table.lock().hear(record, source, context.now);
+            let heard = self.table.lock().merge_record(record, source, context.now);
             match heard {
                 Ok(change) => self.note_change(change, "told", context),
                 Err(fault) => {
                     context.metrics.count_event("suspect_record_dropped");
                     if self.quota.take(false) {
-                        tracing::warn!(print = %record.print, error = %fault, "a record was dropped");
+                        tracing::warn!(print = %record.fingerprint, error = %fault, "a record was dropped");
                     }
                 }
             }
@@ -176,37 +176,39 @@
     }
 
     /// What is to be told at once.
-    pub fn take_news(&self) -> Vec<SuspectNews> {
-        self.table.lock().take_news()
+    pub fn take_news(&self) -> Vec<SuspectUpdate> {
+        self.table.lock().take_updates()
     }
 
     /// What other VMs may be about to tell as well.
-    pub fn take_shared_news(&self) -> Vec<SuspectNews> {
-        self.table.lock().take_shared_news()
+    pub fn take_shared_news(&self) -> Vec<SuspectUpdate> {
+        self.table.lock().take_shared_updates()
     }
 
     /// What is told again and again.
     pub fn next_repeated(&self, now: MonoTime) -> Vec<SuspectRecord> {
-        self.table.lock().next_repeated(now)
+        self.table.lock().next_resent(now)
     }
 
     /// What a VM that has just started is told.
     pub fn told_to_starter(&self) -> Vec<SuspectRecord> {
-        self.table.lock().told_to_starter()
+        self.table.lock().startup_records()
     }
 
     /// All suspected requests, with the time since the last change of each.
     pub fn rows(&self, now: MonoTime) -> Vec<(SuspectRecord, Duration)> {
         let table = self.table.lock();
         let records = table.records().into_iter();
-        records.map(|it| (it.clone(), table.age(&it.print, now).unwrap_or_default())).collect()
+        records
+            .map(|it| (it.clone(), table.age(&it.fingerprint, now).unwrap_or_default()))
+            .collect()
     }
 
     /// Drops what is too old to count.
     pub fn forget(&self, context: &ChangeContext<'_>) {
         let mut table = self.table.lock();
         table.forget(context.now);
-        context.metrics.set_level("suspects_held_back", table.held_back() as u64);
+        context.metrics.set_level("suspects_held_back", table.quarantined_count() as u64);
     }
 
     /// Counts and logs a change, and has others told.
@@ -216,13 +218,13 @@
         source: &'static str,
         context: &ChangeContext<'_>,
     ) {
-        let Some(SuspectChange { record, ends_before }) = change else { return };
+        let Some(SuspectChange { record, exits_before }) = change else { return };
         self.news.notify_one();
-        let ends = record.ends.len();
+        let ends = record.exits.len();
         let event = match ends {
             0 => "suspect_pardoned",
-            ends if ends >= REFUSED_ENDS && ends_before < REFUSED_ENDS => "suspect_refused",
-            ends if ends > ends_before => "suspect_ended",
+            ends if ends >= REFUSE_EXITS && exits_before < REFUSE_EXITS => "suspect_refused",
+            ends if ends > exits_before => "suspect_ended",
             _ => "suspect_changed",
         };
         context.metrics.count_event(event);
@@ -230,15 +232,15 @@
             self.refused.send_replace(());
         }
         // One end each is what an upstream leaves of all that it had; more are a belief that others act by.
-        let is_plain = ends.max(ends_before) < TRIED_ENDS;
+        let is_plain = ends.max(exits_before) < PROBE_EXITS;
         if self.quota.take(is_plain) {
             tracing::info!(
-                print = %record.print,
+                print = %record.fingerprint,
                 event,
                 ends,
-                ends_before,
-                trials = record.trials,
-                pardons = record.pardons,
+                ends_before = exits_before,
+                trials = record.probes,
+                pardons = record.exonerations,
                 source,
                 "what is believed of a request changes"
             );
--- a/crates/foldhaven-gateway/src/upstream.rs
+++ b/crates/foldhaven-gateway/src/upstream.rs
@@ -12,8 +12,8 @@
 use foldhaven_core::opaque::pace::{QueueFacts, UpstreamPace};
 use foldhaven_core::opaque::queue_rank::{QueueRank, UnreadTokens};
 use foldhaven_core::opaque::rate_part::{RatePacer, RatePart};
-use foldhaven_core::opaque::request_print::RequestPrint;
-use foldhaven_core::opaque::suspects::{GuestBook, GuestId};
+use foldhaven_core::opaque::request_fingerprint::RequestFingerprint;
+use foldhaven_core::opaque::suspects::{InFlightId, InFlightRequests};
 use foldhaven_core::opaque::upstream_table::UpstreamRecord;
 use foldhaven_core::time::MonoTime;
 use parking_lot::Mutex;
@@ -44,7 +44,7 @@
     /// The prompt tokens of those that were not answered yet.
     others_unread: Mutex<UnreadTokens>,
     /// The requests of this VM there, by which it is known under which ones it ended.
-    guests: Mutex<GuestBook>,
+    guests: Mutex<InFlightRequests>,
     /// Whether it is being found out whether it has ended.
     is_probed: AtomicBool,
     /// When anything was received from it last.
@@ -219,13 +219,13 @@
     }
 
     /// The requests of this VM that it may have ended under, when a connection to it broke at this time.
-    pub fn take_victims(&self, broke: MonoTime) -> Vec<RequestPrint> {
-        self.guests.lock().take_victims(broke)
+    pub fn take_victims(&self, broke: MonoTime) -> Vec<RequestFingerprint> {
+        self.guests.lock().take_affected(broke)
     }
 
     /// Notes a request of this VM there until the guard is dropped.
-    pub fn admit(self: &Arc<Self>, print: RequestPrint, clock: MonoClock) -> GuestSeat {
-        let id = self.guests.lock().enter(print);
+    pub fn admit(self: &Arc<Self>, print: RequestFingerprint, clock: MonoClock) -> GuestSeat {
+        let id = self.guests.lock().insert(print);
         GuestSeat { upstream: self.clone(), id, clock, is_harmless: false }
     }
 
@@ -267,7 +267,7 @@
 /// One request at an upstream.
 pub struct GuestSeat {
     upstream: Arc<Upstream>,
-    id: GuestId,
+    id: InFlightId,
     clock: MonoClock,
     is_harmless: bool,
 }
@@ -283,8 +283,8 @@
     fn drop(&mut self) {
         let mut guests = self.upstream.guests.lock();
         match self.is_harmless {
-            true => guests.leave_harmless(self.id),
-            false => guests.leave(self.id, self.clock.now()),
+            true => guests.remove_harmless(self.id),
+            false => guests.remove(self.id, self.clock.now()),
         }
     }
 }
--- a/crates/foldhaven-testkit/src/harm/telling.rs
+++ b/crates/foldhaven-testkit/src/harm/telling.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use foldhaven_core::opaque::suspects::{
-    MAX_TOLD, NewsReach, RecordSource, SuspectNews, SuspectRecord,
+    MAX_RECORDS_PER_MESSAGE, RecordSource, SuspectRecord, SuspectUpdate, UpdateScope,
 };
 use rand::Rng;
 
@@ -31,11 +31,11 @@
             return;
         }
         let source = match self.vms[vm].region == self.vms[from].region {
-            true => RecordSource::Near,
-            false => RecordSource::Far,
+            true => RecordSource::Local,
+            false => RecordSource::Remote,
         };
         for record in records {
-            let heard = self.vms[vm].table.hear(record, source, self.now);
+            let heard = self.vms[vm].table.merge_record(record, source, self.now);
             debug_assert!(heard.is_ok(), "{heard:?}");
         }
         self.tell_news(vm);
@@ -43,21 +43,21 @@
 
     /// A VM tells what is news at it.
     pub(super) fn tell_news(&mut self, vm: usize) {
-        let news = self.vms[vm].table.take_news();
+        let news = self.vms[vm].table.take_updates();
         self.tell(vm, &news);
         let pause = Duration::from_millis(self.random.random_range(0..SHARED_PAUSE_MS));
-        if self.vms[vm].table.has_shared_news() {
+        if self.vms[vm].table.has_shared_updates() {
             self.schedule(pause, HarmEvent::TellShared { vm });
         }
     }
 
     /// Tells the region of a VM, and a few VMs of each other one.
-    pub(super) fn tell(&mut self, vm: usize, news: &[SuspectNews]) {
+    pub(super) fn tell(&mut self, vm: usize, news: &[SuspectUpdate]) {
         if news.is_empty() || self.policy != TellPolicy::Joined {
             return;
         }
         let all: Vec<SuspectRecord> = news.iter().map(|news| news.record.clone()).collect();
-        let wide = news.iter().filter(|news| news.reach == NewsReach::Wide);
+        let wide = news.iter().filter(|news| news.scope == UpdateScope::Global);
         let wide: Vec<SuspectRecord> = wide.map(|news| news.record.clone()).collect();
         let region = self.vms[vm].region;
         for other in (region..self.plan.vms).step_by(self.plan.regions) {
@@ -79,7 +79,7 @@
         }
         let now = self.now;
         self.vms[vm].table.forget(now);
-        let records = self.vms[vm].table.next_repeated(now);
+        let records = self.vms[vm].table.next_resent(now);
         let region = self.vms[vm].region;
         for _ in 0..REPEAT_FAN_OUT {
             let other = self.draw_of(region);
@@ -102,7 +102,7 @@
         if records.is_empty() || from == vm {
             return;
         }
-        let messages = records.len().div_ceil(MAX_TOLD);
+        let messages = records.len().div_ceil(MAX_RECORDS_PER_MESSAGE);
         let bytes = messages * MESSAGE_BYTES + records.len() * RECORD_BYTES;
         *self.told.entry((from, self.now.0 / 1_000_000)).or_default() += bytes;
         if self.random.random_bool(self.plan.lossy) {
--- a/crates/foldhaven-testkit/src/harm/vm.rs
+++ b/crates/foldhaven-testkit/src/harm/vm.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use foldhaven_core::opaque::peer_table::VmTag;
-use foldhaven_core::opaque::suspects::{GuestBook, SuspectTable};
+use foldhaven_core::opaque::suspects::{InFlightRequests, SuspectTable};
 use foldhaven_core::time::MonoTime;
 
 /// For how long an engine is left alone that could not be reached.
@@ -16,7 +16,7 @@
     pub is_down: bool,
     pub table: SuspectTable,
     /// Its requests at each life of an engine.
-    pub guests: HashMap<(usize, u32), GuestBook>,
+    pub guests: HashMap<(usize, u32), InFlightRequests>,
     ejected: HashMap<usize, MonoTime>,
 }
 
--- a/crates/foldhaven-testkit/src/harm/world.rs
+++ b/crates/foldhaven-testkit/src/harm/world.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use foldhaven_core::opaque::affinity::UpstreamTag;
-use foldhaven_core::opaque::request_print::{PrintedParts, RequestPrint};
+use foldhaven_core::opaque::request_fingerprint::{FingerprintParts, RequestFingerprint};
 use foldhaven_core::opaque::suspects::{
-    GuestId, REFUSED_ENDS, RecordSource, SuspectRecord, SuspectVerdict, TRIED_ENDS,
+    InFlightId, PROBE_EXITS, REFUSE_EXITS, RecordSource, SuspectRecord, SuspectVerdict,
 };
 use foldhaven_core::time::MonoTime;
 use rand::rngs::StdRng;
@@ -65,11 +65,11 @@
 
 struct HarmRequest {
     kind: Kind,
-    print: RequestPrint,
+    print: RequestFingerprint,
     vm: usize,
     engine: usize,
     life: u32,
-    guest: Option<GuestId>,
+    guest: Option<InFlightId>,
     attempts: u32,
     is_trial: bool,
 }
@@ -103,9 +103,10 @@
     world.outcome(seed)
 }
 
-fn print_of(body: &str) -> RequestPrint {
-    let parts = PrintedParts { host: "desk", method: "POST", target: "/x", body: body.as_bytes() };
-    RequestPrint::of(&parts)
+fn print_of(body: &str) -> RequestFingerprint {
+    let parts =
+        FingerprintParts { host: "desk", method: "POST", target: "/x", body: body.as_bytes() };
+    RequestFingerprint::of(&parts)
 }
 
 impl World {
@@ -178,7 +179,7 @@
             HarmEvent::LosePower => self.lose_power(),
             HarmEvent::Hear { vm, from, records } => self.hear(vm, from, &records),
             HarmEvent::TellShared { vm } => {
-                let news = self.vms[vm].table.take_shared_news();
+                let news = self.vms[vm].table.take_shared_updates();
                 self.tell(vm, &news);
             }
             HarmEvent::Repeat { vm } => self.repeat(vm),
@@ -206,7 +207,7 @@
     }
 
     /// Sends a request to some VM that is up.
-    fn send(&mut self, kind: Kind, print: RequestPrint) {
+    fn send(&mut self, kind: Kind, print: RequestFingerprint) {
         let vm = loop {
             let vm = self.random.random_range(0..self.vms.len());
             if !self.vms[vm].is_down {
@@ -235,9 +236,9 @@
             return self.lose(request);
         }
         if !is_trial && self.policy != TellPolicy::Nothing {
-            match self.vms[vm].table.judge(&print, self.now) {
-                SuspectVerdict::Free => {}
-                SuspectVerdict::Trial => self.requests[request].is_trial = true,
+            match self.vms[vm].table.decide(&print, self.now) {
+                SuspectVerdict::Allowed => {}
+                SuspectVerdict::Probe => self.requests[request].is_trial = true,
                 SuspectVerdict::Refused { .. } => return self.hold_back(request),
             }
             self.tell_news(vm);
@@ -246,7 +247,7 @@
             Some(engine) => {
                 let life = self.engines[engine].life;
                 let guests = self.vms[vm].guests.entry((engine, life)).or_default();
-                let guest = guests.enter(print);
+                let guest = guests.insert(print);
                 let placed = &mut self.requests[request];
                 placed.attempts += 1;
                 (placed.engine, placed.life, placed.guest) = (engine, life, Some(guest));
@@ -299,7 +300,7 @@
 
     fn start_work(&mut self, request: usize) {
         let HarmRequest { kind, life, vm, engine, print, is_trial, .. } = self.requests[request];
-        let is_called_back = !is_trial && self.vms[vm].table.ends(&print) >= REFUSED_ENDS;
+        let is_called_back = !is_trial && self.vms[vm].table.exit_count(&print) >= REFUSE_EXITS;
         if is_called_back {
             if let Some(next) = self.engines[engine].finish(request) {
                 self.start_work(next);
@@ -327,7 +328,7 @@
         }
         self.leave_harmless(request);
         if !self.vms[vm].is_down && self.policy != TellPolicy::Nothing {
-            self.vms[vm].table.note_answered(print, self.now);
+            self.vms[vm].table.record_success(print, self.now);
             self.tell_news(vm);
         }
     }
@@ -364,11 +365,11 @@
         let at = &mut self.vms[vm];
         at.eject(engine, now);
         if let Some(guest) = guest {
-            at.guests.entry((engine, life)).or_default().leave(guest, now);
+            at.guests.entry((engine, life)).or_default().remove(guest, now);
         }
         self.schedule(NEAR_DELAY, HarmEvent::Probe { vm, engine, life });
-        let ends = self.vms[vm].table.ends(&print);
-        if attempts < MOST_ATTEMPTS && !is_trial && ends < TRIED_ENDS {
+        let ends = self.vms[vm].table.exit_count(&print);
+        if attempts < MOST_ATTEMPTS && !is_trial && ends < PROBE_EXITS {
             return self.place(request);
         }
         self.lose(request);
@@ -383,8 +384,8 @@
         let now = self.now;
         let Some(mut guests) = self.vms[vm].guests.remove(&(engine, life)) else { return };
         let tag = UpstreamTag(u32::try_from(engine).expect("few engines") << 16 | life);
-        for print in guests.take_victims(now) {
-            self.vms[vm].table.note_end(print, tag, now);
+        for print in guests.take_affected(now) {
+            self.vms[vm].table.record_exit(print, tag, now);
         }
         self.tell_news(vm);
     }
@@ -416,12 +417,12 @@
             return;
         }
         let asked = (vm + 1) % self.plan.vms;
-        let records = self.vms[asked].table.told_to_starter();
+        let records = self.vms[asked].table.startup_records();
         self.vms[vm].is_down = true;
         let now = self.now;
         for record in &records {
             // What the table itself made is sound.
-            let _ = self.vms[vm].table.hear(record, RecordSource::Far, now);
+            let _ = self.vms[vm].table.merge_record(record, RecordSource::Remote, now);
         }
         self.vms[vm].is_down = false;
     }
@@ -429,7 +430,7 @@
     fn leave_harmless(&mut self, request: usize) {
         let HarmRequest { vm, engine, life, guest, .. } = self.requests[request];
         if let (Some(guest), Some(guests)) = (guest, self.vms[vm].guests.get_mut(&(engine, life))) {
-            guests.leave_harmless(guest);
+            guests.remove_harmless(guest);
         }
     }
 
@@ -437,7 +438,7 @@
         let HarmRequest { vm, print, is_trial, .. } = self.requests[request];
         if is_trial {
             let now = self.now;
-            self.vms[vm].table.end_trial(&print, false, now);
+            self.vms[vm].table.finish_probe(&print, false, now);
         }
     }
 
