--- a/crates/foldhaven-core/src/opaque/peer_table/announcements.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/announcements.rs
@@ -1,4 +1,5 @@
-//! Which VM knows how much of the platform's changes, told without waiting for heartbeats, and who asks for them.
+//! Announcements of how much of the platform's changes a VM knows. They are sent without waiting
+//! for heartbeats. Also selects the VMs that request changes from other regions.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -13,58 +14,62 @@
 use crate::rank::rank_by;
 use crate::time::MonoTime;
 
-/// How many VMs of another region are told of a change, so that one lost message does not delay it.
+/// Number of VMs of each other region that receive an announcement, so that one lost message
+/// doesn't delay a change.
 const REMOTE_ANNOUNCEMENTS: usize = 2;
 
-/// How far a VM knows the platform's changes.
+/// Announces the revision up to which a VM knows the platform's changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RevisionAnnouncement {
-    /// The VM.
+    /// Tag of the VM.
     pub vm: VmTag,
-    /// Its process lifetime.
+    /// Incarnation of its process.
     pub incarnation: IncarnationId,
-    /// The revision up to which it knows all.
+    /// Revision up to which the VM knows all changes.
     pub revision: u64,
-    /// How many milliseconds ago it was proven that there was no later one; nothing when it never was.
+    /// Milliseconds since it was confirmed that there was no later revision; `None` if that was
+    /// never confirmed.
     pub age_ms: Option<u32>,
-    /// Whether the changes up to it have to be asked for, since they do not fit a datagram.
+    /// Whether the changes up to the revision must be requested, because they don't fit a datagram.
     pub is_offer: bool,
 }
 
 impl RevisionAnnouncement {
-    /// How long ago it was proven that there was no later revision.
+    /// Returns the time since it was confirmed that there was no later revision.
     pub fn age(&self) -> Option<Duration> {
         self.age_ms.map(|age_ms| Duration::from_millis(u64::from(age_ms)))
     }
 }
 
-/// Up to which revision other VMs offered changes that have to be asked for.
+/// The highest revision up to which other VMs offered changes that must be requested.
 ///
-/// It is kept by revision: what brings a VM to an earlier one does not answer the offer.
+/// The offer is kept by revision, because applying changes up to an earlier revision doesn't
+/// satisfy it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct OfferedRevision(u64);
 
 impl OfferedRevision {
-    /// Takes in a notice.
+    /// Records the revision of an announcement that is an offer.
     pub fn note(&mut self, announcement: &RevisionAnnouncement) {
         if announcement.is_offer {
             self.0 = self.0.max(announcement.revision);
         }
     }
 
-    /// Whether there is more to ask for than a VM knows.
+    /// Returns whether the offered revision is later than the known one.
     pub fn is_beyond(self, known: u64) -> bool {
         self.0 > known
     }
 
-    /// Forgets what was offered, as no VM that knows so much is left.
+    /// Drops the offer, because no VM that knows the revision is left.
     pub fn forget(&mut self) {
         *self = Self::default();
     }
 }
 
 impl PeerTable {
-    /// Takes in how far a VM knows the platform's changes. Returns whether that VM is known; else it is asked for.
+    /// Applies an announcement. Returns whether the VM is known with this incarnation. The
+    /// heartbeat of an unknown VM is requested.
     pub fn apply_announcement(&mut self, announcement: &RevisionAnnouncement) -> bool {
         let Some(entry) = self.entry_of_mut(announcement.vm) else {
             self.missing_heartbeats.insert(announcement.vm);
@@ -76,7 +81,8 @@
         entry.heartbeat.incarnation == announcement.incarnation
     }
 
-    /// Takes in up to which revision a VM told all it knows when it was asked. One that claimed more is not asked again for it.
+    /// Records the revision up to which a VM delivered all it knows when asked. A VM that claimed a
+    /// later one isn't asked for that again.
     pub fn record_delivered_revision(&mut self, peer: SocketAddr, revision: u64) {
         let entry = self.peers.values_mut().find(|entry| entry.heartbeat.peer == peer);
         if let Some(entry) = entry {
@@ -84,7 +90,7 @@
         }
     }
 
-    /// A few VMs of each other region, for news that does not wait for its turn.
+    /// Returns a few VMs of each other region, for announcements that don't wait for a round.
     pub fn remote_announcement_targets(&mut self, now: MonoTime) -> Vec<SocketAddr> {
         let mut targets = BTreeSet::new();
         for _ in 0..REMOTE_ANNOUNCEMENTS {
@@ -93,7 +99,7 @@
         targets.into_iter().collect()
     }
 
-    /// The other VMs of this region that take requests at any load, where they hear others.
+    /// Returns the peer addresses of the other VMs of this region that take requests at any load.
     pub fn standing_addresses(&self, now: MonoTime) -> Vec<SocketAddr> {
         let order = self.local_service_order(now);
         let standing: BTreeSet<_> = order.standing().iter().map(|it| it.vm).collect();
@@ -101,8 +107,9 @@
         local.map(|heartbeat| heartbeat.peer).collect()
     }
 
-    /// The place of this VM among those that ask other regions, the first one being 0; nothing when it is none of them.
-    /// Whether the platform answers a VM does not matter for that.
+    /// Returns the rank of this VM among those that request changes from other regions, 0 for the
+    /// first; `None` if it isn't one of them. It doesn't matter whether the VM can read the
+    /// platform.
     pub fn fetch_rank(&self, now: MonoTime) -> Option<usize> {
         let serving =
             self.live_local(now).filter(|heartbeat| heartbeat.phase == PeerPhase::Serving);
--- a/crates/foldhaven-core/src/opaque/peer_table/delegates.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/delegates.rs
@@ -1,4 +1,4 @@
-//! Delegates: the few VMs of a region that tell the other regions which VMs of it live.
+//! Delegates: the few VMs of a region that report its live VMs to the other regions.
 
 use std::time::Duration;
 
@@ -6,16 +6,16 @@
 use crate::opaque::service_order::ServiceCandidate;
 use crate::time::MonoTime;
 
-/// A delegate tells of VMs that it heard from itself within this time.
+/// A delegate reports VMs that it received a message from within this time.
 const CONTACT_WINDOW: Duration = Duration::from_millis(1_200);
-/// How many VMs of a region tell the other regions of it.
+/// Number of delegates of a region.
 const DELEGATES: usize = 2;
-/// The key by which they are ranked.
+/// Key by which the candidates for delegates are ranked.
 const DELEGATE_KEY: &str = "region-delegate";
 
 impl PeerTable {
-    /// Takes in the VMs that serve in another region, as a delegate of it tells. Returns whether it is
-    /// news that others decide by.
+    /// Applies a delegate's list of the VMs that serve in another region. Returns whether it
+    /// changes the membership that others decide by.
     pub fn apply_reported_incarnations(
         &mut self,
         incarnations: &[VmIncarnation],
@@ -28,7 +28,8 @@
         is_membership_change
     }
 
-    /// Takes in one of them. An unknown VM, or another lifetime of a known one, is asked for.
+    /// Applies one entry of the list. The heartbeat of an unknown VM, or of another incarnation of
+    /// a known one, is requested.
     fn apply_reported_incarnation(&mut self, incarnation: VmIncarnation, now: MonoTime) -> bool {
         let known = self
             .entry_of(incarnation.vm)
@@ -42,7 +43,7 @@
         let name = entry.heartbeat.vm.clone();
         if let Some(entry) = self.peers.get_mut(&name) {
             entry.last_seen = now;
-            // One that leaves tells so itself, and a delegate may not have heard it yet.
+            // A leaving VM announces that itself, and the delegate may not have received it yet.
             if entry.heartbeat.phase == PeerPhase::Starting {
                 entry.heartbeat.phase = PeerPhase::Serving;
             }
@@ -50,7 +51,8 @@
         is_membership_change
     }
 
-    /// The VMs of this region that serve, of those that were heard from a moment ago; without this one.
+    /// Returns the serving VMs of this region that a message was received from within
+    /// [`CONTACT_WINDOW`], without this VM.
     pub fn directly_seen_incarnations(&self, now: MonoTime) -> Vec<VmIncarnation> {
         let local = self.peers.values().filter(|entry| entry.heartbeat.region == self.region);
         let in_contact = local.filter(|entry| {
@@ -60,7 +62,7 @@
         in_contact.map(|entry| entry.heartbeat.vm_incarnation()).collect()
     }
 
-    /// Whether this VM is one of those of its region that speak for it in the others.
+    /// Returns whether this VM is one of the delegates of its region.
     pub fn is_delegate(&self, now: MonoTime) -> bool {
         let serving =
             self.live_local(now).filter(|heartbeat| heartbeat.phase == PeerPhase::Serving);
--- a/crates/foldhaven-core/src/opaque/peer_table/messages.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/messages.rs
@@ -1,4 +1,4 @@
-//! The messages of membership: heartbeats, pulses, and what they are made of.
+//! Messages of the membership protocol: heartbeats, liveness updates, and their parts.
 
 use std::net::SocketAddr;
 
@@ -9,69 +9,69 @@
 use crate::rank::rank_hash;
 use crate::units::CoreShare;
 
-/// What one VM sends another in a round.
+/// Message that one VM sends to another in a round of heartbeats.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatMessage {
-    /// The sender's heartbeat.
+    /// Heartbeat of the sender.
     pub own: PeerHeartbeat,
-    /// Pulses of VMs that the sender heard.
+    /// Liveness updates of other VMs that the sender relays.
     #[serde(rename = "pulses")]
     pub liveness: Vec<LivenessUpdate>,
-    /// Heartbeats of VMs that the receiver did not know.
+    /// Heartbeats of other VMs that the receiver lacks.
     #[serde(rename = "heard")]
     pub others: Vec<PeerHeartbeat>,
-    /// Which heartbeats the sender asks for.
+    /// Heartbeats that the sender requests.
     #[serde(rename = "asks")]
     pub requests: RequestedHeartbeats,
 }
 
 impl HeartbeatMessage {
-    /// A message with one's own heartbeat and some of others, that asks for nothing.
+    /// Creates a message with the sender's heartbeat and heartbeats of other VMs, without requests.
     pub fn of(own: PeerHeartbeat, others: Vec<PeerHeartbeat>) -> Self {
         Self { own, liveness: Vec::new(), others, requests: RequestedHeartbeats::Of(Vec::new()) }
     }
 }
 
-/// Which heartbeats of other VMs are asked for.
+/// Selects the heartbeats of other VMs that are requested.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RequestedHeartbeats {
-    /// Those of these VMs, of which no more than their tags or another lifetime is known.
+    /// Heartbeats of these VMs, of which only the tag or another incarnation is known.
     Of(Vec<VmTag>),
-    /// All, by a process that knows nobody yet.
+    /// All heartbeats, requested by a process that knows no other VM yet.
     All,
 }
 
-/// The heartbeat of a VM: all that others know of it.
+/// Heartbeat of a VM: its full state as known to other VMs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PeerHeartbeat {
-    /// The VM.
+    /// Name of the VM.
     pub vm: VmName,
-    /// The process lifetime; a later one is larger.
+    /// Incarnation of the process; a later one is larger.
     pub incarnation: IncarnationId,
-    /// The number of this heartbeat within the lifetime; it rises with each.
+    /// Number of this heartbeat within the incarnation; rises with each heartbeat.
     pub sequence: u32,
-    /// The data centre that it stands in.
+    /// Data centre that the VM runs in.
     pub data_centre: DataCentreName,
-    /// The region of that data centre.
+    /// Region of that data centre.
     pub region: RegionName,
-    /// The processor that it has.
+    /// Processor capacity of the VM.
     pub cores: CoreShare,
-    /// Where callers reach it.
+    /// Address for callers.
     pub caller: SocketAddr,
-    /// Where other VMs reach it.
+    /// Address for other VMs.
     pub peer: SocketAddr,
-    /// What it does.
+    /// Phase of the process.
     pub phase: PeerPhase,
-    /// The description that it has in force.
+    /// Version of the description in force.
     pub version: RouteVersion,
-    /// How far it knows the platform's changes.
+    /// Revision up to which the VM knows the platform's changes.
     pub revision: u64,
-    /// Whether the platform turns it away.
+    /// Whether the VM currently fails to read the platform.
     pub is_turned_away: bool,
 }
 
 impl PeerHeartbeat {
-    /// The pulse that repeats what changes often in this heartbeat.
+    /// Returns the liveness update with the frequently changing part of this heartbeat.
     pub(super) fn liveness_update(&self) -> LivenessUpdate {
         LivenessUpdate {
             vm: VmTag::of(&self.vm),
@@ -83,7 +83,7 @@
         }
     }
 
-    /// This heartbeat with what a later pulse of the same lifetime says.
+    /// Returns this heartbeat updated by a later liveness update of the same incarnation.
     pub(super) fn with_liveness_update(&self, update: &LivenessUpdate) -> Self {
         Self {
             sequence: update.sequence,
@@ -94,94 +94,95 @@
         }
     }
 
-    /// The lifetime that this heartbeat is of.
+    /// Returns the incarnation of the VM in its short form.
     pub fn vm_incarnation(&self) -> VmIncarnation {
         VmIncarnation::of(&self.vm, self.incarnation)
     }
 
-    /// Where this heartbeat stands among all of its VM; later ones are larger.
+    /// Returns the order of this heartbeat among all heartbeats of its VM; later ones are larger.
     pub(super) fn order(&self) -> (IncarnationId, u32) {
         (self.incarnation, self.sequence)
     }
 }
 
-/// That the sequence of a VM has risen, and what changes often of it.
+/// Short form of a heartbeat that other VMs relay: the sequence and the frequently changing fields.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LivenessUpdate {
-    /// The VM.
+    /// Tag of the VM.
     pub vm: VmTag,
-    /// Its process lifetime.
+    /// Incarnation of the process.
     pub incarnation: IncarnationId,
-    /// Its sequence.
+    /// Sequence of the heartbeat.
     pub sequence: u32,
-    /// What it does.
+    /// Phase of the process.
     pub phase: PeerPhase,
-    /// How far it knows the platform's changes.
+    /// Revision up to which the VM knows the platform's changes.
     pub revision: u64,
-    /// Whether the platform turns it away.
+    /// Whether the VM currently fails to read the platform.
     pub is_turned_away: bool,
 }
 
-/// One lifetime of a VM, short enough to be told of all VMs of a region at once.
+/// Short form of a VM and its incarnation, so that one message can list all VMs of a region.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct VmIncarnation {
-    /// The VM.
+    /// Tag of the VM.
     pub vm: VmTag,
-    /// The last bits of its incarnation, by which it differs from the lifetimes next to it.
+    /// Low 16 bits of the incarnation, which tell it apart from adjacent incarnations.
     #[serde(rename = "lifetime")]
     pub incarnation_bits: u16,
 }
 
 impl VmIncarnation {
-    /// The lifetime of a VM.
+    /// Creates the short form of an incarnation.
     pub fn of(vm: &VmName, incarnation: IncarnationId) -> Self {
         Self { vm: VmTag::of(vm), incarnation_bits: incarnation.0 as u16 }
     }
 }
 
-/// What a VM says of itself for others' decisions.
+/// Phase of a daemon process, as announced to other VMs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerPhase {
-    /// It takes no requests: it has no description yet, or others have known a newer one for too long.
+    /// It takes no requests: it has no description yet, or other VMs have known a newer one for too
+    /// long.
     Starting,
     /// It takes requests.
     Serving,
-    /// It is about to end and takes nothing new.
+    /// It is about to exit and takes no new requests.
     Leaving,
 }
 
-/// The wait that a request of a service would meet in a region.
+/// Wait that a request of a service would have in a region.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceWait {
-    /// The service.
+    /// Tag of the service.
     pub service: ServiceTag,
-    /// The wait of timely requests in milliseconds.
+    /// Expected wait of timely requests at a typical upstream, in milliseconds.
     pub wait_ms: u16,
-    /// How many requests one of its upstreams has.
+    /// Number of requests in flight at a typical upstream.
     pub load: u16,
-    /// How many of a thousand pauses between events there were longer than wanted.
+    /// Pauses between events that were longer than the target, per thousand.
     pub long_pauses: u16,
 }
 
-/// A service in messages between VMs: the hash of its name.
+/// Identifies a service in messages between VMs by the hash of its name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ServiceTag(pub u32);
 
 impl ServiceTag {
-    /// The tag of a service.
+    /// Returns the tag of a service.
     pub fn of(name: &ServiceName) -> Self {
         Self(rank_hash(&[name.as_str()]) as u32)
     }
 }
 
-/// A VM in pulses and load reports: the hash of its name.
+/// Identifies a VM in messages between VMs by the hash of its name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct VmTag(pub u32);
 
 impl VmTag {
-    /// The tag of a VM.
+    /// Returns the tag of a VM.
     pub fn of(name: &VmName) -> Self {
         Self(rank_hash(&[name.as_str()]) as u32)
     }
--- a/crates/foldhaven-core/src/opaque/peer_table/mod.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/mod.rs
@@ -1,11 +1,12 @@
-//! The other VMs of the system, by their heartbeats.
+//! Membership: the VMs that one VM knows, learnt from their heartbeats.
 //!
-//! Inside a region each daemon sends its heartbeat to a few others in turn, and with it the pulses of
-//! others that it heard: no more than whose sequence has risen. Nobody can keep a dead VM alive by
-//! repeating what it said, since only a sequence that goes on rising counts. The load reports, which go
-//! to everybody in a region, serve as pulses too, so that near VMs are missed sooner than far ones.
-//! Between regions a few delegates speak for all VMs of theirs: they list those that they heard from
-//! themselves a moment ago. A VM of which only a tag is known is asked for.
+//! Inside a region each daemon sends its heartbeat to a few other VMs in rotation, together with
+//! liveness updates (the sequence numbers) of other VMs that it received. A VM counts as live only
+//! while its sequence keeps rising, so repeating the last message of a dead VM doesn't keep it
+//! alive. Load reports, which go to every VM of a region, count as signs of life too, so failures
+//! are detected sooner in the own region than in other regions. Between regions a few delegates
+//! report all VMs of their region: they list the VMs that they recently received messages from
+//! directly. If only the tag of a VM is known, its heartbeat is requested.
 
 mod announcements;
 mod delegates;
@@ -37,86 +38,92 @@
 use crate::time::MonoTime;
 use crate::units::CoreShare;
 
-/// The time between two rounds of heartbeats.
+/// Interval between two rounds of heartbeats.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
-/// A process that has just started does not take the VMs that it heard of for all there are.
+/// Time after the start of a process in which it doesn't yet assume that it knows all VMs.
 pub const LEARNING_TIME: Duration = Duration::from_millis(1_500);
-/// The time between two rounds of such a process: its seeds may start at the same moment and not have listened yet, and
-/// until it hears of others it can send nothing to their regions.
+/// Interval between two rounds of heartbeats during [`LEARNING_TIME`]. Short because the seeds may
+/// start at the same moment and not listen yet, and until the process knows other VMs it can't send
+/// anything to their regions.
 pub const LEARNING_INTERVAL: Duration = Duration::from_millis(100);
-/// A VM of this region whose sequence has not risen for this long is not named to callers and gets
-/// nothing. Load reports and heartbeats of it arrive several times in this time.
+/// How long after the last rise of its sequence a VM of this region is still live. Later it isn't
+/// named to callers and gets no requests. Several load reports and heartbeats arrive within this
+/// time.
 const LOCAL_LIVENESS_TIMEOUT: Duration = Duration::from_millis(2_600);
-/// The same in a region with more VMs than heartbeats reach directly within two rounds: pulses of one that has no
-/// requests need up to five rounds to reach all.
+/// As [`LOCAL_LIVENESS_TIMEOUT`], if there are more VMs than heartbeats reach directly within two
+/// rounds: the liveness updates of a VM without requests need up to five rounds to reach all
+/// others.
 const LARGE_FLEET_LIVENESS_TIMEOUT: Duration = Duration::from_millis(3_600);
-/// The same for VMs of other regions, of which their delegates tell; callers must not be sent to a VM
-/// that has been dead for eight seconds, and a delegate may have heard of it `CONTACT_WINDOW` before.
+/// As [`LOCAL_LIVENESS_TIMEOUT`], for VMs of other regions, which their delegates report. Callers
+/// must not be sent to a VM that has been dead for eight seconds, and a delegate may have last
+/// received a message from it up to `CONTACT_WINDOW` before its report.
 const REMOTE_LIVENESS_TIMEOUT: Duration = Duration::from_millis(5_000);
-/// A VM of this region that was silent for this long is not named to callers while others are: one that takes
-/// requests is heard of several times a second, and half of the callers of one that has died are led elsewhere a
-/// second sooner.
+/// A VM of this region that was last seen longer ago than this isn't named to callers while there
+/// are responsive ones. A VM that takes requests is seen several times a second, so half of the
+/// callers of one that died are redirected a second sooner than with the liveness timeout alone.
 const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(1_500);
-/// A VM silent for this long is forgotten. Until then it counts where limits are divided.
+/// A VM that was last seen this long ago is removed from the table. Until then it counts where
+/// limits are divided.
 const EXPIRE_AFTER: Duration = Duration::from_secs(30);
 
-/// The VM that holds a table.
+/// Describes the VM that a table belongs to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OwnVm {
-    /// Its name.
+    /// Name of the VM.
     pub vm: VmName,
-    /// The data centre that it stands in.
+    /// Data centre that the VM runs in.
     pub data_centre: DataCentreName,
-    /// The region of that data centre.
+    /// Region of that data centre.
     pub region: RegionName,
-    /// The processor that it has.
+    /// Processor capacity of the VM.
     pub cores: CoreShare,
 }
 
-/// The VMs heard of.
+/// Tracks the other VMs and their liveness.
 #[derive(Debug)]
 pub struct PeerTable {
     own: VmName,
     data_centre: DataCentreName,
     cores: CoreShare,
-    /// The lifetime of this process, as others tell it from earlier ones.
+    /// Incarnation of this process, which tells it apart from earlier processes of the VM.
     incarnation: IncarnationId,
     region: RegionName,
     peers: BTreeMap<VmName, PeerEntry>,
-    /// The names behind the tags in pulses.
+    /// VM names by the tags used in liveness updates.
     tags: HashMap<VmTag, VmName>,
-    /// VMs that were told of by tags or lifetimes that are not known.
+    /// VMs whose heartbeat is to be requested, because only a tag or an incarnation other than the
+    /// known one was reported.
     missing_heartbeats: BTreeSet<VmTag>,
-    /// Whether all heartbeats were asked for after the start.
+    /// Whether all heartbeats have been requested after the start.
     has_requested_all: bool,
-    /// Where in the common order of VMs of this data centre the next round of heartbeats begins.
+    /// Rotation position of the next round of heartbeats among the VMs of this data centre.
     local_cursor: usize,
-    /// The same for VMs of other data centres of the region.
+    /// Rotation position among the VMs of other data centres of the region.
     cross_centre_cursor: usize,
-    /// The same for far VMs.
+    /// Rotation position among the VMs of other regions.
     remote_cursor: usize,
-    /// The same for what is told again beside heartbeats.
+    /// Rotation position for updates other than heartbeats that are resent.
     resend_cursor: usize,
-    /// The same for the pulses that go with them.
+    /// Rotation position among the liveness updates that are relayed.
     relay_cursor: usize,
-    /// The heartbeats of which others were told last.
+    /// Incarnation and sequence of each VM that were last relayed to others.
     last_relayed: HashMap<VmTag, (IncarnationId, u32)>,
-    /// How many rounds of heartbeats were planned.
+    /// Number of rounds of heartbeats planned so far.
     rounds: u32,
-    /// Whose turn it is to get this VM's view.
+    /// Rotation position among the receivers of this VM's view.
     view_cursor: usize,
-    /// When a list of lives was sent last.
+    /// When a list of incarnations was last sent.
     last_list_sent: Option<MonoTime>,
-    /// When another VM told of another view last.
+    /// When a view that differs from this VM's was last received.
     last_view_difference: Option<MonoTime>,
 }
 
 impl PeerTable {
-    /// An empty table of the process `incarnation` of the daemon on a VM.
+    /// Creates the empty table of a VM whose process has the given incarnation.
     pub fn new(own: OwnVm, incarnation: IncarnationId) -> Self {
         let OwnVm { vm: own, data_centre, region, cores } = own;
-        // Each VM begins at another place of the common order; if all began at the first, they would
-        // all turn to the same few VMs at a time.
+        // Each VM starts at another position of the common order. If all started at the first one,
+        // they would all send to the same few VMs at a time.
         let cursor = VmTag::of(&own).0 as usize;
         Self {
             own,
@@ -141,8 +148,8 @@
         }
     }
 
-    /// Takes in a heartbeat. Returns whether it is news that others decide by: a new VM, a new
-    /// lifetime, another phase, or the end of a silence.
+    /// Applies a heartbeat. Returns whether it changes the membership that others decide by: a new
+    /// VM, a new incarnation, another phase, or a VM that is live again.
     pub fn apply_heartbeat(&mut self, mut heartbeat: PeerHeartbeat, now: MonoTime) -> bool {
         if heartbeat.vm == self.own {
             self.supersede_incarnation(heartbeat.incarnation);
@@ -162,12 +169,13 @@
         let is_membership_change = !self.is_live(known, now)
             || heartbeat.incarnation != known.heartbeat.incarnation
             || heartbeat.phase != known.heartbeat.phase;
-        // What was told is of the lifetime that told it.
-        let is_same_life = heartbeat.incarnation == known.heartbeat.incarnation;
-        let reported_counts = known.reported_counts.filter(|_| is_same_life);
+        // The reported counts are valid only for the incarnation that reported them.
+        let is_same_incarnation = heartbeat.incarnation == known.heartbeat.incarnation;
+        let reported_counts = known.reported_counts.filter(|_| is_same_incarnation);
         let last_contact = known.last_contact;
-        if is_same_life {
-            // A notice may have told of more than this heartbeat, which was sent before it.
+        if is_same_incarnation {
+            // An announcement may have reported a later revision than this heartbeat, if the
+            // heartbeat was sent before it.
             heartbeat.revision = heartbeat.revision.max(known.heartbeat.revision);
         }
         self.peers.insert(
@@ -177,8 +185,8 @@
         is_membership_change
     }
 
-    /// Takes in a pulse; as [`PeerTable::apply_heartbeat`]. An unknown VM, or a new lifetime of a known one, is
-    /// asked for.
+    /// Applies a liveness update, as [`PeerTable::apply_heartbeat`] does a heartbeat. The heartbeat
+    /// of an unknown VM or a new incarnation is requested.
     pub fn apply_liveness_update(&mut self, update: LivenessUpdate, now: MonoTime) -> bool {
         if update.vm == VmTag::of(&self.own) {
             self.supersede_incarnation(update.incarnation);
@@ -199,20 +207,22 @@
         self.apply_heartbeat(heartbeat, now)
     }
 
-    /// The lifetime of this process.
+    /// Returns the incarnation of this process.
     pub fn incarnation(&self) -> IncarnationId {
         self.incarnation
     }
 
-    /// Takes a lifetime after one that others still hold for this VM. Lifetimes are named by the time
-    /// of day, which may have been set back between two starts; others ignore an earlier one.
+    /// Adopts an incarnation after one that other VMs still know for this VM. Incarnations are
+    /// numbered by the wall clock, which may have been set back between two starts, and other VMs
+    /// ignore an earlier incarnation.
     fn supersede_incarnation(&mut self, held: IncarnationId) {
         if held > self.incarnation {
             self.incarnation = IncarnationId(held.0 + 1);
         }
     }
 
-    /// The heartbeat held of a later lifetime of the VM that sent this one; the sender is to be told.
+    /// Returns the known heartbeat of an incarnation of `vm` later than `incarnation`, if any. It
+    /// is sent to the VM, so that it adopts a later incarnation.
     pub fn later_incarnation(
         &self,
         vm: &VmName,
@@ -222,7 +232,7 @@
         (held.incarnation > incarnation).then_some(held)
     }
 
-    /// Takes in that a VM of this region reported its load: it lives.
+    /// Records a load report of a VM of this region as a sign of life.
     pub fn record_load_report(&mut self, vm: VmTag, incarnation: IncarnationId, now: MonoTime) {
         if let Some(entry) = self.tags.get(&vm).and_then(|name| self.peers.get_mut(name))
             && entry.heartbeat.incarnation == incarnation
@@ -232,14 +242,14 @@
         }
     }
 
-    /// Takes in that a message came from a VM itself.
+    /// Records that a message arrived from a VM directly.
     pub fn record_contact(&mut self, vm: &VmName, now: MonoTime) {
         if let Some(entry) = self.peers.get_mut(vm) {
             entry.last_contact = Some(now);
         }
     }
 
-    /// Drops VMs that have been silent for very long.
+    /// Removes VMs that were last seen longer than [`EXPIRE_AFTER`] ago.
     pub fn forget(&mut self, now: MonoTime) {
         self.peers.retain(|_, entry| now.since(entry.last_seen) < EXPIRE_AFTER);
         let peers = &self.peers;
@@ -248,22 +258,22 @@
         self.last_relayed.retain(|tag, _| tags.contains_key(tag));
     }
 
-    /// How many VMs are known, live or silent for a short time, this one included.
+    /// Returns the number of known VMs, live or stale, including this one.
     pub fn vm_count(&self) -> usize {
         self.peers.len() + 1
     }
 
-    /// Where the VM behind a tag hears others.
+    /// Returns the peer address of the VM with a tag.
     pub fn address_of(&self, tag: VmTag) -> Option<SocketAddr> {
         self.entry_of(tag).map(|entry| entry.heartbeat.peer)
     }
 
-    /// Whether a VM is known that hears others at this address.
+    /// Returns whether a VM with this peer address is known.
     pub fn is_known_at(&self, peer: SocketAddr) -> bool {
         self.peers.values().any(|entry| entry.heartbeat.peer == peer)
     }
 
-    /// What is known of the VM behind a tag.
+    /// Returns the entry of the VM with a tag.
     fn entry_of(&self, tag: VmTag) -> Option<&PeerEntry> {
         self.peers.get(self.tags.get(&tag)?)
     }
@@ -272,12 +282,12 @@
         self.peers.get_mut(self.tags.get(&tag)?)
     }
 
-    /// Whether there are more VMs than heartbeats reach directly within two rounds.
+    /// Returns whether there are more VMs than heartbeats reach directly within two rounds.
     fn is_large_fleet(&self) -> bool {
         self.peers.len() > 2 * FAN_OUT + 2
     }
 
-    /// Whether an entry's sequence has risen a short time ago.
+    /// Returns whether the VM of an entry was seen within its liveness timeout.
     fn is_live(&self, entry: &PeerEntry, now: MonoTime) -> bool {
         let limit = match entry.heartbeat.region == self.region {
             true if self.is_large_fleet() => LARGE_FLEET_LIVENESS_TIMEOUT,
@@ -287,7 +297,7 @@
         now.since(entry.last_seen) <= limit
     }
 
-    /// The VMs whose heartbeats go on rising.
+    /// Returns the live VMs of all regions, without this one.
     pub fn live(&self, now: MonoTime) -> impl Iterator<Item = &PeerHeartbeat> {
         self.peers
             .values()
@@ -295,17 +305,17 @@
             .map(|entry| &entry.heartbeat)
     }
 
-    /// The live VMs of this region.
+    /// Returns the live VMs of this region, without this one.
     pub fn live_local(&self, now: MonoTime) -> impl Iterator<Item = &PeerHeartbeat> {
         self.live(now).filter(|heartbeat| heartbeat.region == self.region)
     }
 
-    /// How many VMs of this region are known, live or not; this one included.
+    /// Returns the number of known VMs of this region, live or stale, including this one.
     pub fn region_vm_count(&self) -> usize {
         self.peers.values().filter(|entry| entry.heartbeat.region == self.region).count() + 1
     }
 
-    /// When something was heard of any VM of each data centre.
+    /// Returns when any VM of each data centre was last seen.
     pub fn last_seen_by_data_centre(&self) -> HashMap<DataCentreName, MonoTime> {
         let mut last_seen: HashMap<DataCentreName, MonoTime> = HashMap::new();
         for entry in self.peers.values() {
@@ -315,14 +325,14 @@
         last_seen
     }
 
-    /// This VM as the order of service looks at it.
+    /// Returns this VM as a candidate of the service order.
     fn own_candidate(&self) -> ServiceCandidate<'_> {
         ServiceCandidate { vm: &self.own, data_centre: &self.data_centre, cores: self.cores }
     }
 
-    /// Whether this VM is among the first so many for a duty, in the rank for its key, which is the same at all
-    /// VMs. Only those that take requests at any load have duties: they know the load of the region, and the
-    /// largest VMs are among them.
+    /// Returns whether this VM is among the first `count` candidates ranked by `key`. The ranking
+    /// is the same at all VMs. Only the VMs that take requests at any load are ranked: they know
+    /// the load of the region, and the largest VMs are among them.
     fn is_among_first(
         &self,
         count: usize,
@@ -335,22 +345,23 @@
         ranked.into_iter().take(count).any(|name| *name == self.own)
     }
 
-    /// The VMs of this region that serve and are heard of, this one included, in the order in which they take
-    /// requests.
+    /// Returns the live and serving VMs of this region, including this one, in the order in which
+    /// they take requests.
     pub fn local_service_order(&self, now: MonoTime) -> ServiceOrder<'_> {
         let local = self.live_local(now).filter(|heartbeat| heartbeat.phase == PeerPhase::Serving);
         let others = local.map(ServiceCandidate::of);
         ServiceOrder::of(others.chain([self.own_candidate()]))
     }
 
-    /// The other VMs of this region of which something has come a moment ago.
+    /// Returns the other VMs of this region that were seen within [`UNRESPONSIVE_AFTER`].
     pub fn responsive_local_vms(&self, now: MonoTime) -> BTreeSet<VmTag> {
         let local = self.peers.values().filter(|entry| entry.heartbeat.region == self.region);
         let responsive = local.filter(|entry| now.since(entry.last_seen) <= UNRESPONSIVE_AFTER);
         responsive.map(|entry| VmTag::of(&entry.heartbeat.vm)).collect()
     }
 
-    /// The VMs of this region of which nothing has come for a while, though they may still live.
+    /// Returns the VMs of this region that weren't seen within [`UNRESPONSIVE_AFTER`], though they
+    /// may still be live.
     pub fn unresponsive_local_vms(&self, now: MonoTime) -> BTreeSet<VmName> {
         let local = self.peers.values().filter(|entry| entry.heartbeat.region == self.region);
         let unresponsive = local.filter(|entry| now.since(entry.last_seen) > UNRESPONSIVE_AFTER);
@@ -358,14 +369,14 @@
     }
 }
 
-/// What is known of one VM.
+/// Holds the state of one other VM.
 #[derive(Debug, Clone)]
 struct PeerEntry {
     heartbeat: PeerHeartbeat,
-    /// When its sequence rose last, a load report of it came, or its delegate told of it.
+    /// When its sequence last rose, its last load report arrived, or a delegate last reported it.
     last_seen: MonoTime,
-    /// When a message came from itself.
+    /// When the last message arrived from the VM itself; `None` if there was none.
     last_contact: Option<MonoTime>,
-    /// How many VMs it knows, as it told last.
+    /// Number of VMs that it knows, by its last report.
     reported_counts: Option<KnownCounts>,
 }
--- a/crates/foldhaven-core/src/opaque/peer_table/requests.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/requests.rs
@@ -1,11 +1,11 @@
-//! Asking for the heartbeats of VMs of which only a tag or another lifetime is known.
+//! Requests for the heartbeats of VMs of which only a tag or another incarnation is known.
 
 use super::{PeerHeartbeat, PeerTable, RequestedHeartbeats};
 use crate::time::MonoTime;
 
 impl PeerTable {
-    /// Which heartbeats the next round asks for: all of them after the start, later those of VMs that
-    /// were told of and are not known.
+    /// Returns the heartbeats that the next round requests: all of them after the start, later
+    /// those of VMs that were reported but are not known.
     pub fn take_heartbeat_requests(&mut self) -> RequestedHeartbeats {
         let is_first = !std::mem::replace(&mut self.has_requested_all, true);
         let missing_heartbeats = std::mem::take(&mut self.missing_heartbeats);
@@ -15,12 +15,12 @@
         }
     }
 
-    /// Has the next round ask for all heartbeats again: those that are held are too old.
+    /// Makes the next round request all heartbeats again, because the known ones are too old.
     pub fn ask_again(&mut self) {
         self.has_requested_all = false;
     }
 
-    /// The heartbeats that were asked for, of those that are held.
+    /// Returns the requested heartbeats of VMs that are known and live.
     pub fn requested_heartbeats(
         &self,
         requested: &RequestedHeartbeats,
--- a/crates/foldhaven-core/src/opaque/peer_table/rounds.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/rounds.rs
@@ -1,4 +1,4 @@
-//! A round of heartbeats: who gets which message, and what a message that arrives is answered with.
+//! Rounds of heartbeats: the messages that are sent, and the replies to messages that arrive.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -7,35 +7,37 @@
 use crate::ids::IncarnationId;
 use crate::time::MonoTime;
 
-/// Seeds get a heartbeat in every n-th round, so that two halves that lost each other meet again.
+/// Seeds get a heartbeat in every n-th round, so that the two sides of a partition find each other
+/// again.
 const SEED_ROUND_INTERVAL: u32 = 8;
-/// How many heartbeats go into one message, so that it fits a datagram.
+/// Maximum number of heartbeats in one message, so that it fits a datagram.
 const MAX_HEARTBEATS_PER_MESSAGE: usize = 7;
 
-/// What a round is planned by.
+/// Input for planning a round.
 #[derive(Debug, Clone)]
 pub struct RoundInput {
-    /// The heartbeat of this VM; its sequence counts the rounds.
+    /// Heartbeat of this VM; its sequence counts the rounds.
     pub own: PeerHeartbeat,
-    /// Where the VMs that are asked first take heartbeats.
+    /// Peer addresses of the seeds.
     pub seeds: Vec<SocketAddr>,
-    /// Whether all VMs get one, because there is news.
+    /// Whether the heartbeat goes to all VMs, because of a change that must not wait.
     pub is_to_all: bool,
 }
 
 /// Messages with their receivers.
 pub type PlannedHeartbeats = Vec<(SocketAddr, HeartbeatMessage)>;
 
-/// What a message brought.
+/// Outcome of applying a message.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MessageOutcome {
-    /// Whether it is news that others decide by.
+    /// Whether it changes the membership that others decide by.
     pub is_membership_change: bool,
-    /// Whether its sender is news.
+    /// Whether the sender's own heartbeat is such a change.
     pub is_sender_change: bool,
-    /// The lifetime that this process took, when others held a later one than its own.
+    /// Incarnation that this process adopted because other VMs knew a later one than its own;
+    /// `None` if it kept its incarnation.
     pub adopted_incarnation: Option<IncarnationId>,
-    /// A later lifetime of the sender that is held, of which it is told.
+    /// Known heartbeat of a later incarnation of the sender, which is sent to it.
     pub later_incarnation: Option<PeerHeartbeat>,
 }
 
@@ -60,7 +62,8 @@
         let to_remote = remote.map(|target| (target, to_remote.clone()));
         let to_local = local.iter().map(|target| (*target, to_local.clone()));
         let mut planned: PlannedHeartbeats = to_local.chain(to_remote).collect();
-        // One VM is asked in a round, another one each time: each answers with all that it knows.
+        // One VM per round gets the requests, another one each time, because it answers with all
+        // that it knows.
         let receivers = match local.len() {
             0 => planned.len(),
             local => local,
@@ -71,7 +74,7 @@
         planned
     }
 
-    /// Takes in a message.
+    /// Applies a message.
     pub fn apply_message(&mut self, message: &HeartbeatMessage, now: MonoTime) -> MessageOutcome {
         let HeartbeatMessage { own, liveness, others, .. } = message;
         let before = self.incarnation();
@@ -95,8 +98,8 @@
         }
     }
 
-    /// The answer to a message: the heartbeats that its sender asked for. One that knows nobody gets at least the one
-    /// of this VM, `own`.
+    /// Returns the replies to a message: the heartbeats that its sender requested. A sender that
+    /// knows no other VM gets at least `own`, the heartbeat of this VM.
     pub fn reply_to(
         &self,
         message: &HeartbeatMessage,
@@ -119,7 +122,7 @@
     }
 }
 
-/// Heartbeats for one receiver, in messages that fit a datagram.
+/// Splits heartbeats for one receiver into messages that fit a datagram.
 pub(super) fn heartbeat_messages(
     to: SocketAddr,
     own: &PeerHeartbeat,
--- a/crates/foldhaven-core/src/opaque/peer_table/senders.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/senders.rs
@@ -1,4 +1,4 @@
-//! The VMs of the region that share its limits, as this one knows them.
+//! The VMs that share the limits of the region, as this VM knows them.
 
 use std::net::SocketAddr;
 
@@ -10,20 +10,22 @@
 use crate::rank::rank_hash;
 use crate::time::MonoTime;
 
-/// Who shares the limits of the region, and where the others are told of that.
+/// The VMs that share the limits of the region, and the addresses of the other ones.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SenderView {
-    /// The VMs.
+    /// Names of the VMs.
     pub list: SenderList,
-    /// The same at all VMs that hold the same lives for senders; nothing when this VM is none.
+    /// Digest of the incarnations of the live senders, the same at all VMs that know the same ones;
+    /// `None` if this VM isn't a sender.
     pub digest: Option<ListDigest>,
-    /// The others of them.
+    /// Tags and peer addresses of the other senders.
     pub others: Vec<(VmTag, SocketAddr)>,
 }
 
 impl PeerTable {
-    /// The VMs of the region that take requests at any load: those that share its limits. `is_serving` tells whether this VM
-    /// takes requests; one that starts or leaves has no part.
+    /// Returns the VMs of the region that take requests at any load, which share its limits.
+    /// `is_serving` says whether this VM takes requests; a VM that is starting or leaving has no
+    /// share.
     pub fn senders(&self, is_serving: bool, now: MonoTime) -> SenderView {
         if !is_serving {
             return SenderView::default();
@@ -47,13 +49,13 @@
         SenderView { list: SenderList { live: live_names, with_silent }, digest, others }
     }
 
-    /// The other VMs of this region that served when they were heard last.
+    /// Returns the other VMs of this region that were serving when last seen.
     fn serving_local(&self) -> impl Iterator<Item = &PeerEntry> {
         let local = self.peers.values().filter(|entry| entry.heartbeat.region == self.region);
         local.filter(|entry| entry.heartbeat.phase == PeerPhase::Serving)
     }
 
-    /// The names of those of these VMs and this one that take requests at any load.
+    /// Returns the names of the VMs that take requests at any load, among `entries` and this VM.
     fn standing_of<'a>(&'a self, entries: impl Iterator<Item = &'a PeerEntry>) -> Vec<VmName> {
         let others = entries.map(|entry| ServiceCandidate::of(&entry.heartbeat));
         let order = ServiceOrder::of(others.chain([self.own_candidate()]));
@@ -61,7 +63,7 @@
     }
 }
 
-/// A digest of lives, whatever the order in which they are known.
+/// Returns a digest of incarnations that doesn't depend on their order.
 fn digest_incarnations(mut incarnations: Vec<VmIncarnation>) -> ListDigest {
     incarnations.sort_unstable();
     let words: Vec<String> = incarnations
--- a/crates/foldhaven-core/src/opaque/peer_table/targets.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/targets.rs
@@ -1,4 +1,4 @@
-//! Whom a round of heartbeats goes to, and which pulses go with it.
+//! Receivers of a round of heartbeats, and the liveness updates that are relayed to them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,28 +8,31 @@
 use crate::opaque::service_order::{ServiceCandidate, ServiceOrder};
 use crate::time::MonoTime;
 
-/// How many VMs of the region get a heartbeat in one round.
+/// Number of VMs of the region that get a heartbeat in one round.
 pub(super) const FAN_OUT: usize = 4;
-/// How many of them stand in other data centres, where there are several: bytes between data centres are paid for.
+/// How many of [`FAN_OUT`] are in other data centres, if there are any: traffic between data
+/// centres is paid for.
 const CROSS_CENTRE_FAN_OUT: usize = 1;
-/// A VM that is no delegate sends a heartbeat to one far VM in so many rounds, so that halves that
-/// lost each other meet again whoever their delegates are.
+/// A VM that isn't a delegate sends a heartbeat to one VM of another region in every n-th round, so
+/// that the two sides of a partition find each other again whichever VMs are their delegates.
 const REMOTE_ROUND_INTERVAL: u32 = 16;
-/// How many pulses of others go with one's own heartbeat.
+/// Maximum number of liveness updates that are relayed with a heartbeat.
 pub(super) const MAX_RELAYED: usize = 48;
 
-/// Whom a round of heartbeats goes to.
+/// Receivers of a round of heartbeats.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HeartbeatTargets {
     /// VMs of this region.
     pub local: Vec<SocketAddr>,
-    /// VMs of other regions; they are told of others by delegates, and get no pulses.
+    /// VMs of other regions. They learn of other VMs from delegates and get no liveness updates.
     pub remote: Vec<SocketAddr>,
 }
 
 impl PeerTable {
-    /// The VMs that get the next round: a few of this region in turn, and of the other regions one each
-    /// from a delegate; silent ones too, so that cuts that have healed are noticed.
+    /// Returns the receivers of the next round: a few VMs of this region in rotation and, if this
+    /// VM is a delegate, one of each other region. A VM that isn't a delegate sends to another
+    /// region only in every [`REMOTE_ROUND_INTERVAL`]-th round. Stale VMs are included, so that
+    /// healed partitions are noticed.
     pub fn next_targets(&mut self, now: MonoTime) -> HeartbeatTargets {
         self.rounds += 1;
         let local = self.peers.values().filter(|entry| entry.heartbeat.region == self.region);
@@ -46,9 +49,10 @@
         HeartbeatTargets { local, remote: self.next_remote_targets(now) }
     }
 
-    /// The VMs that are told again in a round of something that may have been lost: a few of this region in turn, and of the
-    /// other regions one each from a delegate. Their turn is not the one of heartbeats: of two that take turns in one, each
-    /// might always meet the same VMs.
+    /// Returns the receivers of updates that are resent in a round because they may have been lost:
+    /// a few VMs of this region in rotation and, if this VM is a delegate, one of each other
+    /// region. Their rotation is separate from the one of heartbeats: if both shared a position,
+    /// each might always get the same VMs.
     pub fn next_resend_targets(&mut self, now: MonoTime) -> HeartbeatTargets {
         let local = self.addresses_where(|region, own| region == own);
         let local = take_rotating(&local, FAN_OUT, &mut self.resend_cursor);
@@ -71,7 +75,7 @@
         remote.get(self.remote_cursor % remote.len().max(1)).copied().into_iter().collect()
     }
 
-    /// One VM of each other region, another one each time.
+    /// Returns one VM of each other region, another one each time.
     pub fn one_per_remote_region(&mut self) -> Vec<SocketAddr> {
         self.remote_cursor += 1;
         self.one_per_remote_region_at(self.remote_cursor)
@@ -86,8 +90,8 @@
         regions.into_values().map(|peers| peers[cursor % peers.len()]).collect()
     }
 
-    /// One VM of each other region that takes requests there, another one each time: it hears and tells the
-    /// others of its region most often.
+    /// Returns one VM of each other region that takes requests there, another one each time. Such a
+    /// VM exchanges messages with the others of its region most often.
     pub fn one_serving_per_remote_region(&mut self, now: MonoTime) -> Vec<SocketAddr> {
         self.remote_cursor += 1;
         let cursor = self.remote_cursor;
@@ -120,14 +124,15 @@
         meant.map(|entry| entry.heartbeat.peer).collect()
     }
 
-    /// The addresses of all VMs, for news that does not wait for its turn.
+    /// Returns the addresses of all VMs, for changes that don't wait for the rotation.
     pub fn all_addresses(&self) -> Vec<SocketAddr> {
         self.peers.values().map(|entry| entry.heartbeat.peer).collect()
     }
 
-    /// The pulses that go with one's own heartbeat: none where everybody near is reached directly within
-    /// two rounds, else those of live VMs of the region of which this one has told nobody yet. Of far ones their
-    /// delegates tell.
+    /// Returns the liveness updates that are relayed with this VM's heartbeat. There are none if
+    /// heartbeats reach every VM of the region directly within two rounds; otherwise those of live
+    /// VMs of the region that this VM hasn't relayed yet. VMs of other regions are reported by
+    /// their delegates.
     pub fn next_liveness_updates(&mut self, now: MonoTime) -> Vec<LivenessUpdate> {
         if !self.is_large_fleet() {
             return Vec::new();
@@ -141,8 +146,8 @@
         relayed
     }
 
-    /// Whether others were not told yet of a heartbeat. Telling of it once is enough: four VMs hear it from each
-    /// that heard it, and a higher sequence comes within seconds.
+    /// Returns whether a heartbeat hasn't been relayed yet. Relaying it once is enough: each VM
+    /// that receives it relays it to four others, and a higher sequence follows within seconds.
     fn needs_relay(&self, heartbeat: &PeerHeartbeat) -> bool {
         self.last_relayed
             .get(&VmTag::of(&heartbeat.vm))
@@ -150,7 +155,8 @@
     }
 }
 
-/// At most so many of the items, from the one whose turn it is; the next call begins after them.
+/// Returns up to `limit` items, starting at the rotation position, and advances the position past
+/// them.
 fn take_rotating<T: Copy>(items: &[T], limit: usize, cursor: &mut usize) -> Vec<T> {
     let count = limit.min(items.len());
     let chosen = (0..count).map(|step| items[(*cursor + step) % items.len()]).collect();
--- a/crates/foldhaven-core/src/opaque/peer_table/views.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/views.rs
@@ -1,10 +1,12 @@
-//! Compares which VMs of a region two VMs hold to live, and mends what differs.
+//! Compares the views of two VMs on which VMs of a region are live, and repairs differences.
 //!
-//! The pattern that it answers: two VMs that both know a third and not each other. Each sends heartbeats to those that it knows;
-//! in a small region nobody repeats what others said, and who has heard of somebody does not ask for all again. In each
-//! round a VM sends a digest of the lives that it knows to one other. One whose digest differs answers with the list of
-//! its lives; whoever gets that tells what the list lacks and asks for what it lacks itself. This is anti-entropy by
-//! push and pull (Demers et al., 1987) with a digest in front, so that agreement costs one small message a round.
+//! This guards against two VMs that both know a third one but not each other. Each sends heartbeats
+//! only to the VMs that it knows, in a small region no VM relays the heartbeats of others, and a VM
+//! that knows another one doesn't request all heartbeats again. In each round a VM sends a digest
+//! of the incarnations that it knows to one other VM. A receiver whose digest differs replies with
+//! the list of its incarnations. The receiver of a list sends the heartbeats that the list lacks
+//! and requests those that it lacks itself. This is push-pull anti-entropy (Demers et al., 1987)
+//! with a digest in front, so that agreeing views cost one small message a round.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -22,88 +24,91 @@
 use crate::rank::rank_hash;
 use crate::time::MonoTime;
 
-/// Between two lists of lives that a VM sends, so that views that go on changing while many VMs start cost little: a list
-/// of 295 lives has 1.8 KB.
+/// Minimum interval between two lists of incarnations that a VM sends, so that views that keep
+/// changing while many VMs start cost little: a list of 295 incarnations has 1.8 KB.
 const MIN_LIST_INTERVAL: Duration = Duration::from_millis(200);
-/// The most heartbeats that one list is answered with.
+/// Maximum number of heartbeats in the reply to one list.
 const MAX_HEARTBEATS_PER_LIST: usize = 112;
 
-/// So long after a VM met another view it tells its own to more VMs.
+/// How long after receiving a different view a VM sends its own view to more VMs.
 const VIEW_DIFFERENCE_PERIOD: Duration = Duration::from_millis(2_000);
-/// The time between two rounds of a VM that met another view. With one message in twenty lost, four rounds in two
-/// seconds left a VM unknown in 1 of 400 cuts of 4 VMs that healed.
+/// Interval between two rounds of a VM that received a different view. With one message in twenty
+/// lost, the four rounds in two seconds at the usual interval left a VM unknown in 1 of 400 healed
+/// partitions of 4 VMs.
 const VIEW_DIFFERENCE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The most VMs of a region that hurry: those whose pulses three messages hold.
+/// Maximum number of VMs of a region that shortens its rounds after a view difference: as many as
+/// three messages hold liveness updates.
 const MAX_FAST_SYNC_VMS: usize = 3 * MAX_RELAYED;
 
-/// A region in messages between VMs: the hash of its name.
+/// Identifies a region in messages between VMs by the hash of its name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RegionTag(pub u32);
 
 impl RegionTag {
-    /// The tag of a region.
+    /// Returns the tag of a region.
     pub fn of(name: &RegionName) -> Self {
         Self(rank_hash(&[name.as_str()]) as u32)
     }
 }
 
-/// Which VMs of its region a VM holds to live, in short.
+/// Digest of a VM's view on which VMs of its region are live.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViewDigest {
-    /// The VM.
+    /// Tag of the VM.
     pub vm: VmTag,
-    /// Its process lifetime.
+    /// Incarnation of its process.
     pub incarnation: IncarnationId,
-    /// Its region.
+    /// Tag of its region.
     pub region: RegionTag,
-    /// The same at all VMs that hold the same lives.
+    /// Digest of the live incarnations, the same at all VMs that know the same ones.
     #[serde(rename = "lives")]
     pub digest: u64,
-    /// How many VMs it knows, itself included.
+    /// Number of VMs that it knows, including itself.
     pub known: KnownCounts,
 }
 
-/// How many VMs one of them knows, live or silent for a short time.
+/// Numbers of VMs that a VM knows, live or stale.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownCounts {
-    /// In its region.
+    /// VMs of its region.
     #[serde(rename = "near")]
     pub local: u16,
-    /// In all regions.
+    /// VMs of all regions.
     pub all: u16,
 }
 
-/// The lives of one region that a VM knows.
+/// Full view of a VM: the live incarnations of one region that it knows.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViewList {
-    /// The VM.
+    /// Tag of the VM.
     pub vm: VmTag,
-    /// The region.
+    /// Tag of the region.
     pub region: RegionTag,
-    /// Its lives, the sender's among them where it stands there.
+    /// Live incarnations, including the sender's if it is in the region.
     #[serde(rename = "lives")]
     pub incarnations: Vec<VmIncarnation>,
 }
 
-/// A view in short or in full, with its receiver.
+/// Reply to a view digest.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ViewAnswer {
-    /// The views agree, or the other one is not known yet.
+    /// No reply: the views agree, the sender isn't known with this incarnation, or a list was sent
+    /// within [`MIN_LIST_INTERVAL`].
     Nothing,
-    /// The list of the lives that this VM knows.
+    /// The list of the incarnations that this VM knows, and its receiver.
     List(SocketAddr, ViewList),
 }
 
 impl PeerTable {
-    /// A number that two VMs share when they hold the same lives of a region, each its own among them; other sets of lives
-    /// hardly ever have the same one.
+    /// Returns a digest of the live incarnations of this region, including this VM's own. Two VMs
+    /// that know the same ones have the same digest; other sets hardly ever have it.
     pub fn region_digest(&self, now: MonoTime) -> u64 {
         digest_incarnations(self.incarnations_of(RegionTag::of(&self.region), now).into_iter())
     }
 
-    /// The lives of a region that this VM knows, its own among them where it stands there.
+    /// Returns the live incarnations of a region, including this VM's own if it is in the region.
     fn incarnations_of(&self, region: RegionTag, now: MonoTime) -> BTreeSet<VmIncarnation> {
         let of_region =
             self.live(now).filter(|heartbeat| RegionTag::of(&heartbeat.region) == region);
@@ -115,7 +120,7 @@
         incarnations
     }
 
-    /// Takes in the view of another VM in short.
+    /// Applies the view digest of another VM and returns the reply.
     pub fn apply_view_digest(&mut self, view: &ViewDigest, now: MonoTime) -> ViewAnswer {
         let own = digest_incarnations(self.incarnations_of(view.region, now).into_iter());
         let Some(entry) = self.entry_of_mut(view.vm) else {
@@ -130,7 +135,8 @@
         if own == view.digest {
             return ViewAnswer::Nothing;
         }
-        // Of another region this VM hears late, and hurrying would bring no news of it.
+        // Changes in other regions arrive late in any case, and shorter rounds wouldn't get them
+        // sooner.
         if view.region == RegionTag::of(&self.region) {
             self.last_view_difference = Some(now);
         }
@@ -146,8 +152,8 @@
         ViewAnswer::List(target, list)
     }
 
-    /// Takes in the lives that another VM knows. Returns the heartbeats that it lacks, and asks for those that are not
-    /// known here, where `own` is this VM's.
+    /// Applies the full view of another VM. Returns the heartbeats that the view lacks and a
+    /// request for those that this VM lacks. `own` is the heartbeat of this VM.
     pub fn apply_view_list(
         &mut self,
         list: &ViewList,
@@ -176,7 +182,8 @@
             .take(MAX_HEARTBEATS_PER_LIST)
             .collect();
         let own_tag = VmTag::of(&self.own);
-        // One that is known and silent here is asked for too: it may have been cut off.
+        // VMs that are known but stale here are requested too, because this VM may have been
+        // partitioned from them.
         let missing_here = list.incarnations.iter().filter(|incarnation| {
             incarnation.vm != own_tag && !own_incarnations.contains(incarnation)
         });
@@ -192,9 +199,10 @@
         planned
     }
 
-    /// Whom this VM's view goes to in a round: while it is learning, and a moment after it met another view, all that get
-    /// its heartbeats; later one of its region in turn. Seeds get it with each heartbeat, as a VM that nobody of its
-    /// region knows is known to them alone.
+    /// Returns the receivers of this VM's view in a round. During the learning time, and for
+    /// [`VIEW_DIFFERENCE_PERIOD`] after a different view was received, these are all receivers of
+    /// its heartbeats; otherwise one VM of its region in rotation. Seeds get the view with each
+    /// heartbeat, because a VM that no VM of its region knows is known to the seeds alone.
     pub fn view_targets(
         &mut self,
         heartbeats: &PlannedHeartbeats,
@@ -212,7 +220,7 @@
         }
     }
 
-    /// The time until the next round of heartbeats.
+    /// Returns the time until the next round of heartbeats.
     pub fn round_interval(&self, is_learning: bool, now: MonoTime) -> Duration {
         match (is_learning, self.has_recent_view_difference(now)) {
             (true, _) => LEARNING_INTERVAL,
@@ -221,8 +229,10 @@
         }
     }
 
-    /// Whether this VM met another view a moment ago, and hurrying helps. In a region of more VMs than pulses can keep alive at
-    /// all others, views differ at any time: hurrying there doubled the bytes of 300 VMs in calm, from 5.1 to 10.4 KB/s.
+    /// Returns whether a different view was received within [`VIEW_DIFFERENCE_PERIOD`] and shorter
+    /// rounds help. In a region with more VMs than relayed liveness updates can keep live at all
+    /// VMs, views differ at any time. Shorter rounds there doubled the traffic of 300 VMs without
+    /// load, from 5.1 to 10.4 KB/s.
     fn has_recent_view_difference(&self, now: MonoTime) -> bool {
         let is_recent = self.last_view_difference.is_some_and(|last_view_difference| {
             now.since(last_view_difference) < VIEW_DIFFERENCE_PERIOD
@@ -235,14 +245,15 @@
         local.map(|entry| entry.heartbeat.peer).collect()
     }
 
-    /// How many VMs this one knows, itself included.
+    /// Returns the numbers of VMs that this VM knows, including itself.
     pub fn known_counts(&self) -> KnownCounts {
         let count = |count: usize| u16::try_from(count).unwrap_or(u16::MAX);
         KnownCounts { local: count(self.region_vm_count()), all: count(self.peers.len() + 1) }
     }
 
-    /// How many VMs may exist; limits are divided by it. The most that this VM or one that lives and that it hears knows:
-    /// what a VM does not know itself must not make its part larger.
+    /// Returns the numbers of VMs that may exist, by which limits are divided: the maximum over
+    /// this VM and all live VMs that reported their numbers. VMs that this VM doesn't know must not
+    /// make its share larger.
     pub fn assumed_counts(&self, now: MonoTime) -> KnownCounts {
         let live = self.peers.values().filter(|entry| self.is_live(entry, now));
         let reported = live.filter_map(|entry| {
@@ -257,7 +268,7 @@
     }
 }
 
-/// A digest of lives, whatever their order.
+/// Returns a digest of incarnations that doesn't depend on their order.
 fn digest_incarnations(incarnations: impl Iterator<Item = VmIncarnation>) -> u64 {
     let hash = |incarnation: VmIncarnation| {
         rank_hash(&[&format!("{:08x}{:04x}", incarnation.vm.0, incarnation.incarnation_bits)])
