--- a/crates/foldhaven-core/src/opaque/peer_table/messages.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/messages.rs
@@ -156,11 +156,12 @@
 pub struct ServiceWait {
     /// Tag of the service.
     pub service: ServiceTag,
-    /// Expected wait of timely requests at a typical upstream, in milliseconds.
+    /// Mean wait of timely requests at the better half of the upstreams, in milliseconds.
     pub wait_ms: u16,
-    /// Number of requests in flight at a typical upstream.
+    /// Mean number of requests in flight at those upstreams.
     pub load: u16,
-    /// Pauses between events that were longer than the target, per thousand.
+    /// Share of pauses between events that were longer than the target at those upstreams, per
+    /// thousand.
     pub long_pauses: u16,
 }
 
--- a/crates/foldhaven-core/src/opaque/request_fingerprint.rs
+++ b/crates/foldhaven-core/src/opaque/request_fingerprint.rs
@@ -1,4 +1,5 @@
-//! Fingerprints of requests: by them a request is known again, whatever id it comes under and at whichever VM.
+//! Fingerprints of requests: they identify a request that is sent again, whatever its id and
+//! whichever VM receives it.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,35 +8,36 @@
 use blake3::Hasher;
 use serde::{Deserialize, Serialize};
 
-/// What the key of all fingerprints is derived from. It is the same at all VMs, and keeps fingerprints apart from
-/// other hashes of the same bytes.
+/// Context that the key of all fingerprints is derived from. The key is the same at all VMs and
+/// keeps fingerprints apart from other hashes of the same bytes.
 const KEY_CONTEXT: &str = "foldhaven opaque request print v1";
 static KEY: LazyLock<[u8; 32]> = LazyLock::new(|| blake3::derive_key(KEY_CONTEXT, &[]));
 
-/// The bytes of a fingerprint. Nobody finds a second request with the fingerprint of a given one, so nobody can bring
-/// another's request into disrepute.
+/// Length of a fingerprint in bytes. It is long enough that nobody can find a second request with
+/// the fingerprint of a given one, and so have another caller's request suspected.
 const FINGERPRINT_BYTES: usize = 16;
 
-/// What makes two requests the same: all that an upstream acts on, but neither id nor times.
+/// The parts of a request that identify it: all that an upstream acts on, but neither ids nor
+/// times.
 #[derive(Debug, Clone, Copy)]
 pub struct FingerprintParts<'a> {
-    /// The host that it names, in any case of letters.
+    /// Host name, in upper or lower case.
     pub host: &'a str,
-    /// The method.
+    /// HTTP method.
     pub method: &'a str,
-    /// The path and the query.
+    /// Path and query.
     pub target: &'a str,
-    /// The body.
+    /// Body.
     pub body: &'a [u8],
 }
 
-/// The fingerprint of a request. A request cannot be read from it.
+/// Fingerprint of a request. The request can't be recovered from it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RequestFingerprint([u8; FINGERPRINT_BYTES]);
 
 impl RequestFingerprint {
-    /// The fingerprint of a request.
+    /// Computes the fingerprint of a request.
     pub fn of(parts: &FingerprintParts<'_>) -> Self {
         let mut hasher = Hasher::new_keyed(&KEY);
         for text in [&parts.host.to_ascii_lowercase(), parts.method, parts.target] {
@@ -48,7 +50,7 @@
         Self(bytes)
     }
 
-    /// A number that is spread evenly over all fingerprints.
+    /// Returns the first 8 bytes as a number, which is evenly distributed over all fingerprints.
     pub fn spread(&self) -> u64 {
         self.0.iter().take(8).fold(0, |number, byte| number << 8 | u64::from(*byte))
     }
--- a/crates/foldhaven-core/src/opaque/suspects/in_flight.rs
+++ b/crates/foldhaven-core/src/opaque/suspects/in_flight.rs
@@ -1,4 +1,5 @@
-//! Which requests of this VM are at an upstream, and which left it unanswered a moment ago.
+//! Tracks which requests of this VM are in flight at an upstream, and which left it recently
+//! without a complete answer.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,15 +7,17 @@
 use crate::opaque::request_fingerprint::RequestFingerprint;
 use crate::time::MonoTime;
 
-/// A request that left so short a time before its upstream ended may have ended it: upstreams go on for a while with what
-/// their caller has left, and the end is noticed later than it happens.
+/// A request that left an upstream up to this long before its exit may have caused it: upstreams
+/// keep working for a while on requests whose callers left, and the exit is noticed later than it
+/// happens.
 const DEPARTED_WINDOW: Duration = Duration::from_millis(500);
-/// Between the first sign of an end and the certainty that it was one, no request is forgotten that left before the sign.
+/// Maximum time between the first sign of an exit and its confirmation. Requests that left before
+/// the sign are kept for this time too.
 const DETECTION_TIME: Duration = Duration::from_millis(2_000);
-/// How many of those are remembered of one upstream.
+/// Maximum number of departed requests remembered per upstream.
 const MAX_DEPARTED: usize = 64;
 
-/// One request at an upstream.
+/// Identifies one request at an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InFlightId(u64);
 
@@ -27,7 +30,7 @@
 }
 
 impl InFlightRequests {
-    /// Notes that a request is sent there.
+    /// Records that a request is sent to the upstream.
     pub fn insert(&mut self, fingerprint: RequestFingerprint) -> InFlightId {
         let id = InFlightId(self.next);
         self.next += 1;
@@ -35,12 +38,13 @@
         id
     }
 
-    /// Notes that a request has ended there and cannot have harmed it: it was answered whole, declined or never sent.
+    /// Removes a request that can't have harmed the upstream: it was answered completely, declined
+    /// or never sent.
     pub fn remove_harmless(&mut self, id: InFlightId) {
         self.take(id);
     }
 
-    /// Notes that a request is not there any more, whatever it did.
+    /// Removes a request whose effect on the upstream is unknown, and remembers it as departed.
     pub fn remove(&mut self, id: InFlightId, now: MonoTime) {
         let Some(fingerprint) = self.take(id) else { return };
         self.departed.push_back((now, fingerprint));
@@ -52,8 +56,8 @@
         }
     }
 
-    /// The requests that the upstream may have ended under, of which the first sign came at `detected_at`; each once. They are
-    /// forgotten.
+    /// Removes and returns the requests, without duplicates, that may have caused the exit of the
+    /// upstream. `detected_at` is the time of the first sign of the exit.
     pub fn take_affected(&mut self, detected_at: MonoTime) -> Vec<RequestFingerprint> {
         let departed = std::mem::take(&mut self.departed).into_iter();
         let recent = departed
--- a/crates/foldhaven-core/src/opaque/suspects/mod.rs
+++ b/crates/foldhaven-core/src/opaque/suspects/mod.rs
@@ -1,9 +1,11 @@
-//! Requests under which upstreams ended, so that one that ends whatever runs it is sent on no more.
+//! Suspected requests: finds requests that crash upstreams (poison requests), so that they are no
+//! longer forwarded.
 //!
-//! When an upstream ends, all requests that were there are victims, and at most a few of them are to blame. Each VM
-//! notes the fingerprints of those that it had there, and all VMs put their notes together: a fingerprint that was
-//! at several upstreams that ended, and has never been answered whole, is refused. Notes of several VMs are joined
-//! in any order and any number of times with the same outcome, so no VM has to decide for the others.
+//! When an upstream exits, any request that was there may be the cause, but at most a few of them
+//! are. Each VM records the fingerprints of its own requests at the upstream, and all VMs merge
+//! their records. A request is refused once its fingerprint was at several upstreams that exited
+//! and was never answered completely. Merging is commutative and idempotent, so all VMs reach the
+//! same result without a coordinator.
 
 mod in_flight;
 mod record;
--- a/crates/foldhaven-core/src/opaque/suspects/record.rs
+++ b/crates/foldhaven-core/src/opaque/suspects/record.rs
@@ -1,65 +1,68 @@
-//! What the VMs know together of one suspected request.
+//! The record of one suspected request that all VMs share.
 
 use serde::{Deserialize, Serialize};
 
 use crate::opaque::affinity::UpstreamTag;
 use crate::opaque::request_fingerprint::RequestFingerprint;
 
-/// How many ends are kept of one request: one more than suffice to refuse it.
+/// Maximum number of exits kept per request: one more than suffice to refuse it.
 pub const MAX_EXITS: usize = 4;
-/// How many trials are counted. With the longest pause between them that is hours.
+/// Maximum number of probes counted. With the longest delay between them that is hours.
 pub const MAX_PROBES: u8 = 32;
-/// How often a request can have been spoken for, as far as another VM is believed. Each time takes an end of an
-/// upstream and an answer.
+/// Maximum number of exonerations that a record of another VM may claim. Each one takes an exit of
+/// an upstream and an answer.
 const MAX_EXONERATIONS: u32 = 1_000_000;
 
-/// A record of another VM that is not taken in
+/// A record of another VM that is not accepted
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum RecordError {
-    /// more ends than are kept: {0}
+    /// more exits than are kept: {0}
     TooManyExits(usize),
-    /// ends that are not in order, or doubled
+    /// exits that are out of order or duplicated
     Unordered,
-    /// more trials than are counted: {0}
+    /// more probes than are counted: {0}
     TooManyProbes(u8),
-    /// more pardons than can have been: {0}
+    /// more exonerations than are possible: {0}
     TooManyExonerations(u32),
 }
 
-/// What the VMs know together of one suspected request.
+/// What the VMs know together about one suspected request.
 ///
-/// Records of one request are joined; the outcome depends neither on their order nor on how often each is heard.
+/// Records of the same request are merged. The result depends neither on their order nor on how
+/// often each one is received.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectRecord {
-    /// The request.
+    /// Fingerprint of the request.
     #[serde(rename = "print")]
     pub fingerprint: RequestFingerprint,
-    /// How often a whole answer has spoken for it. All ends before that are forgiven.
+    /// Number of times a complete answer has exonerated the request. All exits before that are
+    /// dropped.
     #[serde(rename = "pardons")]
     pub exonerations: u32,
-    /// The upstreams that ended under it since, in order, at most [`MAX_EXITS`]. Several VMs that saw the same end name the
-    /// same upstream.
+    /// Upstreams that exited since the last exoneration with the request in flight, sorted, at most
+    /// [`MAX_EXITS`]. VMs that saw the same exit name the same upstream.
     #[serde(rename = "ends")]
     pub exits: Vec<UpstreamTag>,
-    /// How many trials were begun since.
+    /// Number of probes started since the last exoneration.
     #[serde(rename = "trials")]
     pub probes: u8,
-    /// How many ends answers have cleared it of in all. A request that some upstreams answer and others end under has many.
+    /// Number of exits that complete answers have cleared the request of, in total. It is high for
+    /// a request that some upstreams answer and others exit under.
     #[serde(rename = "cleared")]
     pub cleared_exits: u8,
 }
 
 impl SuspectRecord {
-    /// A record of a request that nothing is known of.
+    /// Creates the record of a request of which nothing is known.
     pub fn new(fingerprint: RequestFingerprint) -> Self {
         Self { fingerprint, exonerations: 0, exits: Vec::new(), probes: 0, cleared_exits: 0 }
     }
 
-    /// Checks a record that came from another VM.
+    /// Checks a record received from another VM.
     ///
     /// # Errors
     ///
-    /// When no sound VM can have made it.
+    /// Returns an error if no correct VM can have made the record.
     pub fn check(&self) -> Result<(), RecordError> {
         if self.exits.len() > MAX_EXITS {
             return Err(RecordError::TooManyExits(self.exits.len()));
@@ -76,21 +79,21 @@
         Ok(())
     }
 
-    /// Takes in that an upstream ended under it.
+    /// Adds an upstream that exited with the request in flight.
     pub fn add_exit(&mut self, upstream: UpstreamTag) {
         if let Err(at) = self.exits.binary_search(&upstream) {
             self.exits.insert(at, upstream);
-            // The first ones in order, so that all VMs keep the same ones.
+            // Keeps the lowest tags, so that all VMs keep the same ones.
             self.exits.truncate(MAX_EXITS);
         }
     }
 
-    /// Takes in that a trial has begun.
+    /// Counts the start of a probe.
     pub fn add_probe(&mut self) {
         self.probes = (self.probes + 1).min(MAX_PROBES);
     }
 
-    /// Forgives everything so far.
+    /// Exonerates the request: drops its exits and probes.
     pub fn exonerate(&mut self) {
         let exonerated = u8::try_from(self.exits.len()).unwrap_or(u8::MAX);
         let cleared_exits = self.cleared_exits.saturating_add(exonerated);
@@ -101,7 +104,7 @@
         };
     }
 
-    /// Joins what another VM knows of the same request. Returns whether that was news.
+    /// Merges another VM's record of the same request. Returns whether that changed this record.
     pub fn merge(&mut self, other: &Self) -> bool {
         let before = self.clone();
         if other.exonerations > self.exonerations {
--- a/crates/foldhaven-core/src/opaque/suspects/table.rs
+++ b/crates/foldhaven-core/src/opaque/suspects/table.rs
@@ -1,4 +1,4 @@
-//! The suspected requests that one VM knows of, and what it does with them.
+//! The suspected requests that one VM knows, and its decisions on them.
 
 use std::collections::{BTreeMap, HashMap};
 use std::num::NonZeroUsize;
@@ -12,126 +12,136 @@
 use crate::time::MonoTime;
 use lru::LruCache;
 
-/// From so many ends on, a request is tried by one VM at a time. Of requests that are only victims, few are at two
-/// upstreams that end before they are answered once.
+/// From this number of exits on, a request is probed by one VM at a time. Few requests that aren't
+/// the cause are at two upstreams that exit before they are answered once.
 pub const PROBE_EXITS: usize = 2;
-/// From so many ends on, it is refused, and tried once in long pauses.
+/// From this number of exits on, a request is refused and probed only after long delays.
 pub const REFUSE_EXITS: usize = 3;
-/// After a trial that has shown nothing, another one waits so long at first.
+/// Delay before the second probe of a request below [`REFUSE_EXITS`], if the first one had no
+/// result; grows by [`BACKOFF_FACTOR`] with each further probe. Also the minimum wait reported for
+/// a refused request.
 const PROBE_RETRY_DELAY: Duration = Duration::from_secs(1);
-/// So long a request is refused before its first trial; then [`BACKOFF_FACTOR`] times longer each time. Three upstreams an
-/// hour are lost at most to a request that is sent for ever, and one that was blamed falsely is well again in 20 s.
+/// How long a request is refused before its first probe; the delay grows by [`BACKOFF_FACTOR`] with
+/// each further probe. A request that is sent for ever costs at most three upstreams an hour, and
+/// one that was blamed wrongly is forwarded again within 20 s.
 const FIRST_REFUSAL_DELAY: Duration = Duration::from_secs(10);
 const BACKOFF_FACTOR: u32 = 3;
 const MAX_BACKOFF: Duration = Duration::from_secs(600);
-/// How many turns a pause has, of which each VM has one.
+/// Number of slots that a delay is divided into. Each VM may probe in one of them.
 const PROBE_SLOTS: u32 = 10;
-/// So long a request is remembered after what was heard of it last: longer than it is refused at the longest.
+/// How long a record is kept after its last change: longer than the longest refusal.
 const SUSPECT_RETENTION: Duration = Duration::from_secs(1_800);
-/// So long one is remembered that was pardoned, so that late news of its ends is known for old.
+/// How long the record of an exonerated request is kept, so that updates about its earlier exits
+/// that arrive late are recognized as outdated.
 const EXONERATED_RETENTION: Duration = Duration::from_secs(60);
-/// How many requests are remembered. Beyond that, those with the fewest ends are dropped, [`EVICTION_BATCH`] at a time.
+/// Maximum number of records. If there are more, [`EVICTION_BATCH`] records with the fewest exits
+/// are dropped at a time.
 const MAX_ENTRIES: usize = 4_096;
 const EVICTION_BATCH: usize = 512;
-/// How many requests are remembered that were answered whole lately.
+/// Maximum number of recently answered requests that are remembered.
 const MAX_RECENT_SUCCESSES: NonZeroUsize = NonZeroUsize::new(4_096).expect("not zero");
-/// A request that was cleared of so many ends is doubted: only a trial clears it from then on, after two ends each. An
-/// innocent one has been at that many upstreams that ended within half an hour; it is held back for 10 to 20 s.
+/// From this number of cleared exits on, a request is inconclusive: from then on only a probe
+/// exonerates it, and each time two exits are enough to refuse it. A harmless request gets there if
+/// it was at that many upstreams that exited within half an hour; it is then held back for 10 to 20
+/// s.
 const INCONCLUSIVE_CLEARED_EXITS: u8 = 8;
-/// For how long such an answer speaks for its request.
+/// How long a complete answer counts in favour of its request.
 const SUCCESS_MAX_AGE: Duration = Duration::from_secs(300);
-/// For so long what is new is told again in every round: of four VMs that are told in one, 300 know in four rounds.
+/// How long a changed record is resent in every round: with four receivers per round, 300 VMs have
+/// received it after four rounds.
 const FRESH_PERIOD: Duration = Duration::from_secs(10);
-/// What is older goes with every n-th round. Repeating all of it each time took 9.4 to 11.7 KB/s a VM where five requests
-/// end engines beside 4,000 others a second.
+/// Older records are resent in every n-th round only. Resending all of them each time took 9.4 to
+/// 11.7 KB/s per VM with five requests that crash upstreams beside 4,000 others a second.
 const FULL_ROUND_INTERVAL: u32 = 8;
-/// How many records go into one message; 64 of at most 44 bytes fit one packet or two.
+/// Maximum number of records in one message; 64 records of up to 44 bytes fit one packet or two.
 pub const MAX_RECORDS_PER_MESSAGE: usize = 64;
 
-/// What is done with a request.
+/// Decision on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SuspectVerdict {
-    /// It is sent on as any other.
+    /// It is forwarded like any other.
     Allowed,
-    /// It may be sent on once, to one upstream; other VMs hold it back meanwhile.
+    /// It may be forwarded once, to one upstream, while other VMs hold it back.
     Probe,
-    /// It is not sent on.
+    /// It is not forwarded.
     Refused {
-        /// When it may be tried here.
+        /// Time until it may be probed at this VM.
         wait: Duration,
     },
 }
 
-/// A change of what is believed of a request.
+/// Change of the record of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SuspectChange {
-    /// What is known now.
+    /// Record after the change.
     pub record: SuspectRecord,
-    /// How many ends were known before.
+    /// Number of exits before the change.
     pub exits_before: usize,
 }
 
-/// Who is told.
+/// Receivers of an update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum UpdateScope {
-    /// The VMs of this region. A single end is told no further: when many upstreams end at once, it is most of the news,
-    /// and it forbids nothing.
+    /// The VMs of this region. Updates about a single exit go no further: when many upstreams exit
+    /// at once they are the bulk of the updates, and no request is held back because of a single
+    /// exit.
     Region,
     /// All VMs.
     Global,
 }
 
-/// What other VMs are told of one request.
+/// Update about one request for other VMs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SuspectUpdate {
-    /// What is known.
+    /// Record of the request.
     pub record: SuspectRecord,
-    /// Who is told.
+    /// Receivers of the update.
     pub scope: UpdateScope,
 }
 
-/// News that wait to be told.
+/// Update that waits to be sent.
 #[derive(Debug, Clone, Copy)]
 struct PendingUpdate {
     scope: UpdateScope,
-    /// Whether several VMs have come to the same just now; the first one to tell saves the others doing so.
+    /// Whether several VMs may have reached the same conclusion at the same time; the first one
+    /// that sends the update spares the others doing so.
     is_shared: bool,
 }
 
-/// Where a record comes from.
+/// Origin of a received record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RecordSource {
-    /// A VM of this region, which tells the others itself.
+    /// A VM of this region, which sends it to the others of the region itself.
     Local,
-    /// A VM of another region, which tells only a few here.
+    /// A VM of another region, which sends it to only a few VMs of this region.
     Remote,
 }
 
-/// The suspected requests that one VM knows of.
+/// Table of the suspected requests that one VM knows.
 #[derive(Debug)]
 pub struct SuspectTable {
     own: VmTag,
     entries: HashMap<RequestFingerprint, SuspectEntry>,
-    /// Requests that were answered whole lately. Each answer speaks for its request once.
+    /// Times of recent complete answers. Each answer counts in favour of its request once.
     recent_successes: LruCache<RequestFingerprint, MonoTime>,
-    /// Those that others are to be told of.
+    /// Updates that wait to be sent.
     pending: BTreeMap<RequestFingerprint, PendingUpdate>,
-    /// Where the next round of repeated news begins.
+    /// Rotation position of the next round of resent records.
     cursor: usize,
-    /// How many rounds there were.
+    /// Number of rounds so far.
     rounds: u32,
 }
 
 #[derive(Debug)]
 struct SuspectEntry {
     record: SuspectRecord,
-    /// When it changed last.
+    /// When the record last changed.
     changed_at: MonoTime,
-    /// Whether all regions were told of it.
+    /// Whether updates about the request go to all regions.
     is_global: bool,
-    /// Whether this VM tries it now.
+    /// Whether a probe of this VM is in progress.
     is_probing: bool,
-    /// Whether this VM may try again, since its trial never reached an upstream.
+    /// Whether this VM may probe again at once, because its last probe didn't reach an upstream.
     is_probe_unsent: bool,
 }
 
@@ -146,9 +156,10 @@
         }
     }
 
-    /// After how long a VM may try it. Each VM draws when its turn begins after the pause, so that those that come later hear of
-    /// the first trial before theirs. A turn is a tenth of the pause and comes again after each pause: a request that comes to
-    /// all VMs at one moment, after none has met it for long, is tried by few.
+    /// Returns the time until a VM may probe the request. After the delay each VM waits for a
+    /// random part of it until its slot, so that the later ones learn of the first probe before
+    /// their own. A slot is a tenth of the delay and comes again after each delay: if no VM
+    /// received the request for a long time and then all do at one moment, only a few probe it.
     fn wait(&self, vm: VmTag, now: MonoTime) -> Duration {
         let backoff = self.backoff();
         if self.is_probe_unsent || backoff.is_zero() {
@@ -166,13 +177,13 @@
         }
     }
 
-    /// Whether answers alone do not speak for it any more: it was cleared of so many ends that some upstreams answer it and others
-    /// end under it.
+    /// Returns whether complete answers alone no longer exonerate the request, because it was
+    /// cleared of so many exits that some upstreams answer it and others exit under it.
     fn is_inconclusive(&self) -> bool {
         self.record.cleared_exits >= INCONCLUSIVE_CLEARED_EXITS
     }
 
-    /// From how many ends on it is tried by one VM at a time, or not at all.
+    /// Returns whether the request is probed by one VM at a time or refused.
     fn is_quarantined(&self) -> bool {
         self.record.exits.len() >= PROBE_EXITS
     }
@@ -180,7 +191,8 @@
     fn backoff(&self) -> Duration {
         let SuspectRecord { exits, probes, cleared_exits, .. } = &self.record;
         if self.is_inconclusive() && self.is_quarantined() {
-            // Each time that it was cleared again makes the next pause longer, as a trial does.
+            // Each time that the request was cleared again lengthens the next delay, as a probe
+            // does.
             let recurrences =
                 u32::from(cleared_exits - INCONCLUSIVE_CLEARED_EXITS) / PROBE_EXITS as u32;
             return grow_backoff(FIRST_REFUSAL_DELAY, u32::from(*probes) + recurrences);
@@ -195,7 +207,7 @@
         }
     }
 
-    /// A number in 0..1 that differs from VM to VM, and for each VM from trial to trial.
+    /// Returns a number in the range 0..1 that differs between VMs, and between probes of a VM.
     fn jitter(&self, vm: VmTag) -> f64 {
         let SuspectRecord { fingerprint, probes, .. } = &self.record;
         let hash = rank_hash(&[&fingerprint.to_string(), &vm.0.to_string(), &probes.to_string()]);
@@ -215,7 +227,7 @@
 }
 
 impl SuspectTable {
-    /// The empty table of a VM.
+    /// Creates the empty table of a VM.
     pub fn new(own: VmTag) -> Self {
         Self {
             own,
@@ -227,12 +239,13 @@
         }
     }
 
-    /// How many upstreams are known to have ended under a request since it was answered whole.
+    /// Returns the number of upstreams known to have exited under a request since it was last
+    /// exonerated.
     pub fn exit_count(&self, fingerprint: &RequestFingerprint) -> usize {
         self.entries.get(fingerprint).map_or(0, |entry| entry.record.exits.len())
     }
 
-    /// What would be done with a request. Nothing is begun.
+    /// Returns the decision on a request without starting a probe.
     pub fn peek_verdict(&self, fingerprint: &RequestFingerprint, now: MonoTime) -> SuspectVerdict {
         let Some(entry) = self.entries.get(fingerprint) else { return SuspectVerdict::Allowed };
         if !entry.is_quarantined() {
@@ -245,7 +258,8 @@
         }
     }
 
-    /// What is done with a request that is about to be sent to an upstream. A trial has begun when this returns it.
+    /// Returns the decision on a request that is about to be sent to an upstream. If it is
+    /// [`SuspectVerdict::Probe`], the probe has started.
     pub fn decide(&mut self, fingerprint: &RequestFingerprint, now: MonoTime) -> SuspectVerdict {
         let verdict = self.peek_verdict(fingerprint, now);
         if verdict == SuspectVerdict::Probe
@@ -260,8 +274,9 @@
         verdict
     }
 
-    /// Notes that a trial of this VM is over. One that no upstream got may be made again at once; any other one may have
-    /// ended its upstream, also when its caller has left or the end is noticed later.
+    /// Records that a probe of this VM is over. If it never reached an upstream, it may be repeated
+    /// at once. Any other one may have crashed its upstream, even if the caller left or the exit is
+    /// noticed later.
     pub fn finish_probe(
         &mut self,
         fingerprint: &RequestFingerprint,
@@ -277,7 +292,7 @@
         }
     }
 
-    /// Notes that an upstream ended under a request of this VM.
+    /// Records that an upstream exited under a request of this VM. Returns the change, if any.
     pub fn record_exit(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -301,7 +316,8 @@
         change
     }
 
-    /// Notes that a request of this VM was answered whole: whatever ended under it before, it was not the cause.
+    /// Records that a request of this VM was answered completely, so that it didn't cause earlier
+    /// exits. Returns the change, if any.
     pub fn record_success(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -317,14 +333,15 @@
             return None;
         }
         self.exonerate(fingerprint, now);
-        // What one end made others think forbids nothing, and is forgotten by itself.
+        // A single exit holds nothing back at other VMs, and their records of it expire.
         if self.entries.get(&fingerprint).is_some_and(|entry| entry.is_global) {
             self.queue_update(fingerprint, UpdateScope::Global);
         }
         Some(SuspectChange { record: self.record(fingerprint), exits_before })
     }
 
-    /// Clears a request by hand. Returns what changes by that; nothing when nothing is held against it.
+    /// Clears a request on behalf of an operator. Returns the change; `None` if the request has no
+    /// exits.
     pub fn clear(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -339,11 +356,11 @@
         Some(SuspectChange { record: self.record(fingerprint), exits_before })
     }
 
-    /// Takes in what another VM knows. Returns what changes by it.
+    /// Merges a record of another VM. Returns the change, if any.
     ///
     /// # Errors
     ///
-    /// When no sound VM can have told that.
+    /// Returns an error if no correct VM can have made the record.
     pub fn merge_record(
         &mut self,
         record: &SuspectRecord,
@@ -369,17 +386,18 @@
         Ok(change)
     }
 
-    /// What others are to be told at once; each is told once by this.
+    /// Removes and returns the updates that are to be sent at once.
     pub fn take_updates(&mut self) -> Vec<SuspectUpdate> {
         self.take_updates_if(|pending| !pending.is_shared)
     }
 
-    /// The same of what several VMs may be about to tell. It is better told after a moment drawn by each.
+    /// Removes and returns the updates that several VMs may be about to send. They are better sent
+    /// after a random delay.
     pub fn take_shared_updates(&mut self) -> Vec<SuspectUpdate> {
         self.take_updates_if(|pending| pending.is_shared)
     }
 
-    /// Whether there is any of the latter.
+    /// Returns whether there are updates for [`SuspectTable::take_shared_updates`].
     pub fn has_shared_updates(&self) -> bool {
         self.pending.values().any(|pending| pending.is_shared)
     }
@@ -396,8 +414,10 @@
         updates.collect()
     }
 
-    /// What is told again in a round, at most [`MAX_RECORDS_PER_MESSAGE`] at a time: what holds requests back and pardons of it. News of
-    /// a moment ago goes with every round, since datagrams are lost; older ones with few, for VMs that were cut off.
+    /// Returns the records that are resent in a round, at most [`MAX_RECORDS_PER_MESSAGE`]: those
+    /// that hold requests back, and exonerations from that. Recently changed ones are resent in
+    /// every round, because datagrams get lost; older ones only in a few rounds, for VMs that were
+    /// partitioned.
     pub fn next_resent(&mut self, now: MonoTime) -> Vec<SuspectRecord> {
         self.rounds = self.rounds.wrapping_add(1);
         let is_full = self.rounds.is_multiple_of(FULL_ROUND_INTERVAL);
@@ -415,7 +435,8 @@
         resent
     }
 
-    /// What a VM that has just started is told: the requests with the most ends, at most [`MAX_RECORDS_PER_MESSAGE`].
+    /// Returns the records for a VM that has just started: those with the most exits of the
+    /// quarantined requests, at most [`MAX_RECORDS_PER_MESSAGE`].
     pub fn startup_records(&self) -> Vec<SuspectRecord> {
         let mut records = self.records();
         records.retain(|record| record.exits.len() >= PROBE_EXITS);
@@ -423,7 +444,7 @@
         records
     }
 
-    /// All records with ends, those with the most first.
+    /// Returns all records with exits, those with the most exits first.
     pub fn records(&self) -> Vec<SuspectRecord> {
         let suspected = self.entries.values().filter(|entry| !entry.record.exits.is_empty());
         let mut records: Vec<SuspectRecord> = suspected.map(|entry| entry.record.clone()).collect();
@@ -431,28 +452,29 @@
         records
     }
 
-    /// How long ago a record has changed last.
+    /// Returns the time since the last change of a record.
     pub fn age(&self, fingerprint: &RequestFingerprint, now: MonoTime) -> Option<Duration> {
         self.entries.get(fingerprint).map(|entry| now.since(entry.changed_at))
     }
 
-    /// How many requests are refused or tried one at a time.
+    /// Returns the number of requests that are refused or probed by one VM at a time.
     pub fn quarantined_count(&self) -> usize {
         self.entries.values().filter(|entry| entry.record.exits.len() >= PROBE_EXITS).count()
     }
 
-    /// Drops what is too old to count.
+    /// Removes expired records.
     pub fn forget(&mut self, now: MonoTime) {
         self.entries.retain(|_, entry| !entry.is_expired(now));
     }
 
-    /// What is known of a request.
+    /// Returns the record of a request, an empty one if it is unknown.
     fn record(&self, fingerprint: RequestFingerprint) -> SuspectRecord {
         let known = self.entries.get(&fingerprint).map(|entry| entry.record.clone());
         known.unwrap_or_else(|| SuspectRecord::new(fingerprint))
     }
 
-    /// Puts a record in the place of the one that was held, and notes whom to tell.
+    /// Replaces a record and schedules the update of other VMs if needed. Returns the change, if
+    /// any.
     fn replace_record(&mut self, record: SuspectRecord, now: MonoTime) -> Option<SuspectChange> {
         let fingerprint = record.fingerprint;
         let previous = self.record(fingerprint);
@@ -460,7 +482,7 @@
             return None;
         }
         if record.exonerations > previous.exonerations {
-            // Each answer speaks once, wherever it was given.
+            // An answer counts once, wherever it was given.
             self.recent_successes.pop(&fingerprint);
         }
         self.evict_if_full();
@@ -480,7 +502,7 @@
         Some(SuspectChange { record, exits_before: previous.exits.len() })
     }
 
-    /// Whether an answer of a moment ago speaks for a request.
+    /// Returns whether a recent complete answer counts in favour of a request.
     fn has_recent_success(&self, fingerprint: &RequestFingerprint, now: MonoTime) -> bool {
         self.recent_successes.peek(fingerprint).is_some_and(|at| now.since(*at) <= SUCCESS_MAX_AGE)
     }
@@ -499,7 +521,7 @@
         self.pending.insert(fingerprint, PendingUpdate { scope, is_shared: false });
     }
 
-    /// Drops the requests with the fewest ends, the oldest first, when there are too many.
+    /// Drops the records with the fewest exits, the oldest first, if there are too many.
     fn evict_if_full(&mut self) {
         if self.entries.len() < MAX_ENTRIES {
             return;
