--- a/crates/foldhaven-core/src/opaque/peer_table/senders.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/senders.rs
@@ -32,8 +32,8 @@
         }
         let serving: Vec<&PeerEntry> = self.serving_local().collect();
         let live = || serving.iter().copied().filter(|entry| self.is_live(entry, now));
-        let live_names = self.standing_of(live());
-        let with_silent = self.standing_of(serving.iter().copied());
+        let live_names = self.baseline_of(live());
+        let with_silent = self.baseline_of(serving.iter().copied());
         if !live_names.contains(&self.own) {
             return SenderView::default();
         }
@@ -56,7 +56,7 @@
     }
 
     /// Returns the names of the VMs that take requests at any load, among `entries` and this VM.
-    fn standing_of<'a>(&'a self, entries: impl Iterator<Item = &'a PeerEntry>) -> Vec<VmName> {
+    fn baseline_of<'a>(&'a self, entries: impl Iterator<Item = &'a PeerEntry>) -> Vec<VmName> {
         let others = entries.map(|entry| ServiceCandidate::of(&entry.heartbeat));
         let order = ServiceOrder::of(others.chain([self.own_candidate()]));
         order.standing().iter().map(|candidate| candidate.vm.clone()).collect()
--- a/crates/foldhaven-gateway/src/keeper/load_reports.rs
+++ b/crates/foldhaven-gateway/src/keeper/load_reports.rs
@@ -135,7 +135,7 @@
     ) -> (Vec<ReportLeg>, Duration) {
         if !is_active {
             let interval = share_interval(targets.len());
-            let standing = self.peers.standing_addresses(self.now());
+            let standing = self.peers.baseline_addresses(self.now());
             let leg = self.report_plan.next_idle(targets, standing, news);
             return (vec![leg], interval);
         }
--- a/crates/foldhaven-gateway/src/keeper/news.rs
+++ b/crates/foldhaven-gateway/src/keeper/news.rs
@@ -122,7 +122,7 @@
             return;
         }
         self.told.relayed = Some((now, revision));
-        let targets = self.peers.standing_addresses(now);
+        let targets = self.peers.baseline_addresses(now);
         self.send_news(ToldNews::Notice { targets, notice });
     }
 
