--- a/crates/foldhaven-core/tests/testsuite/opaque_heartbeats.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_heartbeats.rs
@@ -1,4 +1,4 @@
-//! Whom heartbeats go to, and what goes with them.
+//! The receivers of heartbeats, and the liveness updates and requests that are sent with them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -9,23 +9,23 @@
 use crate::opaque_support::{at, beat, centre_table, table, table_of};
 
 #[test]
-fn in_a_large_fleet_pulses_of_all_live_vms_go_round() {
+fn a_large_fleet_relays_the_liveness_of_all_live_vms() {
     let mut table = table();
     for number in 0..60 {
         table.apply_heartbeat(beat(&format!("vm-{number}"), "north", 1), at(0));
     }
-    let mut told = std::collections::BTreeSet::new();
+    let mut relayed = std::collections::BTreeSet::new();
     for _ in 0..3 {
-        told.extend(table.next_liveness_updates(at(100)).into_iter().map(|pulse| pulse.vm));
+        relayed.extend(table.next_liveness_updates(at(100)).into_iter().map(|update| update.vm));
     }
-    assert_eq!(told.len(), 60);
-    assert!(table.next_liveness_updates(at(10_000)).is_empty(), "silent ones are not told of");
+    assert_eq!(relayed.len(), 60);
+    assert!(table.next_liveness_updates(at(10_000)).is_empty(), "stale VMs are not relayed");
 }
 
-/// Found on a deployment of 69 VMs: all of them turned to the same few VMs at a time, so that the
-/// others were taken for dead meanwhile.
+/// Guards against all VMs sending to the same few VMs at a time, so that the others are taken for
+/// dead meanwhile. It happened with 69 VMs that all started their rotation at the same position.
 #[test]
-fn vms_do_not_turn_to_the_same_few_at_a_time() {
+fn vms_do_not_all_send_to_the_same_few_vms() {
     let names: Vec<String> = (0..60).map(|number| format!("vm-{number}")).collect();
     let mut hits = std::collections::BTreeMap::new();
     for own in &names {
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn every_vm_gets_a_heartbeat_in_its_turn() {
+fn every_vm_gets_a_heartbeat_in_rotation() {
     let mut table = table();
     for number in 0..11 {
         table.apply_heartbeat(beat(&format!("vm-{number}"), "north", 1), at(0));
@@ -54,10 +54,10 @@
     assert_eq!(reached.len(), 11);
 }
 
-/// Found by arithmetic on a deployment of 79 VMs: after each restart of one VM all others asked five
-/// VMs for all heartbeats, three megabytes for one that nobody knew.
+/// Guards against all VMs requesting all heartbeats from five VMs after each restart of one VM:
+/// with 79 VMs that was three megabytes for one unknown heartbeat.
 #[test]
-fn only_the_heartbeats_of_unknown_lifetimes_are_asked_for() {
+fn only_heartbeats_of_unknown_incarnations_are_requested() {
     let mut table = table();
     let mut other = table_of("other", 1);
     for number in 0..20 {
@@ -72,9 +72,9 @@
         &[restarted.vm_incarnation(), beat("vm-4", "south", 1).vm_incarnation()],
         at(100),
     );
-    let asks = table.take_heartbeat_requests();
-    assert_eq!(asks, RequestedHeartbeats::Of(vec![VmTag::of(&restarted.vm)]));
-    assert_eq!(other.requested_heartbeats(&asks, at(100)), [restarted]);
+    let requests = table.take_heartbeat_requests();
+    assert_eq!(requests, RequestedHeartbeats::Of(vec![VmTag::of(&restarted.vm)]));
+    assert_eq!(other.requested_heartbeats(&requests, at(100)), [restarted]);
     assert_eq!(other.requested_heartbeats(&RequestedHeartbeats::All, at(100)).len(), 20);
 }
 
@@ -88,21 +88,22 @@
             table.apply_heartbeat(beat(&format!("south-{other}"), "south", 1), at(0));
             table.apply_heartbeat(beat(&format!("east-{other}"), "east", 1), at(0));
         }
-        let far: Vec<usize> = (0..16).map(|_| table.next_targets(at(0)).remote.len()).collect();
+        let remote: Vec<usize> = (0..16).map(|_| table.next_targets(at(0)).remote.len()).collect();
         match table.is_delegate(at(0)) {
-            true => assert_eq!(far, [2; 16], "one of each region"),
-            false => assert_eq!(far.iter().sum::<usize>(), 1, "one in sixteen rounds"),
+            true => assert_eq!(remote, [2; 16], "one VM of each region"),
+            false => assert_eq!(remote.iter().sum::<usize>(), 1, "one message in sixteen rounds"),
         }
         senders += usize::from(table.is_delegate(at(0)));
     }
     assert_eq!(senders, 2);
 }
 
-/// Most of 98 VMs have no requests to report, and are known to live by pulses alone. With pulses of far VMs among
-/// those that go round, one look in twenty misses a near one, and other VMs take themselves for readers.
+/// Most of 98 VMs have no requests to report and are known to be live by relayed liveness updates
+/// alone. If those of VMs of other regions are relayed too, one check in twenty misses a VM of the
+/// region, and other VMs take themselves for readers.
 #[test]
-fn vms_without_requests_are_not_missed_in_a_large_region() {
-    const NEAR: usize = 98;
+fn idle_vms_stay_live_in_a_large_region() {
+    const LOCAL_VMS: usize = 98;
     const ROUNDS: u64 = 40;
     let centre = |number: usize| if number.is_multiple_of(2) { "north-hall" } else { "other-hall" };
     let beat_of = |number: usize, sequence: u32| PeerHeartbeat {
@@ -110,14 +111,15 @@
         ..beat(&format!("vm-{number}"), "north", sequence)
     };
     let addresses: BTreeMap<SocketAddr, Vec<usize>> =
-        (0..NEAR).fold(BTreeMap::new(), |mut all: BTreeMap<_, Vec<usize>>, number| {
+        (0..LOCAL_VMS).fold(BTreeMap::new(), |mut all: BTreeMap<_, Vec<usize>>, number| {
             all.entry(beat_of(number, 0).peer).or_default().push(number);
             all
         });
-    let mut tables: Vec<PeerTable> =
-        (0..NEAR).map(|own| centre_table(&format!("vm-{own}"), 1, "north", centre(own))).collect();
+    let mut tables: Vec<PeerTable> = (0..LOCAL_VMS)
+        .map(|own| centre_table(&format!("vm-{own}"), 1, "north", centre(own)))
+        .collect();
     for (own, table) in tables.iter_mut().enumerate() {
-        (0..NEAR)
+        (0..LOCAL_VMS)
             .filter(|it| *it != own)
             .for_each(|it| assert!(table.apply_heartbeat(beat_of(it, 0), at(0))));
         (0..190).for_each(|it| {
@@ -127,43 +129,43 @@
     let mut missed = 0;
     let mut datagrams = 0_u32;
     for round in 1..=ROUNDS {
-        for own in 0..NEAR {
+        for own in 0..LOCAL_VMS {
             let now = at(round * 500 + own as u64 * 5);
-            let pulses = tables[own].next_liveness_updates(now);
+            let updates = tables[own].next_liveness_updates(now);
             for target in tables[own].next_targets(now).local {
                 datagrams += 1;
                 if datagrams.is_multiple_of(50) {
-                    continue; // lost on the way
+                    continue; // lost
                 }
-                for hearer in addresses[&target].iter().filter(|hearer| **hearer != own) {
-                    tables[*hearer].apply_heartbeat(beat_of(own, round as u32), now);
-                    for pulse in &pulses {
-                        tables[*hearer].apply_liveness_update(*pulse, now);
+                for receiver in addresses[&target].iter().filter(|receiver| **receiver != own) {
+                    tables[*receiver].apply_heartbeat(beat_of(own, round as u32), now);
+                    for update in &updates {
+                        tables[*receiver].apply_liveness_update(*update, now);
                     }
                 }
             }
-            missed += NEAR - 1 - tables[own].live_local(now).count();
+            missed += LOCAL_VMS - 1 - tables[own].live_local(now).count();
         }
     }
-    let looks = ROUNDS as usize * NEAR * (NEAR - 1);
-    assert!(missed * 10_000 < looks, "{missed} of {looks} looks missed a VM");
+    let checks = ROUNDS as usize * LOCAL_VMS * (LOCAL_VMS - 1);
+    assert!(missed * 10_000 < checks, "{missed} of {checks} checks missed a VM");
 }
 
-/// Guards against a VM that gets no heartbeats for as long as something else is told again and again: both took the VMs of
-/// one turn, so that of eight the same four got heartbeats.
+/// Guards against VMs that get no heartbeats while other updates are resent: both used the same
+/// rotation position, so that of eight VMs the same four got heartbeats.
 #[test]
-fn every_vm_gets_its_heartbeats_while_others_are_told_again() {
+fn every_vm_gets_heartbeats_while_other_updates_are_resent() {
     const OTHERS: usize = 8;
     let mut table = table_of("vm-0", 1);
     for number in 1..=OTHERS {
         table.apply_heartbeat(beat(&format!("vm-{number}"), "north", 1), at(0));
     }
     for _ in 0..6 {
-        let (mut beats, mut told) = (BTreeSet::new(), BTreeSet::new());
+        let (mut beats, mut resent) = (BTreeSet::new(), BTreeSet::new());
         for _ in 0..2 {
             beats.extend(table.next_targets(at(0)).local);
-            told.extend(table.next_resend_targets(at(0)).local);
+            resent.extend(table.next_resend_targets(at(0)).local);
         }
-        assert_eq!((beats.len(), told.len()), (OTHERS, OTHERS));
+        assert_eq!((beats.len(), resent.len()), (OTHERS, OTHERS));
     }
 }
--- a/crates/foldhaven-core/tests/testsuite/opaque_news.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_news.rs
@@ -1,6 +1,7 @@
-//! The pattern: a region whose readers of the platform get no answer. All its VMs hold the same revision, nobody is ahead of
-//! anybody, and all decide by what is seconds old. Who learns that there is more, who asks for it, who reads in place of the
-//! readers, and how old each knows its belief to be.
+//! A region whose readers get no answer from the platform. All its VMs know the same revision, none
+//! is ahead of another, and all decide by state that is seconds old. The tests cover which VM
+//! learns that there is a later revision, which VM requests it, which VMs read instead of the
+//! readers, and how old each VM takes its state to be.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -16,11 +17,11 @@
 
 const MILLIS: fn(u64) -> Duration = Duration::from_millis;
 
-fn proof(revision: u64, millis: u64) -> RevisionProof {
+fn confirmation(revision: u64, millis: u64) -> RevisionProof {
     RevisionProof { revision, at: at(millis) }
 }
 
-fn notice(vm: &str, revision: u64) -> RevisionAnnouncement {
+fn announcement(vm: &str, revision: u64) -> RevisionAnnouncement {
     let beat = beat(vm, "south", 1);
     let incarnation = beat.incarnation;
     RevisionAnnouncement {
@@ -32,8 +33,9 @@
     }
 }
 
-/// The tables of twelve VMs of the north that know each other and twelve of the south.
-fn tables_of_the_north() -> Vec<PeerTable> {
+/// Returns the tables of twelve VMs of the region `north` that know each other and twelve VMs of
+/// the region `south`.
+fn northern_tables() -> Vec<PeerTable> {
     let own = |number: usize| format!("north-{number}");
     let table = |number: usize| {
         let mut table = region_table(&own(number), 1, "north");
@@ -47,93 +49,98 @@
 }
 
 #[test]
-fn a_proof_counts_for_whoever_holds_its_revision() {
-    let mut belief = BeliefAge::default();
-    assert_eq!(belief.age(at(100)), None, "nothing was proven");
-    belief.hear(proof(7, 100), 7);
-    assert_eq!(belief.age(at(300)), Some(MILLIS(200)));
-    belief.hear(proof(9, 400), 7);
-    assert_eq!(belief.age(at(500)), Some(MILLIS(400)), "it is of what is not known here");
-    belief.note_held(8);
-    assert_eq!(belief.age(at(500)), Some(MILLIS(400)), "still not");
-    belief.note_held(9);
-    assert_eq!(belief.age(at(500)), Some(MILLIS(100)));
-    belief.hear(proof(9, 200), 9);
-    assert_eq!(belief.age(at(500)), Some(MILLIS(100)), "an earlier proof takes nothing away");
+fn a_confirmation_counts_once_its_revision_is_known() {
+    let mut staleness = BeliefAge::default();
+    assert_eq!(staleness.age(at(100)), None, "nothing is confirmed");
+    staleness.hear(confirmation(7, 100), 7);
+    assert_eq!(staleness.age(at(300)), Some(MILLIS(200)));
+    staleness.hear(confirmation(9, 400), 7);
+    assert_eq!(
+        staleness.age(at(500)),
+        Some(MILLIS(400)),
+        "the confirmed revision is not known here"
+    );
+    staleness.note_held(8);
+    assert_eq!(staleness.age(at(500)), Some(MILLIS(400)), "the known revision is still earlier");
+    staleness.note_held(9);
+    assert_eq!(staleness.age(at(500)), Some(MILLIS(100)));
+    staleness.hear(confirmation(9, 200), 9);
+    assert_eq!(staleness.age(at(500)), Some(MILLIS(100)), "an earlier confirmation has no effect");
 }
 
-/// Whatever the VMs read and tell each other, none holds its belief for younger than it is: at the time that it takes for
-/// proven, the platform had published nothing that it does not hold.
+/// Whatever the VMs read and report to each other, none takes its state for fresher than it is: at
+/// the time that it takes for confirmed, the platform had published nothing that the VM doesn't
+/// know.
 #[rstest]
-fn no_belief_is_held_for_younger_than_it_is(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
+fn staleness_is_never_underestimated(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
     const VMS: usize = 6;
     let mut random = StdRng::seed_from_u64(seed);
     let mut published: BTreeMap<MonoTime, u64> = BTreeMap::from([(at(0), 1)]);
     let mut vms = vec![(BeliefAge::default(), 0_u64); VMS];
     for millis in (1..20_000).step_by(7) {
         let now = at(millis);
-        let newest = *published.values().next_back().expect("there is a first one");
+        let newest = *published.values().next_back().expect("there is a first revision");
         let (own, other) = (random.random_range(0..VMS), random.random_range(0..VMS));
         match random.random_range(0..10) {
             0 => drop(published.insert(now, newest + 1)),
             1 => {
-                let (belief, held) = &mut vms[own];
+                let (staleness, held) = &mut vms[own];
                 *held = newest;
-                belief.hear(RevisionProof { revision: newest, at: now }, newest);
+                staleness.hear(RevisionProof { revision: newest, at: now }, newest);
             }
             2 | 3 => {
-                // One takes over what another one holds, without a word on its age.
+                // A VM copies the state of another one without learning its age.
                 let held = vms[own].1.max(vms[other].1);
                 vms[own].1 = held;
                 vms[own].0.note_held(held);
             }
             _ => {
-                let (told, revision) = vms[other];
-                let (belief, held) = &mut vms[own];
-                if let Some(age) = told.age(now) {
-                    belief.hear(RevisionProof { revision, at: now - age }, *held);
+                let (reported, revision) = vms[other];
+                let (staleness, held) = &mut vms[own];
+                if let Some(age) = reported.age(now) {
+                    staleness.hear(RevisionProof { revision, at: now - age }, *held);
                 }
             }
         }
-        for (belief, held) in &vms {
-            let Some(proven) = belief.proven() else { continue };
+        for (staleness, held) in &vms {
+            let Some(proven) = staleness.proven() else { continue };
             let then = published.range(..proven).next_back().map_or(0, |(_, revision)| *revision);
-            assert!(then <= *held, "seed {seed} at {now}: {then} was published, {held} is held");
+            assert!(then <= *held, "seed {seed} at {now}: {then} was published, {held} is known");
         }
     }
 }
 
 #[test]
-fn a_notice_shows_at_once_that_another_region_is_ahead() {
-    let mut table = tables_of_the_north().remove(0);
+fn an_announcement_shows_at_once_that_another_region_is_ahead() {
+    let mut table = northern_tables().remove(0);
     let ahead = |table: &PeerTable| -> Vec<String> {
         let live = table.live(at(200));
         live.filter(|beat| beat.revision > 1).map(|beat| beat.vm.to_string()).collect()
     };
     assert!(ahead(&table).is_empty());
-    assert!(table.apply_announcement(&notice("south-3", 5)));
+    assert!(table.apply_announcement(&announcement("south-3", 5)));
     assert_eq!(ahead(&table), ["south-3"]);
-    // A heartbeat that was sent before it comes after it.
+    // A heartbeat sent before the announcement arrives after it.
     table.apply_heartbeat(beat("south-3", "south", 2), at(100));
-    assert_eq!(ahead(&table), ["south-3"], "it knows no less than it said");
-    let of_another_life =
-        RevisionAnnouncement { incarnation: Default::default(), ..notice("south-4", 9) };
-    assert!(!table.apply_announcement(&of_another_life));
-    assert!(!table.apply_announcement(&notice("stranger", 9)));
+    assert_eq!(ahead(&table), ["south-3"], "it knows no less than it announced");
+    let of_another_incarnation =
+        RevisionAnnouncement { incarnation: Default::default(), ..announcement("south-4", 9) };
+    assert!(!table.apply_announcement(&of_another_incarnation));
+    assert!(!table.apply_announcement(&announcement("stranger", 9)));
     assert_eq!(ahead(&table), ["south-3"]);
 }
 
 #[test]
-fn what_a_vm_does_not_have_when_asked_is_not_believed_of_it() {
-    let mut table = tables_of_the_north().remove(0);
-    table.apply_announcement(&notice("south-3", u64::MAX));
+fn an_announced_revision_is_capped_by_what_the_vm_delivers() {
+    let mut table = northern_tables().remove(0);
+    table.apply_announcement(&announcement("south-3", u64::MAX));
     let peer = beat("south-3", "south", 1).peer;
     table.record_delivered_revision(peer, 4);
     assert!(table.live(at(100)).all(|beat| beat.revision <= 4));
 }
 
 #[test]
-fn two_vms_of_each_other_region_are_told() {
+fn two_vms_of_each_other_region_get_announcements() {
     let mut table = region_table("own", 1, "north");
     for number in 0..12 {
         table.apply_heartbeat(beat(&format!("south-{number}"), "south", 1), at(0));
@@ -141,45 +148,47 @@
         table.apply_heartbeat(beat(&format!("north-{number}"), "north", 1), at(0));
     }
     let targets: BTreeSet<_> = table.remote_announcement_targets(at(100)).into_iter().collect();
-    let told = |region: &str| {
+    let receivers = |region: &str| {
         let peers = (0..12).map(|number| beat(&format!("{region}-{number}"), region, 1).peer);
         peers.filter(|peer| targets.contains(peer)).count()
     };
-    assert_eq!([told("south"), told("east"), told("north")], [2, 2, 0]);
+    assert_eq!([receivers("south"), receivers("east"), receivers("north")], [2, 2, 0]);
 }
 
-/// If all asked another region at once, each would carry the same bytes over the same link.
+/// If all VMs requested changes from another region at once, each would carry the same bytes over
+/// the same link.
 #[test]
-fn those_that_ask_other_regions_do_so_one_after_the_other() {
-    let places: Vec<Option<usize>> =
-        tables_of_the_north().iter().map(|table| table.fetch_rank(at(100))).collect();
-    let asking: BTreeSet<usize> = places.iter().flatten().copied().collect();
-    assert_eq!(asking.len(), places.iter().flatten().count(), "no place twice: {places:?}");
-    assert!(asking.contains(&0) && asking.len() >= 3, "{places:?}");
+fn vms_fetch_from_other_regions_in_distinct_ranks() {
+    let ranks: Vec<Option<usize>> =
+        northern_tables().iter().map(|table| table.fetch_rank(at(100))).collect();
+    let fetching: BTreeSet<usize> = ranks.iter().flatten().copied().collect();
+    assert_eq!(fetching.len(), ranks.iter().flatten().count(), "ranks are distinct: {ranks:?}");
+    assert!(fetching.contains(&0) && fetching.len() >= 3, "{ranks:?}");
 }
 
-/// Two VMs that are not answered would otherwise keep their turn until their wait is over.
+/// Otherwise two readers that get no answer would remain the only ones until their long poll ends.
 #[rstest]
-#[case::young(0, 2)]
-#[case::as_old_as_in_calm(2_400, 2)]
+#[case::fresh(0, 2)]
+#[case::normal_age(2_400, 2)]
 #[case::old(2_600, 4)]
 #[case::older(3_400, 6)]
 #[case::in_an_outage(60_000, 6)]
-fn the_older_the_belief_the_more_vms_read(#[case] age_ms: u64, #[case] readers: usize) {
-    let tables = tables_of_the_north();
+fn more_vms_read_the_platform_the_staler_its_state(#[case] age_ms: u64, #[case] readers: usize) {
+    let tables = northern_tables();
     let reads = |table: &&PeerTable| table.is_reader(false, MILLIS(age_ms), at(100));
     assert_eq!(tables.iter().filter(reads).count(), readers);
 }
 
-/// A VM forgot an offer when it had caught up with an earlier revision, and asked for it 0.35 s later.
+/// Guards against an offer that is dropped when the VM reaches an earlier revision: the changes
+/// were then requested 0.35 s later.
 #[test]
-fn an_offer_stands_until_its_revision_is_known() {
+fn an_offer_remains_until_its_revision_is_known() {
     let mut offered = OfferedRevision::default();
     assert!(!offered.is_beyond(0));
-    offered.note(&RevisionAnnouncement { is_offer: true, ..notice("vm-1", 100) });
-    offered.note(&RevisionAnnouncement { is_offer: true, ..notice("vm-2", 98) });
-    offered.note(&notice("vm-3", 200));
-    assert!(offered.is_beyond(98), "what leads to 98 does not answer the offer of 100");
+    offered.note(&RevisionAnnouncement { is_offer: true, ..announcement("vm-1", 100) });
+    offered.note(&RevisionAnnouncement { is_offer: true, ..announcement("vm-2", 98) });
+    offered.note(&announcement("vm-3", 200));
+    assert!(offered.is_beyond(98), "changes up to 98 do not satisfy the offer of 100");
     assert!(!offered.is_beyond(100));
     offered.forget();
     assert!(!offered.is_beyond(98));
--- a/crates/foldhaven-core/tests/testsuite/opaque_peers.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_peers.rs
@@ -1,4 +1,4 @@
-//! Which VMs are held to live, and what of them is news, by heartbeats that come late, twice or not at
+//! Liveness of other VMs and membership changes, with heartbeats that arrive late, twice or not at
 //! all.
 
 use foldhaven_core::ids::IncarnationId;
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn repeating_what_a_dead_vm_said_does_not_keep_it_alive() {
+fn repeated_heartbeats_do_not_keep_a_dead_vm_live() {
     let mut table = table();
     assert!(table.apply_heartbeat(beat("a", "north", 5), at(0)));
     for millis in (0..5_000).step_by(500) {
@@ -23,12 +23,15 @@
         table.apply_heartbeat(beat("a", "north", 4), at(millis));
     }
     assert!(live(&table, at(5_000)).is_empty());
-    assert!(table.apply_heartbeat(beat("a", "north", 6), at(5_000)), "its return is news");
+    assert!(
+        table.apply_heartbeat(beat("a", "north", 6), at(5_000)),
+        "its return is a membership change"
+    );
     assert_eq!(live(&table, at(5_000)), ["a"]);
 }
 
 #[test]
-fn a_later_lifetime_goes_before_any_sequence() {
+fn a_later_incarnation_supersedes_any_sequence() {
     let mut table = table();
     table.apply_heartbeat(beat("a", "north", 900), at(0));
     let mut restarted = beat("a", "north", 1);
@@ -36,14 +39,14 @@
     assert!(table.apply_heartbeat(restarted, at(10)));
     assert!(
         !table.apply_heartbeat(beat("a", "north", 901), at(20)),
-        "the earlier lifetime is over"
+        "the earlier incarnation is over"
     );
 }
 
-/// Lifetimes are named by the time of day. A VM whose clock was set back while it restarted was not
-/// heard by the others until they had forgotten its earlier lifetime, for up to 30 seconds.
+/// Incarnations are numbered by the wall clock. A VM whose clock was set back during a restart was
+/// ignored by the others until they had removed its earlier incarnation, for up to 30 seconds.
 #[test]
-fn a_process_that_starts_with_an_earlier_clock_is_heard_again() {
+fn a_process_restarted_with_an_earlier_clock_is_accepted() {
     let mut other = table_of("other", 1);
     let mut earlier = beat("own", "north", 40);
     earlier.incarnation = IncarnationId(9_000);
@@ -52,26 +55,29 @@
     let mut first = beat("own", "north", 1);
     first.incarnation = restarted.incarnation();
     other.apply_heartbeat(first.clone(), at(8_000));
-    let told = other.later_incarnation(&first.vm, first.incarnation).expect("it is told").clone();
-    restarted.apply_heartbeat(told, at(8_010));
+    let later = other
+        .later_incarnation(&first.vm, first.incarnation)
+        .expect("the later incarnation is known")
+        .clone();
+    restarted.apply_heartbeat(later, at(8_010));
     let mut second = beat("own", "north", 2);
     second.incarnation = restarted.incarnation();
-    assert!(other.apply_heartbeat(second.clone(), at(8_500)), "it is news");
+    assert!(other.apply_heartbeat(second.clone(), at(8_500)), "it is a membership change");
     assert_eq!(live(&other, at(8_500)), ["own"]);
     assert!(other.later_incarnation(&second.vm, second.incarnation).is_none());
 }
 
 #[test]
-fn a_pulse_of_an_earlier_lifetime_changes_nothing_and_one_of_a_later_is_outlived() {
+fn liveness_updates_of_the_own_vm_only_raise_its_incarnation() {
     let mut table = table_of("own", 50);
-    table.apply_liveness_update(pulse("own", 49, 3), at(0));
+    table.apply_liveness_update(liveness_update("own", 49, 3), at(0));
     assert_eq!(table.incarnation(), IncarnationId(50));
-    table.apply_liveness_update(pulse("own", 60, 3), at(0));
+    table.apply_liveness_update(liveness_update("own", 60, 3), at(0));
     assert_eq!(table.incarnation(), IncarnationId(61));
 }
 
 #[test]
-fn leaving_is_news_and_ones_own_heartbeat_is_none() {
+fn leaving_is_a_membership_change_and_the_own_heartbeat_is_not() {
     let mut table = table();
     table.apply_heartbeat(beat("a", "north", 1), at(0));
     assert!(!table.apply_heartbeat(beat("a", "north", 2), at(10)));
@@ -83,7 +89,7 @@
 }
 
 #[test]
-fn silent_vms_still_count_where_limits_are_divided() {
+fn stale_vms_still_count_where_limits_are_divided() {
     let mut table = table();
     table.apply_heartbeat(beat("a", "north", 1), at(0));
     table.forget(at(10_000));
@@ -93,31 +99,36 @@
     assert_eq!(table.vm_count(), 1);
 }
 
-/// Three VMs that knew only a fourth one each divided a limit by two, where four shared it.
+/// Guards against shares that add up to more than the limit: three VMs that knew only a fourth one
+/// each divided a limit by two, though four shared it.
 #[test]
-fn what_a_vm_does_not_know_does_not_make_its_part_larger() {
+fn unknown_vms_do_not_make_a_share_larger() {
     let mut table = table();
     table.apply_heartbeat(beat("a", "north", 1), at(0));
     let counts = |local, all| KnownCounts { local, all };
     assert_eq!(table.assumed_counts(at(0)), counts(2, 2));
-    let notice = ViewDigest {
+    let view = ViewDigest {
         vm: VmTag::of(&"a".parse().unwrap()),
         incarnation: IncarnationId(1),
         region: RegionTag::of(&"north".parse().unwrap()),
         digest: 1,
         known: counts(4, 9),
     };
-    table.apply_view_digest(&notice, at(10));
+    table.apply_view_digest(&view, at(10));
     assert_eq!(table.assumed_counts(at(20)), counts(4, 9));
     table.apply_heartbeat(beat("a", "north", 2), at(2_000));
-    assert_eq!(table.assumed_counts(at(2_000)), counts(4, 9), "it still holds");
+    assert_eq!(table.assumed_counts(at(2_000)), counts(4, 9), "the report is still valid");
     let mut restarted = beat("a", "north", 1);
     restarted.incarnation = IncarnationId(2);
     table.apply_heartbeat(restarted, at(2_100));
-    assert_eq!(table.assumed_counts(at(2_100)), counts(2, 2), "another process says so anew");
+    assert_eq!(
+        table.assumed_counts(at(2_100)),
+        counts(2, 2),
+        "the report of the earlier incarnation is dropped"
+    );
 }
 
-fn pulse(vm: &str, incarnation: u64, sequence: u32) -> LivenessUpdate {
+fn liveness_update(vm: &str, incarnation: u64, sequence: u32) -> LivenessUpdate {
     LivenessUpdate {
         vm: VmTag::of(&vm.parse().unwrap()),
         incarnation: IncarnationId(incarnation),
@@ -129,42 +140,45 @@
 }
 
 #[test]
-fn pulses_keep_known_vms_alive_and_make_unknown_ones_asked_for() {
+fn liveness_updates_keep_known_vms_live_and_request_unknown_ones() {
     let mut table = table();
     table.apply_heartbeat(beat("a", "south", 1), at(0));
     assert_eq!(
         table.take_heartbeat_requests(),
         RequestedHeartbeats::All,
-        "a process that has just started asks"
+        "a recently started process requests all"
     );
     assert_eq!(table.take_heartbeat_requests(), RequestedHeartbeats::Of(Vec::new()));
-    let asked = |vm: &str| RequestedHeartbeats::Of(vec![VmTag::of(&vm.parse().unwrap())]);
+    let requested = |vm: &str| RequestedHeartbeats::Of(vec![VmTag::of(&vm.parse().unwrap())]);
     for step in 1..10 {
-        table.apply_liveness_update(pulse("a", 1, 1 + step), at(u64::from(step) * 1_000));
+        table.apply_liveness_update(liveness_update("a", 1, 1 + step), at(u64::from(step) * 1_000));
     }
     assert_eq!(live(&table, at(10_000)), ["a"]);
-    table.apply_liveness_update(pulse("unknown", 1, 1), at(10_000));
-    assert_eq!(table.take_heartbeat_requests(), asked("unknown"));
-    table.apply_liveness_update(pulse("a", 2, 1), at(10_000));
+    table.apply_liveness_update(liveness_update("unknown", 1, 1), at(10_000));
+    assert_eq!(table.take_heartbeat_requests(), requested("unknown"));
+    table.apply_liveness_update(liveness_update("a", 2, 1), at(10_000));
     assert_eq!(
         table.take_heartbeat_requests(),
-        asked("a"),
-        "a new lifetime may have other addresses"
+        requested("a"),
+        "a new incarnation may have other addresses"
     );
 }
 
 #[test]
-fn a_load_report_of_the_same_lifetime_is_a_sign_of_life() {
+fn a_load_report_of_the_same_incarnation_is_a_sign_of_life() {
     let mut table = table();
     table.apply_heartbeat(beat("a", "north", 1), at(0));
     table.record_load_report(VmTag::of(&"a".parse().unwrap()), IncarnationId(1), at(2_000));
     table.record_load_report(VmTag::of(&"a".parse().unwrap()), IncarnationId(0), at(9_000));
     assert_eq!(live(&table, at(4_000)), ["a"]);
-    assert!(live(&table, at(5_000)).is_empty(), "an earlier lifetime's report");
+    assert!(
+        live(&table, at(5_000)).is_empty(),
+        "a report of an earlier incarnation does not count"
+    );
 }
 
 #[test]
-fn far_vms_may_be_silent_for_longer() {
+fn remote_vms_have_a_longer_liveness_timeout() {
     let mut table = table();
     table.apply_heartbeat(beat("near", "north", 1), at(0));
     table.apply_heartbeat(beat("far", "south", 1), at(0));
@@ -172,15 +186,15 @@
     assert!(live(&table, at(5_500)).is_empty());
 }
 
-/// A delegate lists the VMs that it heard from itself; a dead one falls off its list, and then off the
-/// others' views, before callers may not be named it any more.
+/// A delegate lists the VMs that it received messages from directly. A dead VM must drop off its
+/// list, and then off the views of other regions, before callers may no longer be sent to it.
 #[test]
-fn far_vms_live_as_long_as_their_delegate_hears_them() {
+fn remote_vms_are_live_while_their_delegate_receives_messages() {
     let mut delegate = table_of("delegate", 1);
-    let mut far = region_table("far", 1, "south");
+    let mut remote = region_table("far", 1, "south");
     for vm in ["a", "b"] {
         delegate.apply_heartbeat(beat(vm, "north", 1), at(0));
-        far.apply_heartbeat(beat(vm, "north", 1), at(0));
+        remote.apply_heartbeat(beat(vm, "north", 1), at(0));
     }
     let died = 3_000;
     for millis in (0..12_000).step_by(250) {
@@ -189,25 +203,25 @@
         if millis < died {
             delegate.record_contact(&"b".parse().unwrap(), now);
         }
-        far.apply_reported_incarnations(&delegate.directly_seen_incarnations(now), now);
+        remote.apply_reported_incarnations(&delegate.directly_seen_incarnations(now), now);
         let expected = if millis < died + 5_000 { 2 } else { 1 };
         if millis != died && millis < died + 5_000 || millis > died + 6_500 {
-            assert_eq!(live(&far, now).len(), expected, "at {millis}");
+            assert_eq!(live(&remote, now).len(), expected, "at {millis}");
         }
     }
 }
 
 #[test]
-fn a_list_of_lives_tells_of_starts_but_undoes_no_leaving() {
+fn a_delegate_report_applies_starts_but_never_reverts_leaving() {
     let mut table = table();
     let mut starting = beat("a", "south", 1);
     starting.phase = PeerPhase::Starting;
     let mut leaving = beat("b", "south", 1);
     leaving.phase = PeerPhase::Leaving;
-    let lives = [starting.vm_incarnation(), leaving.vm_incarnation()];
+    let incarnations = [starting.vm_incarnation(), leaving.vm_incarnation()];
     table.apply_heartbeat(starting, at(0));
     table.apply_heartbeat(leaving, at(0));
-    assert!(table.apply_reported_incarnations(&lives, at(100)));
+    assert!(table.apply_reported_incarnations(&incarnations, at(100)));
     let phases: Vec<PeerPhase> = table.live(at(100)).map(|beat| beat.phase).collect();
     assert_eq!(phases, [PeerPhase::Serving, PeerPhase::Leaving]);
 }
--- a/crates/foldhaven-core/tests/testsuite/opaque_readers.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_readers.rs
@@ -1,4 +1,4 @@
-//! Which VMs of a region read the platform, and when an outage of it is believed.
+//! Which VMs of a region read the platform, and when an outage of it is assumed.
 
 use std::time::Duration;
 
@@ -8,10 +8,11 @@
 
 use crate::opaque_support::{at, beat, table_of};
 
-/// Tables of all VMs of a region, in which those of `turned_away` say that the platform refuses them.
+/// Returns the tables of all VMs of a region, in which the VMs in `turned_away` report that they
+/// fail to read the platform, each with whether its own VM is one of those.
 fn region(vms: usize, turned_away: &[usize]) -> Vec<(PeerTable, bool)> {
     let name = |at: usize| format!("vm-{at}");
-    let told = |at: usize| {
+    let heartbeat_of = |at: usize| {
         let mut beat = beat(&name(at), "north", 1);
         beat.is_turned_away = turned_away.contains(&at);
         beat
@@ -20,7 +21,7 @@
         let mut table = table_of(&name(own), 1);
         (0..vms)
             .filter(|at| *at != own)
-            .for_each(|at| assert!(table.apply_heartbeat(told(at), at_start())));
+            .for_each(|at| assert!(table.apply_heartbeat(heartbeat_of(at), at_start())));
         (table, turned_away.contains(&own))
     };
     (0..vms).map(table_of).collect()
@@ -33,7 +34,7 @@
 #[rstest]
 #[case::small_region(4, &[], 4)]
 #[case::large_region(12, &[], 2)]
-#[case::everybody_turned_away(12, &[0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11], 12)]
+#[case::all_vms_turned_away(12, &[0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11], 12)]
 fn few_vms_of_a_large_region_read_the_platform(
     #[case] vms: usize,
     #[case] turned_away: &[usize],
@@ -47,32 +48,32 @@
 }
 
 #[test]
-fn others_read_when_the_platform_turns_the_readers_away() {
+fn other_vms_read_when_the_readers_fail() {
     let before = region(12, &[]);
     let readers: Vec<usize> =
         (0..12).filter(|at| before[*at].0.is_reader(false, Duration::ZERO, at_start())).collect();
     let after = region(12, &readers);
-    let well = (0..12).filter(|at| {
+    let readers_after = (0..12).filter(|at| {
         !readers.contains(at) && after[*at].0.is_reader(false, Duration::ZERO, at_start())
     });
-    assert_eq!(well.count(), 2);
+    assert_eq!(readers_after.count(), 2);
 }
 
 #[rstest]
-#[case::nobody(&[], false)]
-#[case::one_vm_of_its_own(&[3], false)]
+#[case::no_vm(&[], false)]
+#[case::one_vm(&[3], false)]
 #[case::the_readers(&[3, 7], true)]
-fn an_outage_is_believed_when_more_than_one_vm_tells_of_it(
+fn an_outage_is_reported_by_more_than_one_vm(
     #[case] turned_away: &[usize],
-    #[case] is_told: bool,
+    #[case] is_reported: bool,
 ) {
     let region = region(12, turned_away);
-    assert_eq!(region[0].0.is_outage_reported(at(100)), is_told);
-    assert!(!region[0].0.is_outage_reported(at(9_000)), "silent VMs tell nothing");
+    assert_eq!(region[0].0.is_outage_reported(at(100)), is_reported);
+    assert!(!region[0].0.is_outage_reported(at(9_000)), "reports of stale VMs do not count");
 }
 
 #[test]
-fn others_read_when_the_readers_are_silent() {
+fn other_vms_read_when_the_readers_are_stale() {
     let mut tables = region(12, &[]);
     let readers: Vec<usize> =
         (0..12).filter(|at| tables[*at].0.is_reader(false, Duration::ZERO, at_start())).collect();
--- a/crates/foldhaven-core/tests/testsuite/opaque_suspect_orders.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_suspect_orders.rs
@@ -1,4 +1,5 @@
-//! A small model of several VMs and one request, over drawn orders of sendings, ends, messages, losses, cuts and restarts.
+//! A small model of several VMs and one request, run with random sequences of sends, exits,
+//! messages, losses, partitions and restarts.
 
 use std::time::Duration;
 
@@ -14,49 +15,49 @@
 use crate::opaque_support::at;
 
 const VMS: usize = 5;
-/// From the sending of a request to the end of its upstream.
-const DYING_MS: u64 = 60;
-/// VMs tell again so often.
+/// Milliseconds from the sending of a request to the exit of its upstream.
+const EXIT_DELAY_MS: u64 = 60;
+/// Milliseconds between two rounds in which VMs resend records.
 const ROUND_MS: u64 = 500;
-/// From so long after the third end on, sendings count.
-const KNOWN_MS: u64 = 2_000;
+/// Sends count as late from this many milliseconds after the third exit on.
+const PROPAGATION_MS: u64 = 2_000;
 
-fn print_of(body: &str) -> RequestFingerprint {
+fn fingerprint_of(body: &str) -> RequestFingerprint {
     let parts =
         FingerprintParts { host: "desk", method: "POST", target: "/x", body: body.as_bytes() };
     RequestFingerprint::of(&parts)
 }
 
-/// One thing that happens.
+/// One step of a run.
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    /// The request comes to a VM.
+    /// The request arrives at a VM.
     Send { vm: usize },
-    /// So many milliseconds pass.
-    Pass { ms: u64 },
-    /// The oldest message on its way is lost.
+    /// This many milliseconds pass.
+    Advance { ms: u64 },
+    /// The oldest message in transit is lost.
     Lose,
-    /// The newest message on its way overtakes all others.
-    Overtake,
-    /// A message on its way comes twice.
-    Double,
-    /// A VM starts again and asks another one.
+    /// The newest message in transit overtakes all others.
+    Reorder,
+    /// A message in transit is duplicated.
+    Duplicate,
+    /// A VM restarts and requests the records of another one.
     Restart { vm: usize },
-    /// A VM hears nothing for so many milliseconds.
-    Cut { vm: usize, ms: u64 },
+    /// A VM is partitioned from all others for this many milliseconds.
+    Partition { vm: usize, ms: u64 },
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let vm = 0..VMS;
     let step = prop_oneof![
         12 => vm.clone().prop_map(|vm| Step::Send { vm }),
-        8 => (1_u64..150).prop_map(|ms| Step::Pass { ms }),
-        1 => (150_u64..4_000).prop_map(|ms| Step::Pass { ms }),
+        8 => (1_u64..150).prop_map(|ms| Step::Advance { ms }),
+        1 => (150_u64..4_000).prop_map(|ms| Step::Advance { ms }),
         2 => Just(Step::Lose),
-        2 => Just(Step::Overtake),
-        1 => Just(Step::Double),
+        2 => Just(Step::Reorder),
+        1 => Just(Step::Duplicate),
         1 => vm.clone().prop_map(|vm| Step::Restart { vm }),
-        1 => (vm, 100_u64..6_000).prop_map(|(vm, ms)| Step::Cut { vm, ms }),
+        1 => (vm, 100_u64..6_000).prop_map(|(vm, ms)| Step::Partition { vm, ms }),
     ];
     proptest::collection::vec(step, 40..220)
 }
@@ -67,38 +68,39 @@
     record: SuspectRecord,
 }
 
-/// VMs, and the messages between them.
+/// The VMs, and the messages between them.
 struct Model {
     now: u64,
     tables: Vec<SuspectTable>,
-    cut_until: Vec<u64>,
+    partitioned_until: Vec<u64>,
     messages: Vec<Message>,
-    /// Upstreams that end, with the VM that sent and when.
-    dying: Vec<(u64, usize, UpstreamTag)>,
-    /// When upstreams ended, and at which VM that was seen.
+    /// Upstreams that will exit: the time, the VM that sent to it, and the upstream.
+    exiting: Vec<(u64, usize, UpstreamTag)>,
+    /// Times of past exits, and the VM that observed each.
     exits: Vec<(u64, usize)>,
-    /// How many upstreams were sent to; each is another one.
+    /// Number of upstreams sent to; each send uses another one.
     upstreams: u32,
-    /// How often VMs in touch sent the request on although all that is needed to hold it back could be known to them.
+    /// Number of times that connected VMs sent the request although they could know all exits
+    /// needed to hold it back.
     late_sends: usize,
-    is_deadly: bool,
-    tells: bool,
+    is_poison: bool,
+    sends_updates: bool,
 }
 
 impl Model {
-    fn new(is_deadly: bool, tells: bool) -> Self {
+    fn new(is_poison: bool, sends_updates: bool) -> Self {
         let tables = (0..VMS).map(|vm| SuspectTable::new(VmTag(vm as u32))).collect();
         Self {
             now: 0,
             tables,
-            cut_until: vec![0; VMS],
+            partitioned_until: vec![0; VMS],
             messages: Vec::new(),
-            dying: Vec::new(),
+            exiting: Vec::new(),
             exits: Vec::new(),
             upstreams: 0,
             late_sends: 0,
-            is_deadly,
-            tells,
+            is_poison,
+            sends_updates,
         }
     }
 
@@ -106,30 +108,30 @@
         at(self.now)
     }
 
-    fn act(&mut self, step: Step, fingerprint: RequestFingerprint) {
+    fn apply(&mut self, step: Step, fingerprint: RequestFingerprint) {
         match step {
             Step::Send { vm } => self.send(vm, fingerprint),
-            Step::Pass { ms } => self.pass(ms, fingerprint),
+            Step::Advance { ms } => self.advance(ms, fingerprint),
             Step::Lose if !self.messages.is_empty() => drop(self.messages.remove(0)),
-            Step::Overtake => {
+            Step::Reorder => {
                 if let Some(last) = self.messages.pop() {
                     self.messages.insert(0, last);
                 }
             }
-            Step::Double => {
+            Step::Duplicate => {
                 if let Some(Message { to, due, record }) = self.messages.first() {
                     let again = Message { to: *to, due: due + 30, record: record.clone() };
                     self.messages.push(again);
                 }
             }
             Step::Restart { vm } => self.restart(vm),
-            Step::Cut { vm, ms } => self.cut_until[vm] = self.now + ms,
+            Step::Partition { vm, ms } => self.partitioned_until[vm] = self.now + ms,
             Step::Lose => {}
         }
     }
 
-    fn is_in_touch(&self, vm: usize) -> bool {
-        self.now >= self.cut_until[vm] + KNOWN_MS || self.cut_until[vm] == 0
+    fn is_connected(&self, vm: usize) -> bool {
+        self.now >= self.partitioned_until[vm] + PROPAGATION_MS || self.partitioned_until[vm] == 0
     }
 
     fn send(&mut self, vm: usize, fingerprint: RequestFingerprint) {
@@ -137,32 +139,32 @@
         if let SuspectVerdict::Refused { .. } = self.tables[vm].decide(&fingerprint, now) {
             return;
         }
-        if self.is_in_touch(vm) && self.knowable_ends() >= REFUSE_EXITS {
+        if self.is_connected(vm) && self.visible_exits() >= REFUSE_EXITS {
             self.late_sends += 1;
         }
         self.upstreams += 1;
         let upstream = UpstreamTag(self.upstreams);
-        match self.is_deadly {
-            true => self.dying.push((self.now + DYING_MS, vm, upstream)),
+        match self.is_poison {
+            true => self.exiting.push((self.now + EXIT_DELAY_MS, vm, upstream)),
             false => {
                 self.tables[vm].record_success(fingerprint, now);
             }
         }
-        self.tell(vm);
+        self.send_updates(vm);
     }
 
-    /// Tells all others what is news at a VM.
-    fn tell(&mut self, vm: usize) {
-        let mut news = self.tables[vm].take_updates();
-        news.extend(self.tables[vm].take_shared_updates());
-        if self.tells {
-            news.into_iter().for_each(|news| self.post(vm, news.record));
+    /// Sends the updates of a VM to all others.
+    fn send_updates(&mut self, vm: usize) {
+        let mut updates = self.tables[vm].take_updates();
+        updates.extend(self.tables[vm].take_shared_updates());
+        if self.sends_updates {
+            updates.into_iter().for_each(|updates| self.send_record(vm, updates.record));
         }
     }
 
-    fn post(&mut self, from: usize, record: SuspectRecord) {
+    fn send_record(&mut self, from: usize, record: SuspectRecord) {
         for to in (0..VMS).filter(|to| *to != from) {
-            if self.now < self.cut_until[from] || self.now < self.cut_until[to] {
+            if self.now < self.partitioned_until[from] || self.now < self.partitioned_until[to] {
                 continue;
             }
             self.messages.push(Message { to, due: self.now + 5, record: record.clone() });
@@ -170,14 +172,14 @@
     }
 
     fn restart(&mut self, vm: usize) {
-        let asked = (vm + 1) % VMS;
-        let known = self.tables[asked].startup_records();
+        let source = (vm + 1) % VMS;
+        let known = self.tables[source].startup_records();
         self.tables[vm] = SuspectTable::new(VmTag(vm as u32));
-        self.dying.retain(|(_, sender, _)| *sender != vm);
-        // What it had seen a moment ago may have gone with it.
+        self.exiting.retain(|(_, sender, _)| *sender != vm);
+        // The exits that it observed recently may be lost with it.
         let now = self.now;
-        self.exits.retain(|(at, seer)| *seer != vm || now > at + KNOWN_MS);
-        if self.tells {
+        self.exits.retain(|(at, observer)| *observer != vm || now > at + PROPAGATION_MS);
+        if self.sends_updates {
             let now = self.time();
             for record in known {
                 self.tables[vm].merge_record(&record, RecordSource::Local, now).unwrap();
@@ -185,13 +187,13 @@
         }
     }
 
-    fn pass(&mut self, ms: u64, fingerprint: RequestFingerprint) {
+    fn advance(&mut self, ms: u64, fingerprint: RequestFingerprint) {
         for _ in 0..ms {
             self.now += 1;
             self.deliver();
-            self.end_upstreams(fingerprint);
+            self.exit_upstreams(fingerprint);
             if self.now.is_multiple_of(ROUND_MS) {
-                self.repeat();
+                self.resend();
             }
         }
     }
@@ -201,51 +203,53 @@
         while let Some(at) = self.messages.iter().position(|it| it.due <= self.now) {
             let Message { to, record, .. } = self.messages.remove(at);
             self.tables[to].merge_record(&record, RecordSource::Local, now).unwrap();
-            self.tell(to);
+            self.send_updates(to);
         }
     }
 
-    fn end_upstreams(&mut self, fingerprint: RequestFingerprint) {
-        while let Some(at) = self.dying.iter().position(|(due, ..)| *due <= self.now) {
-            let (_, vm, upstream) = self.dying.swap_remove(at);
+    fn exit_upstreams(&mut self, fingerprint: RequestFingerprint) {
+        while let Some(at) = self.exiting.iter().position(|(due, ..)| *due <= self.now) {
+            let (_, vm, upstream) = self.exiting.swap_remove(at);
             self.exits.push((self.now, vm));
             let now = self.time();
             self.tables[vm].record_exit(fingerprint, upstream, now);
-            self.tell(vm);
+            self.send_updates(vm);
         }
     }
 
-    fn repeat(&mut self) {
+    fn resend(&mut self) {
         let now = self.time();
         for vm in 0..VMS {
             let records = self.tables[vm].next_resent(now);
-            if self.tells {
-                records.into_iter().for_each(|record| self.post(vm, record));
+            if self.sends_updates {
+                records.into_iter().for_each(|record| self.send_record(vm, record));
             }
         }
     }
 
-    /// The ends that all VMs in touch can know: they are two seconds old, and whoever saw them has been in touch for as long.
-    fn knowable_ends(&self) -> usize {
-        let is_knowable =
-            |(at, seer): &&(u64, usize)| self.now > at + KNOWN_MS && self.is_in_touch(*seer);
-        self.exits.iter().filter(is_knowable).count()
+    /// Returns the number of exits that all connected VMs can know: they are two seconds old, and
+    /// the observer of each has been connected for as long.
+    fn visible_exits(&self) -> usize {
+        let is_visible = |(at, observer): &&(u64, usize)| {
+            self.now > at + PROPAGATION_MS && self.is_connected(*observer)
+        };
+        self.exits.iter().filter(is_visible).count()
     }
 }
 
-/// How many orders are drawn; `SUSPECT_ORDERS` draws others by hand.
+/// Number of random sequences; the variable `SUSPECT_ORDERS` sets another one.
 fn cases() -> u32 {
     std::env::var("SUSPECT_ORDERS").ok().and_then(|it| it.parse().ok()).unwrap_or(48)
 }
 
-/// Plays some steps, and then sends every 40 ms, at one VM after another, for 30 s.
-fn play(steps: &[Step], is_deadly: bool, tells: bool) -> Model {
-    let fingerprint = print_of("a");
-    let mut model = Model::new(is_deadly, tells);
-    steps.iter().for_each(|step| model.act(*step, fingerprint));
+/// Runs the steps, and then sends every 40 ms, at one VM after another, for 30 s.
+fn run(steps: &[Step], is_poison: bool, sends_updates: bool) -> Model {
+    let fingerprint = fingerprint_of("a");
+    let mut model = Model::new(is_poison, sends_updates);
+    steps.iter().for_each(|step| model.apply(*step, fingerprint));
     for number in 0..750 {
-        model.act(Step::Send { vm: number % VMS }, fingerprint);
-        model.pass(40, fingerprint);
+        model.apply(Step::Send { vm: number % VMS }, fingerprint);
+        model.advance(40, fingerprint);
     }
     model
 }
@@ -253,31 +257,32 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: cases(), ..ProptestConfig::default() })]
 
-    /// All VMs together send a deadly request on three times at most once its third end is known, in whatever order things
-    /// happen.
+    /// All VMs together send a poison request at most three times once its third exit is known, in
+    /// whatever order things happen.
     #[test]
-    fn vms_hold_a_deadly_request_back_together(steps in steps()) {
-        let model = play(&steps, true, true);
-        prop_assert!(model.late_sends <= 3, "{} late sends, ends {:?}", model.late_sends, model.exits);
+    fn vms_quarantine_a_poison_request_together(steps in steps()) {
+        let model = run(&steps, true, true);
+        prop_assert!(model.late_sends <= 3, "{} late sends, exits {:?}", model.late_sends, model.exits);
     }
 
-    /// A request under which nothing ends is never held back.
+    /// A request under which no upstream exits is never held back.
     #[test]
-    fn nothing_is_held_back_without_an_end(steps in steps()) {
-        let model = play(&steps, false, true);
+    fn nothing_is_quarantined_without_an_exit(steps in steps()) {
+        let model = run(&steps, false, true);
         prop_assert!(model.tables.iter().all(|table| table.quarantined_count() == 0));
     }
 
-    /// A request that was blamed falsely is sent on freely again by all VMs a while after it harms nobody.
+    /// A wrongly blamed request is forwarded freely by all VMs some time after it stops crashing
+    /// upstreams.
     #[test]
-    fn false_blame_heals(steps in steps()) {
-        let fingerprint = print_of("a");
-        let mut model = play(&steps, true, true);
-        model.pass(DYING_MS, fingerprint);
-        model.is_deadly = false;
+    fn a_wrongly_blamed_request_recovers(steps in steps()) {
+        let fingerprint = fingerprint_of("a");
+        let mut model = run(&steps, true, true);
+        model.advance(EXIT_DELAY_MS, fingerprint);
+        model.is_poison = false;
         for number in 0..12_000 {
-            model.act(Step::Send { vm: number % VMS }, fingerprint);
-            model.pass(100, fingerprint);
+            model.apply(Step::Send { vm: number % VMS }, fingerprint);
+            model.advance(100, fingerprint);
         }
         let now = model.time();
         for table in &mut model.tables {
@@ -286,11 +291,11 @@
     }
 }
 
-/// The bound is one of telling: VMs that keep to themselves each lose three upstreams.
+/// The bound depends on the messages: without them each VM loses three upstreams.
 #[test]
-fn without_messages_each_vm_makes_up_its_own_mind() {
+fn without_messages_each_vm_decides_alone() {
     let sends: Vec<Step> =
-        (0..60).flat_map(|it| [Step::Send { vm: it % VMS }, Step::Pass { ms: 40 }]).collect();
-    assert!(play(&sends, true, false).exits.len() >= VMS * REFUSE_EXITS);
-    assert!(play(&sends, true, true).exits.len() < 2 * REFUSE_EXITS);
+        (0..60).flat_map(|it| [Step::Send { vm: it % VMS }, Step::Advance { ms: 40 }]).collect();
+    assert!(run(&sends, true, false).exits.len() >= VMS * REFUSE_EXITS);
+    assert!(run(&sends, true, true).exits.len() < 2 * REFUSE_EXITS);
 }
