--- a/crates/foldhaven-core/src/opaque/mod.rs
+++ b/crates/foldhaven-core/src/opaque/mod.rs
@@ -26,7 +26,7 @@
 pub mod region_reports;
 pub mod remote_queue;
 pub mod report_planner;
-pub mod request_print;
+pub mod request_fingerprint;
 pub mod retry_share;
 pub mod round_trip;
 pub mod route_delta;
--- a/crates/foldhaven-core/src/opaque/peer_table/senders.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/senders.rs
@@ -1,8 +1,8 @@
-//! The VMs of the region that share its limits, as this one knows them.
+//! The VMs that share the limits of the region, as this VM knows them.
 
 use std::net::SocketAddr;
 
-use super::{PeerBeat, PeerEntry, PeerPhase, PeerTable, VmLife, VmTag};
+use super::{PeerEntry, PeerHeartbeat, PeerPhase, PeerTable, VmIncarnation, VmTag};
 use crate::ids::VmName;
 use crate::opaque::rate_share::SenderList;
 use crate::opaque::sender_agreement::ListDigest;
@@ -10,59 +10,66 @@
 use crate::rank::rank_hash;
 use crate::time::MonoTime;
 
-/// Who shares the limits of the region, and where the others are told of that.
+/// The VMs that share the limits of the region, and the addresses of the other ones.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SenderView {
-    /// The VMs.
-    pub list: SenderList,
-    /// The same at all VMs that hold the same lives for senders; nothing when this VM is none.
-    pub digest: Option<ListDigest>,
-    /// The others of them.
-    pub others: Vec<(VmTag, SocketAddr)>,
+/// Names of the VMs.
+pub list: SenderList,
+/// Digest of the incarnations of the live senders, the same at all VMs that know the same ones;
+/// `None` if this VM isn't a sender.
+pub digest: Option<ListDigest>,
+/// Tags and peer addresses of the other senders.
+pub others: Vec<(VmTag, SocketAddr)>,
 }
 
 impl PeerTable {
-    /// The VMs of the region that take requests at any load: those that share its limits. `is_serving` tells whether this VM
-    /// takes requests; one that starts or leaves has no part.
-    pub fn senders(&self, is_serving: bool, now: MonoTime) -> SenderView {
-        if !is_serving {
-            return SenderView::default();
-        }
-        let serving: Vec<&PeerEntry> = self.serving_near().collect();
-        let live = || serving.iter().copied().filter(|entry| self.is_live(entry, now));
-        let live_names = self.standing_of(live());
-        let with_unresponsive = self.standing_of(serving.iter().copied());
-        if !live_names.contains(&self.own) {
-            return SenderView::default();
-        }
-        let others = live().map(|entry| &entry.beat).filter(|beat| live_names.contains(&beat.vm));
-        let others: Vec<&PeerBeat> = others.collect();
-        let own = VmLife::of(&self.own, self.incarnation);
-        let lives = others.iter().map(|beat| beat.life()).chain([own]);
-        let digest = Some(digest_of(lives.collect()));
-        let others = others.iter().map(|beat| (VmTag::of(&beat.vm), beat.peer)).collect();
-        SenderView { list: SenderList { live: live_names, with_unresponsive }, digest, others }
-    }
+/// Returns the VMs of the region that take requests at any load, which share its limits.
+/// `is_serving` says whether this VM takes requests; a VM that is starting or leaving has no
+/// share.
+pub fn senders(&self, is_serving: bool, now: MonoTime) -> SenderView {
+if !is_serving {
+return SenderView::default();
+}
+let serving: Vec<&PeerEntry> = self.serving_local().collect();
+let live = || serving.iter().copied().filter(|entry| self.is_live(entry, now));
+let live_names = self.baseline_of(live());
+let with_unresponsive = self.baseline_of(serving.iter().copied());
+if !live_names.contains(&self.own) {
+return SenderView::default();
+}
+let others = live()
+.map(|entry| &entry.heartbeat)
+.filter(|heartbeat| live_names.contains(&heartbeat.vm));
+let others: Vec<&PeerHeartbeat> = others.collect();
+let own = VmIncarnation::of(&self.own, self.incarnation);
+let incarnations = others.iter().map(|heartbeat| heartbeat.vm_incarnation()).chain([own]);
+let digest = Some(digest_incarnations(incarnations.collect()));
+let others =
+others.iter().map(|heartbeat| (VmTag::of(&heartbeat.vm), heartbeat.peer)).collect();
+SenderView { list: SenderList { live: live_names, with_unresponsive }, digest, others }
+}
 
-    /// The other VMs of this region that served when they were heard last.
-    fn serving_near(&self) -> impl Iterator<Item = &PeerEntry> {
-        let near = self.peers.values().filter(|entry| entry.beat.region == self.region);
-        near.filter(|entry| entry.beat.phase == PeerPhase::Serving)
-    }
+/// Returns the other VMs of this region that were serving when last seen.
+fn serving_local(&self) -> impl Iterator<Item = &PeerEntry> {
+let local = self.peers.values().filter(|entry| entry.heartbeat.region == self.region);
+local.filter(|entry| entry.heartbeat.phase == PeerPhase::Serving)
+}
 
-    /// The names of those of these VMs and this one that take requests at any load.
-    fn standing_of<'a>(&'a self, entries: impl Iterator<Item = &'a PeerEntry>) -> Vec<VmName> {
-        let others = entries.map(|entry| ServiceCandidate::of(&entry.beat));
-        let order = ServiceOrder::of(others.chain([self.own_candidate()]));
-        order.standing().iter().map(|candidate| candidate.vm.clone()).collect()
-    }
+/// Returns the names of the VMs that take requests at any load, among `entries` and this VM.
+fn baseline_of<'a>(&'a self, entries: impl Iterator<Item = &'a PeerEntry>) -> Vec<VmName> {
+let others = entries.map(|entry| ServiceCandidate::of(&entry.heartbeat));
+let order = ServiceOrder::of(others.chain([self.own_candidate()]));
+order.standing().iter().map(|candidate| candidate.vm.clone()).collect()
+}
 }
 
-/// A digest of lives, whatever the order in which they are known.
-fn digest_of(mut lives: Vec<VmLife>) -> ListDigest {
-    lives.sort_unstable();
-    let words: Vec<String> =
-        lives.iter().map(|life| format!("{:08x}{:04x}", life.vm.0, life.lifetime)).collect();
-    let words: Vec<&str> = words.iter().map(String::as_str).collect();
-    ListDigest(rank_hash(&words))
+/// Returns a digest of incarnations that doesn't depend on their order.
+fn digest_incarnations(mut incarnations: Vec<VmIncarnation>) -> ListDigest {
+incarnations.sort_unstable();
+let words: Vec<String> = incarnations
+.iter()
+.map(|incarnation| format!("{:08x}{:04x}", incarnation.vm.0, incarnation.incarnation_bits))
+.collect();
+let words: Vec<&str> = words.iter().map(String::as_str).collect();
+ListDigest(rank_hash(&words))
 }
--- /dev/null
+++ b/crates/foldhaven-core/src/opaque/suspects/in_flight.rs
@@ -0,0 +1,78 @@
+//! Tracks which requests of this VM are in flight at an upstream, and which left it recently
+//! without a complete answer.
+
+use std::collections::VecDeque;
+use std::time::Duration;
+
+use crate::opaque::request_fingerprint::RequestFingerprint;
+use crate::time::MonoTime;
+
+/// A request that left an upstream up to this long before its exit may have caused it: upstreams
+/// keep working for a while on requests whose callers left, and the exit is noticed later than it
+/// happens.
+const DEPARTED_WINDOW: Duration = Duration::from_millis(500);
+/// Maximum time between the first sign of an exit and its confirmation. Requests that left before
+/// the sign are kept for this time too.
+const DETECTION_TIME: Duration = Duration::from_millis(2_000);
+/// Maximum number of departed requests remembered per upstream.
+const MAX_DEPARTED: usize = 64;
+
+/// Identifies one request at an upstream.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct InFlightId(u64);
+
+/// The requests of this VM at one upstream.
+#[derive(Debug, Default)]
+pub struct InFlightRequests {
+    in_flight: Vec<(InFlightId, RequestFingerprint)>,
+    departed: VecDeque<(MonoTime, RequestFingerprint)>,
+    next: u64,
+}
+
+impl InFlightRequests {
+    /// Records that a request is sent to the upstream.
+    pub fn insert(&mut self, fingerprint: RequestFingerprint) -> InFlightId {
+        let id = InFlightId(self.next);
+        self.next += 1;
+        self.in_flight.push((id, fingerprint));
+        id
+    }
+
+    /// Removes a request that can't have harmed the upstream: it was answered completely, declined
+    /// or never sent.
+    pub fn remove_harmless(&mut self, id: InFlightId) {
+        self.take(id);
+    }
+
+    /// Removes a request whose effect on the upstream is unknown, and remembers it as departed.
+    pub fn remove(&mut self, id: InFlightId, now: MonoTime) {
+        let Some(fingerprint) = self.take(id) else { return };
+        self.departed.push_back((now, fingerprint));
+        let is_old = |departed: &(MonoTime, RequestFingerprint)| {
+            now.since(departed.0) > DEPARTED_WINDOW + DETECTION_TIME
+        };
+        while self.departed.len() > MAX_DEPARTED || self.departed.front().is_some_and(is_old) {
+            self.departed.pop_front();
+        }
+    }
+
+    /// Removes and returns the requests, without duplicates, that may have caused the exit of the
+    /// upstream. `detected_at` is the time of the first sign of the exit.
+    pub fn take_affected(&mut self, detected_at: MonoTime) -> Vec<RequestFingerprint> {
+        let departed = std::mem::take(&mut self.departed).into_iter();
+        let recent = departed
+            .filter(|(at, _)| detected_at.since(*at) <= DEPARTED_WINDOW)
+            .map(|(_, fingerprint)| fingerprint);
+        let in_flight =
+            std::mem::take(&mut self.in_flight).into_iter().map(|(_, fingerprint)| fingerprint);
+        let mut affected: Vec<RequestFingerprint> = recent.chain(in_flight).collect();
+        affected.sort_unstable();
+        affected.dedup();
+        affected
+    }
+
+    fn take(&mut self, id: InFlightId) -> Option<RequestFingerprint> {
+        let at = self.in_flight.iter().position(|(in_flight, _)| *in_flight == id)?;
+        Some(self.in_flight.swap_remove(at).1)
+    }
+}
--- a/crates/foldhaven-core/src/opaque/suspects/table.rs
+++ b/crates/foldhaven-core/src/opaque/suspects/table.rs
@@ -1,495 +1,538 @@
-//! The suspected requests that one VM knows of, and what it does with them.
+//! The suspected requests that one VM knows, and its decisions on them.
 
 use std::collections::{BTreeMap, HashMap};
 use std::num::NonZeroUsize;
 use std::time::Duration;
 
-use super::record::{RecordFault, SuspectRecord};
+use super::record::{RecordError, SuspectRecord};
 use crate::opaque::affinity::UpstreamTag;
 use crate::opaque::peer_table::VmTag;
-use crate::opaque::request_print::RequestPrint;
+use crate::opaque::request_fingerprint::RequestFingerprint;
 use crate::rank::rank_hash;
 use crate::time::MonoTime;
 use lru::LruCache;
 
-/// From so many ends on, a request is tried by one VM at a time. Of requests that are only victims, few are at two
-/// upstreams that end before they are answered once.
-pub const TRIED_ENDS: usize = 2;
-/// From so many ends on, it is refused, and tried once in long pauses.
-pub const REFUSED_ENDS: usize = 3;
-/// After a trial that has shown nothing, another one waits so long at first.
-const TRIAL_PAUSE: Duration = Duration::from_secs(1);
-/// So long a request is refused before its first trial; then [`PAUSE_GROWTH`] times longer each time. Three upstreams an
-/// hour are lost at most to a request that is sent for ever, and one that was blamed falsely is well again in 20 s.
-const FIRST_PAUSE: Duration = Duration::from_secs(10);
-const PAUSE_GROWTH: u32 = 3;
-const LONGEST_PAUSE: Duration = Duration::from_secs(600);
-/// How many turns a pause has, of which each VM has one.
-const TURNS: u32 = 10;
-/// So long a request is remembered after what was heard of it last: longer than it is refused at the longest.
-const MEMORY: Duration = Duration::from_secs(1_800);
-/// So long one is remembered that was pardoned, so that late news of its ends is known for old.
-const PARDON_MEMORY: Duration = Duration::from_secs(60);
-/// How many requests are remembered. Beyond that, those with the fewest ends are dropped, [`DROPPED`] at a time.
+/// From this number of exits on, a request is probed by one VM at a time. Few requests that aren't
+/// the cause are at two upstreams that exit before they are answered once.
+pub const PROBE_EXITS: usize = 2;
+/// From this number of exits on, a request is refused and probed only after long delays.
+pub const REFUSE_EXITS: usize = 3;
+/// Delay before the second probe of a request below [`REFUSE_EXITS`], if the first one had no
+/// result; grows by [`BACKOFF_FACTOR`] with each further probe. Also the minimum wait reported for
+/// a refused request.
+const PROBE_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// How long a request is refused before its first probe; the delay grows by [`BACKOFF_FACTOR`] with
+/// each further probe. A request that is sent for ever costs at most three upstreams an hour, and
+/// one that was blamed wrongly is forwarded again within 20 s.
+const FIRST_REFUSAL_DELAY: Duration = Duration::from_secs(10);
+const BACKOFF_FACTOR: u32 = 3;
+const MAX_BACKOFF: Duration = Duration::from_secs(600);
+/// Number of slots that a delay is divided into. Each VM may probe in one of them.
+const PROBE_SLOTS: u32 = 10;
+/// How long a record is kept after its last change: longer than the longest refusal.
+const SUSPECT_RETENTION: Duration = Duration::from_secs(1_800);
+/// How long the record of an exonerated request is kept, so that updates about its earlier exits
+/// that arrive late are recognized as outdated.
+const EXONERATED_RETENTION: Duration = Duration::from_secs(60);
+/// Maximum number of records. If there are more, [`EVICTION_BATCH`] records with the fewest exits
+/// are dropped at a time.
 const MAX_ENTRIES: usize = 4_096;
-const DROPPED: usize = 512;
-/// How many requests are remembered that were answered whole lately.
-const MAX_VOUCHERS: NonZeroUsize = NonZeroUsize::new(4_096).expect("not zero");
-/// A request that was cleared of so many ends is doubted: only a trial clears it from then on, after two ends each. An
-/// innocent one has been at that many upstreams that ended within half an hour; it is held back for 10 to 20 s.
-const DOUBTED_CLEARED: u8 = 8;
-/// For how long such an answer speaks for its request.
-const VOUCHER_AGE: Duration = Duration::from_secs(300);
-/// For so long what is new is told again in every round: of four VMs that are told in one, 300 know in four rounds.
-const FRESH: Duration = Duration::from_secs(10);
-/// What is older goes with every n-th round. Repeating all of it each time took 9.4 to 11.7 KB/s a VM where five requests
-/// end engines beside 4,000 others a second.
-const OLD_ROUNDS: u32 = 8;
-/// How many records go into one message; 64 of at most 44 bytes fit one packet or two.
-pub const MAX_TOLD: usize = 64;
-
-/// What is done with a request.
+const EVICTION_BATCH: usize = 512;
+/// Maximum number of recently answered requests that are remembered.
+const MAX_RECENT_SUCCESSES: NonZeroUsize = NonZeroUsize::new(4_096).expect("not zero");
+/// From this number of cleared exits on, a request is inconclusive: from then on only a probe
+/// exonerates it, and each time two exits are enough to refuse it. A harmless request gets there if
+/// it was at that many upstreams that exited within half an hour; it is then held back for 10 to 20
+/// s.
+const INCONCLUSIVE_CLEARED_EXITS: u8 = 8;
+/// How long a complete answer counts in favour of its request.
+const SUCCESS_MAX_AGE: Duration = Duration::from_secs(300);
+/// How long a changed record is resent in every round: with four receivers per round, 300 VMs have
+/// received it after four rounds.
+const FRESH_PERIOD: Duration = Duration::from_secs(10);
+/// Older records are resent in every n-th round only. Resending all of them each time took 9.4 to
+/// 11.7 KB/s per VM with five requests that crash upstreams beside 4,000 others a second.
+const FULL_ROUND_INTERVAL: u32 = 8;
+/// Maximum number of records in one message; 64 records of up to 44 bytes fit one packet or two.
+pub const MAX_RECORDS_PER_MESSAGE: usize = 64;
+
+/// Decision on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SuspectVerdict {
-    /// It is sent on as any other.
-    Free,
-    /// It may be sent on once, to one upstream; other VMs hold it back meanwhile.
-    Trial,
-    /// It is not sent on.
+    /// It is forwarded like any other.
+    Allowed,
+    /// It may be forwarded once, to one upstream, while other VMs hold it back.
+    Probe,
+    /// It is not forwarded.
     Refused {
-        /// When it may be tried here.
+        /// Time until it may be probed at this VM.
         wait: Duration,
     },
 }
 
-/// A change of what is believed of a request.
+/// Change of the record of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SuspectChange {
-    /// What is known now.
+    /// Record after the change.
     pub record: SuspectRecord,
-    /// How many ends were known before.
-    pub ends_before: usize,
+    /// Number of exits before the change.
+    pub exits_before: usize,
 }
 
-/// Who is told.
+/// Receivers of an update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum NewsReach {
-    /// The VMs of this region. A single end is told no further: when many upstreams end at once, it is most of the news,
-    /// and it forbids nothing.
-    Near,
+pub enum UpdateScope {
+    /// The VMs of this region. Updates about a single exit go no further: when many upstreams exit
+    /// at once they are the bulk of the updates, and no request is held back because of a single
+    /// exit.
+    Region,
     /// All VMs.
-    Wide,
+    Global,
 }
 
-/// What other VMs are told of one request.
+/// Update about one request for other VMs.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SuspectNews {
-    /// What is known.
+pub struct SuspectUpdate {
+    /// Record of the request.
     pub record: SuspectRecord,
-    /// Who is told.
-    pub reach: NewsReach,
+    /// Receivers of the update.
+    pub scope: UpdateScope,
 }
 
-/// News that wait to be told.
+/// Update that waits to be sent.
 #[derive(Debug, Clone, Copy)]
-struct WaitingNews {
-    reach: NewsReach,
-    /// Whether several VMs have come to the same just now; the first one to tell saves the others doing so.
+struct PendingUpdate {
+    scope: UpdateScope,
+    /// Whether several VMs may have reached the same conclusion at the same time; the first one
+    /// that sends the update spares the others doing so.
     is_shared: bool,
 }
 
-/// Where a record comes from.
+/// Origin of a received record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RecordSource {
-    /// A VM of this region, which tells the others itself.
-    Near,
-    /// A VM of another region, which tells only a few here.
-    Far,
+    /// A VM of this region, which sends it to the others of the region itself.
+    Local,
+    /// A VM of another region, which sends it to only a few VMs of this region.
+    Remote,
 }
 
-/// The suspected requests that one VM knows of.
+/// Table of the suspected requests that one VM knows.
 #[derive(Debug)]
 pub struct SuspectTable {
     own: VmTag,
-    entries: HashMap<RequestPrint, SuspectEntry>,
-    /// Requests that were answered whole lately. Each answer speaks for its request once.
-    vouchers: LruCache<RequestPrint, MonoTime>,
-    /// Those that others are to be told of.
-    news: BTreeMap<RequestPrint, WaitingNews>,
-    /// Where the next round of repeated news begins.
-    turn: usize,
-    /// How many rounds there were.
+    entries: HashMap<RequestFingerprint, SuspectEntry>,
+    /// Times of recent complete answers. Each answer counts in favour of its request once.
+    recent_successes: LruCache<RequestFingerprint, MonoTime>,
+    /// Updates that wait to be sent.
+    pending: BTreeMap<RequestFingerprint, PendingUpdate>,
+    /// Rotation position of the next round of resent records.
+    cursor: usize,
+    /// Number of rounds so far.
     rounds: u32,
 }
 
 #[derive(Debug)]
 struct SuspectEntry {
     record: SuspectRecord,
-    /// When it changed last.
-    since: MonoTime,
-    /// Whether all regions were told of it.
-    is_wide: bool,
-    /// Whether this VM tries it now.
-    is_trying: bool,
-    /// Whether this VM may try again, since its trial never reached an upstream.
-    is_untried: bool,
+    /// When the record last changed.
+    changed_at: MonoTime,
+    /// Whether updates about the request go to all regions.
+    is_global: bool,
+    /// Whether a probe of this VM is in progress.
+    is_probing: bool,
+    /// Whether this VM may probe again at once, because its last probe didn't reach an upstream.
+    is_probe_unsent: bool,
 }
 
 impl SuspectEntry {
-    fn new(print: RequestPrint, now: MonoTime) -> Self {
+    fn new(fingerprint: RequestFingerprint, now: MonoTime) -> Self {
         Self {
-            record: SuspectRecord::new(print),
-            since: now,
-            is_wide: false,
-            is_trying: false,
-            is_untried: false,
+            record: SuspectRecord::new(fingerprint),
+            changed_at: now,
+            is_global: false,
+            is_probing: false,
+            is_probe_unsent: false,
         }
     }
 
-    /// After how long a VM may try it. Each VM draws when its turn begins after the pause, so that those that come later hear of
-    /// the first trial before theirs. A turn is a tenth of the pause and comes again after each pause: a request that comes to
-    /// all VMs at one moment, after none has met it for long, is tried by few.
+    /// Returns the time until a VM may probe the request. After the delay each VM waits for a
+    /// random part of it until its slot, so that the later ones learn of the first probe before
+    /// their own. A slot is a tenth of the delay and comes again after each delay: if no VM
+    /// received the request for a long time and then all do at one moment, only a few probe it.
     fn wait(&self, vm: VmTag, now: MonoTime) -> Duration {
-        let pause = self.pause();
-        if self.is_untried || pause.is_zero() {
+        let backoff = self.backoff();
+        if self.is_probe_unsent || backoff.is_zero() {
             return Duration::ZERO;
         }
-        let first_turn = self.since + pause + pause.mul_f64(self.draw(vm));
-        if now < first_turn {
-            return first_turn.since(now);
+        let first_slot = self.changed_at + backoff + backoff.mul_f64(self.jitter(vm));
+        if now < first_slot {
+            return first_slot.since(now);
         }
-        let since_turn = now.since(first_turn).as_micros() % pause.as_micros();
-        let since_turn = Duration::from_micros(u64::try_from(since_turn).unwrap_or_default());
-        match since_turn < pause / TURNS {
+        let since_slot = now.since(first_slot).as_micros() % backoff.as_micros();
+        let since_slot = Duration::from_micros(u64::try_from(since_slot).unwrap_or_default());
+        match since_slot < backoff / PROBE_SLOTS {
             true => Duration::ZERO,
-            false => pause - since_turn,
+            false => backoff - since_slot,
         }
     }
 
-    /// Whether answers alone do not speak for it any more: it was cleared of so many ends that some upstreams answer it and others
-    /// end under it.
-    fn is_doubted(&self) -> bool {
-        self.record.cleared >= DOUBTED_CLEARED
+    /// Returns whether complete answers alone no longer exonerate the request, because it was
+    /// cleared of so many exits that some upstreams answer it and others exit under it.
+    fn is_inconclusive(&self) -> bool {
+        self.record.cleared_exits >= INCONCLUSIVE_CLEARED_EXITS
     }
 
-    /// From how many ends on it is tried by one VM at a time, or not at all.
-    fn is_held_back(&self) -> bool {
-        self.record.ends.len() >= TRIED_ENDS
+    /// Returns whether the request is probed by one VM at a time or refused.
+    fn is_quarantined(&self) -> bool {
+        self.record.exits.len() >= PROBE_EXITS
     }
 
-    fn pause(&self) -> Duration {
-        let SuspectRecord { ends, trials, cleared, .. } = &self.record;
-        if self.is_doubted() && self.is_held_back() {
-            // Each time that it was cleared again makes the next pause longer, as a trial does.
-            let again = u32::from(cleared - DOUBTED_CLEARED) / TRIED_ENDS as u32;
-            return grown(FIRST_PAUSE, u32::from(*trials) + again);
+    fn backoff(&self) -> Duration {
+        let SuspectRecord { exits, probes, cleared_exits, .. } = &self.record;
+        if self.is_inconclusive() && self.is_quarantined() {
+            // Each time that the request was cleared again lengthens the next delay, as a probe
+            // does.
+            let recurrences =
+                u32::from(cleared_exits - INCONCLUSIVE_CLEARED_EXITS) / PROBE_EXITS as u32;
+            return grow_backoff(FIRST_REFUSAL_DELAY, u32::from(*probes) + recurrences);
         }
-        match ends.len() {
-            ends if ends < TRIED_ENDS => Duration::ZERO,
-            ends if ends < REFUSED_ENDS => match trials {
+        match exits.len() {
+            exits if exits < PROBE_EXITS => Duration::ZERO,
+            exits if exits < REFUSE_EXITS => match probes {
                 0 => Duration::ZERO,
-                trials => grown(TRIAL_PAUSE, u32::from(*trials) - 1),
+                probes => grow_backoff(PROBE_RETRY_DELAY, u32::from(*probes) - 1),
             },
-            _ => grown(FIRST_PAUSE, (*trials).into()),
+            _ => grow_backoff(FIRST_REFUSAL_DELAY, (*probes).into()),
         }
     }
 
-    /// A number in 0..1 that differs from VM to VM, and for each VM from trial to trial.
-    fn draw(&self, vm: VmTag) -> f64 {
-        let SuspectRecord { print, trials, .. } = &self.record;
-        let hash = rank_hash(&[&print.to_string(), &vm.0.to_string(), &trials.to_string()]);
+    /// Returns a number in the range 0..1 that differs between VMs, and between probes of a VM.
+    fn jitter(&self, vm: VmTag) -> f64 {
+        let SuspectRecord { fingerprint, probes, .. } = &self.record;
+        let hash = rank_hash(&[&fingerprint.to_string(), &vm.0.to_string(), &probes.to_string()]);
         (hash >> 11) as f64 / (1_u64 << 53) as f64
     }
 
-    fn is_forgotten(&self, now: MonoTime) -> bool {
-        let is_cleared = self.record.ends.is_empty() && !self.is_doubted();
-        let memory = if is_cleared { PARDON_MEMORY } else { MEMORY };
-        now.since(self.since) > memory
+    fn is_expired(&self, now: MonoTime) -> bool {
+        let is_cleared = self.record.exits.is_empty() && !self.is_inconclusive();
+        let retention = if is_cleared { EXONERATED_RETENTION } else { SUSPECT_RETENTION };
+        now.since(self.changed_at) > retention
     }
 }
 
-fn grown(pause: Duration, times: u32) -> Duration {
-    let factor = PAUSE_GROWTH.saturating_pow(times);
-    pause.saturating_mul(factor).min(LONGEST_PAUSE)
+fn grow_backoff(backoff: Duration, times: u32) -> Duration {
+    let factor = BACKOFF_FACTOR.saturating_pow(times);
+    backoff.saturating_mul(factor).min(MAX_BACKOFF)
 }
 
 impl SuspectTable {
-    /// The empty table of a VM.
+    /// Creates the empty table of a VM.
     pub fn new(own: VmTag) -> Self {
         Self {
             own,
             entries: HashMap::new(),
-            vouchers: LruCache::new(MAX_VOUCHERS),
-            news: BTreeMap::new(),
-            turn: 0,
+            recent_successes: LruCache::new(MAX_RECENT_SUCCESSES),
+            pending: BTreeMap::new(),
+            cursor: 0,
             rounds: 0,
         }
     }
 
-    /// How many upstreams are known to have ended under a request since it was answered whole.
-    pub fn ends(&self, print: &RequestPrint) -> usize {
-        self.entries.get(print).map_or(0, |entry| entry.record.ends.len())
+    /// Returns the number of upstreams known to have exited under a request since it was last
+    /// exonerated.
+    pub fn exit_count(&self, fingerprint: &RequestFingerprint) -> usize {
+        self.entries.get(fingerprint).map_or(0, |entry| entry.record.exits.len())
     }
 
-    /// What would be done with a request. Nothing is begun.
-    pub fn look(&self, print: &RequestPrint, now: MonoTime) -> SuspectVerdict {
-        let Some(entry) = self.entries.get(print) else { return SuspectVerdict::Free };
-        if !entry.is_held_back() {
-            return SuspectVerdict::Free;
+    /// Returns the decision on a request without starting a probe.
+    pub fn peek_verdict(&self, fingerprint: &RequestFingerprint, now: MonoTime) -> SuspectVerdict {
+        let Some(entry) = self.entries.get(fingerprint) else { return SuspectVerdict::Allowed };
+        if !entry.is_quarantined() {
+            return SuspectVerdict::Allowed;
         }
         let wait = entry.wait(self.own, now);
-        match entry.is_trying || !wait.is_zero() {
-            true => SuspectVerdict::Refused { wait: wait.max(TRIAL_PAUSE) },
-            false => SuspectVerdict::Trial,
+        match entry.is_probing || !wait.is_zero() {
+            true => SuspectVerdict::Refused { wait: wait.max(PROBE_RETRY_DELAY) },
+            false => SuspectVerdict::Probe,
         }
     }
 
-    /// What is done with a request that is about to be sent to an upstream. A trial has begun when this returns it.
-    pub fn judge(&mut self, print: &RequestPrint, now: MonoTime) -> SuspectVerdict {
-        let verdict = self.look(print, now);
-        if verdict == SuspectVerdict::Trial
-            && let Some(entry) = self.entries.get_mut(print)
+    /// Returns the decision on a request that is about to be sent to an upstream. If it is
+    /// [`SuspectVerdict::Probe`], the probe has started.
+    pub fn decide(&mut self, fingerprint: &RequestFingerprint, now: MonoTime) -> SuspectVerdict {
+        let verdict = self.peek_verdict(fingerprint, now);
+        if verdict == SuspectVerdict::Probe
+            && let Some(entry) = self.entries.get_mut(fingerprint)
         {
-            entry.record.add_trial();
-            entry.since = now;
-            entry.is_trying = true;
-            entry.is_untried = false;
-            self.note_news(*print, NewsReach::Wide);
+            entry.record.add_probe();
+            entry.changed_at = now;
+            entry.is_probing = true;
+            entry.is_probe_unsent = false;
+            self.queue_update(*fingerprint, UpdateScope::Global);
         }
         verdict
     }
 
-    /// Notes that a trial of this VM is over. One that no upstream got may be made again at once; any other one may have
-    /// ended its upstream, also when its caller has left or the end is noticed later.
-    pub fn end_trial(&mut self, print: &RequestPrint, was_sent: bool, now: MonoTime) {
-        if let Some(entry) = self.entries.get_mut(print)
-            && std::mem::take(&mut entry.is_trying)
+    /// Records that a probe of this VM is over. If it never reached an upstream, it may be repeated
+    /// at once. Any other one may have crashed its upstream, even if the caller left or the exit is
+    /// noticed later.
+    pub fn finish_probe(
+        &mut self,
+        fingerprint: &RequestFingerprint,
+        was_sent: bool,
+        now: MonoTime,
+    ) {
+        if let Some(entry) = self.entries.get_mut(fingerprint)
+            && std::mem::take(&mut entry.is_probing)
             && !was_sent
         {
-            entry.is_untried = true;
-            entry.since = now;
+            entry.is_probe_unsent = true;
+            entry.changed_at = now;
         }
     }
 
-    /// Notes that an upstream ended under a request of this VM.
-    pub fn note_end(
+    /// Records that an upstream exited under a request of this VM. Returns the change, if any.
+    pub fn record_exit(
         &mut self,
-        print: RequestPrint,
+        fingerprint: RequestFingerprint,
         upstream: UpstreamTag,
         now: MonoTime,
     ) -> Option<SuspectChange> {
-        let mut record = self.record(print);
-        record.add_end(upstream);
-        if let Some(entry) = self.entries.get_mut(&print) {
-            entry.is_trying = false;
-            entry.is_untried = false;
+        let mut record = self.record(fingerprint);
+        record.add_exit(upstream);
+        if let Some(entry) = self.entries.get_mut(&fingerprint) {
+            entry.is_probing = false;
+            entry.is_probe_unsent = false;
         }
-        let change = self.take(record, now);
+        let change = self.replace_record(record, now);
         if change.is_some() {
-            let is_wide = self.entries.get(&print).is_some_and(|entry| entry.is_wide);
-            self.note_news(print, if is_wide { NewsReach::Wide } else { NewsReach::Near });
+            let is_global = self.entries.get(&fingerprint).is_some_and(|entry| entry.is_global);
+            self.queue_update(
+                fingerprint,
+                if is_global { UpdateScope::Global } else { UpdateScope::Region },
+            );
         }
         change
     }
 
-    /// Notes that a request of this VM was answered whole: whatever ended under it before, it was not the cause.
-    pub fn note_answered(&mut self, print: RequestPrint, now: MonoTime) -> Option<SuspectChange> {
-        let ends_before = self.ends(&print);
-        if ends_before == 0 {
-            self.vouchers.put(print, now);
+    /// Records that a request of this VM was answered completely, so that it didn't cause earlier
+    /// exits. Returns the change, if any.
+    pub fn record_success(
+        &mut self,
+        fingerprint: RequestFingerprint,
+        now: MonoTime,
+    ) -> Option<SuspectChange> {
+        let exits_before = self.exit_count(&fingerprint);
+        if exits_before == 0 {
+            self.recent_successes.put(fingerprint, now);
             return None;
         }
-        let is_enough = |entry: &SuspectEntry| entry.is_trying || !entry.is_doubted();
-        if !self.entries.get(&print).is_some_and(is_enough) {
+        let is_enough = |entry: &SuspectEntry| entry.is_probing || !entry.is_inconclusive();
+        if !self.entries.get(&fingerprint).is_some_and(is_enough) {
             return None;
         }
-        self.pardon(print, now);
-        // What one end made others think forbids nothing, and is forgotten by itself.
-        if self.entries.get(&print).is_some_and(|entry| entry.is_wide) {
-            self.note_news(print, NewsReach::Wide);
+        self.exonerate(fingerprint, now);
+        // A single exit holds nothing back at other VMs, and their records of it expire.
+        if self.entries.get(&fingerprint).is_some_and(|entry| entry.is_global) {
+            self.queue_update(fingerprint, UpdateScope::Global);
         }
-        Some(SuspectChange { record: self.record(print), ends_before })
+        Some(SuspectChange { record: self.record(fingerprint), exits_before })
     }
 
-    /// Clears a request by hand. Returns what changes by that; nothing when nothing is held against it.
-    pub fn clear(&mut self, print: RequestPrint, now: MonoTime) -> Option<SuspectChange> {
-        let ends_before = self.ends(&print);
-        if ends_before == 0 {
+    /// Clears a request on behalf of an operator. Returns the change; `None` if the request has no
+    /// exits.
+    pub fn clear(
+        &mut self,
+        fingerprint: RequestFingerprint,
+        now: MonoTime,
+    ) -> Option<SuspectChange> {
+        let exits_before = self.exit_count(&fingerprint);
+        if exits_before == 0 {
             return None;
         }
-        self.pardon(print, now);
-        self.note_news(print, NewsReach::Wide);
-        Some(SuspectChange { record: self.record(print), ends_before })
+        self.exonerate(fingerprint, now);
+        self.queue_update(fingerprint, UpdateScope::Global);
+        Some(SuspectChange { record: self.record(fingerprint), exits_before })
     }
 
-    /// Takes in what another VM knows. Returns what changes by it.
+    /// Merges a record of another VM. Returns the change, if any.
     ///
     /// # Errors
     ///
-    /// When no sound VM can have told that.
-    pub fn hear(
+    /// Returns an error if no correct VM can have made the record.
+    pub fn merge_record(
         &mut self,
         record: &SuspectRecord,
         source: RecordSource,
         now: MonoTime,
-    ) -> Result<Option<SuspectChange>, RecordFault> {
+    ) -> Result<Option<SuspectChange>, RecordError> {
         record.check()?;
-        let print = record.print;
-        let mut joined = self.record(print);
-        if !joined.join(record) {
-            let is_told = joined == *record;
-            if is_told && self.news.get(&print).is_some_and(|news| news.is_shared) {
-                self.news.remove(&print);
+        let fingerprint = record.fingerprint;
+        let mut merged = self.record(fingerprint);
+        if !merged.merge(record) {
+            let is_redundant = merged == *record;
+            if is_redundant
+                && self.pending.get(&fingerprint).is_some_and(|pending| pending.is_shared)
+            {
+                self.pending.remove(&fingerprint);
             }
             return Ok(None);
         }
-        let change = self.take(joined, now);
-        if source == RecordSource::Far && !self.news.contains_key(&print) {
-            self.note_news(print, NewsReach::Near);
+        let change = self.replace_record(merged, now);
+        if source == RecordSource::Remote && !self.pending.contains_key(&fingerprint) {
+            self.queue_update(fingerprint, UpdateScope::Region);
         }
         Ok(change)
     }
 
-    /// What others are to be told at once; each is told once by this.
-    pub fn take_news(&mut self) -> Vec<SuspectNews> {
-        self.take_news_if(|news| !news.is_shared)
+    /// Removes and returns the updates that are to be sent at once.
+    pub fn take_updates(&mut self) -> Vec<SuspectUpdate> {
+        self.take_updates_if(|pending| !pending.is_shared)
     }
 
-    /// The same of what several VMs may be about to tell. It is better told after a moment drawn by each.
-    pub fn take_shared_news(&mut self) -> Vec<SuspectNews> {
-        self.take_news_if(|news| news.is_shared)
+    /// Removes and returns the updates that several VMs may be about to send. They are better sent
+    /// after a random delay.
+    pub fn take_shared_updates(&mut self) -> Vec<SuspectUpdate> {
+        self.take_updates_if(|pending| pending.is_shared)
     }
 
-    /// Whether there is any of the latter.
-    pub fn has_shared_news(&self) -> bool {
-        self.news.values().any(|news| news.is_shared)
+    /// Returns whether there are updates for [`SuspectTable::take_shared_updates`].
+    pub fn has_shared_updates(&self) -> bool {
+        self.pending.values().any(|pending| pending.is_shared)
     }
 
-    fn take_news_if(&mut self, is_meant: impl Fn(&WaitingNews) -> bool) -> Vec<SuspectNews> {
-        let news = std::mem::take(&mut self.news);
-        let (taken, left) = news.into_iter().partition(|(_, news)| is_meant(news));
-        self.news = left;
-        let taken: BTreeMap<RequestPrint, WaitingNews> = taken;
-        let told = taken.into_iter().filter_map(|(print, news)| {
-            let record = self.entries.get(&print)?.record.clone();
-            Some(SuspectNews { record, reach: news.reach })
+    fn take_updates_if(&mut self, matches: impl Fn(&PendingUpdate) -> bool) -> Vec<SuspectUpdate> {
+        let pending = std::mem::take(&mut self.pending);
+        let (taken, left) = pending.into_iter().partition(|(_, pending)| matches(pending));
+        self.pending = left;
+        let taken: BTreeMap<RequestFingerprint, PendingUpdate> = taken;
+        let updates = taken.into_iter().filter_map(|(fingerprint, pending)| {
+            let record = self.entries.get(&fingerprint)?.record.clone();
+            Some(SuspectUpdate { record, scope: pending.scope })
         });
-        told.collect()
+        updates.collect()
     }
 
-    /// What is told again in a round, at most [`MAX_TOLD`] at a time: what holds requests back and pardons of it. News of
-    /// a moment ago goes with every round, since datagrams are lost; older ones with few, for VMs that were cut off.
-    pub fn next_repeated(&mut self, now: MonoTime) -> Vec<SuspectRecord> {
+    /// Returns the records that are resent in a round, at most [`MAX_RECORDS_PER_MESSAGE`]: those
+    /// that hold requests back, and exonerations from that. Recently changed ones are resent in
+    /// every round, because datagrams get lost; older ones only in a few rounds, for VMs that were
+    /// partitioned.
+    pub fn next_resent(&mut self, now: MonoTime) -> Vec<SuspectRecord> {
         self.rounds = self.rounds.wrapping_add(1);
-        let is_full = self.rounds.is_multiple_of(OLD_ROUNDS);
+        let is_full = self.rounds.is_multiple_of(FULL_ROUND_INTERVAL);
         let is_due = |entry: &&SuspectEntry| {
-            let is_fresh = now.since(entry.since) <= FRESH;
-            entry.is_wide && (is_fresh || is_full && !entry.record.ends.is_empty())
+            let is_fresh = now.since(entry.changed_at) <= FRESH_PERIOD;
+            entry.is_global && (is_fresh || is_full && !entry.record.exits.is_empty())
         };
-        let mut repeated: Vec<&SuspectRecord> =
+        let mut due: Vec<&SuspectRecord> =
             self.entries.values().filter(is_due).map(|entry| &entry.record).collect();
-        repeated.sort_by_key(|record| record.print);
-        let count = repeated.len().min(MAX_TOLD);
-        let at = |step: usize| repeated[(self.turn + step) % repeated.len()].clone();
-        let told = (0..count).map(at).collect();
-        self.turn = if count < repeated.len() { self.turn + count } else { 0 };
-        told
+        due.sort_by_key(|record| record.fingerprint);
+        let count = due.len().min(MAX_RECORDS_PER_MESSAGE);
+        let at = |step: usize| due[(self.cursor + step) % due.len()].clone();
+        let resent = (0..count).map(at).collect();
+        self.cursor = if count < due.len() { self.cursor + count } else { 0 };
+        resent
     }
 
-    /// What a VM that has just started is told: the requests with the most ends, at most [`MAX_TOLD`].
-    pub fn told_to_starter(&self) -> Vec<SuspectRecord> {
+    /// Returns the records for a VM that has just started: those with the most exits of the
+    /// quarantined requests, at most [`MAX_RECORDS_PER_MESSAGE`].
+    pub fn startup_records(&self) -> Vec<SuspectRecord> {
         let mut records = self.records();
-        records.retain(|record| record.ends.len() >= TRIED_ENDS);
-        records.truncate(MAX_TOLD);
+        records.retain(|record| record.exits.len() >= PROBE_EXITS);
+        records.truncate(MAX_RECORDS_PER_MESSAGE);
         records
     }
 
-    /// All records with ends, those with the most first.
+    /// Returns all records with exits, those with the most exits first.
     pub fn records(&self) -> Vec<SuspectRecord> {
-        let suspected = self.entries.values().filter(|entry| !entry.record.ends.is_empty());
+        let suspected = self.entries.values().filter(|entry| !entry.record.exits.is_empty());
         let mut records: Vec<SuspectRecord> = suspected.map(|entry| entry.record.clone()).collect();
-        records.sort_by_key(|record| (std::cmp::Reverse(record.ends.len()), record.print));
+        records.sort_by_key(|record| (std::cmp::Reverse(record.exits.len()), record.fingerprint));
         records
     }
 
-    /// How long ago a record has changed last.
-    pub fn age(&self, print: &RequestPrint, now: MonoTime) -> Option<Duration> {
-        self.entries.get(print).map(|entry| now.since(entry.since))
+    /// Returns the time since the last change of a record.
+    pub fn age(&self, fingerprint: &RequestFingerprint, now: MonoTime) -> Option<Duration> {
+        self.entries.get(fingerprint).map(|entry| now.since(entry.changed_at))
     }
 
-    /// How many requests are refused or tried one at a time.
-    pub fn held_back(&self) -> usize {
-        self.entries.values().filter(|entry| entry.record.ends.len() >= TRIED_ENDS).count()
+    /// Returns the number of requests that are refused or probed by one VM at a time.
+    pub fn quarantined_count(&self) -> usize {
+        self.entries.values().filter(|entry| entry.record.exits.len() >= PROBE_EXITS).count()
     }
 
-    /// Drops what is too old to count.
+    /// Removes expired records.
     pub fn forget(&mut self, now: MonoTime) {
-        self.entries.retain(|_, entry| !entry.is_forgotten(now));
+        self.entries.retain(|_, entry| !entry.is_expired(now));
     }
 
-    /// What is known of a request.
-    fn record(&self, print: RequestPrint) -> SuspectRecord {
-        let known = self.entries.get(&print).map(|entry| entry.record.clone());
-        known.unwrap_or_else(|| SuspectRecord::new(print))
+    /// Returns the record of a request, an empty one if it is unknown.
+    fn record(&self, fingerprint: RequestFingerprint) -> SuspectRecord {
+        let known = self.entries.get(&fingerprint).map(|entry| entry.record.clone());
+        known.unwrap_or_else(|| SuspectRecord::new(fingerprint))
     }
 
-    /// Puts a record in the place of the one that was held, and notes whom to tell.
-    fn take(&mut self, record: SuspectRecord, now: MonoTime) -> Option<SuspectChange> {
-        let print = record.print;
-        let held = self.record(print);
-        if held == record {
+    /// Replaces a record and schedules the update of other VMs if needed. Returns the change, if
+    /// any.
+    fn replace_record(&mut self, record: SuspectRecord, now: MonoTime) -> Option<SuspectChange> {
+        let fingerprint = record.fingerprint;
+        let previous = self.record(fingerprint);
+        if previous == record {
             return None;
         }
-        if record.pardons > held.pardons {
-            // Each answer speaks once, wherever it was given.
-            self.vouchers.pop(&print);
+        if record.exonerations > previous.exonerations {
+            // An answer counts once, wherever it was given.
+            self.recent_successes.pop(&fingerprint);
         }
-        self.make_room();
-        let entry = self.entries.entry(print).or_insert_with(|| SuspectEntry::new(print, now));
+        self.evict_if_full();
+        let entry =
+            self.entries.entry(fingerprint).or_insert_with(|| SuspectEntry::new(fingerprint, now));
         entry.record = record;
-        entry.since = now;
-        entry.is_untried = false;
-        entry.is_wide |= entry.record.ends.len() >= TRIED_ENDS;
-        let may_be_vouched = entry.is_held_back() && !entry.is_doubted();
-        if may_be_vouched && self.has_voucher(&print, now) {
-            self.pardon(print, now);
-            self.news.insert(print, WaitingNews { reach: NewsReach::Wide, is_shared: true });
+        entry.changed_at = now;
+        entry.is_probe_unsent = false;
+        entry.is_global |= entry.record.exits.len() >= PROBE_EXITS;
+        let may_exonerate = entry.is_quarantined() && !entry.is_inconclusive();
+        if may_exonerate && self.has_recent_success(&fingerprint, now) {
+            self.exonerate(fingerprint, now);
+            self.pending
+                .insert(fingerprint, PendingUpdate { scope: UpdateScope::Global, is_shared: true });
         }
-        let record = self.record(print);
-        Some(SuspectChange { record, ends_before: held.ends.len() })
+        let record = self.record(fingerprint);
+        Some(SuspectChange { record, exits_before: previous.exits.len() })
     }
 
-    /// Whether an answer of a moment ago speaks for a request.
-    fn has_voucher(&self, print: &RequestPrint, now: MonoTime) -> bool {
-        self.vouchers.peek(print).is_some_and(|at| now.since(*at) <= VOUCHER_AGE)
+    /// Returns whether a recent complete answer counts in favour of a request.
+    fn has_recent_success(&self, fingerprint: &RequestFingerprint, now: MonoTime) -> bool {
+        self.recent_successes.peek(fingerprint).is_some_and(|at| now.since(*at) <= SUCCESS_MAX_AGE)
     }
 
-    fn pardon(&mut self, print: RequestPrint, now: MonoTime) {
-        self.vouchers.pop(&print);
-        if let Some(entry) = self.entries.get_mut(&print) {
-            entry.record.pardon();
-            entry.since = now;
-            entry.is_trying = false;
-            entry.is_untried = false;
+    fn exonerate(&mut self, fingerprint: RequestFingerprint, now: MonoTime) {
+        self.recent_successes.pop(&fingerprint);
+        if let Some(entry) = self.entries.get_mut(&fingerprint) {
+            entry.record.exonerate();
+            entry.changed_at = now;
+            entry.is_probing = false;
+            entry.is_probe_unsent = false;
         }
     }
 
-    fn note_news(&mut self, print: RequestPrint, reach: NewsReach) {
-        self.news.insert(print, WaitingNews { reach, is_shared: false });
+    fn queue_update(&mut self, fingerprint: RequestFingerprint, scope: UpdateScope) {
+        self.pending.insert(fingerprint, PendingUpdate { scope, is_shared: false });
     }
 
-    /// Drops the requests with the fewest ends, the oldest first, when there are too many.
-    fn make_room(&mut self) {
+    /// Drops the records with the fewest exits, the oldest first, if there are too many.
+    fn evict_if_full(&mut self) {
         if self.entries.len() < MAX_ENTRIES {
             return;
         }
-        let order = |(print, entry): (&RequestPrint, &SuspectEntry)| {
-            (entry.record.ends.len(), entry.since, *print)
+        let order = |(fingerprint, entry): (&RequestFingerprint, &SuspectEntry)| {
+            (entry.record.exits.len(), entry.changed_at, *fingerprint)
         };
         let mut weakest: Vec<_> = self.entries.iter().map(order).collect();
-        weakest.select_nth_unstable(DROPPED);
-        for (_, _, print) in &weakest[..DROPPED] {
-            self.entries.remove(print);
+        weakest.select_nth_unstable(EVICTION_BATCH);
+        for (_, _, fingerprint) in &weakest[..EVICTION_BATCH] {
+            self.entries.remove(fingerprint);
         }
     }
 }
--- a/crates/foldhaven-core/tests/testsuite/opaque_suspects.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_suspects.rs
@@ -1,13 +1,14 @@
-//! Requests under which upstreams ended: whom to blame, who is held back for how long, and how false blame heals.
+//! Suspected requests: which requests are blamed for exits of upstreams, how long they are held
+//! back, and how wrongly blamed ones recover.
 
 use std::time::Duration;
 
 use foldhaven_core::opaque::affinity::UpstreamTag;
 use foldhaven_core::opaque::peer_table::VmTag;
-use foldhaven_core::opaque::request_print::{PrintedParts, RequestPrint};
+use foldhaven_core::opaque::request_fingerprint::{FingerprintParts, RequestFingerprint};
 use foldhaven_core::opaque::suspects::{
-    GuestBook, MAX_ENDS, NewsReach, RecordFault, RecordSource, SuspectRecord, SuspectTable,
-    SuspectVerdict,
+    InFlightRequests, MAX_EXITS, RecordError, RecordSource, SuspectRecord, SuspectTable,
+    SuspectVerdict, UpdateScope,
 };
 use foldhaven_core::time::MonoTime;
 use proptest::prelude::*;
@@ -15,20 +16,21 @@
 
 use crate::opaque_support::at;
 
-fn print_of(body: &str) -> RequestPrint {
-    let parts = PrintedParts { host: "desk", method: "POST", target: "/x", body: body.as_bytes() };
-    RequestPrint::of(&parts)
+fn fingerprint_of(body: &str) -> RequestFingerprint {
+    let parts =
+        FingerprintParts { host: "desk", method: "POST", target: "/x", body: body.as_bytes() };
+    RequestFingerprint::of(&parts)
 }
 
 fn table(vm: u32) -> SuspectTable {
     SuspectTable::new(VmTag(vm))
 }
 
-/// A table that knows of so many ends of a request.
-fn blaming(print: RequestPrint, ends: u32, now: MonoTime) -> SuspectTable {
+/// Returns a table with this number of exits of a request.
+fn table_with_exits(fingerprint: RequestFingerprint, exits: u32, now: MonoTime) -> SuspectTable {
     let mut table = table(1);
-    for upstream in 0..ends {
-        table.note_end(print, UpstreamTag(upstream), now);
+    for upstream in 0..exits {
+        table.record_exit(fingerprint, UpstreamTag(upstream), now);
     }
     table
 }
@@ -38,297 +40,307 @@
 }
 
 #[test]
-fn a_fingerprint_tells_what_an_upstream_acts_on_and_nothing_else() {
-    let parts = PrintedParts { host: "desk", method: "POST", target: "/x?q", body: b"body" };
-    let print = RequestPrint::of(&parts);
-    assert_eq!(print, RequestPrint::of(&PrintedParts { host: "DESK", ..parts }));
+fn a_fingerprint_covers_only_what_an_upstream_acts_on() {
+    let parts = FingerprintParts { host: "desk", method: "POST", target: "/x?q", body: b"body" };
+    let fingerprint = RequestFingerprint::of(&parts);
+    assert_eq!(fingerprint, RequestFingerprint::of(&FingerprintParts { host: "DESK", ..parts }));
     for other in [
-        PrintedParts { host: "desk2", ..parts },
-        PrintedParts { method: "PUT", ..parts },
-        PrintedParts { target: "/x", body: b"?qbody", ..parts },
-        PrintedParts { target: "/x?r", ..parts },
-        PrintedParts { body: b"Body", ..parts },
+        FingerprintParts { host: "desk2", ..parts },
+        FingerprintParts { method: "PUT", ..parts },
+        FingerprintParts { target: "/x", body: b"?qbody", ..parts },
+        FingerprintParts { target: "/x?r", ..parts },
+        FingerprintParts { body: b"Body", ..parts },
     ] {
-        assert_ne!(print, RequestPrint::of(&other), "{other:?}");
+        assert_ne!(fingerprint, RequestFingerprint::of(&other), "{other:?}");
     }
-    assert_eq!(print.to_string().parse(), Ok(print));
-    assert!("0".repeat(31).parse::<RequestPrint>().is_err());
+    assert_eq!(fingerprint.to_string().parse(), Ok(fingerprint));
+    assert!("0".repeat(31).parse::<RequestFingerprint>().is_err());
 }
 
 #[rstest]
-#[case::no_end(0, false)]
-#[case::one_end(1, false)]
-#[case::two_ends(2, false)]
-#[case::three_ends(3, true)]
-fn the_third_end_refuses_a_request(#[case] ends: u32, #[case] refused: bool) {
-    let print = print_of("a");
-    let mut table = blaming(print, ends, at(0));
-    assert_eq!(is_refused(table.judge(&print, at(1))), refused);
-    assert_eq!(table.judge(&print_of("b"), at(1)), SuspectVerdict::Free);
+#[case::no_exit(0, false)]
+#[case::one_exit(1, false)]
+#[case::two_exits(2, false)]
+#[case::three_exits(3, true)]
+fn the_third_exit_refuses_a_request(#[case] exits: u32, #[case] refused: bool) {
+    let fingerprint = fingerprint_of("a");
+    let mut table = table_with_exits(fingerprint, exits, at(0));
+    assert_eq!(is_refused(table.decide(&fingerprint, at(1))), refused);
+    assert_eq!(table.decide(&fingerprint_of("b"), at(1)), SuspectVerdict::Allowed);
 }
 
-/// Ten VMs that lost connections to one upstream do not make ten ends of it.
+/// Ten VMs that lost connections to the same upstream count as one exit.
 #[test]
-fn an_end_that_several_vms_saw_counts_once() {
-    let print = print_of("a");
-    let mut own = blaming(print, 1, at(0));
+fn an_exit_seen_by_several_vms_counts_once() {
+    let fingerprint = fingerprint_of("a");
+    let mut own = table_with_exits(fingerprint, 1, at(0));
     for vm in 2..10 {
         let mut other = table(vm);
-        other.note_end(print, UpstreamTag(0), at(0));
-        for news in other.take_news() {
-            own.hear(&news.record, RecordSource::Near, at(1)).unwrap();
+        other.record_exit(fingerprint, UpstreamTag(0), at(0));
+        for update in other.take_updates() {
+            own.merge_record(&update.record, RecordSource::Local, at(1)).unwrap();
         }
     }
-    assert_eq!(own.ends(&print), 1);
+    assert_eq!(own.exit_count(&fingerprint), 1);
 }
 
 #[test]
-fn a_whole_answer_clears_a_request_everywhere() {
-    let print = print_of("a");
-    let mut blamed = blaming(print, 3, at(0));
+fn a_complete_answer_exonerates_a_request_everywhere() {
+    let fingerprint = fingerprint_of("a");
+    let mut suspecting = table_with_exits(fingerprint, 3, at(0));
     let mut other = table(2);
-    for news in blamed.take_news() {
-        other.hear(&news.record, RecordSource::Near, at(1)).unwrap();
+    for update in suspecting.take_updates() {
+        other.merge_record(&update.record, RecordSource::Local, at(1)).unwrap();
     }
-    // What it had sent on before it heard comes back whole.
-    other.note_answered(print, at(2));
-    for news in other.take_news() {
-        blamed.hear(&news.record, RecordSource::Far, at(3)).unwrap();
+    // A request that it sent before it received the record is answered completely.
+    other.record_success(fingerprint, at(2));
+    for update in other.take_updates() {
+        suspecting.merge_record(&update.record, RecordSource::Remote, at(3)).unwrap();
     }
-    assert_eq!(blamed.judge(&print, at(4)), SuspectVerdict::Free);
-    // Late news of the ends before that change nothing.
-    let late =
-        SuspectRecord { ends: vec![UpstreamTag(8), UpstreamTag(9)], ..SuspectRecord::new(print) };
-    assert_eq!(blamed.hear(&late, RecordSource::Near, at(5)), Ok(None));
-    assert_eq!(blamed.ends(&print), 0);
+    assert_eq!(suspecting.decide(&fingerprint, at(4)), SuspectVerdict::Allowed);
+    // Updates about earlier exits that arrive late change nothing.
+    let late = SuspectRecord {
+        exits: vec![UpstreamTag(8), UpstreamTag(9)],
+        ..SuspectRecord::new(fingerprint)
+    };
+    assert_eq!(suspecting.merge_record(&late, RecordSource::Local, at(5)), Ok(None));
+    assert_eq!(suspecting.exit_count(&fingerprint), 0);
 }
 
-/// A popular request is at many upstreams when they end; its answers of a moment ago speak for it, once each.
+/// A popular request is in flight at many upstreams when they exit; each of its recent answers
+/// exonerates it once.
 #[test]
-fn an_earlier_answer_speaks_for_a_request_once() {
-    let print = print_of("popular");
+fn an_earlier_answer_exonerates_a_request_once() {
+    let fingerprint = fingerprint_of("popular");
     let mut table = table(1);
-    table.note_answered(print, at(0));
-    table.note_end(print, UpstreamTag(1), at(10));
-    table.note_end(print, UpstreamTag(2), at(20));
-    assert_eq!(table.ends(&print), 0);
+    table.record_success(fingerprint, at(0));
+    table.record_exit(fingerprint, UpstreamTag(1), at(10));
+    table.record_exit(fingerprint, UpstreamTag(2), at(20));
+    assert_eq!(table.exit_count(&fingerprint), 0);
     for upstream in 3..6 {
-        table.note_end(print, UpstreamTag(upstream), at(30));
+        table.record_exit(fingerprint, UpstreamTag(upstream), at(30));
     }
-    assert!(is_refused(table.judge(&print, at(40))));
+    assert!(is_refused(table.decide(&fingerprint, at(40))));
 }
 
 #[test]
-fn the_second_end_lets_one_try_go_at_a_time() {
-    let print = print_of("a");
-    let mut first = blaming(print, 2, at(0));
+fn after_the_second_exit_one_vm_probes_at_a_time() {
+    let fingerprint = fingerprint_of("a");
+    let mut first = table_with_exits(fingerprint, 2, at(0));
     let mut second = table(2);
-    let tell = |from: &mut SuspectTable, to: &mut SuspectTable, now| {
-        for news in from.take_news() {
-            to.hear(&news.record, RecordSource::Near, now).unwrap();
+    let exchange = |from: &mut SuspectTable, to: &mut SuspectTable, now| {
+        for update in from.take_updates() {
+            to.merge_record(&update.record, RecordSource::Local, now).unwrap();
         }
     };
-    tell(&mut first, &mut second, at(1));
-    assert_eq!(first.judge(&print, at(2)), SuspectVerdict::Trial);
-    assert!(is_refused(first.judge(&print, at(3))));
-    tell(&mut first, &mut second, at(3));
-    assert!(is_refused(second.judge(&print, at(4))));
-    // The trial ends the third upstream.
-    first.note_end(print, UpstreamTag(7), at(100));
-    tell(&mut first, &mut second, at(101));
-    assert!(is_refused(second.judge(&print, at(9_000))));
+    exchange(&mut first, &mut second, at(1));
+    assert_eq!(first.decide(&fingerprint, at(2)), SuspectVerdict::Probe);
+    assert!(is_refused(first.decide(&fingerprint, at(3))));
+    exchange(&mut first, &mut second, at(3));
+    assert!(is_refused(second.decide(&fingerprint, at(4))));
+    // The probe crashes the third upstream.
+    first.record_exit(fingerprint, UpstreamTag(7), at(100));
+    exchange(&mut first, &mut second, at(101));
+    assert!(is_refused(second.decide(&fingerprint, at(9_000))));
 }
 
-/// A refused request is tried now and then, so that false blame heals, and ever less often.
+/// A refused request is probed occasionally, so that a wrongly blamed one recovers, with growing
+/// delays.
 #[test]
-fn trials_of_a_refused_request_grow_rare() {
-    let print = print_of("a");
-    let mut table = blaming(print, 3, at(0));
-    let (mut now, mut trials) = (at(0), Vec::new());
-    while trials.len() < 4 {
+fn probes_of_a_refused_request_back_off() {
+    let fingerprint = fingerprint_of("a");
+    let mut table = table_with_exits(fingerprint, 3, at(0));
+    let (mut now, mut probes) = (at(0), Vec::new());
+    while probes.len() < 4 {
         now = now + Duration::from_millis(50);
-        if table.judge(&print, now) == SuspectVerdict::Trial {
-            table.note_end(print, UpstreamTag(50 + trials.len() as u32), now);
-            trials.push(now);
+        if table.decide(&fingerprint, now) == SuspectVerdict::Probe {
+            table.record_exit(fingerprint, UpstreamTag(50 + probes.len() as u32), now);
+            probes.push(now);
         }
     }
-    assert!(trials[0] >= at(10_000) && trials[0] <= at(20_050), "{trials:?}");
-    let pauses: Vec<Duration> = trials.windows(2).map(|pair| pair[1].since(pair[0])).collect();
-    assert!(pauses[0] >= Duration::from_secs(30) && pauses[1] >= Duration::from_secs(90));
+    assert!(probes[0] >= at(10_000) && probes[0] <= at(20_050), "{probes:?}");
+    let delays: Vec<Duration> = probes.windows(2).map(|pair| pair[1].since(pair[0])).collect();
+    assert!(delays[0] >= Duration::from_secs(30) && delays[1] >= Duration::from_secs(90));
 }
 
 #[test]
-fn a_trial_that_reached_no_upstream_may_be_made_again() {
-    let print = print_of("a");
-    let mut table = blaming(print, 2, at(0));
-    assert_eq!(table.judge(&print, at(1)), SuspectVerdict::Trial);
-    table.end_trial(&print, false, at(5));
-    assert_eq!(table.judge(&print, at(6)), SuspectVerdict::Trial);
-    assert!(is_refused(table.judge(&print, at(7))));
+fn a_probe_that_reached_no_upstream_may_be_repeated() {
+    let fingerprint = fingerprint_of("a");
+    let mut table = table_with_exits(fingerprint, 2, at(0));
+    assert_eq!(table.decide(&fingerprint, at(1)), SuspectVerdict::Probe);
+    table.finish_probe(&fingerprint, false, at(5));
+    assert_eq!(table.decide(&fingerprint, at(6)), SuspectVerdict::Probe);
+    assert!(is_refused(table.decide(&fingerprint, at(7))));
 }
 
-/// Found by reading: once as many ends are kept as there can be, a trial that ended its upstream was taken for one that had
-/// reached none, and the same VM tried again at once, each time that the request came.
+/// Guards against repeated probes: once the maximum number of exits was kept, a probe that crashed
+/// its upstream was taken for one that had reached none, and the same VM probed again at once, each
+/// time that the request came.
 #[rstest]
-#[case::its_end_is_noticed_later(Some(TrialEnd::AfterIt))]
-#[case::its_end_was_noticed_before(Some(TrialEnd::BeforeIt))]
-#[case::its_caller_has_left(None)]
-fn a_trial_that_was_sent_is_not_made_again_at_once(#[case] end: Option<TrialEnd>) {
-    let print = print_of("a");
-    let mut table = blaming(print, 4, at(0));
-    let open = (0..)
+#[case::exit_noticed_later(Some(NoticedExit::AfterProbeEnds))]
+#[case::exit_noticed_before(Some(NoticedExit::BeforeProbeEnds))]
+#[case::caller_left(None)]
+fn a_probe_that_was_sent_is_not_repeated_at_once(#[case] exit: Option<NoticedExit>) {
+    let fingerprint = fingerprint_of("a");
+    let mut table = table_with_exits(fingerprint, 4, at(0));
+    let probed_at = (0..)
         .map(|step| at(step * 50))
-        .find(|now| table.judge(&print, *now) == SuspectVerdict::Trial);
-    let open = open.expect("its turn comes");
-    // Of more ends than are kept, the first ones in order stay.
+        .find(|now| table.decide(&fingerprint, *now) == SuspectVerdict::Probe);
+    let probed_at = probed_at.expect("its slot comes");
+    // Of more exits than are kept, those with the lowest tags stay.
     let last = UpstreamTag(99);
-    if matches!(end, Some(TrialEnd::BeforeIt)) {
-        table.note_end(print, last, open);
+    if matches!(exit, Some(NoticedExit::BeforeProbeEnds)) {
+        table.record_exit(fingerprint, last, probed_at);
     }
-    table.end_trial(&print, true, open);
-    if matches!(end, Some(TrialEnd::AfterIt)) {
-        table.note_end(print, last, open);
+    table.finish_probe(&fingerprint, true, probed_at);
+    if matches!(exit, Some(NoticedExit::AfterProbeEnds)) {
+        table.record_exit(fingerprint, last, probed_at);
     }
-    let again = (1..500).map(|step| open + Duration::from_millis(50 * step));
+    let repeated = (1..500).map(|step| probed_at + Duration::from_millis(50 * step));
     assert!(
-        again.into_iter().all(|now| is_refused(table.judge(&print, now))),
-        "tried again within 25 s"
+        repeated.into_iter().all(|now| is_refused(table.decide(&fingerprint, now))),
+        "probed again within 25 s"
     );
 }
 
-/// When the end of a trial's upstream is noticed: before the trial is over, or after it.
-enum TrialEnd {
-    BeforeIt,
-    AfterIt,
+/// When the exit of a probe's upstream is noticed: before the probe is over, or after it.
+enum NoticedExit {
+    BeforeProbeEnds,
+    AfterProbeEnds,
 }
 
-/// When many upstreams end at once, each VM has many victims of one end: these are told near by, and forbid nothing.
+/// When many upstreams exit at once, each VM has many requests with one exit. These are announced
+/// in the region only and hold nothing back.
 #[test]
-fn one_end_is_told_in_its_region_only() {
-    let print = print_of("a");
-    let mut table = blaming(print, 1, at(0));
-    let reach: Vec<NewsReach> = table.take_news().iter().map(|news| news.reach).collect();
-    assert_eq!(reach, [NewsReach::Near]);
-    assert!(table.next_repeated(at(1)).is_empty());
-    table.note_end(print, UpstreamTag(9), at(1));
-    let reach: Vec<NewsReach> = table.take_news().iter().map(|news| news.reach).collect();
-    assert_eq!(reach, [NewsReach::Wide]);
-    assert_eq!(table.next_repeated(at(1)).len(), 1);
-    // What has not changed for a while goes with few rounds.
-    let rounds = (0..16).filter(|_| !table.next_repeated(at(60_000)).is_empty());
+fn a_single_exit_is_sent_within_its_region_only() {
+    let fingerprint = fingerprint_of("a");
+    let mut table = table_with_exits(fingerprint, 1, at(0));
+    let scope: Vec<UpdateScope> = table.take_updates().iter().map(|update| update.scope).collect();
+    assert_eq!(scope, [UpdateScope::Region]);
+    assert!(table.next_resent(at(1)).is_empty());
+    table.record_exit(fingerprint, UpstreamTag(9), at(1));
+    let scope: Vec<UpdateScope> = table.take_updates().iter().map(|update| update.scope).collect();
+    assert_eq!(scope, [UpdateScope::Global]);
+    assert_eq!(table.next_resent(at(1)).len(), 1);
+    // Records that haven't changed for a while are resent in few rounds.
+    let rounds = (0..16).filter(|_| !table.next_resent(at(60_000)).is_empty());
     assert_eq!(rounds.count(), 2);
 }
 
 #[rstest]
-#[case::near(RecordSource::Near, 0)]
-#[case::far(RecordSource::Far, 1)]
-fn only_what_came_from_another_region_is_passed_on(
+#[case::local(RecordSource::Local, 0)]
+#[case::remote(RecordSource::Remote, 1)]
+fn only_records_from_another_region_are_passed_on(
     #[case] source: RecordSource,
-    #[case] told: usize,
+    #[case] expected_updates: usize,
 ) {
     let record = SuspectRecord {
-        ends: vec![UpstreamTag(1), UpstreamTag(2)],
-        ..SuspectRecord::new(print_of("a"))
+        exits: vec![UpstreamTag(1), UpstreamTag(2)],
+        ..SuspectRecord::new(fingerprint_of("a"))
     };
     let mut table = table(1);
-    table.hear(&record, source, at(0)).unwrap();
-    assert_eq!(table.take_news().len(), told);
-    table.hear(&record, source, at(1)).unwrap();
-    assert!(table.take_news().is_empty(), "it is passed on once");
+    table.merge_record(&record, source, at(0)).unwrap();
+    assert_eq!(table.take_updates().len(), expected_updates);
+    table.merge_record(&record, source, at(1)).unwrap();
+    assert!(table.take_updates().is_empty(), "it is passed on only once");
 }
 
-/// Found by a soak in which some upstreams answered what others ended under: each answer cleared it, and it was sent on
-/// without end.
+/// Guards against a request that some upstreams answer and others exit under: if each answer
+/// exonerates it, it is forwarded without end.
 #[test]
-fn a_request_that_some_upstreams_answer_and_others_end_under_is_held_back() {
-    let print = print_of("a");
+fn a_request_that_crashes_only_some_upstreams_is_held_back() {
+    let fingerprint = fingerprint_of("a");
     let mut table = table(1);
-    let (mut ends, mut sent_late) = (0, 0);
+    let (mut exits, mut sent_late) = (0, 0);
     for step in 0..2_400 {
         let now = at(step * 50);
-        if is_refused(table.judge(&print, now)) {
+        if is_refused(table.decide(&fingerprint, now)) {
             continue;
         }
         sent_late += u32::from(step > 100);
         match step % 2 {
             0 => {
-                ends += 1;
-                table.note_end(print, UpstreamTag(ends), now);
+                exits += 1;
+                table.record_exit(fingerprint, UpstreamTag(exits), now);
             }
-            _ => drop(table.note_answered(print, now)),
+            _ => drop(table.record_success(fingerprint, now)),
         }
     }
-    assert!(ends <= 20 && sent_late <= 12, "{ends} ends, {sent_late} sent late in two minutes");
+    assert!(exits <= 20 && sent_late <= 12, "{exits} exits, {sent_late} late sends in two minutes");
 }
 
 #[rstest]
-#[case::too_many(SuspectRecord { ends: (0..9).map(UpstreamTag).collect(), ..SuspectRecord::new(print_of("a")) })]
-#[case::disordered(SuspectRecord { ends: vec![UpstreamTag(2), UpstreamTag(1)], ..SuspectRecord::new(print_of("a")) })]
-#[case::doubled(SuspectRecord { ends: vec![UpstreamTag(2), UpstreamTag(2)], ..SuspectRecord::new(print_of("a")) })]
-#[case::trials(SuspectRecord { trials: 255, ..SuspectRecord::new(print_of("a")) })]
-#[case::pardons(SuspectRecord { pardons: u32::MAX, ..SuspectRecord::new(print_of("a")) })]
-fn records_that_nobody_can_have_made_are_dropped(#[case] record: SuspectRecord) {
+#[case::too_many(SuspectRecord { exits: (0..9).map(UpstreamTag).collect(), ..SuspectRecord::new(fingerprint_of("a")) })]
+#[case::unordered(SuspectRecord { exits: vec![UpstreamTag(2), UpstreamTag(1)], ..SuspectRecord::new(fingerprint_of("a")) })]
+#[case::duplicated(SuspectRecord { exits: vec![UpstreamTag(2), UpstreamTag(2)], ..SuspectRecord::new(fingerprint_of("a")) })]
+#[case::probes(SuspectRecord { probes: 255, ..SuspectRecord::new(fingerprint_of("a")) })]
+#[case::exonerations(SuspectRecord { exonerations: u32::MAX, ..SuspectRecord::new(fingerprint_of("a")) })]
+fn impossible_records_are_rejected(#[case] record: SuspectRecord) {
     let mut table = table(1);
-    let fault: Result<_, RecordFault> = table.hear(&record, RecordSource::Near, at(0));
-    assert!(fault.is_err());
+    let result: Result<_, RecordError> = table.merge_record(&record, RecordSource::Local, at(0));
+    assert!(result.is_err());
     assert!(table.records().is_empty());
 }
 
-/// A caller that ends upstreams can make suspects, but cannot have one forgotten that others are held back by.
+/// A caller that crashes upstreams can create suspects, but can't evict the record of a request
+/// that is held back.
 #[test]
-fn a_flood_of_suspects_drops_those_with_the_fewest_ends() {
-    let print = print_of("a");
-    let mut table = blaming(print, 3, at(0));
+fn eviction_drops_suspects_with_the_fewest_exits() {
+    let fingerprint = fingerprint_of("a");
+    let mut table = table_with_exits(fingerprint, 3, at(0));
     for number in 0..20_000 {
-        table.note_end(print_of(&number.to_string()), UpstreamTag(1), at(number));
+        table.record_exit(fingerprint_of(&number.to_string()), UpstreamTag(1), at(number));
     }
-    assert!(is_refused(table.judge(&print, at(100))));
+    assert!(is_refused(table.decide(&fingerprint, at(100))));
     assert!(table.records().len() <= 4_096);
 }
 
 #[test]
-fn victims_are_those_there_and_those_that_left_a_moment_ago() {
-    let (mut book, now) = (GuestBook::default(), at(1_000));
-    let harmless = book.enter(print_of("answered"));
-    let old = book.enter(print_of("left long ago"));
-    let left = book.enter(print_of("left"));
-    book.enter(print_of("there"));
-    book.enter(print_of("there"));
-    book.leave_harmless(harmless);
-    book.leave(old, at(100));
-    book.leave(left, at(900));
-    let mut victims = vec![print_of("left"), print_of("there")];
-    victims.sort();
-    assert_eq!(book.take_victims(now), victims);
-    assert!(book.take_victims(now).is_empty());
+fn affected_requests_are_in_flight_or_left_recently() {
+    let (mut requests, now) = (InFlightRequests::default(), at(1_000));
+    let harmless = requests.insert(fingerprint_of("answered"));
+    let old = requests.insert(fingerprint_of("left long ago"));
+    let left = requests.insert(fingerprint_of("left"));
+    requests.insert(fingerprint_of("there"));
+    requests.insert(fingerprint_of("there"));
+    requests.remove_harmless(harmless);
+    requests.remove(old, at(100));
+    requests.remove(left, at(900));
+    let mut affected = vec![fingerprint_of("left"), fingerprint_of("there")];
+    affected.sort();
+    assert_eq!(requests.take_affected(now), affected);
+    assert!(requests.take_affected(now).is_empty());
 }
 
 fn records() -> impl Strategy<Value = SuspectRecord> {
-    let ends = proptest::collection::btree_set(0_u32..8, 0..=MAX_ENDS);
-    (0_u32..3, ends, 0_u8..3, 0_u8..9).prop_map(|(pardons, ends, trials, cleared)| SuspectRecord {
-        pardons,
-        cleared,
-        ends: ends.into_iter().map(UpstreamTag).collect(),
-        trials,
-        ..SuspectRecord::new(print_of("a"))
+    let exits = proptest::collection::btree_set(0_u32..8, 0..=MAX_EXITS);
+    (0_u32..3, exits, 0_u8..3, 0_u8..9).prop_map(|(exonerations, exits, probes, cleared_exits)| {
+        SuspectRecord {
+            exonerations,
+            cleared_exits,
+            exits: exits.into_iter().map(UpstreamTag).collect(),
+            probes,
+            ..SuspectRecord::new(fingerprint_of("a"))
+        }
     })
 }
 
 proptest! {
-    /// VMs that hear the same in any order, and any number of times, believe the same.
+    /// VMs that receive the same records in any order, and any number of times, end with the same
+    /// record.
     #[test]
-    fn joining_depends_on_no_order(mut heard in proptest::collection::vec(records(), 1..6), again in 0_usize..6) {
-        let joined = |records: &[SuspectRecord]| {
-            let mut all = SuspectRecord::new(print_of("a"));
+    fn merging_is_order_independent_and_idempotent(mut received in proptest::collection::vec(records(), 1..6), repeated in 0_usize..6) {
+        let merge_all = |records: &[SuspectRecord]| {
+            let mut all = SuspectRecord::new(fingerprint_of("a"));
             for record in records {
-                all.join(record);
+                all.merge(record);
             }
             all
         };
-        let first = joined(&heard);
+        let first = merge_all(&received);
         prop_assert!(first.check().is_ok());
-        heard.push(heard[again % heard.len()].clone());
-        heard.reverse();
-        prop_assert_eq!(joined(&heard), first);
+        received.push(received[repeated % received.len()].clone());
+        received.reverse();
+        prop_assert_eq!(merge_all(&received), first);
     }
 }
--- a/crates/foldhaven-gateway/src/datagrams.rs
+++ b/crates/foldhaven-gateway/src/datagrams.rs
@@ -5,11 +5,13 @@
 use std::time::Duration;
 
 use foldhaven_core::opaque::account_demand::{
-    DEMAND_INTERVAL, LocalDemand, MAX_ACCOUNTS_PER_MESSAGE,
+DEMAND_INTERVAL, LocalDemand, MAX_ACCOUNTS_PER_MESSAGE,
 };
 use foldhaven_core::opaque::affinity::PromptPlacement;
 use foldhaven_core::opaque::load_reports::LoadReport;
-use foldhaven_core::opaque::peer_table::{AskedBeats, LEARNING_INTERVAL, PlannedBeats, ViewAnswer};
+use foldhaven_core::opaque::peer_table::{
+LEARNING_INTERVAL, PlannedHeartbeats, RequestedHeartbeats, ViewAnswer,
+};
 use foldhaven_core::opaque::report_planner::{ReportBatch, ReportUpdates};
 use foldhaven_core::opaque::sender_agreement::AGREEMENT_INTERVAL;
 use foldhaven_core::opaque::suspects::RecordSource;
@@ -20,9 +22,9 @@
 use crate::clock::BootInstant;
 use crate::feed::CountedChange;
 use crate::keeper::{
-    HearBeat, HearChanges, HearEarly, HearLeavers, HearLimits, HearLoad, HearNearDemand, HearNews,
-    HearPact, HearPlacements, HearRegion, HearRegionDemand, HearView, HearViewList, KeeperAddress,
-    PlanBeats, PlanDemands, PlanPact, PlanReport, PlannedReport, ToldChanges, ToldNews,
+HearBeat, HearChanges, HearEarly, HearLeavers, HearLimits, HearLoad, HearNearDemand, HearNews,
+HearPact, HearPlacements, HearRegion, HearRegionDemand, HearView, HearViewList, KeeperAddress,
+PlanBeats, PlanDemands, PlanPact, PlanReport, PlannedReport, ToldChanges, ToldNews,
 };
 use crate::known::EarlyChanges;
 use crate::peer_message::{MAX_DATAGRAM, PeerMessage, SuspectTelling};
@@ -37,320 +39,320 @@
 /// Passes changes of the platform on to VMs that do not read them themselves. Those that do not fit
 /// a datagram are asked for; what must not wait for that goes ahead.
 pub async fn tell_changes(
-    socket: Arc<UdpSocket>,
-    mut news: mpsc::UnboundedReceiver<ToldNews>,
-    shared: Arc<GatewayShared>,
+socket: Arc<UdpSocket>,
+mut news: mpsc::UnboundedReceiver<ToldNews>,
+shared: Arc<GatewayShared>,
 ) {
-    while let Some(told) = news.recv().await {
-        match told {
-            ToldNews::Changes(told) => tell_set(&socket, told, &shared).await,
-            ToldNews::Notice { targets, notice } => {
-                send_to(&socket, &targets, &PeerMessage::News(notice)).await;
-            }
-        }
-    }
+while let Some(told) = news.recv().await {
+match told {
+ToldNews::Changes(told) => tell_set(&socket, told, &shared).await,
+ToldNews::Notice { targets, notice } => {
+send_to(&socket, &targets, &PeerMessage::News(notice)).await;
+}
+}
+}
 }
 
 async fn tell_set(socket: &UdpSocket, told: ToldChanges, shared: &GatewayShared) {
-    let ToldChanges { targets, changes, offer } = told;
-    let (revision, count) = (changes.revision, changes.changes.len());
-    let small = changes.changes.iter().filter(|it| EarlyChanges::may_precede(&it.change));
-    let small: Vec<CountedChange> = small.cloned().collect();
-    let mut is_offered = false;
-    let bytes = PeerMessage::Changes(changes).bytes().or_else(|error| {
-        is_offered = true;
-        shared.metrics.count_event("changes_too_large");
-        let early = small.len();
-        tracing::warn!(revision, count, early, error = %error, "changes have to be asked for");
-        PeerMessage::Early(small).bytes()
-    });
-    match bytes {
-        Ok(bytes) => {
-            let sum = (bytes.len() * targets.len()) as u64;
-            shared.metrics.count_event("changes_told");
-            shared.metrics.add_events("changes_told_bytes", sum);
-            for target in &targets {
-                send_bytes(socket, *target, &bytes).await;
-            }
-        }
-        Err(error) => tracing::warn!(revision, error = %error, "changes were not told"),
-    }
-    if is_offered {
-        send_to(socket, &targets, &PeerMessage::News(offer)).await;
-    }
+let ToldChanges { targets, changes, offer } = told;
+let (revision, count) = (changes.revision, changes.changes.len());
+let small = changes.changes.iter().filter(|it| EarlyChanges::may_precede(&it.change));
+let small: Vec<CountedChange> = small.cloned().collect();
+let mut is_offered = false;
+let bytes = PeerMessage::Changes(changes).bytes().or_else(|error| {
+is_offered = true;
+shared.metrics.count_event("changes_too_large");
+let early = small.len();
+tracing::warn!(revision, count, early, error = %error, "changes have to be asked for");
+PeerMessage::Early(small).bytes()
+});
+match bytes {
+Ok(bytes) => {
+let sum = (bytes.len() * targets.len()) as u64;
+shared.metrics.count_event("changes_told");
+shared.metrics.add_events("changes_told_bytes", sum);
+for target in &targets {
+send_bytes(socket, *target, &bytes).await;
+}
+}
+Err(error) => tracing::warn!(revision, error = %error, "changes were not told"),
+}
+if is_offered {
+send_to(socket, &targets, &PeerMessage::News(offer)).await;
+}
 }
 
 /// Tells the other VMs of the region of this one's requests at its upstreams.
 pub async fn send_reports(socket: Arc<UdpSocket>, keeper: KeeperAddress) {
-    let mut idle_rounds = 0;
-    let mut late = Duration::ZERO;
-    loop {
-        let Ok(planned) = keeper.send(PlanReport { late }).await else { return };
-        let PlannedReport { report, legs, far_targets, far_placements, region, interval } = planned;
-        let is_idle = !report.is_active() && legs.iter().all(|leg| leg.updates.is_empty());
-        // The first idle report says that the earlier requests have ended; later ones that this VM
-        // lives.
-        if !is_idle || idle_rounds % IDLE_ROUNDS == 0 {
-            for ReportBatch { targets, updates } in legs {
-                let ReportUpdates { placements, regions } = updates;
-                let report = LoadReport { placements, regions, ..report.clone() };
-                send_report(&socket, &targets, report).await;
-            }
-        }
-        for placements in fitting_chunks(far_placements) {
-            send_to(&socket, &far_targets, &PeerMessage::Placements(placements)).await;
-        }
-        if let Some(region) = region {
-            send_to(&socket, &far_targets, &PeerMessage::Region(region)).await;
-        }
-        idle_rounds = if is_idle { idle_rounds + 1 } else { 0 };
-        let slept = BootInstant::now();
-        sleep(interval).await;
-        late = slept.elapsed().saturating_sub(interval);
-    }
+let mut idle_rounds = 0;
+let mut late = Duration::ZERO;
+loop {
+let Ok(planned) = keeper.send(PlanReport { late }).await else { return };
+let PlannedReport { report, legs, far_targets, far_placements, region, interval } = planned;
+let is_idle = !report.is_active() && legs.iter().all(|leg| leg.updates.is_empty());
+// The first idle report says that the earlier requests have ended; later ones that this VM
+// lives.
+if !is_idle || idle_rounds % IDLE_ROUNDS == 0 {
+for ReportBatch { targets, updates } in legs {
+let ReportUpdates { placements, regions } = updates;
+let report = LoadReport { placements, regions, ..report.clone() };
+send_report(&socket, &targets, report).await;
+}
+}
+for placements in fitting_chunks(far_placements) {
+send_to(&socket, &far_targets, &PeerMessage::Placements(placements)).await;
+}
+if let Some(region) = region {
+send_to(&socket, &far_targets, &PeerMessage::Region(region)).await;
+}
+idle_rounds = if is_idle { idle_rounds + 1 } else { 0 };
+let slept = BootInstant::now();
+sleep(interval).await;
+late = slept.elapsed().saturating_sub(interval);
+}
 }
 
 /// Sends a load report. It is also the sign that this VM lives, and so must fit a datagram: prompts beyond that,
 /// which only make requests faster, are left out.
 async fn send_report(socket: &UdpSocket, targets: &[SocketAddr], mut report: LoadReport) {
-    let mut chunks = fitting_chunks(std::mem::take(&mut report.placements)).into_iter();
-    report.placements = chunks.next().unwrap_or_default();
-    let left_out: usize = chunks.map(|chunk| chunk.len()).sum();
-    if left_out > 0 {
-        tracing::warn!(placements = report.placements.len(), left_out, "a load report was cut");
-    }
-    send_to(socket, targets, &PeerMessage::Load(report)).await;
+let mut chunks = fitting_chunks(std::mem::take(&mut report.placements)).into_iter();
+report.placements = chunks.next().unwrap_or_default();
+let left_out: usize = chunks.map(|chunk| chunk.len()).sum();
+if left_out > 0 {
+tracing::warn!(placements = report.placements.len(), left_out, "a load report was cut");
+}
+send_to(socket, targets, &PeerMessage::Load(report)).await;
 }
 
 /// Prompts in portions of which each fits a datagram, with other things beside it.
 fn fitting_chunks(placements: Vec<PromptPlacement>) -> Vec<Vec<PromptPlacement>> {
-    let mut chunks: Vec<Vec<PromptPlacement>> = Vec::new();
-    let mut parts = MAX_PARTS;
-    for mut placement in placements {
-        // What is left is the beginning of the prompt, which is where prompts meet.
-        placement.shared.truncate(MAX_PARTS - 1);
-        let size = placement.shared.len() + 1;
-        match chunks.last_mut() {
-            Some(chunk) if parts + size <= MAX_PARTS => chunk.push(placement),
-            _ => {
-                parts = 0;
-                chunks.push(vec![placement]);
-            }
-        }
-        parts += size;
-    }
-    chunks
+let mut chunks: Vec<Vec<PromptPlacement>> = Vec::new();
+let mut parts = MAX_PARTS;
+for mut placement in placements {
+// What is left is the beginning of the prompt, which is where prompts meet.
+placement.shared.truncate(MAX_PARTS - 1);
+let size = placement.shared.len() + 1;
+match chunks.last_mut() {
+Some(chunk) if parts + size <= MAX_PARTS => chunk.push(placement),
+_ => {
+parts = 0;
+chunks.push(vec![placement]);
+}
+}
+parts += size;
+}
+chunks
 }
 
 /// Takes datagrams and hands them to the keeper.
 pub async fn hear_datagrams(
-    socket: Arc<UdpSocket>,
-    keeper: KeeperAddress,
-    shared: Arc<GatewayShared>,
+socket: Arc<UdpSocket>,
+keeper: KeeperAddress,
+shared: Arc<GatewayShared>,
 ) {
-    let mut buffer = vec![0; MAX_DATAGRAM];
-    loop {
-        let (length, sender) = match socket.recv_from(&mut buffer).await {
-            Ok(received) => received,
-            Err(error) => {
-                // An earlier datagram met a closed port; the socket goes on.
-                tracing::debug!(error = %error, "receiving a heartbeat failed");
-                continue;
-            }
-        };
-        let message = match PeerMessage::read(&buffer[..length]) {
-            Ok(message) => message,
-            Err(error) => {
-                shared.metrics.count_event("datagram_unreadable");
-                if shared.quota.take(true) {
-                    tracing::warn!(peer = %sender, error = %error, "a message could not be read");
-                }
-                continue;
-            }
-        };
-        if let Some(asker) = asker_of_all(&message) {
-            tell_starter(&socket, &shared, asker).await;
-        }
-        let message = match message {
-            PeerMessage::Suspects(telling) => {
-                hear_suspects(&shared, &telling);
-                continue;
-            }
-            message => message,
-        };
-        match hand_over(&keeper, message).await {
-            Ok(replies) => send_all(&socket, replies).await,
-            Err(_) => return,
-        }
-    }
+let mut buffer = vec![0; MAX_DATAGRAM];
+loop {
+let (length, sender) = match socket.recv_from(&mut buffer).await {
+Ok(received) => received,
+Err(error) => {
+// An earlier datagram met a closed port; the socket goes on.
+tracing::debug!(error = %error, "receiving a heartbeat failed");
+continue;
+}
+};
+let message = match PeerMessage::read(&buffer[..length]) {
+Ok(message) => message,
+Err(error) => {
+shared.metrics.count_event("datagram_unreadable");
+if shared.quota.take(true) {
+tracing::warn!(peer = %sender, error = %error, "a message could not be read");
+}
+continue;
+}
+};
+if let Some(asker) = asker_of_all(&message) {
+tell_starter(&socket, &shared, asker).await;
+}
+let message = match message {
+PeerMessage::Suspects(telling) => {
+hear_suspects(&shared, &telling);
+continue;
+}
+message => message,
+};
+match hand_over(&keeper, message).await {
+Ok(replies) => send_all(&socket, replies).await,
+Err(_) => return,
+}
+}
 }
 
 /// Messages with their receivers.
 type PlannedMessages = Vec<(SocketAddr, PeerMessage)>;
 
-fn beat_replies(replies: PlannedBeats) -> PlannedMessages {
-    replies.into_iter().map(|(target, beat)| (target, PeerMessage::Beat(beat))).collect()
+fn beat_replies(replies: PlannedHeartbeats) -> PlannedMessages {
+replies.into_iter().map(|(target, beat)| (target, PeerMessage::Beat(beat))).collect()
 }
 
 /// Hands a message to the keeper. Returns what is to be sent in reply.
 async fn hand_over(
-    keeper: &KeeperAddress,
-    message: PeerMessage,
+keeper: &KeeperAddress,
+message: PeerMessage,
 ) -> Result<PlannedMessages, xtra::Error> {
-    match message {
-        PeerMessage::Beat(message) => {
-            let replies = keeper.send(HearBeat { message }).await?;
-            return Ok(beat_replies(replies));
-        }
-        PeerMessage::View(notice) => {
-            let answer = keeper.send(HearView { notice }).await?;
-            return Ok(match answer {
-                ViewAnswer::Nothing => Vec::new(),
-                ViewAnswer::List(target, list) => vec![(target, PeerMessage::ViewList(list))],
-            });
-        }
-        PeerMessage::ViewList(list) => {
-            let replies = keeper.send(HearViewList { list }).await?;
-            return Ok(beat_replies(replies));
-        }
-        PeerMessage::Pact(notice) => {
-            let answer = keeper.send(HearPact { notice }).await?;
-            let answer = answer.map(|(target, notice)| (target, PeerMessage::Pact(notice)));
-            return Ok(answer.into_iter().collect());
-        }
-        PeerMessage::Changes(changes) => keeper.send(HearChanges { changes }).await?,
-        PeerMessage::Early(changes) => keeper.send(HearEarly { changes }).await?,
-        PeerMessage::Placements(placements) => keeper.send(HearPlacements { placements }).await?,
-        PeerMessage::Region(report) => keeper.send(HearRegion { report }).await?,
-        PeerMessage::Load(report) => keeper.send(HearLoad { report }).await?,
-        PeerMessage::News(notice) => keeper.send(HearNews { notice }).await?,
-        PeerMessage::Demand(demand) => keeper.send(HearNearDemand { demand }).await?,
-        PeerMessage::RegionDemand(demand) => keeper.send(HearRegionDemand { demand }).await?,
-        PeerMessage::Limits(limits) => keeper.send(HearLimits { limits }).await?,
-        PeerMessage::Leavers(leavers) => keeper.send(HearLeavers { leavers }).await?,
-        PeerMessage::Suspects(_) => {}
-    }
-    Ok(PlannedMessages::new())
+match message {
+PeerMessage::Beat(message) => {
+let replies = keeper.send(HearBeat { message }).await?;
+return Ok(beat_replies(replies));
+}
+PeerMessage::View(notice) => {
+let answer = keeper.send(HearView { notice }).await?;
+return Ok(match answer {
+ViewAnswer::Nothing => Vec::new(),
+ViewAnswer::List(target, list) => vec![(target, PeerMessage::ViewList(list))],
+});
+}
+PeerMessage::ViewList(list) => {
+let replies = keeper.send(HearViewList { list }).await?;
+return Ok(beat_replies(replies));
+}
+PeerMessage::Pact(notice) => {
+let answer = keeper.send(HearPact { notice }).await?;
+let answer = answer.map(|(target, notice)| (target, PeerMessage::Pact(notice)));
+return Ok(answer.into_iter().collect());
+}
+PeerMessage::Changes(changes) => keeper.send(HearChanges { changes }).await?,
+PeerMessage::Early(changes) => keeper.send(HearEarly { changes }).await?,
+PeerMessage::Placements(placements) => keeper.send(HearPlacements { placements }).await?,
+PeerMessage::Region(report) => keeper.send(HearRegion { report }).await?,
+PeerMessage::Load(report) => keeper.send(HearLoad { report }).await?,
+PeerMessage::News(notice) => keeper.send(HearNews { notice }).await?,
+PeerMessage::Demand(demand) => keeper.send(HearNearDemand { demand }).await?,
+PeerMessage::RegionDemand(demand) => keeper.send(HearRegionDemand { demand }).await?,
+PeerMessage::Limits(limits) => keeper.send(HearLimits { limits }).await?,
+PeerMessage::Leavers(leavers) => keeper.send(HearLeavers { leavers }).await?,
+PeerMessage::Suspects(_) => {}
+}
+Ok(PlannedMessages::new())
 }
 
 /// The address of a VM that has just started and asks for all there is to know.
 fn asker_of_all(message: &PeerMessage) -> Option<SocketAddr> {
-    match message {
-        PeerMessage::Beat(beat) if beat.asks == AskedBeats::All => Some(beat.own.peer),
-        _ => None,
-    }
+match message {
+PeerMessage::Beat(beat) if beat.requests == RequestedHeartbeats::All => Some(beat.own.peer),
+_ => None,
+}
 }
 
 /// Tells a VM that has just started which requests are held back, also when there are none: it waits for that.
 async fn tell_starter(socket: &UdpSocket, shared: &GatewayShared, starter: SocketAddr) {
-    let records = shared.suspects.told_to_starter();
-    let telling = SuspectTelling { region: shared.settings.region().clone(), records };
-    send_to(socket, &[starter], &PeerMessage::Suspects(telling)).await;
+let records = shared.suspects.told_to_starter();
+let telling = SuspectTelling { region: shared.settings.region().clone(), records };
+send_to(socket, &[starter], &PeerMessage::Suspects(telling)).await;
 }
 
 /// Takes in what another VM tells of suspected requests.
 fn hear_suspects(shared: &GatewayShared, telling: &SuspectTelling) {
-    let source = match telling.region == *shared.settings.region() {
-        true => RecordSource::Near,
-        false => RecordSource::Far,
-    };
-    shared.suspects.hear(&telling.records, source, &shared.change_context());
+let source = match telling.region == *shared.settings.region() {
+true => RecordSource::Local,
+false => RecordSource::Remote,
+};
+shared.suspects.hear(&telling.records, source, &shared.change_context());
 }
 
 /// Sends heartbeats in rounds, and at once when this daemon starts to leave.
 pub async fn send_beats(socket: Arc<UdpSocket>, keeper: KeeperAddress, shared: Arc<GatewayShared>) {
-    let mut stage = shared.stage.subscribe();
-    let mut pause = LEARNING_INTERVAL;
-    loop {
-        let to_all = tokio::select! {
-            () = sleep(pause) => false,
-            Ok(()) = stage.changed() => true,
-            () = shared.wake.await_found() => false,
-        };
-        let Ok(round) = keeper.send(PlanBeats { to_all }).await else { return };
-        pause = round.pause;
-        let targets: Vec<SocketAddr> = round.beats.iter().map(|(target, _)| *target).collect();
-        send_all(&socket, beat_replies(round.beats)).await;
-        send_to(&socket, &round.view_targets, &PeerMessage::View(round.view)).await;
-        if let Some(news) = round.news {
-            send_to(&socket, &targets, &PeerMessage::News(news)).await;
-        }
-    }
+let mut stage = shared.stage.subscribe();
+let mut pause = LEARNING_INTERVAL;
+loop {
+let to_all = tokio::select! {
+() = sleep(pause) => false,
+Ok(()) = stage.changed() => true,
+() = shared.wake.await_found() => false,
+};
+let Ok(round) = keeper.send(PlanBeats { to_all }).await else { return };
+pause = round.pause;
+let targets: Vec<SocketAddr> = round.beats.iter().map(|(target, _)| *target).collect();
+send_all(&socket, beat_replies(round.beats)).await;
+send_to(&socket, &round.view_targets, &PeerMessage::View(round.view)).await;
+if let Some(news) = round.news {
+send_to(&socket, &targets, &PeerMessage::News(news)).await;
+}
+}
 }
 
 /// Tells the VMs that share the limits of the region which list of them this one holds, while a limit of an upstream is in
 /// use.
 pub async fn send_pacts(
-    socket: Arc<UdpSocket>,
-    keeper: KeeperAddress,
-    mut is_used: watch::Receiver<bool>,
+socket: Arc<UdpSocket>,
+keeper: KeeperAddress,
+mut is_used: watch::Receiver<bool>,
 ) {
-    loop {
-        if is_used.wait_for(|is_used| *is_used).await.is_err() {
-            return;
-        }
-        let Ok(planned) = keeper.send(PlanPact).await else { return };
-        for (target, notice) in planned {
-            send_to(&socket, &[target], &PeerMessage::Pact(notice)).await;
-        }
-        sleep(AGREEMENT_INTERVAL).await;
-    }
+loop {
+if is_used.wait_for(|is_used| *is_used).await.is_err() {
+return;
+}
+let Ok(planned) = keeper.send(PlanPact).await else { return };
+for (target, notice) in planned {
+send_to(&socket, &[target], &PeerMessage::Pact(notice)).await;
+}
+sleep(AGREEMENT_INTERVAL).await;
+}
 }
 
 /// Tells other VMs what the callers of limited accounts want.
 pub async fn send_demands(socket: Arc<UdpSocket>, keeper: KeeperAddress) {
-    loop {
-        let Ok(planned) = keeper.send(PlanDemands).await else { return };
-        if let Some(near) = planned.near {
-            send_near_demand(&socket, &planned.near_targets, near).await;
-        }
-        if let Some(far) = planned.far {
-            send_to(&socket, &planned.far_targets, &PeerMessage::RegionDemand(far)).await;
-        }
-        sleep(DEMAND_INTERVAL).await;
-    }
+loop {
+let Ok(planned) = keeper.send(PlanDemands).await else { return };
+if let Some(near) = planned.near {
+send_near_demand(&socket, &planned.near_targets, near).await;
+}
+if let Some(far) = planned.far {
+send_to(&socket, &planned.far_targets, &PeerMessage::RegionDemand(far)).await;
+}
+sleep(DEMAND_INTERVAL).await;
+}
 }
 
 /// Sends what one VM tells its region; in messages of one part each where all together may not fit a datagram.
 async fn send_near_demand(socket: &UdpSocket, targets: &[SocketAddr], demand: LocalDemand) {
-    let own = demand.own.as_ref().map_or(0, |own| own.demands.len());
-    let wants: usize = own + demand.regions.iter().map(|it| it.demands.len()).sum::<usize>();
-    if wants <= MAX_ACCOUNTS_PER_MESSAGE {
-        send_to(socket, targets, &PeerMessage::Demand(demand)).await;
-        return;
-    }
-    let LocalDemand { own, regions } = demand;
-    let own = own.map(|own| LocalDemand { own: Some(own), regions: Vec::new() });
-    let regions = regions.into_iter().map(|it| LocalDemand { own: None, regions: vec![it] });
-    for part in own.into_iter().chain(regions) {
-        send_to(socket, targets, &PeerMessage::Demand(part)).await;
-    }
+let own = demand.own.as_ref().map_or(0, |own| own.demands.len());
+let wants: usize = own + demand.regions.iter().map(|it| it.demands.len()).sum::<usize>();
+if wants <= MAX_ACCOUNTS_PER_MESSAGE {
+send_to(socket, targets, &PeerMessage::Demand(demand)).await;
+return;
+}
+let LocalDemand { own, regions } = demand;
+let own = own.map(|own| LocalDemand { own: Some(own), regions: Vec::new() });
+let regions = regions.into_iter().map(|it| LocalDemand { own: None, regions: vec![it] });
+for part in own.into_iter().chain(regions) {
+send_to(socket, targets, &PeerMessage::Demand(part)).await;
+}
 }
 
 /// Sends a message to some VMs. Returns how many bytes it has.
 pub async fn send_to(socket: &UdpSocket, targets: &[SocketAddr], message: &PeerMessage) -> usize {
-    let bytes = match message.bytes() {
-        Ok(bytes) => bytes,
-        Err(error) => {
-            tracing::warn!(error = %error, "a message was not sent");
-            return 0;
-        }
-    };
-    for target in targets {
-        send_bytes(socket, *target, &bytes).await;
-    }
-    bytes.len()
+let bytes = match message.bytes() {
+Ok(bytes) => bytes,
+Err(error) => {
+tracing::warn!(error = %error, "a message was not sent");
+return 0;
+}
+};
+for target in targets {
+send_bytes(socket, *target, &bytes).await;
+}
+bytes.len()
 }
 
 async fn send_all(socket: &UdpSocket, planned: PlannedMessages) {
-    for (target, message) in planned {
-        send_to(socket, &[target], &message).await;
-    }
+for (target, message) in planned {
+send_to(socket, &[target], &message).await;
+}
 }
 
 /// Sends a datagram; one that is lost is made up for like one that was never sent.
 async fn send_bytes(socket: &UdpSocket, target: SocketAddr, bytes: &[u8]) {
-    if let Err(error) = socket.send_to(bytes, target).await {
-        tracing::debug!(peer = %target, error = %error, "sending to a peer failed");
-    }
+if let Err(error) = socket.send_to(bytes, target).await {
+tracing::debug!(peer = %target, error = %error, "sending to a peer failed");
+}
 }
