--- a/crates/foldhaven-gateway/src/attempts/mod.rs
+++ b/crates/foldhaven-gateway/src/attempts/mod.rs
@@ -21,7 +21,9 @@
 use crate::clock::BootInstant;
 use crate::credential::{KeyState, key_state};
 use crate::job::GatewayJob;
-use crate::places::{PlaceChoice, RequestPlace, TriedPlaces, choose_place, describe_places};
+use crate::places::{
+    DestinationChoice, RequestDestination, TriedDestinations, choose_place, describe_places,
+};
 use crate::shared::GatewayShared;
 use crate::upstream::{GuestSeat, LoadSeat};
 use crate::view::GatewayView;
@@ -58,7 +60,7 @@
 }
 
 impl LoggedChoice {
-    fn of(chosen: &PlaceChoice) -> Self {
+    fn of(chosen: &DestinationChoice) -> Self {
         Self {
             first_ms: chosen.first.as_millis() as u64,
             read_tokens: chosen.read_tokens,
@@ -71,7 +73,7 @@
 /// An answer that is being read, with the place that gives it.
 pub struct PlacedAnswer {
     pub answer: OpenAnswer,
-    pub place: RequestPlace,
+    pub place: RequestDestination,
     /// Counts the request at its place until the answer ends.
     pub seat: LoadSeat,
     /// Notes it at its upstream, where it is at one.
@@ -126,7 +128,7 @@
 pub struct RequestDriver {
     pub shared: Arc<GatewayShared>,
     pub job: GatewayJob,
-    tried: TriedPlaces,
+    tried: TriedDestinations,
     /// How many tries may have reached an upstream or another VM.
     pub arrivals: u32,
     /// How many tries ended with their connection.
@@ -152,7 +154,7 @@
         Self {
             shared,
             job,
-            tried: TriedPlaces::default(),
+            tried: TriedDestinations::default(),
             arrivals: 0,
             breaks: 0,
             is_trial: false,
@@ -250,7 +252,7 @@
 
     /// Chooses the place of the next try, and notes it; nothing while a VM that could run the request may
     /// still be heard of, or what is believed is not of now.
-    fn choose(&mut self) -> Result<Option<PlaceChoice>, Refusal> {
+    fn choose(&mut self) -> Result<Option<DestinationChoice>, Refusal> {
         if !self.shared.is_awake() {
             return Ok(None);
         }
--- a/crates/foldhaven-gateway/src/attempts/notes.rs
+++ b/crates/foldhaven-gateway/src/attempts/notes.rs
@@ -14,7 +14,7 @@
 use crate::call::{CallFault, OpenAnswer};
 use crate::clock::BootInstant;
 use crate::metrics::{RequestBurn, RequestEnd};
-use crate::places::{RequestPlace, TOLD_TOKENS};
+use crate::places::{RequestDestination, TOLD_TOKENS};
 use crate::upstream::Upstream;
 use crate::upstream_ends::look_into_end;
 
@@ -23,8 +23,9 @@
 
 impl RequestDriver {
     /// Remembers, and tells others, where the parts of a prompt will be held.
-    pub(super) fn note_placement(&self, place: &RequestPlace) {
-        let (RequestPlace::Upstream(upstream), Some(outline)) = (place, &self.job.outline) else {
+    pub(super) fn note_placement(&self, place: &RequestDestination) {
+        let (RequestDestination::Upstream(upstream), Some(outline)) = (place, &self.job.outline)
+        else {
             return;
         };
         let placement = PromptPlacement {
@@ -59,8 +60,13 @@
     }
 
     /// Notes that a place has begun its answer.
-    pub fn note_first(&self, place: &RequestPlace, expected: ExpectedFirst, sent: BootInstant) {
-        if let RequestPlace::Upstream(upstream) = place
+    pub fn note_first(
+        &self,
+        place: &RequestDestination,
+        expected: ExpectedFirst,
+        sent: BootInstant,
+    ) {
+        if let RequestDestination::Upstream(upstream) = place
             && expected.rank == QueueRank::Timely
         {
             let took = sent.elapsed();
@@ -72,8 +78,8 @@
     }
 
     /// Notes that a place answered whole.
-    pub fn note_success(&self, place: &RequestPlace, sent: BootInstant) {
-        if let RequestPlace::Upstream(upstream) = place {
+    pub fn note_success(&self, place: &RequestDestination, sent: BootInstant) {
+        if let RequestDestination::Upstream(upstream) = place {
             let usual = self.note_route_end(false);
             upstream.pace.lock().note_end(false, usual, self.shared.now());
             upstream.health.lock().succeed();
@@ -82,9 +88,9 @@
     }
 
     /// Notes that a place answered with a failure of its own.
-    pub(super) fn note_failed_answer(&mut self, place: &RequestPlace, status: StatusCode) {
+    pub(super) fn note_failed_answer(&mut self, place: &RequestDestination, status: StatusCode) {
         self.last_fault = Some(format!("the upstream answered {status}"));
-        if let RequestPlace::Upstream(upstream) = place {
+        if let RequestDestination::Upstream(upstream) = place {
             self.note_failure(upstream);
         }
     }
@@ -152,11 +158,11 @@
     }
 
     /// Notes what a fault says of its place.
-    pub(super) fn note_fault(&mut self, place: &RequestPlace, fault: &CallFault) {
+    pub(super) fn note_fault(&mut self, place: &RequestDestination, fault: &CallFault) {
         self.last_fault = Some(fault.to_string());
         self.may_have_run |= fault.may_have_run();
         self.breaks += u32::from(matches!(fault, CallFault::Broken(_)));
-        let RequestPlace::Upstream(upstream) = place else { return };
+        let RequestDestination::Upstream(upstream) = place else { return };
         let now = self.shared.now();
         match fault {
             CallFault::NotSent(_) => upstream.note_unreachable(now),
--- a/crates/foldhaven-gateway/src/attempts/requests.rs
+++ b/crates/foldhaven-gateway/src/attempts/requests.rs
@@ -15,7 +15,7 @@
 use crate::clock::{BootInstant, timeout};
 use crate::credential::print_value;
 use crate::names::HeaderNames;
-use crate::places::{PlaceChoice, RequestPlace};
+use crate::places::{DestinationChoice, RequestDestination};
 use crate::upstream::{GuestSeat, Upstream};
 use crate::upstream_listener::{DeafListener, UpstreamListener};
 
@@ -29,10 +29,10 @@
     /// Sends the request to a place and waits for the head of the answer.
     pub(super) async fn call(
         &mut self,
-        chosen: PlaceChoice,
+        chosen: DestinationChoice,
         resume_after: Option<&str>,
     ) -> Result<PlacedAnswer, CallFault> {
-        let PlaceChoice { place, first, read_tokens, queue, rank, until_answer, fetch_from } =
+        let DestinationChoice { place, first, read_tokens, queue, rank, until_answer, fetch_from } =
             chosen;
         let mut request = self.make_request(&place, resume_after, rank);
         if let Some(holder) = fetch_from {
@@ -50,16 +50,16 @@
         let sent = BootInstant::now();
         let opening = open_call(&target, request, &self.shared.names, self.job.deadline);
         let opened = match &place {
-            RequestPlace::Upstream(upstream) => {
+            RequestDestination::Upstream(upstream) => {
                 let answered = self.watch(upstream, first, opening);
                 self.unless_called_back(answered).await
             }
-            RequestPlace::Peer(_) => opening.await,
+            RequestDestination::Peer(_) => opening.await,
         };
         if opened.as_ref().is_err_and(CallFault::is_unmet) {
             self.arrivals -= 1;
         }
-        if let RequestPlace::Upstream(upstream) = &place {
+        if let RequestDestination::Upstream(upstream) = &place {
             self.note_room(upstream, queue, &opened);
         }
         if opened.as_ref().is_err_and(|fault| !fault.may_have_run()) {
@@ -73,19 +73,19 @@
 
     /// Hears what the place says in its answer. Another VM passes on what an upstream of its region says, which that VM
     /// hears itself.
-    fn listener(&self, place: &RequestPlace) -> Box<dyn HeadListener> {
+    fn listener(&self, place: &RequestDestination) -> Box<dyn HeadListener> {
         match place {
-            RequestPlace::Upstream(upstream) => {
+            RequestDestination::Upstream(upstream) => {
                 Box::new(UpstreamListener::new(self.shared.clone(), upstream.clone()))
             }
-            RequestPlace::Peer(_) => Box::new(DeafListener),
+            RequestDestination::Peer(_) => Box::new(DeafListener),
         }
     }
 
     /// The request with the headers that are set for each try.
     fn make_request(
         &self,
-        place: &RequestPlace,
+        place: &RequestDestination,
         resume_after: Option<&str>,
         rank: QueueRank,
     ) -> Request<Full<Bytes>> {
@@ -99,13 +99,13 @@
             map.insert(&names.last_event, event);
         }
         match place {
-            RequestPlace::Upstream(upstream) => {
+            RequestDestination::Upstream(upstream) => {
                 if let Some(value) = HeaderNames::rank_value(rank) {
                     map.insert(&names.rank, HeaderValue::from(value));
                 }
                 map.insert(&names.expected_upstream, text_value(upstream.name().as_str()));
             }
-            RequestPlace::Peer(_) => {
+            RequestDestination::Peer(_) => {
                 let centre: &DataCentreName = &self.shared.settings.data_centre;
                 map.insert(headers::VISITED, text_value(centre.as_str()));
                 map.insert(headers::SERVICE, text_value(job.service.as_str()));
--- a/crates/foldhaven-gateway/src/attempts/suspicion.rs
+++ b/crates/foldhaven-gateway/src/attempts/suspicion.rs
@@ -8,7 +8,7 @@
 use super::RequestDriver;
 use crate::answer::Refusal;
 use crate::call::{CallFault, OpenAnswer};
-use crate::places::RequestPlace;
+use crate::places::RequestDestination;
 use crate::upstream::GuestSeat;
 
 impl RequestDriver {
@@ -25,8 +25,8 @@
 
     /// Begins a trial where one is due. Only the VM that sends to the upstream itself does: the others are told before
     /// the request is there.
-    pub(super) fn begin_trial(&mut self, place: &RequestPlace) -> Result<(), Refusal> {
-        if self.is_trial || matches!(place, RequestPlace::Peer(_)) {
+    pub(super) fn begin_trial(&mut self, place: &RequestDestination) -> Result<(), Refusal> {
+        if self.is_trial || matches!(place, RequestDestination::Peer(_)) {
             return Ok(());
         }
         let verdict = self.shared.suspects.judge(&self.job.print, &self.shared.change_context());
@@ -72,8 +72,8 @@
     }
 
     /// Notes the request at an upstream, until the guard is dropped.
-    pub(super) fn admit(&self, place: &RequestPlace) -> Option<GuestSeat> {
-        let RequestPlace::Upstream(upstream) = place else { return None };
+    pub(super) fn admit(&self, place: &RequestDestination) -> Option<GuestSeat> {
+        let RequestDestination::Upstream(upstream) = place else { return None };
         Some(Arc::clone(upstream).admit(self.job.print, self.shared.clock))
     }
 
--- a/crates/foldhaven-gateway/src/daemon.rs
+++ b/crates/foldhaven-gateway/src/daemon.rs
@@ -22,7 +22,7 @@
 use crate::directory::{DirectoryCodec, DirectoryHandler};
 use crate::feed::{FeedSink, PlatformFeed};
 use crate::front::{FrontHandler, serve_front};
-use crate::keeper::{ControlKeeper, KeeperAddress, TickKeeper};
+use crate::keeper::{ControlActor, ControlAddress, TickControl};
 use crate::names::HeaderNames;
 use crate::news_teller::tell_until_end;
 use crate::operator_front::OperatorHandler;
@@ -151,19 +151,19 @@
 ) {
     let incarnation = new_incarnation();
     let (news, told) = mpsc::unbounded_channel();
-    let keeper = ControlKeeper::new(shared.clone(), incarnation, news);
-    let turns = keeper.turns();
-    let is_rate_used = keeper.rate_watch();
-    let address = xtra::spawn_tokio(keeper, Mailbox::unbounded());
+    let control = ControlActor::new(shared.clone(), incarnation, news);
+    let turns = control.turns();
+    let is_rate_used = control.rate_watch();
+    let address = xtra::spawn_tokio(control, Mailbox::unbounded());
     tokio::spawn(hear_datagrams(socket.clone(), address.clone(), shared.clone()));
     tokio::spawn(tell_changes(socket.clone(), told, shared.clone()));
     tokio::spawn(send_reports(socket.clone(), address.clone()));
-    let keeper = address.clone();
-    let suspects = SuspectTeller { socket: socket.clone(), keeper, shared: shared.clone() };
+    let control = address.clone();
+    let suspects = SuspectTeller { socket: socket.clone(), control, shared: shared.clone() };
     tokio::spawn(tell_until_end(suspects));
     tokio::spawn(send_pacts(socket.clone(), address.clone(), is_rate_used));
-    let keeper = address.clone();
-    let signals = SignalTeller { socket: socket.clone(), keeper, shared: shared.clone() };
+    let control = address.clone();
+    let signals = SignalTeller { socket: socket.clone(), control, shared: shared.clone() };
     tokio::spawn(tell_until_end(signals));
     tokio::spawn(send_demands(socket.clone(), address.clone()));
     tokio::spawn(send_beats(socket, address.clone(), shared.clone()));
@@ -173,12 +173,12 @@
     feed.run(FeedSink::new(address, turns)).await;
 }
 
-async fn tick(keeper: KeeperAddress) {
+async fn tick(control: ControlAddress) {
     let mut interval = tokio::time::interval(TICK);
     interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         interval.tick().await;
-        if keeper.send(TickKeeper).await.is_err() {
+        if control.send(TickControl).await.is_err() {
             return;
         }
     }
--- a/crates/foldhaven-gateway/src/datagrams.rs
+++ b/crates/foldhaven-gateway/src/datagrams.rs
@@ -18,9 +18,11 @@
 use crate::clock::BootInstant;
 use crate::feed::CountedChange;
 use crate::keeper::{
-    HearBeat, HearChanges, HearEarly, HearLeavers, HearLimits, HearLoad, HearNearDemand, HearNews,
-    HearPact, HearPlacements, HearRegion, HearRegionDemand, HearView, HearViewList, KeeperAddress,
-    PlanBeats, PlanDemands, PlanPact, PlanReport, PlannedReport, ToldChanges, ToldNews,
+    ControlAddress, OutgoingChanges, OutgoingUpdate, PlanAgreementRound, PlanDemandReports,
+    PlanHeartbeats, PlanLoadReport, PlannedLoadReport, ReceiveAgreement, ReceiveChanges,
+    ReceiveEarlyChanges, ReceiveHeartbeat, ReceiveLeavingNotices, ReceiveLimits, ReceiveLoadReport,
+    ReceiveLocalDemand, ReceivePlacements, ReceiveRegionDemand, ReceiveRegionReport,
+    ReceiveRevisionNotice, ReceiveView, ReceiveViewList,
 };
 use crate::known::EarlyChanges;
 use crate::peer_message::{MAX_DATAGRAM, PeerMessage, SuspectTelling};
@@ -36,21 +38,21 @@
 /// a datagram are asked for; what must not wait for that goes ahead.
 pub async fn tell_changes(
     socket: Arc<UdpSocket>,
-    mut news: mpsc::UnboundedReceiver<ToldNews>,
+    mut news: mpsc::UnboundedReceiver<OutgoingUpdate>,
     shared: Arc<GatewayShared>,
 ) {
     while let Some(told) = news.recv().await {
         match told {
-            ToldNews::Changes(told) => tell_set(&socket, told, &shared).await,
-            ToldNews::Notice { targets, notice } => {
+            OutgoingUpdate::Changes(told) => tell_set(&socket, told, &shared).await,
+            OutgoingUpdate::Notice { targets, notice } => {
                 send_to(&socket, &targets, &PeerMessage::News(notice)).await;
             }
         }
     }
 }
 
-async fn tell_set(socket: &UdpSocket, told: ToldChanges, shared: &GatewayShared) {
-    let ToldChanges { targets, changes, offer } = told;
+async fn tell_set(socket: &UdpSocket, told: OutgoingChanges, shared: &GatewayShared) {
+    let OutgoingChanges { targets, changes, offer } = told;
     let (revision, count) = (changes.revision, changes.changes.len());
     let small = changes.changes.iter().filter(|it| EarlyChanges::may_precede(&it.change));
     let small: Vec<CountedChange> = small.cloned().collect();
@@ -79,12 +81,13 @@
 }
 
 /// Tells the other VMs of the region of this one's requests at its upstreams.
-pub async fn send_reports(socket: Arc<UdpSocket>, keeper: KeeperAddress) {
+pub async fn send_reports(socket: Arc<UdpSocket>, control: ControlAddress) {
     let mut idle_rounds = 0;
     let mut late = Duration::ZERO;
     loop {
-        let Ok(planned) = keeper.send(PlanReport { late }).await else { return };
-        let PlannedReport { report, legs, far_targets, far_placements, region, interval } = planned;
+        let Ok(planned) = control.send(PlanLoadReport { late }).await else { return };
+        let PlannedLoadReport { report, legs, far_targets, far_placements, region, interval } =
+            planned;
         let is_idle = !report.is_active() && legs.iter().all(|leg| leg.news.is_empty());
         // The first idle report says that the earlier requests have ended; later ones that this VM
         // lives.
@@ -143,7 +146,7 @@
 /// Takes datagrams and hands them to the keeper.
 pub async fn hear_datagrams(
     socket: Arc<UdpSocket>,
-    keeper: KeeperAddress,
+    control: ControlAddress,
     shared: Arc<GatewayShared>,
 ) {
     let mut buffer = vec![0; MAX_DATAGRAM];
@@ -176,7 +179,7 @@
             }
             message => message,
         };
-        match hand_over(&keeper, message).await {
+        match hand_over(&control, message).await {
             Ok(replies) => send_all(&socket, replies).await,
             Err(_) => return,
         }
@@ -192,40 +195,42 @@
 
 /// Hands a message to the keeper. Returns what is to be sent in reply.
 async fn hand_over(
-    keeper: &KeeperAddress,
+    control: &ControlAddress,
     message: PeerMessage,
 ) -> Result<PlannedMessages, xtra::Error> {
     match message {
         PeerMessage::Beat(message) => {
-            let replies = keeper.send(HearBeat { message }).await?;
+            let replies = control.send(ReceiveHeartbeat { message }).await?;
             return Ok(beat_replies(replies));
         }
         PeerMessage::View(notice) => {
-            let answer = keeper.send(HearView { notice }).await?;
+            let answer = control.send(ReceiveView { notice }).await?;
             return Ok(match answer {
                 ViewAnswer::Nothing => Vec::new(),
                 ViewAnswer::List(target, list) => vec![(target, PeerMessage::ViewList(list))],
             });
         }
         PeerMessage::ViewList(list) => {
-            let replies = keeper.send(HearViewList { list }).await?;
+            let replies = control.send(ReceiveViewList { list }).await?;
             return Ok(beat_replies(replies));
         }
         PeerMessage::Pact(notice) => {
-            let answer = keeper.send(HearPact { notice }).await?;
+            let answer = control.send(ReceiveAgreement { notice }).await?;
             let answer = answer.map(|(target, notice)| (target, PeerMessage::Pact(notice)));
             return Ok(answer.into_iter().collect());
         }
-        PeerMessage::Changes(changes) => keeper.send(HearChanges { changes }).await?,
-        PeerMessage::Early(changes) => keeper.send(HearEarly { changes }).await?,
-        PeerMessage::Placements(placements) => keeper.send(HearPlacements { placements }).await?,
-        PeerMessage::Region(report) => keeper.send(HearRegion { report }).await?,
-        PeerMessage::Load(report) => keeper.send(HearLoad { report }).await?,
-        PeerMessage::News(notice) => keeper.send(HearNews { notice }).await?,
-        PeerMessage::Demand(demand) => keeper.send(HearNearDemand { demand }).await?,
-        PeerMessage::RegionDemand(demand) => keeper.send(HearRegionDemand { demand }).await?,
-        PeerMessage::Limits(limits) => keeper.send(HearLimits { limits }).await?,
-        PeerMessage::Leavers(leavers) => keeper.send(HearLeavers { leavers }).await?,
+        PeerMessage::Changes(changes) => control.send(ReceiveChanges { changes }).await?,
+        PeerMessage::Early(changes) => control.send(ReceiveEarlyChanges { changes }).await?,
+        PeerMessage::Placements(placements) => {
+            control.send(ReceivePlacements { placements }).await?
+        }
+        PeerMessage::Region(report) => control.send(ReceiveRegionReport { report }).await?,
+        PeerMessage::Load(report) => control.send(ReceiveLoadReport { report }).await?,
+        PeerMessage::News(notice) => control.send(ReceiveRevisionNotice { notice }).await?,
+        PeerMessage::Demand(demand) => control.send(ReceiveLocalDemand { demand }).await?,
+        PeerMessage::RegionDemand(demand) => control.send(ReceiveRegionDemand { demand }).await?,
+        PeerMessage::Limits(limits) => control.send(ReceiveLimits { limits }).await?,
+        PeerMessage::Leavers(leavers) => control.send(ReceiveLeavingNotices { leavers }).await?,
         PeerMessage::Suspects(_) => {}
     }
     Ok(PlannedMessages::new())
@@ -256,7 +261,11 @@
 }
 
 /// Sends heartbeats in rounds, and at once when this daemon starts to leave.
-pub async fn send_beats(socket: Arc<UdpSocket>, keeper: KeeperAddress, shared: Arc<GatewayShared>) {
+pub async fn send_beats(
+    socket: Arc<UdpSocket>,
+    control: ControlAddress,
+    shared: Arc<GatewayShared>,
+) {
     let mut stage = shared.stage.subscribe();
     let mut pause = LEARNING_INTERVAL;
     loop {
@@ -265,7 +274,7 @@
             Ok(()) = stage.changed() => true,
             () = shared.wake.await_found() => false,
         };
-        let Ok(round) = keeper.send(PlanBeats { to_all }).await else { return };
+        let Ok(round) = control.send(PlanHeartbeats { to_all }).await else { return };
         pause = round.pause;
         let targets: Vec<SocketAddr> = round.beats.iter().map(|(target, _)| *target).collect();
         send_all(&socket, beat_replies(round.beats)).await;
@@ -280,14 +289,14 @@
 /// use.
 pub async fn send_pacts(
     socket: Arc<UdpSocket>,
-    keeper: KeeperAddress,
+    control: ControlAddress,
     mut is_used: watch::Receiver<bool>,
 ) {
     loop {
         if is_used.wait_for(|is_used| *is_used).await.is_err() {
             return;
         }
-        let Ok(planned) = keeper.send(PlanPact).await else { return };
+        let Ok(planned) = control.send(PlanAgreementRound).await else { return };
         for (target, notice) in planned {
             send_to(&socket, &[target], &PeerMessage::Pact(notice)).await;
         }
@@ -296,9 +305,9 @@
 }
 
 /// Tells other VMs what the callers of limited accounts want.
-pub async fn send_demands(socket: Arc<UdpSocket>, keeper: KeeperAddress) {
+pub async fn send_demands(socket: Arc<UdpSocket>, control: ControlAddress) {
     loop {
-        let Ok(planned) = keeper.send(PlanDemands).await else { return };
+        let Ok(planned) = control.send(PlanDemandReports).await else { return };
         if let Some(near) = planned.near {
             send_near_demand(&socket, &planned.near_targets, near).await;
         }
--- a/crates/foldhaven-gateway/src/events.rs
+++ b/crates/foldhaven-gateway/src/events.rs
@@ -20,7 +20,7 @@
 use crate::call::ConnectionLease;
 use crate::clock::{BootInstant, BootSleep};
 use crate::metrics::RequestEnd;
-use crate::places::RequestPlace;
+use crate::places::RequestDestination;
 use crate::shared::InFlightGuard;
 use crate::upstream::{GuestSeat, LoadSeat, Upstream};
 
@@ -51,7 +51,7 @@
 struct ReadingState {
     body: Incoming,
     lease: ConnectionLease,
-    place: RequestPlace,
+    place: RequestDestination,
     seat: LoadSeat,
     guest: Option<GuestSeat>,
     expected: ExpectedFirst,
@@ -279,7 +279,7 @@
         let (RelayState::Reading(reading), Some(driver)) = (&mut self.state, &self.driver) else {
             return;
         };
-        if let (RequestPlace::Upstream(upstream), Some(wanted), true) =
+        if let (RequestDestination::Upstream(upstream), Some(wanted), true) =
             (&reading.place, driver.job.route.event_gap, reading.has_begun)
         {
             let is_long = self.last_news.elapsed() > wanted;
@@ -297,7 +297,7 @@
     /// Notes how many requests the upstream has.
     fn note_load(&mut self) {
         let RelayState::Reading(reading) = &mut self.state else { return };
-        let RequestPlace::Upstream(upstream) = &reading.place else { return };
+        let RequestDestination::Upstream(upstream) = &reading.place else { return };
         reading.begun.get_or_insert_with(|| (BootInstant::now(), self.blocks.count()));
         let queue = upstream.queue();
         reading.loads.0 += u64::from(queue.in_flight);
@@ -339,7 +339,7 @@
     /// The upstream that events are read from.
     fn reading_from(&self) -> Option<(&RequestDriver, &Arc<Upstream>)> {
         let RelayState::Reading(reading) = &self.state else { return None };
-        let RequestPlace::Upstream(upstream) = &reading.place else { return None };
+        let RequestDestination::Upstream(upstream) = &reading.place else { return None };
         Some((self.driver.as_ref()?, upstream))
     }
 
--- a/crates/foldhaven-gateway/src/feed.rs
+++ b/crates/foldhaven-gateway/src/feed.rs
@@ -16,7 +16,7 @@
 use tokio::sync::watch::error::RecvError;
 
 use crate::clock::timeout;
-use crate::keeper::KeeperAddress;
+use crate::keeper::ControlAddress;
 use crate::told_change::ToldChange;
 
 /// Everything that the platform publishes, at one revision.
@@ -206,7 +206,7 @@
 
 /// Whether this daemon is to read the platform now, and what it knows already.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct FeedTurn {
+pub struct ReadAssignment {
     /// Whether it is to read.
     pub reads: bool,
     /// The revision that it knows, from its own reading or from other VMs; nothing yet when absent.
@@ -217,7 +217,7 @@
 
 /// What a feed tells.
 #[derive(Debug, Clone)]
-pub enum FeedNews {
+pub enum FeedUpdate {
     /// All that is published.
     Snapshot(FeedSnapshot),
     /// What changed up to a revision.
@@ -232,18 +232,18 @@
 /// Where a feed puts its news, and learns when it is to read.
 #[derive(Clone)]
 pub struct FeedSink {
-    keeper: KeeperAddress,
-    turn: watch::Receiver<FeedTurn>,
+    control: ControlAddress,
+    turn: watch::Receiver<ReadAssignment>,
 }
 
 impl FeedSink {
-    pub(crate) fn new(keeper: KeeperAddress, turn: watch::Receiver<FeedTurn>) -> Self {
-        Self { keeper, turn }
+    pub(crate) fn new(control: ControlAddress, turn: watch::Receiver<ReadAssignment>) -> Self {
+        Self { control, turn }
     }
 
     /// Tells news. Returns whether anybody still listens.
-    pub async fn tell(&self, news: FeedNews) -> bool {
-        self.keeper.send(news).await.is_ok()
+    pub async fn tell(&self, news: FeedUpdate) -> bool {
+        self.control.send(news).await.is_ok()
     }
 
     /// Waits until this daemon is to read, and gives the revision from which to go on; nothing when
--- a/crates/foldhaven-gateway/src/keeper/account_limits.rs
+++ b/crates/foldhaven-gateway/src/keeper/account_limits.rs
@@ -11,14 +11,14 @@
 use foldhaven_core::time::MonoTime;
 use xtra::{Context, Handler};
 
-use super::ControlKeeper;
+use super::ControlActor;
 
 /// Asks for what is to be told in a round.
-pub struct PlanDemands;
+pub struct PlanDemandReports;
 
 /// What is to be told, and to whom.
 #[derive(Default)]
-pub struct PlannedDemands {
+pub struct PlannedDemandReports {
     pub near_targets: Vec<SocketAddr>,
     pub near: Option<NearDemand>,
     pub far_targets: Vec<SocketAddr>,
@@ -26,24 +26,28 @@
 }
 
 /// Another VM of the region told what its callers want.
-pub struct HearNearDemand {
+pub struct ReceiveLocalDemand {
     pub demand: NearDemand,
 }
 
 /// A delegate of another region told of its region.
-pub struct HearRegionDemand {
+pub struct ReceiveRegionDemand {
     pub demand: RegionDemand,
 }
 
-impl Handler<PlanDemands> for ControlKeeper {
-    type Return = PlannedDemands;
+impl Handler<PlanDemandReports> for ControlActor {
+    type Return = PlannedDemandReports;
 
-    async fn handle(&mut self, _: PlanDemands, _: &mut Context<Self>) -> PlannedDemands {
+    async fn handle(
+        &mut self,
+        _: PlanDemandReports,
+        _: &mut Context<Self>,
+    ) -> PlannedDemandReports {
         let now = self.now();
         let (names, wants) = self.limited_accounts(now);
         if wants.is_empty() {
             self.demands.rest();
-            return PlannedDemands::default();
+            return PlannedDemandReports::default();
         }
         let heard = self.peers.heard_near(now);
         let view = self.sharer_view(heard.len(), now);
@@ -52,7 +56,7 @@
         self.renew_parts(names, &wants, view, now);
         let speaks = self.phase() == PeerPhase::Serving && self.peers.is_delegate(now);
         let far = speaks.then(|| self.demands.tell_far(&wants, incarnation, now)).flatten();
-        PlannedDemands {
+        PlannedDemandReports {
             near_targets: near.as_ref().map(|_| self.near_peers()).unwrap_or_default(),
             near,
             far_targets: match far.is_some() {
@@ -64,19 +68,19 @@
     }
 }
 
-impl Handler<HearNearDemand> for ControlKeeper {
+impl Handler<ReceiveLocalDemand> for ControlActor {
     type Return = ();
 
-    async fn handle(&mut self, message: HearNearDemand, _: &mut Context<Self>) {
+    async fn handle(&mut self, message: ReceiveLocalDemand, _: &mut Context<Self>) {
         let now = self.now();
         self.demands.hear_near(&message.demand, now);
     }
 }
 
-impl Handler<HearRegionDemand> for ControlKeeper {
+impl Handler<ReceiveRegionDemand> for ControlActor {
     type Return = ();
 
-    async fn handle(&mut self, message: HearRegionDemand, _: &mut Context<Self>) {
+    async fn handle(&mut self, message: ReceiveRegionDemand, _: &mut Context<Self>) {
         let now = self.now();
         self.demands.hear_region(message.demand, now);
     }
@@ -99,7 +103,7 @@
     );
 }
 
-impl ControlKeeper {
+impl ControlActor {
     /// The accounts that have limits, and what their callers want here.
     fn limited_accounts(&self, now: MonoTime) -> (Vec<AccountName>, Vec<LimitedWant>) {
         let described = self.known.routes().and_then(|it| it.description().accounts.as_ref());
--- a/crates/foldhaven-gateway/src/keeper/behind.rs
+++ b/crates/foldhaven-gateway/src/keeper/behind.rs
@@ -8,7 +8,7 @@
 use foldhaven_core::time::MonoTime;
 use xtra::{Context, Handler};
 
-use super::ControlKeeper;
+use super::ControlActor;
 use crate::shared::BehindBelief;
 
 /// A VM of this region that has read more of the platform's changes than this one for so long is asked
@@ -27,7 +27,7 @@
 
 /// That others know a revision that this VM does not.
 #[derive(Debug, Clone, Copy)]
-pub struct BehindMark {
+pub struct LagState {
     since: MonoTime,
     /// The revision that others knew then.
     revision: u64,
@@ -38,34 +38,34 @@
 }
 
 /// Asks which VM knows more of the platform's changes.
-pub struct FindAhead {
+pub struct FindNewerPeer {
     /// A VM that did not answer, and is asked again only when no other knows more.
     pub avoided: Option<SocketAddr>,
 }
 
 /// A VM that knows more, and the revision that this one knows.
-pub struct AheadPeer {
+pub struct NewerPeer {
     pub peer: SocketAddr,
     pub known: Option<u64>,
 }
 
 /// What a VM does next about changes that others know.
-pub enum NextAsking {
+pub enum CatchUpStep {
     /// It asks a VM that knows more.
-    Ask(AheadPeer),
+    Ask(NewerPeer),
     /// Others know more, and are to be asked after this time.
-    After(Duration),
+    Wait(Duration),
     /// It knows of none that knows more.
-    Nobody,
+    UpToDate,
 }
 
-impl Handler<FindAhead> for ControlKeeper {
-    type Return = NextAsking;
+impl Handler<FindNewerPeer> for ControlActor {
+    type Return = CatchUpStep;
 
-    async fn handle(&mut self, find: FindAhead, _: &mut Context<Self>) -> NextAsking {
+    async fn handle(&mut self, find: FindNewerPeer, _: &mut Context<Self>) -> CatchUpStep {
         let now = self.now();
         self.note_progress();
-        let Some(ahead) = self.ahead_peer(find.avoided) else { return NextAsking::Nobody };
+        let Some(ahead) = self.ahead_peer(find.avoided) else { return CatchUpStep::UpToDate };
         let (peer, revision) = (ahead.peer, ahead.revision);
         let is_near = ahead.region == *self.shared.settings.region();
         let (vm, incarnation) = (VmTag::of(&ahead.vm), ahead.incarnation);
@@ -75,7 +75,7 @@
             true => BEHIND_LIMIT,
             false => self.far_limit(now),
         };
-        let fresh = BehindMark { since: now, revision, is_near, is_logged: false };
+        let fresh = LagState { since: now, revision, is_near, is_logged: false };
         let behind = self.note_behind(fresh, peer);
         if !is_near && behind >= RELAY_AFTER {
             self.relay(NewsNotice { vm, incarnation, revision, age_ms: None, is_offer: false });
@@ -85,14 +85,14 @@
         let known = self.known.known();
         if is_due {
             self.askings = self.askings.wrapping_add(1);
-            return NextAsking::Ask(AheadPeer { peer, known });
+            return CatchUpStep::Ask(NewerPeer { peer, known });
         }
         let next = if !is_near && behind < RELAY_AFTER { RELAY_AFTER } else { limit };
-        NextAsking::After(next.saturating_sub(behind))
+        CatchUpStep::Wait(next.saturating_sub(behind))
     }
 }
 
-impl ControlKeeper {
+impl ControlActor {
     /// For how long this VM leaves it to others to ask other regions.
     fn far_limit(&self, now: MonoTime) -> Duration {
         let place = self.peers.asking_place(now).and_then(|place| u32::try_from(place).ok());
@@ -129,7 +129,7 @@
     }
 
     /// Notes that a VM knows more. Returns for how long this one has not known what others did.
-    fn note_behind(&mut self, fresh: BehindMark, peer: SocketAddr) -> Duration {
+    fn note_behind(&mut self, fresh: LagState, peer: SocketAddr) -> Duration {
         let held = self.behind.filter(|held| held.is_near || !fresh.is_near);
         let mut mark = held.unwrap_or(fresh);
         let behind = fresh.since.since(mark.since);
@@ -172,7 +172,7 @@
     }
 
     fn show_behind(&self) {
-        let belief = |mark: BehindMark| BehindBelief { since: mark.since, is_near: mark.is_near };
+        let belief = |mark: LagState| BehindBelief { since: mark.since, is_near: mark.is_near };
         self.shared.set_behind(self.behind.map(belief));
         self.shared.metrics.set_level("behind_ms", self.behind_for().as_millis() as u64);
     }
--- a/crates/foldhaven-gateway/src/keeper/feed_changes.rs
+++ b/crates/foldhaven-gateway/src/keeper/feed_changes.rs
@@ -2,24 +2,24 @@
 
 use xtra::{Context, Handler};
 
-use super::ControlKeeper;
-use crate::feed::{ChangeSet, CountedChange, FeedNews, FeedSnapshot};
-use crate::known::{TakeMoment, TakenChanges};
+use super::ControlActor;
+use crate::feed::{ChangeSet, CountedChange, FeedSnapshot, FeedUpdate};
+use crate::known::{AppliedChanges, ApplyContext};
 
-impl Handler<FeedNews> for ControlKeeper {
+impl Handler<FeedUpdate> for ControlActor {
     type Return = ();
 
-    async fn handle(&mut self, news: FeedNews, _: &mut Context<Self>) {
+    async fn handle(&mut self, news: FeedUpdate, _: &mut Context<Self>) {
         match news {
-            FeedNews::Disturbed { cause } => return self.note_disturbed(&cause),
-            FeedNews::Snapshot(snapshot) => {
+            FeedUpdate::Disturbed { cause } => return self.note_disturbed(&cause),
+            FeedUpdate::Snapshot(snapshot) => {
                 let taken = self.take_snapshot(snapshot);
                 if let Some(taken) = taken {
                     self.note_answer();
                     self.tell_near(taken);
                 }
             }
-            FeedNews::Changes(set) => self.take_and_tell(set),
+            FeedUpdate::Changes(set) => self.take_and_tell(set),
         }
         if std::mem::replace(&mut self.is_disturbed, false) {
             tracing::info!(revision = self.known.revision(), "platform regained");
@@ -28,7 +28,7 @@
     }
 }
 
-impl ControlKeeper {
+impl ControlActor {
     /// Notes that the platform could not be read.
     fn note_disturbed(&mut self, cause: &str) {
         let now = self.now();
@@ -77,7 +77,7 @@
     /// missing.
     pub(super) fn take_changes(&mut self, set: ChangeSet) -> Option<ChangeSet> {
         let moment = self.take_moment();
-        let TakenChanges { changes, is_urgent } = self.known.take_changes(set, moment)?;
+        let AppliedChanges { changes, is_urgent } = self.known.take_changes(set, moment)?;
         self.show_known();
         self.is_stale |= !changes.changes.is_empty();
         match is_urgent {
@@ -95,8 +95,8 @@
         }
     }
 
-    fn take_moment(&self) -> TakeMoment {
-        TakeMoment { now: self.now(), behind: self.behind_for() }
+    fn take_moment(&self) -> ApplyContext {
+        ApplyContext { now: self.now(), behind: self.behind_for() }
     }
 
     /// Shows in the metrics what is known.
--- a/crates/foldhaven-gateway/src/keeper/heartbeats.rs
+++ b/crates/foldhaven-gateway/src/keeper/heartbeats.rs
@@ -10,25 +10,25 @@
 use foldhaven_core::time::MonoTime;
 use xtra::{Context, Handler};
 
-use super::ControlKeeper;
+use super::ControlActor;
 
 /// A heartbeat arrived.
-pub struct HearBeat {
+pub struct ReceiveHeartbeat {
     pub message: BeatMessage,
 }
 
 /// Another VM told which VMs of its region it holds to live, in short.
-pub struct HearView {
+pub struct ReceiveView {
     pub notice: ViewNotice,
 }
 
 /// Another VM told which VMs of a region it holds to live.
-pub struct HearViewList {
+pub struct ReceiveViewList {
     pub list: ViewList,
 }
 
 /// What is sent in a round, and when the next one is due.
-pub struct PlannedRound {
+pub struct HeartbeatRound {
     pub beats: PlannedBeats,
     /// Who gets this VM's view.
     pub view_targets: Vec<SocketAddr>,
@@ -39,15 +39,15 @@
 }
 
 /// Asks for the heartbeats of a round.
-pub struct PlanBeats {
+pub struct PlanHeartbeats {
     /// Whether all VMs get one, because there is news.
     pub to_all: bool,
 }
 
-impl Handler<HearBeat> for ControlKeeper {
+impl Handler<ReceiveHeartbeat> for ControlActor {
     type Return = PlannedBeats;
 
-    async fn handle(&mut self, message: HearBeat, _: &mut Context<Self>) -> PlannedBeats {
+    async fn handle(&mut self, message: ReceiveHeartbeat, _: &mut Context<Self>) -> PlannedBeats {
         let message = message.message;
         let now = self.now();
         let (vm, phase) = (&message.own.vm, message.own.phase);
@@ -75,10 +75,10 @@
     }
 }
 
-impl Handler<PlanBeats> for ControlKeeper {
-    type Return = PlannedRound;
+impl Handler<PlanHeartbeats> for ControlActor {
+    type Return = HeartbeatRound;
 
-    async fn handle(&mut self, plan: PlanBeats, _: &mut Context<Self>) -> PlannedRound {
+    async fn handle(&mut self, plan: PlanHeartbeats, _: &mut Context<Self>) -> HeartbeatRound {
         self.beats += 1;
         let call = RoundCall {
             own: self.own_beat(),
@@ -95,14 +95,14 @@
             self.tell_far();
         }
         let news = self.known.has_state().then(|| self.own_news());
-        PlannedRound { beats, view_targets, view: self.own_view(now), news, pause }
+        HeartbeatRound { beats, view_targets, view: self.own_view(now), news, pause }
     }
 }
 
-impl Handler<HearView> for ControlKeeper {
+impl Handler<ReceiveView> for ControlActor {
     type Return = ViewAnswer;
 
-    async fn handle(&mut self, message: HearView, _: &mut Context<Self>) -> ViewAnswer {
+    async fn handle(&mut self, message: ReceiveView, _: &mut Context<Self>) -> ViewAnswer {
         let now = self.now();
         let answer = self.peers.take_view(&message.notice, now);
         if let ViewAnswer::List(peer, list) = &answer {
@@ -115,17 +115,17 @@
     }
 }
 
-impl Handler<HearViewList> for ControlKeeper {
+impl Handler<ReceiveViewList> for ControlActor {
     type Return = PlannedBeats;
 
-    async fn handle(&mut self, message: HearViewList, _: &mut Context<Self>) -> PlannedBeats {
+    async fn handle(&mut self, message: ReceiveViewList, _: &mut Context<Self>) -> PlannedBeats {
         let now = self.now();
         let own = self.own_beat();
         self.peers.take_list(&message.list, &own, now)
     }
 }
 
-impl ControlKeeper {
+impl ControlActor {
     /// Which VMs of its region this one holds to live, in short.
     pub(super) fn own_view(&self, now: MonoTime) -> ViewNotice {
         ViewNotice {
--- a/crates/foldhaven-gateway/src/keeper/load_reports.rs
+++ b/crates/foldhaven-gateway/src/keeper/load_reports.rs
@@ -11,17 +11,17 @@
 use foldhaven_core::opaque::report_plan::{ReportLeg, ReportNews, ReportTarget};
 use xtra::{Context, Handler};
 
-use super::ControlKeeper;
+use super::ControlActor;
 
 /// A load report of another VM of the region arrived.
-pub struct HearLoad {
+pub struct ReceiveLoadReport {
     pub report: LoadReport,
 }
 
-impl Handler<HearLoad> for ControlKeeper {
+impl Handler<ReceiveLoadReport> for ControlActor {
     type Return = ();
 
-    async fn handle(&mut self, message: HearLoad, _: &mut Context<Self>) {
+    async fn handle(&mut self, message: ReceiveLoadReport, _: &mut Context<Self>) {
         let mut report = message.report;
         let placements = std::mem::take(&mut report.placements);
         let regions = std::mem::take(&mut report.regions);
@@ -40,14 +40,14 @@
 }
 
 /// A delegate of another region told of it.
-pub struct HearRegion {
+pub struct ReceiveRegionReport {
     pub report: RegionReport,
 }
 
-impl Handler<HearRegion> for ControlKeeper {
+impl Handler<ReceiveRegionReport> for ControlActor {
     type Return = ();
 
-    async fn handle(&mut self, message: HearRegion, _: &mut Context<Self>) {
+    async fn handle(&mut self, message: ReceiveRegionReport, _: &mut Context<Self>) {
         if self.note_region(&message.report) {
             self.relayed_regions.push(message.report);
         }
@@ -55,27 +55,27 @@
 }
 
 /// A VM of another region told of prompts that were sent there.
-pub struct HearPlacements {
+pub struct ReceivePlacements {
     pub placements: Vec<PromptPlacement>,
 }
 
-impl Handler<HearPlacements> for ControlKeeper {
+impl Handler<ReceivePlacements> for ControlActor {
     type Return = ();
 
-    async fn handle(&mut self, message: HearPlacements, _: &mut Context<Self>) {
+    async fn handle(&mut self, message: ReceivePlacements, _: &mut Context<Self>) {
         self.note_placements(&message.placements);
         self.relayed.extend(message.placements);
     }
 }
 
 /// Asks for the load report of a round.
-pub struct PlanReport {
+pub struct PlanLoadReport {
     /// How much later than planned the timer of the round fired.
     pub late: Duration,
 }
 
 /// A load report, whom to send it to, and when the next one is due.
-pub struct PlannedReport {
+pub struct PlannedLoadReport {
     /// The load; each leg has its own news.
     pub report: LoadReport,
     pub legs: Vec<ReportLeg>,
@@ -87,10 +87,10 @@
     pub interval: Duration,
 }
 
-impl Handler<PlanReport> for ControlKeeper {
-    type Return = PlannedReport;
+impl Handler<PlanLoadReport> for ControlActor {
+    type Return = PlannedLoadReport;
 
-    async fn handle(&mut self, plan: PlanReport, _: &mut Context<Self>) -> PlannedReport {
+    async fn handle(&mut self, plan: PlanLoadReport, _: &mut Context<Self>) -> PlannedLoadReport {
         self.meter.note_timer(plan.late);
         self.reports += 1;
         self.publish_stale();
@@ -109,11 +109,11 @@
             true => self.peers.one_in_service_of_each_region(now),
             false => Vec::new(),
         };
-        PlannedReport { report, legs, far_targets, far_placements, region, interval }
+        PlannedLoadReport { report, legs, far_targets, far_placements, region, interval }
     }
 }
 
-impl ControlKeeper {
+impl ControlActor {
     /// The other VMs of this region, and which of them have requests.
     fn report_targets(&self) -> Vec<ReportTarget> {
         let active: HashSet<VmTag> = self.loads.active().collect();
--- a/crates/foldhaven-gateway/src/keeper/members.rs
+++ b/crates/foldhaven-gateway/src/keeper/members.rs
@@ -5,7 +5,7 @@
 use foldhaven_core::opaque::peer_table::PeerPhase;
 use foldhaven_core::time::MonoTime;
 
-use super::ControlKeeper;
+use super::ControlActor;
 
 /// How many names one line holds.
 const LOGGED_NAMES: usize = 12;
@@ -15,13 +15,13 @@
 /// What was logged last, and when.
 #[derive(Debug, Default)]
 pub(super) struct LoggedMembers {
-    members: KnownMembers,
+    members: RegionMembers,
     at: MonoTime,
 }
 
 /// The VMs of the region as this one knows them, itself included.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-struct KnownMembers {
+struct RegionMembers {
     known: usize,
     live: usize,
     serving: usize,
@@ -29,11 +29,11 @@
     digest: u64,
 }
 
-impl ControlKeeper {
+impl ControlActor {
     /// Counts and logs which VMs of the region are known, when that has changed and now and then.
     pub(super) fn note_members(&mut self, now: MonoTime) {
         let near = || self.peers.near(now);
-        let members = KnownMembers {
+        let members = RegionMembers {
             known: self.peers.region_count(),
             live: near().count() + 1,
             serving: near().filter(|beat| beat.phase == PeerPhase::Serving).count() + 1,
@@ -47,7 +47,7 @@
             return;
         }
         self.members = LoggedMembers { members, at: now };
-        let KnownMembers { known, live, serving, digest } = members;
+        let RegionMembers { known, live, serving, digest } = members;
         let names: Vec<&str> = near().map(|beat| beat.vm.as_str()).take(LOGGED_NAMES).collect();
         let digest = format!("{digest:016x}");
         let beats = self.beats;
--- a/crates/foldhaven-gateway/src/keeper/mod.rs
+++ b/crates/foldhaven-gateway/src/keeper/mod.rs
@@ -37,28 +37,30 @@
 use tokio::sync::{mpsc, watch};
 use xtra::{Context, Handler};
 
-pub use self::account_limits::{HearNearDemand, HearRegionDemand, PlanDemands};
-use self::behind::BehindMark;
-pub use self::behind::{AheadPeer, FindAhead, NextAsking};
-pub use self::heartbeats::{HearBeat, HearView, HearViewList, PlanBeats};
-pub use self::load_reports::{HearLoad, HearPlacements, HearRegion, PlanReport, PlannedReport};
+pub use self::account_limits::{PlanDemandReports, ReceiveLocalDemand, ReceiveRegionDemand};
+use self::behind::LagState;
+pub use self::behind::{CatchUpStep, FindNewerPeer, NewerPeer};
+pub use self::heartbeats::{PlanHeartbeats, ReceiveHeartbeat, ReceiveView, ReceiveViewList};
+pub use self::load_reports::{
+    PlanLoadReport, PlannedLoadReport, ReceiveLoadReport, ReceivePlacements, ReceiveRegionReport,
+};
 use self::members::LoggedMembers;
-use self::news::ToldRevisions;
-pub use self::news::{HearNews, ToldChanges, ToldNews};
-pub use self::peer_changes::{HearChanges, HearEarly, OfferSnapshot, TakeChanges};
-pub use self::rate_parts::{HearPact, PlanPact};
-pub use self::suspect_targets::{PlanSuspectTargets, SuspectTargets, TellOccasion};
-pub use self::upstream_signals::{HearLeavers, HearLimits, PlanSignalTargets};
+use self::news::AnnouncedRevisions;
+pub use self::news::{OutgoingChanges, OutgoingUpdate, ReceiveRevisionNotice};
+pub use self::peer_changes::{ApplyChanges, ApplySnapshot, ReceiveChanges, ReceiveEarlyChanges};
+pub use self::rate_parts::{PlanAgreementRound, ReceiveAgreement};
+pub use self::suspect_targets::{PlanSuspectTargets, SendReason, SuspectTargets};
+pub use self::upstream_signals::{PlanSignalTargets, ReceiveLeavingNotices, ReceiveLimits};
 use crate::demand_meter::DemandMeter;
-use crate::feed::FeedTurn;
-use crate::known::{PlatformKnowledge, StateOffer};
+use crate::feed::ReadAssignment;
+use crate::known::{PlatformState, StateOffer};
 use crate::settings::GatewaySettings;
 use crate::shared::GatewayShared;
 use crate::upstream::Upstream;
 use crate::view::PeerLink;
 
 /// Where messages to the control actor go.
-pub type KeeperAddress = xtra::Address<ControlKeeper>;
+pub type ControlAddress = xtra::Address<ControlActor>;
 
 /// It has heard of those there are when no further one came for this long: heartbeats are asked for several times in
 /// it.
@@ -78,12 +80,12 @@
 
 /// The control state.
 #[derive(xtra::Actor)]
-pub struct ControlKeeper {
+pub struct ControlActor {
     shared: Arc<GatewayShared>,
     /// The settings as they were read last; those of `shared` are the ones of the start.
     settings: GatewaySettings,
     /// What is known of the platform.
-    known: PlatformKnowledge,
+    known: PlatformState,
     /// What other VMs may take over, as it was published last.
     offer: Option<Arc<StateOffer>>,
     /// Whether something has changed that traffic is still to be shown.
@@ -134,7 +136,7 @@
     /// How many rounds of load reports were made.
     reports: u32,
     /// Since when another VM has known more of the platform's changes.
-    behind: Option<BehindMark>,
+    behind: Option<LagState>,
     /// How often other VMs were asked for what they know more.
     askings: u32,
     /// How old what is believed of the platform is.
@@ -142,7 +144,7 @@
     /// Whether it was so old that it was logged.
     is_belief_old: bool,
     /// Of which revisions others were told without waiting for heartbeats.
-    told: ToldRevisions,
+    told: AnnouncedRevisions,
     /// Up to where other VMs offer changes that do not fit a datagram.
     offered: OfferedRevision,
     /// Whether the last reading of the platform failed.
@@ -150,16 +152,16 @@
     /// Whether other VMs of the region tell of an outage of the platform.
     is_told_outage: bool,
     /// Tells the feed when to read.
-    turn: watch::Sender<FeedTurn>,
+    turn: watch::Sender<ReadAssignment>,
     /// Takes what other VMs are to be told.
-    news: mpsc::UnboundedSender<ToldNews>,
+    news: mpsc::UnboundedSender<OutgoingUpdate>,
 }
 
-impl ControlKeeper {
+impl ControlActor {
     pub fn new(
         shared: Arc<GatewayShared>,
         incarnation: IncarnationId,
-        news: mpsc::UnboundedSender<ToldNews>,
+        news: mpsc::UnboundedSender<OutgoingUpdate>,
     ) -> Self {
         let settings = shared.settings.clone();
         let own = OwnVm {
@@ -176,7 +178,7 @@
         Self {
             shared,
             settings,
-            known: PlatformKnowledge::default(),
+            known: PlatformState::default(),
             offer: None,
             is_stale: false,
             upstreams: HashMap::new(),
@@ -206,17 +208,21 @@
             askings: 0,
             belief: BeliefAge::default(),
             is_belief_old: false,
-            told: ToldRevisions::default(),
+            told: AnnouncedRevisions::default(),
             offered: OfferedRevision::default(),
             is_disturbed: false,
             is_told_outage: false,
-            turn: watch::Sender::new(FeedTurn { reads: true, known: None, is_overtaken: false }),
+            turn: watch::Sender::new(ReadAssignment {
+                reads: true,
+                known: None,
+                is_overtaken: false,
+            }),
             news,
         }
     }
 
     /// When the feed is to read, and from where.
-    pub fn turns(&self) -> watch::Receiver<FeedTurn> {
+    pub fn turns(&self) -> watch::Receiver<ReadAssignment> {
         self.turn.subscribe()
     }
 
@@ -230,7 +236,7 @@
             true => self.peers.is_reader(self.is_disturbed, self.belief_age(), self.now()),
             false => self.is_seed(),
         };
-        let turn = FeedTurn {
+        let turn = ReadAssignment {
             reads: !self.known.has_state() || is_reader,
             known: self.known.has_state().then_some(self.known.revision()),
             is_overtaken: self.behind_for() >= OVERTAKEN_AFTER,
@@ -293,12 +299,12 @@
 }
 
 /// Looks the state over: what has lapsed, who has been silent.
-pub struct TickKeeper;
+pub struct TickControl;
 
-impl Handler<TickKeeper> for ControlKeeper {
+impl Handler<TickControl> for ControlActor {
     type Return = ();
 
-    async fn handle(&mut self, _: TickKeeper, _: &mut Context<Self>) {
+    async fn handle(&mut self, _: TickControl, _: &mut Context<Self>) {
         self.note_standstill();
         let now = self.now();
         self.peers.forget(now);
@@ -324,7 +330,7 @@
     pub settings: GatewaySettings,
 }
 
-impl Handler<ReplaceSettings> for ControlKeeper {
+impl Handler<ReplaceSettings> for ControlActor {
     type Return = ();
 
     async fn handle(&mut self, change: ReplaceSettings, _: &mut Context<Self>) {
--- a/crates/foldhaven-gateway/src/keeper/news.rs
+++ b/crates/foldhaven-gateway/src/keeper/news.rs
@@ -8,7 +8,7 @@
 use foldhaven_core::time::MonoTime;
 use xtra::{Context, Handler};
 
-use super::ControlKeeper;
+use super::ControlActor;
 use crate::feed::ChangeSet;
 use crate::shared::OLD_BELIEF;
 
@@ -20,15 +20,15 @@
 const YOUNG_WITHIN: Duration = Duration::from_millis(2_500);
 
 /// What other VMs are told at once.
-pub enum ToldNews {
+pub enum OutgoingUpdate {
     /// Changes of the platform.
-    Changes(ToldChanges),
+    Changes(OutgoingChanges),
     /// How far a VM knows them.
     Notice { targets: Vec<SocketAddr>, notice: NewsNotice },
 }
 
 /// Changes that other VMs are to be told of.
-pub struct ToldChanges {
+pub struct OutgoingChanges {
     pub targets: Vec<SocketAddr>,
     pub changes: ChangeSet,
     /// What they are told where the changes do not fit a datagram.
@@ -37,7 +37,7 @@
 
 /// Of which revisions others were told without waiting for heartbeats.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct ToldRevisions {
+pub struct AnnouncedRevisions {
     /// When other regions were told last, and of which revision.
     far: Option<(MonoTime, u64)>,
     /// When the VMs of this region were told last of a revision of another one, and of which.
@@ -45,14 +45,14 @@
 }
 
 /// Another VM told how far it knows the platform's changes.
-pub struct HearNews {
+pub struct ReceiveRevisionNotice {
     pub notice: NewsNotice,
 }
 
-impl Handler<HearNews> for ControlKeeper {
+impl Handler<ReceiveRevisionNotice> for ControlActor {
     type Return = ();
 
-    async fn handle(&mut self, message: HearNews, _: &mut Context<Self>) {
+    async fn handle(&mut self, message: ReceiveRevisionNotice, _: &mut Context<Self>) {
         let notice = message.notice;
         if !self.peers.take_news(&notice) {
             return;
@@ -69,7 +69,7 @@
     }
 }
 
-impl ControlKeeper {
+impl ControlActor {
     /// Notes that an answer of the platform proved what is held now.
     pub(super) fn note_answer(&mut self) {
         let proof = RevisionProof { revision: self.known.revision(), at: self.now() };
@@ -97,7 +97,7 @@
     pub(super) fn pass_on(&self, changes: ChangeSet) {
         let targets = self.near_peers();
         let offer = NewsNotice { is_offer: true, ..self.own_news() };
-        self.send_news(ToldNews::Changes(ToldChanges { targets, changes, offer }));
+        self.send_news(OutgoingUpdate::Changes(OutgoingChanges { targets, changes, offer }));
     }
 
     /// Tells a few VMs of each other region how far the changes are known here, unless that was told a moment ago: a region
@@ -110,7 +110,7 @@
         }
         self.told.far = Some((now, revision));
         let targets = self.peers.far_news_targets(now);
-        self.send_news(ToldNews::Notice { targets, notice: self.own_news() });
+        self.send_news(OutgoingUpdate::Notice { targets, notice: self.own_news() });
     }
 
     /// Tells those of this region that may ask other regions how far a VM there knows the changes.
@@ -123,10 +123,10 @@
         }
         self.told.relayed = Some((now, revision));
         let targets = self.peers.standing_addresses(now);
-        self.send_news(ToldNews::Notice { targets, notice });
+        self.send_news(OutgoingUpdate::Notice { targets, notice });
     }
 
-    fn send_news(&self, news: ToldNews) {
+    fn send_news(&self, news: OutgoingUpdate) {
         // Nobody takes them only when the process ends.
         let _ = self.news.send(news);
     }
--- a/crates/foldhaven-gateway/src/keeper/peer_changes.rs
+++ b/crates/foldhaven-gateway/src/keeper/peer_changes.rs
@@ -4,19 +4,19 @@
 
 use xtra::{Context, Handler};
 
-use super::ControlKeeper;
+use super::ControlActor;
 use crate::feed::{ChangeSet, CountedChange, FeedSnapshot};
 
 /// Another VM of the region told of changes that it read.
-pub struct HearChanges {
+pub struct ReceiveChanges {
     pub changes: ChangeSet,
 }
 
-impl Handler<HearChanges> for ControlKeeper {
+impl Handler<ReceiveChanges> for ControlActor {
     type Return = ();
 
-    async fn handle(&mut self, message: HearChanges, _: &mut Context<Self>) {
-        let HearChanges { changes } = message;
+    async fn handle(&mut self, message: ReceiveChanges, _: &mut Context<Self>) {
+        let ReceiveChanges { changes } = message;
         if self.known.follows(&changes) {
             self.take_changes(changes);
         } else {
@@ -27,29 +27,29 @@
 }
 
 /// Another VM of the region told of changes without those that precede them.
-pub struct HearEarly {
+pub struct ReceiveEarlyChanges {
     pub changes: Vec<CountedChange>,
 }
 
-impl Handler<HearEarly> for ControlKeeper {
+impl Handler<ReceiveEarlyChanges> for ControlActor {
     type Return = ();
 
-    async fn handle(&mut self, message: HearEarly, _: &mut Context<Self>) {
+    async fn handle(&mut self, message: ReceiveEarlyChanges, _: &mut Context<Self>) {
         self.take_early(message.changes);
     }
 }
 
 /// What a VM that was asked told of the platform's changes.
-pub struct OfferSnapshot {
+pub struct ApplySnapshot {
     pub snapshot: FeedSnapshot,
     pub peer: SocketAddr,
 }
 
-impl Handler<OfferSnapshot> for ControlKeeper {
+impl Handler<ApplySnapshot> for ControlActor {
     type Return = ();
 
-    async fn handle(&mut self, offer: OfferSnapshot, _: &mut Context<Self>) {
-        let OfferSnapshot { snapshot, peer } = offer;
+    async fn handle(&mut self, offer: ApplySnapshot, _: &mut Context<Self>) {
+        let ApplySnapshot { snapshot, peer } = offer;
         self.peers.note_told_revision(peer, snapshot.revision);
         let (before, revision) = (self.known.revision(), snapshot.revision);
         let is_news = revision > before || self.known.needs_all() && revision == before;
@@ -65,16 +65,16 @@
 }
 
 /// The changes that a VM was asked for.
-pub struct TakeChanges {
+pub struct ApplyChanges {
     pub changes: ChangeSet,
     pub peer: SocketAddr,
 }
 
-impl Handler<TakeChanges> for ControlKeeper {
+impl Handler<ApplyChanges> for ControlActor {
     type Return = ();
 
-    async fn handle(&mut self, message: TakeChanges, _: &mut Context<Self>) {
-        let TakeChanges { changes, peer } = message;
+    async fn handle(&mut self, message: ApplyChanges, _: &mut Context<Self>) {
+        let ApplyChanges { changes, peer } = message;
         self.peers.note_told_revision(peer, changes.revision);
         let (before, revision) = (self.known.revision(), changes.revision);
         if revision <= before {
--- a/crates/foldhaven-gateway/src/keeper/rate_parts.rs
+++ b/crates/foldhaven-gateway/src/keeper/rate_parts.rs
@@ -10,27 +10,27 @@
 use foldhaven_core::time::MonoTime;
 use xtra::{Context, Handler};
 
-use super::ControlKeeper;
+use super::ControlActor;
 use crate::upstream::Upstream;
 
 /// The part of a VM that has heard of none of the VMs that its settings name: there may be others who have not either.
 const UNWITNESSED_PART: f64 = 0.5;
 
 /// Notices with their receivers.
-pub type PlannedPact = Vec<(SocketAddr, PactNotice)>;
+pub type AgreementMessages = Vec<(SocketAddr, PactNotice)>;
 
 /// Asks for the notices of a round.
-pub struct PlanPact;
+pub struct PlanAgreementRound;
 
 /// Another VM told which list of senders it holds.
-pub struct HearPact {
+pub struct ReceiveAgreement {
     pub notice: PactNotice,
 }
 
-impl Handler<PlanPact> for ControlKeeper {
-    type Return = PlannedPact;
+impl Handler<PlanAgreementRound> for ControlActor {
+    type Return = AgreementMessages;
 
-    async fn handle(&mut self, _: PlanPact, _: &mut Context<Self>) -> PlannedPact {
+    async fn handle(&mut self, _: PlanAgreementRound, _: &mut Context<Self>) -> AgreementMessages {
         let now = self.now();
         self.look_at_senders(now);
         self.pact.begin_round(self.peers.incarnation(), now);
@@ -41,10 +41,10 @@
     }
 }
 
-impl Handler<HearPact> for ControlKeeper {
+impl Handler<ReceiveAgreement> for ControlActor {
     type Return = Option<(SocketAddr, PactNotice)>;
 
-    async fn handle(&mut self, message: HearPact, _: &mut Context<Self>) -> Self::Return {
+    async fn handle(&mut self, message: ReceiveAgreement, _: &mut Context<Self>) -> Self::Return {
         let now = self.now();
         let notice = message.notice;
         self.pact.hear(&notice);
@@ -56,7 +56,7 @@
     }
 }
 
-impl ControlKeeper {
+impl ControlActor {
     /// Looks who shares the limits of the region.
     pub(super) fn look_at_senders(&mut self, now: MonoTime) {
         let has_learnt = self.assumed_vms().is_some();
--- a/crates/foldhaven-gateway/src/keeper/region_waits.rs
+++ b/crates/foldhaven-gateway/src/keeper/region_waits.rs
@@ -7,7 +7,7 @@
 use foldhaven_core::ids::{RegionName, ServiceName};
 use foldhaven_core::opaque::peer_table::{ServiceTag, ServiceWait};
 
-use super::ControlKeeper;
+use super::ControlActor;
 use crate::places::expected_wait;
 use crate::upstream::Upstream;
 use crate::view::RegionWait;
@@ -16,7 +16,7 @@
 /// run only there are better sent than refused.
 const UNTOLD_WAIT: Duration = Duration::from_millis(100);
 
-impl ControlKeeper {
+impl ControlActor {
     /// The waits that requests would meet at the upstreams of this region.
     pub(super) fn own_waits(&self) -> Vec<ServiceWait> {
         let now = self.now();
@@ -27,15 +27,15 @@
             is_welcome && it.bound_rate(now).is_none() && !it.health.lock().is_ejected(now)
         };
         let open = near.filter(is_open);
-        let mut by_service: BTreeMap<&ServiceName, Vec<MetQueue>> = BTreeMap::new();
+        let mut by_service: BTreeMap<&ServiceName, Vec<ExpectedQueue>> = BTreeMap::new();
         for upstream in open {
             let service = &upstream.identity.service;
             let wait = expected_wait(upstream, &self.shared.measured_pace(service), now);
             let long_pauses = upstream.pace.lock().long_pauses(now);
-            let met = MetQueue { wait, load: upstream.queue().in_flight, long_pauses };
+            let met = ExpectedQueue { wait, load: upstream.queue().in_flight, long_pauses };
             by_service.entry(service).or_default().push(met);
         }
-        let service_wait = |(service, met): (&ServiceName, Vec<MetQueue>)| {
+        let service_wait = |(service, met): (&ServiceName, Vec<ExpectedQueue>)| {
             let usual = lower_mean(met);
             ServiceWait {
                 service: ServiceTag::of(service),
@@ -79,19 +79,23 @@
 }
 
 /// What a request would meet at one upstream.
-struct MetQueue {
+struct ExpectedQueue {
     wait: Duration,
     load: u32,
     long_pauses: f64,
 }
 
 /// The mean of the better half: what a request meets that goes to one of the better places.
-fn lower_mean(mut met: Vec<MetQueue>) -> MetQueue {
+fn lower_mean(mut met: Vec<ExpectedQueue>) -> ExpectedQueue {
     met.sort_by_key(|met| (met.wait, met.load));
     met.truncate(met.len().div_ceil(2));
     let count = met.len().max(1) as u32;
     let wait: Duration = met.iter().map(|met| met.wait).sum();
     let load: u32 = met.iter().map(|met| met.load).sum();
     let long_pauses: f64 = met.iter().map(|met| met.long_pauses).sum();
-    MetQueue { wait: wait / count, load: load / count, long_pauses: long_pauses / f64::from(count) }
+    ExpectedQueue {
+        wait: wait / count,
+        load: load / count,
+        long_pauses: long_pauses / f64::from(count),
+    }
 }
--- a/crates/foldhaven-gateway/src/keeper/suspect_targets.rs
+++ b/crates/foldhaven-gateway/src/keeper/suspect_targets.rs
@@ -5,23 +5,23 @@
 use foldhaven_core::opaque::peer_table::BeatTargets;
 use xtra::{Context, Handler};
 
-use super::ControlKeeper;
+use super::ControlActor;
 
 /// How many VMs of each other region are told of news; each tells the others of its region.
 const TOLD_OF_EACH_REGION: usize = 2;
 
 /// Why something is told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TellOccasion {
+pub enum SendReason {
     /// Something has changed.
-    News,
+    Change,
     /// It may not have been heard.
     Repeat,
 }
 
 /// Asks whom to tell.
 pub struct PlanSuspectTargets {
-    pub occasion: TellOccasion,
+    pub reason: SendReason,
 }
 
 /// Whom to tell.
@@ -33,12 +33,12 @@
     pub far: Vec<SocketAddr>,
 }
 
-impl Handler<PlanSuspectTargets> for ControlKeeper {
+impl Handler<PlanSuspectTargets> for ControlActor {
     type Return = SuspectTargets;
 
     async fn handle(&mut self, plan: PlanSuspectTargets, _: &mut Context<Self>) -> SuspectTargets {
         let now = self.now();
-        if plan.occasion == TellOccasion::Repeat {
+        if plan.reason == SendReason::Repeat {
             let BeatTargets { near, far } = self.peers.next_told_targets(now);
             return SuspectTargets { near, far };
         }
--- a/crates/foldhaven-gateway/src/keeper/traffic_view.rs
+++ b/crates/foldhaven-gateway/src/keeper/traffic_view.rs
@@ -13,12 +13,12 @@
 use foldhaven_core::time::MonoTime;
 use foldhaven_core::units::CoreShare;
 
-use super::{ControlKeeper, InService};
+use super::{ControlActor, InService};
 use crate::known::StateOffer;
 use crate::upstream::{Upstream, UpstreamIdentity};
 use crate::view::{GatewayView, PeerLink};
 
-impl ControlKeeper {
+impl ControlActor {
     /// Makes a new view for traffic, and decides whether this daemon reads the platform.
     pub(super) fn publish(&mut self) {
         self.set_turn();
@@ -57,7 +57,7 @@
         self.is_stale = true;
     }
 
-    /// Shows traffic what [`ControlKeeper::publish_soon`] has put off.
+    /// Shows traffic what [`ControlActor::publish_soon`] has put off.
     pub(super) fn publish_stale(&mut self) {
         if self.is_stale {
             self.publish();
--- a/crates/foldhaven-gateway/src/keeper/upstream_signals.rs
+++ b/crates/foldhaven-gateway/src/keeper/upstream_signals.rs
@@ -5,19 +5,19 @@
 use foldhaven_core::opaque::upstream_signals::{LeavingNotice, LimitNotice};
 use xtra::{Context, Handler};
 
-use super::{ControlKeeper, TellOccasion};
+use super::{ControlActor, SendReason};
 use crate::leaving_desk::note_leaving;
 use crate::limit_desk::note_change;
 
 /// Another VM of the region told of limits.
-pub struct HearLimits {
+pub struct ReceiveLimits {
     pub limits: Vec<LimitNotice>,
 }
 
-impl Handler<HearLimits> for ControlKeeper {
+impl Handler<ReceiveLimits> for ControlActor {
     type Return = ();
 
-    async fn handle(&mut self, message: HearLimits, _: &mut Context<Self>) {
+    async fn handle(&mut self, message: ReceiveLimits, _: &mut Context<Self>) {
         let now = self.now();
         let mut has_changed = false;
         for told in &message.limits {
@@ -35,14 +35,14 @@
 }
 
 /// Another VM of the region told of upstreams that leave.
-pub struct HearLeavers {
+pub struct ReceiveLeavingNotices {
     pub leavers: Vec<LeavingNotice>,
 }
 
-impl Handler<HearLeavers> for ControlKeeper {
+impl Handler<ReceiveLeavingNotices> for ControlActor {
     type Return = ();
 
-    async fn handle(&mut self, message: HearLeavers, _: &mut Context<Self>) {
+    async fn handle(&mut self, message: ReceiveLeavingNotices, _: &mut Context<Self>) {
         let now = self.now();
         for told in &message.leavers {
             if !self.shared.leavers.hear(told, now) {
@@ -57,25 +57,25 @@
 
 /// Puts in force what this VM has heard, and asks whom to tell of it.
 pub struct PlanSignalTargets {
-    pub occasion: TellOccasion,
+    pub reason: SendReason,
 }
 
-impl Handler<PlanSignalTargets> for ControlKeeper {
+impl Handler<PlanSignalTargets> for ControlActor {
     type Return = Vec<SocketAddr>;
 
     async fn handle(&mut self, plan: PlanSignalTargets, _: &mut Context<Self>) -> Vec<SocketAddr> {
         let now = self.now();
-        match plan.occasion {
-            TellOccasion::News => {
+        match plan.reason {
+            SendReason::Change => {
                 self.share_rates(now);
                 self.near_peers()
             }
-            TellOccasion::Repeat => self.peers.next_told_targets(now).near,
+            SendReason::Repeat => self.peers.next_told_targets(now).near,
         }
     }
 }
 
-impl ControlKeeper {
+impl ControlActor {
     /// Forgets what upstreams said that are gone.
     pub(super) fn forget_signals(&self) {
         let is_listed = |tag| self.by_tag.contains_key(&tag);
--- a/crates/foldhaven-gateway/src/keeper/waking.rs
+++ b/crates/foldhaven-gateway/src/keeper/waking.rs
@@ -1,8 +1,8 @@
 //! What the control state does after the process stood still: asks before it serves.
 
-use super::ControlKeeper;
+use super::ControlActor;
 
-impl ControlKeeper {
+impl ControlActor {
     /// Finds out whether the process stood still. What others said before counts for nothing until they say it again, and kept
     /// connections may have ended unseen.
     pub(super) fn note_standstill(&mut self) {
--- a/crates/foldhaven-gateway/src/known/mod.rs
+++ b/crates/foldhaven-gateway/src/known/mod.rs
@@ -1,7 +1,7 @@
 //! What is known of the platform, and up to which of its changes, without sockets or timers.
 //!
 //! A VM learns of changes by its own reading, by snapshots and differences of other VMs, and of some before their turn, in any order
-//! and more than once. Whatever the order, all that the platform published up to [`PlatformKnowledge::revision`] is in
+//! and more than once. Whatever the order, all that the platform published up to [`PlatformState::revision`] is in
 //! force here, or something newer: VMs that hold the newest revision neither ask nor refuse.
 
 mod change_log;
@@ -20,12 +20,12 @@
 use self::change_log::ChangeLog;
 pub use self::change_log::StateOffer;
 pub use self::early_changes::EarlyChanges;
-pub use self::told_states::{StateAsk, ToldStates};
+pub use self::told_states::{AnswerCache, StateRequest};
 use crate::feed::ChangeSet;
 
 /// When something is taken in, for the log and for what lapses.
 #[derive(Debug, Clone, Copy)]
-pub struct TakeMoment {
+pub struct ApplyContext {
     /// The time.
     pub now: MonoTime,
     /// For how long others have known more.
@@ -34,7 +34,7 @@
 
 /// Changes that were taken in.
 #[derive(Debug)]
-pub struct TakenChanges {
+pub struct AppliedChanges {
     /// What of them was new, as others are to be told of it.
     pub changes: ChangeSet,
     /// Whether requests may be sent wrongly until traffic sees them.
@@ -43,7 +43,7 @@
 
 /// What is known of the platform.
 #[derive(Debug, Default)]
-pub struct PlatformKnowledge {
+pub struct PlatformState {
     /// The description in force.
     routes: Option<Arc<RouteTable>>,
     /// The digest of that description.
@@ -64,7 +64,7 @@
     unusable_seen: u64,
 }
 
-impl PlatformKnowledge {
+impl PlatformState {
     /// Up to which count the platform's changes are known.
     pub fn revision(&self) -> u64 {
         self.revision
--- a/crates/foldhaven-gateway/src/known/takes.rs
+++ b/crates/foldhaven-gateway/src/known/takes.rs
@@ -10,16 +10,16 @@
 use foldhaven_core::time::MonoTime;
 
 use super::description_digest::description_digest;
-use super::{EarlyChanges, PlatformKnowledge, TakeMoment, TakenChanges};
+use super::{AppliedChanges, ApplyContext, EarlyChanges, PlatformState};
 use crate::feed::{ChangeSet, ChangeSubject, CountedChange, FeedChange, FeedSnapshot};
 
-impl PlatformKnowledge {
+impl PlatformState {
     /// Replaces what is known by a snapshot, unless the snapshot is older. Returns what of it may be in force at
     /// others before they know all of it.
     pub fn take_snapshot(
         &mut self,
         snapshot: FeedSnapshot,
-        moment: TakeMoment,
+        moment: ApplyContext,
     ) -> Option<ChangeSet> {
         let FeedSnapshot { revision, description, upstreams, unusable, evacuated } = snapshot;
         if revision < self.revision {
@@ -64,7 +64,7 @@
 
     /// Takes in changes. Returns what of them is new, as others are to be told of it; nothing when some
     /// before them are missing.
-    pub fn take_changes(&mut self, set: ChangeSet, moment: TakeMoment) -> Option<TakenChanges> {
+    pub fn take_changes(&mut self, set: ChangeSet, moment: ApplyContext) -> Option<AppliedChanges> {
         if !self.follows(&set) {
             return None;
         }
@@ -104,7 +104,7 @@
         taken.iter().for_each(|counted| self.log.push(counted.clone()));
         self.renew_early(moment.now);
         let changes = ChangeSet { after, revision: self.revision, changes: taken };
-        Some(TakenChanges { changes, is_urgent })
+        Some(AppliedChanges { changes, is_urgent })
     }
 
     /// Puts changes in force of which some before them are missing, as far as requests could go wrong until
@@ -134,7 +134,7 @@
     }
 
     /// Puts a description in force that is newer than the one held. Returns what it changes.
-    fn adopt(&mut self, description: RouteDescription, moment: TakeMoment) -> FeedChange {
+    fn adopt(&mut self, description: RouteDescription, moment: ApplyContext) -> FeedChange {
         let (held, offered) = (self.version(), description.version);
         let routes = description.routes.len();
         let known = self.routes.as_deref().map(RouteTable::description);
--- a/crates/foldhaven-gateway/src/known/told_states.rs
+++ b/crates/foldhaven-gateway/src/known/told_states.rs
@@ -14,7 +14,7 @@
 
 /// What a peer asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct StateAsk {
+pub struct StateRequest {
     /// The revision that it knows; none when it asks for everything.
     pub known: Option<u64>,
     /// Whether it understands differences that span several versions.
@@ -22,28 +22,32 @@
 }
 
 #[derive(Debug, Default)]
-struct HeldAnswers {
+struct CachedAnswers {
     /// What they were written from.
     offer: Weak<StateOffer>,
-    answers: Vec<(StateAsk, Bytes)>,
+    answers: Vec<(StateRequest, Bytes)>,
 }
 
 /// The answers to peers that were written last.
 #[derive(Debug, Default)]
-pub struct ToldStates {
-    held: Mutex<HeldAnswers>,
+pub struct AnswerCache {
+    held: Mutex<CachedAnswers>,
 }
 
-impl ToldStates {
+impl AnswerCache {
     /// The answer to a peer, written at most once for all that ask the same.
     ///
     /// # Errors
     ///
     /// When it cannot be written.
-    pub fn answer(&self, offer: &Arc<StateOffer>, ask: StateAsk) -> Result<Bytes, bincode::Error> {
+    pub fn answer(
+        &self,
+        offer: &Arc<StateOffer>,
+        ask: StateRequest,
+    ) -> Result<Bytes, bincode::Error> {
         let mut held = self.held.lock();
         if !std::ptr::eq(held.offer.as_ptr(), Arc::as_ptr(offer)) {
-            *held = HeldAnswers { offer: Arc::downgrade(offer), answers: Vec::new() };
+            *held = CachedAnswers { offer: Arc::downgrade(offer), answers: Vec::new() };
         }
         if let Some((_, body)) = held.answers.iter().find(|(it, _)| *it == ask) {
             return Ok(body.clone());
--- a/crates/foldhaven-gateway/src/peer_front.rs
+++ b/crates/foldhaven-gateway/src/peer_front.rs
@@ -17,14 +17,14 @@
 use crate::job::{
     CallerTerms, GatewayJob, ReadRequest, RoutedPlace, host_of, read_body, read_terms,
 };
-use crate::known::{StateAsk, ToldStates};
+use crate::known::{AnswerCache, StateRequest};
 use crate::peer_state::{PEER_STATE_AFTER, PEER_STATE_PATH};
 use crate::shared::GatewayShared;
 
 /// Answers other VMs.
 pub struct PeerHandler {
     shared: Arc<GatewayShared>,
-    told: ToldStates,
+    told: AnswerCache,
 }
 
 #[async_trait]
@@ -48,7 +48,7 @@
 
 impl PeerHandler {
     pub fn new(shared: Arc<GatewayShared>) -> Self {
-        Self { shared, told: ToldStates::default() }
+        Self { shared, told: AnswerCache::default() }
     }
 
     /// What the platform published, after the revision that the query names.
@@ -56,7 +56,7 @@
         let Some(view) = self.shared.view() else { return Refusal::NoDescription.answer() };
         let known = query.and_then(|query| query.strip_prefix(PEER_STATE_AFTER));
         let known = known.and_then(|known| known.parse().ok());
-        match self.told.answer(&view.offer, StateAsk { known, is_spanning }) {
+        match self.told.answer(&view.offer, StateRequest { known, is_spanning }) {
             Ok(body) => {
                 let (revision, bytes) = (view.offer.revision, body.len());
                 self.shared.metrics.count_event("state_told");
--- a/crates/foldhaven-gateway/src/peer_state.rs
+++ b/crates/foldhaven-gateway/src/peer_state.rs
@@ -18,7 +18,9 @@
 use crate::codec::peer_codec;
 use crate::connection::{Connection, FAR_CONNECT_LIMIT};
 use crate::feed::PeerState;
-use crate::keeper::{AheadPeer, FindAhead, KeeperAddress, NextAsking, OfferSnapshot, TakeChanges};
+use crate::keeper::{
+    ApplyChanges, ApplySnapshot, CatchUpStep, ControlAddress, FindNewerPeer, NewerPeer,
+};
 use crate::shared::GatewayShared;
 
 /// Where peers tell what the platform published.
@@ -56,23 +58,23 @@
 }
 
 /// Takes over from peers what this daemon has not read itself.
-pub async fn follow_peers(shared: Arc<GatewayShared>, keeper: KeeperAddress) {
+pub async fn follow_peers(shared: Arc<GatewayShared>, control: ControlAddress) {
     let mut avoided = None;
     loop {
-        let Ok(next) = keeper.send(FindAhead { avoided }).await else { return };
-        let AheadPeer { peer, known } = match next {
-            NextAsking::Ask(ahead) => ahead,
-            NextAsking::After(pause) => {
+        let Ok(next) = control.send(FindNewerPeer { avoided }).await else { return };
+        let NewerPeer { peer, known } = match next {
+            CatchUpStep::Ask(ahead) => ahead,
+            CatchUpStep::Wait(pause) => {
                 await_news(&shared, pause.min(CHECK_INTERVAL)).await;
                 continue;
             }
-            NextAsking::Nobody => {
+            CatchUpStep::UpToDate => {
                 await_news(&shared, CHECK_INTERVAL).await;
                 continue;
             }
         };
         let started = BootInstant::now();
-        let (peer, asked) = ask_hedged(&keeper, peer, known).await;
+        let (peer, asked) = ask_hedged(&control, peer, known).await;
         match asked {
             Ok(TakenState { state, bytes }) => {
                 avoided = None;
@@ -81,16 +83,18 @@
                 let leads_on = leads_beyond(&state, known);
                 let taken = match state {
                     PeerState::Snapshot(snapshot) => {
-                        keeper.send(OfferSnapshot { snapshot, peer }).await
+                        control.send(ApplySnapshot { snapshot, peer }).await
                     }
                     PeerState::KeyedSnapshot(snapshot, accounts) => {
                         let snapshot = snapshot.with_accounts(accounts);
-                        keeper.send(OfferSnapshot { snapshot, peer }).await
+                        control.send(ApplySnapshot { snapshot, peer }).await
+                    }
+                    PeerState::Changes(changes) => {
+                        control.send(ApplyChanges { changes, peer }).await
                     }
-                    PeerState::Changes(changes) => keeper.send(TakeChanges { changes, peer }).await,
                     PeerState::SpanningChanges(changes, through) => {
                         let changes = changes.told_through(&through);
-                        keeper.send(TakeChanges { changes, peer }).await
+                        control.send(ApplyChanges { changes, peer }).await
                     }
                 };
                 if taken.is_err() {
@@ -134,7 +138,7 @@
 
 /// Asks a peer, and another one beside it where the first says nothing. Returns whose answer it is.
 async fn ask_hedged(
-    keeper: &KeeperAddress,
+    control: &ControlAddress,
     first: SocketAddr,
     known: Option<u64>,
 ) -> (SocketAddr, Result<TakenState, AskError>) {
@@ -143,8 +147,8 @@
         answer = &mut begun => return (first, read_answer(answer).await),
         () = sleep(HEDGE_AFTER) => {}
     }
-    let other = match keeper.send(FindAhead { avoided: Some(first) }).await {
-        Ok(NextAsking::Ask(other)) if other.peer != first => other,
+    let other = match control.send(FindNewerPeer { avoided: Some(first) }).await {
+        Ok(CatchUpStep::Ask(other)) if other.peer != first => other,
         _ => return (first, read_answer(begun.await).await),
     };
     let (second, known) = (other.peer, other.known);
--- a/crates/foldhaven-gateway/src/places/far.rs
+++ b/crates/foldhaven-gateway/src/places/far.rs
@@ -13,7 +13,7 @@
 use foldhaven_core::opaque::pace::QueueFacts;
 use foldhaven_core::opaque::queue_rank::QueueRank;
 
-use super::{PlaceChoice, RequestPlace, TOLD_TOKENS, TriedPlaces, query_of};
+use super::{DestinationChoice, RequestDestination, TOLD_TOKENS, TriedDestinations, query_of};
 use crate::job::GatewayJob;
 use crate::shared::GatewayShared;
 use crate::view::{GatewayView, PeerLink, RegionWait};
@@ -28,17 +28,17 @@
 const FAR_MISSING_SHARE: f64 = 0.4;
 
 /// The best VM of another region.
-pub(super) struct FarChoice {
-    pub(super) choice: PlaceChoice,
+pub(super) struct RemoteChoice {
+    pub(super) choice: DestinationChoice,
     pub(super) cost: RequestCost,
     pub(super) parts: CostParts,
     pub(super) region: RegionName,
 }
 
-impl FarChoice {
+impl RemoteChoice {
     /// The place, for the decision whether the request is sent there.
     pub(super) fn offer(&self) -> PlaceOffer {
-        let PlaceChoice { first, rank, queue, .. } = self.choice;
+        let DestinationChoice { first, rank, queue, .. } = self.choice;
         PlaceOffer { first, parts: self.parts, rank, queue, is_full: false }
     }
 }
@@ -48,8 +48,8 @@
     shared: &GatewayShared,
     view: &GatewayView,
     job: &GatewayJob,
-    tried: &TriedPlaces,
-) -> Option<FarChoice> {
+    tried: &TriedDestinations,
+) -> Option<RemoteChoice> {
     let priced = price_far(shared, view, job, tried).into_iter();
     priced.min_by(|left, right| left.cost.0.total_cmp(&right.cost.0))
 }
@@ -59,21 +59,21 @@
     shared: &GatewayShared,
     view: &GatewayView,
     job: &GatewayJob,
-    tried: &TriedPlaces,
-) -> Vec<FarChoice> {
+    tried: &TriedDestinations,
+) -> Vec<RemoteChoice> {
     let own_region = shared.settings.region();
     let regions = view.waits.iter().filter(|((region, service), _)| {
         *service == job.service && region != own_region && job.permits(region)
     });
     let priced = regions.filter_map(|((region, _), wait)| {
         let peer = pick_peer(view, region, tried)?;
-        Some(FarPricer { shared, view, job, region, wait: *wait }.price(peer))
+        Some(RemotePricer { shared, view, job, region, wait: *wait }.price(peer))
     });
     priced.collect()
 }
 
 /// Prices one other region for a request.
-struct FarPricer<'a> {
+struct RemotePricer<'a> {
     shared: &'a GatewayShared,
     view: &'a GatewayView,
     job: &'a GatewayJob,
@@ -81,9 +81,9 @@
     wait: RegionWait,
 }
 
-impl FarPricer<'_> {
+impl RemotePricer<'_> {
     /// What the request is expected to take and to cost when it is forwarded to a VM there.
-    fn price(&self, peer: Arc<PeerLink>) -> FarChoice {
+    fn price(&self, peer: Arc<PeerLink>) -> RemoteChoice {
         let job = self.job;
         let query = query_of(self.shared, self.view, job);
         let missing = self.missing_tokens(query.shared_tokens);
@@ -104,8 +104,8 @@
             slowing: slowing_cost(&query, &pace, queue, read_tokens).0,
             ..CostParts::default()
         };
-        let place = RequestPlace::Peer(peer);
-        let choice = PlaceChoice {
+        let place = RequestDestination::Peer(peer);
+        let choice = DestinationChoice {
             place,
             first,
             read_tokens,
@@ -114,7 +114,7 @@
             until_answer: None,
             fetch_from: None,
         };
-        FarChoice { choice, cost: parts.total(), parts, region: self.region.clone() }
+        RemoteChoice { choice, cost: parts.total(), parts, region: self.region.clone() }
     }
 
     /// The way there and back, twice where no connection is open.
@@ -161,7 +161,7 @@
 fn pick_peer(
     view: &GatewayView,
     region: &RegionName,
-    tried: &TriedPlaces,
+    tried: &TriedDestinations,
 ) -> Option<Arc<PeerLink>> {
     let is_untried = |peer: &&Arc<PeerLink>| !tried.peers.contains(&peer.vm);
     let in_service = view.far_service.get(region).into_iter().flatten();
--- a/crates/foldhaven-gateway/src/places/mod.rs
+++ b/crates/foldhaven-gateway/src/places/mod.rs
@@ -14,9 +14,9 @@
 use foldhaven_core::opaque::pace::QueueFacts;
 use foldhaven_core::opaque::queue_rank::QueueRank;
 
-use self::far::{FarChoice, choose_far};
+use self::far::{RemoteChoice, choose_far};
 pub use self::near::expected_wait;
-use self::near::{NearChoice, choose_near, has_open, signalled_wait};
+use self::near::{LocalChoice, choose_near, has_open, signalled_wait};
 pub use self::overview::{describe_places, price_places};
 use crate::answer::Refusal;
 use crate::call::{CallTarget, HeadListener};
@@ -38,14 +38,14 @@
 
 /// A place for one try.
 #[derive(Clone)]
-pub enum RequestPlace {
+pub enum RequestDestination {
     /// An upstream that this VM can reach itself.
     Upstream(Arc<Upstream>),
     /// A VM of another region, which chooses among the upstreams there.
     Peer(Arc<PeerLink>),
 }
 
-impl RequestPlace {
+impl RequestDestination {
     /// The name in logs.
     pub fn name(&self) -> &str {
         match self {
@@ -81,8 +81,8 @@
 }
 
 /// A place with what is expected of it.
-pub struct PlaceChoice {
-    pub place: RequestPlace,
+pub struct DestinationChoice {
+    pub place: RequestDestination,
     /// The expected time to the answer, or to its first event.
     pub first: Duration,
     /// The prompt tokens that are to be read.
@@ -99,16 +99,16 @@
 
 /// What was tried for a request.
 #[derive(Debug, Default)]
-pub struct TriedPlaces {
+pub struct TriedDestinations {
     pub upstreams: Vec<UpstreamName>,
     pub peers: Vec<VmName>,
 }
 
-impl TriedPlaces {
-    pub fn note(&mut self, place: &RequestPlace) {
+impl TriedDestinations {
+    pub fn note(&mut self, place: &RequestDestination) {
         match place {
-            RequestPlace::Upstream(upstream) => self.upstreams.push(upstream.name().clone()),
-            RequestPlace::Peer(peer) => self.peers.push(peer.vm.clone()),
+            RequestDestination::Upstream(upstream) => self.upstreams.push(upstream.name().clone()),
+            RequestDestination::Peer(peer) => self.peers.push(peer.vm.clone()),
         }
     }
 
@@ -124,8 +124,8 @@
     shared: &GatewayShared,
     view: &GatewayView,
     job: &GatewayJob,
-    tried: &TriedPlaces,
-) -> Result<PlaceChoice, Refusal> {
+    tried: &TriedDestinations,
+) -> Result<DestinationChoice, Refusal> {
     let is_here = job.permits(shared.settings.region());
     let near = if is_here { choose_near(shared, view, job, tried) } else { None };
     if job.is_forwarded {
@@ -181,14 +181,14 @@
 }
 
 /// Whether another region is better: cheaper by more than the margin, or the only place that can be trusted.
-fn prefers_far(near: &NearChoice, far: &FarChoice, tried: &TriedPlaces) -> bool {
+fn prefers_far(near: &LocalChoice, far: &RemoteChoice, tried: &TriedDestinations) -> bool {
     let is_near_sound = near.choice.is_trusted && tried.upstreams.len() < FAULTS_TO_LEAVE;
     !is_near_sound || far.cost + REGION_MARGIN < near.choice.cost
 }
 
 /// Whether a region can answer in time what is better not sent to the best upstream here: by its last report its
 /// upstreams have places left.
-fn has_room(job: &GatewayJob, far: &FarChoice) -> bool {
+fn has_room(job: &GatewayJob, far: &RemoteChoice) -> bool {
     let PlaceOffer { rank, queue, .. } = far.offer();
     let is_free = rank == QueueRank::Timely && queue.in_flight < queue.slots;
     is_free && check_offer(job, &far.offer()).is_ok()
--- a/crates/foldhaven-gateway/src/places/near.rs
+++ b/crates/foldhaven-gateway/src/places/near.rs
@@ -12,7 +12,7 @@
 use foldhaven_core::opaque::queue_rank::QueueRank;
 use foldhaven_core::time::MonoTime;
 
-use super::{PlaceChoice, RequestPlace, TriedPlaces, query_of};
+use super::{DestinationChoice, RequestDestination, TriedDestinations, query_of};
 use crate::answer::Refusal;
 use crate::job::GatewayJob;
 use crate::shared::GatewayShared;
@@ -27,13 +27,13 @@
 const PARTLESS_WAIT: Duration = Duration::from_millis(500);
 
 /// The best upstream of this region.
-pub(super) struct NearChoice {
+pub(super) struct LocalChoice {
     upstream: Arc<Upstream>,
     pub(super) choice: UpstreamChoice,
     fetch_from: Option<SocketAddr>,
 }
 
-impl NearChoice {
+impl LocalChoice {
     /// The place, for the decision whether the request is sent there.
     pub(super) fn offer(&self) -> PlaceOffer {
         let UpstreamChoice { first, parts, rank, is_full, .. } = self.choice;
@@ -41,7 +41,7 @@
     }
 
     /// Takes the place of an upstream that is cold or names a limit; fails when none is free.
-    pub(super) fn take(self, shared: &GatewayShared) -> Result<PlaceChoice, Refusal> {
+    pub(super) fn take(self, shared: &GatewayShared) -> Result<DestinationChoice, Refusal> {
         let now = shared.now();
         if let Some(rate) = self.upstream.bound_rate(now) {
             if !self.upstream.pacer.lock().take(rate, now) {
@@ -53,8 +53,8 @@
             shared.metrics.count_event(event);
         }
         let queue = self.upstream.queue();
-        Ok(PlaceChoice {
-            place: RequestPlace::Upstream(self.upstream),
+        Ok(DestinationChoice {
+            place: RequestDestination::Upstream(self.upstream),
             first: self.choice.first,
             read_tokens: self.choice.read_tokens,
             queue,
@@ -70,14 +70,14 @@
     shared: &GatewayShared,
     view: &GatewayView,
     job: &GatewayJob,
-    tried: &TriedPlaces,
-) -> Option<NearChoice> {
+    tried: &TriedDestinations,
+) -> Option<LocalChoice> {
     let near = near_upstreams(shared, view, job);
     let candidates = candidates_of(shared, &near, job, tried);
     let pace = shared.pace(&job.service, view);
     let choice = choose_upstream(&candidates, &query_of(shared, view, job), &pace)?;
     let fetch_from = choice.fetch_from.map(|at| near[at].identity.address);
-    Some(NearChoice { upstream: near[choice.at].clone(), choice, fetch_from })
+    Some(LocalChoice { upstream: near[choice.at].clone(), choice, fetch_from })
 }
 
 /// For how much longer an upstream gets nothing from this VM: it asked this VM to back off, or this VM's part of its rate is used up.
@@ -118,7 +118,7 @@
     job: &GatewayJob,
 ) -> Vec<(Arc<Upstream>, UpstreamChoice)> {
     let near = near_upstreams(shared, view, job);
-    let candidates = candidates_of(shared, &near, job, &TriedPlaces::default());
+    let candidates = candidates_of(shared, &near, job, &TriedDestinations::default());
     let pace = shared.pace(&job.service, view);
     let priced = price_upstreams(&candidates, &query_of(shared, view, job), &pace);
     priced.into_iter().map(|choice| (near[choice.at].clone(), choice)).collect()
@@ -139,7 +139,7 @@
     shared: &GatewayShared,
     near: &[&'a Arc<Upstream>],
     job: &GatewayJob,
-    tried: &TriedPlaces,
+    tried: &TriedDestinations,
 ) -> Vec<UpstreamFacts<'a>> {
     let now = shared.now();
     let hold = shared.measured_pace(&job.service).hold;
@@ -151,7 +151,7 @@
     shared: &GatewayShared,
     upstream: &'a Upstream,
     job: &GatewayJob,
-    tried: &TriedPlaces,
+    tried: &TriedDestinations,
     hold: Duration,
     now: MonoTime,
 ) -> UpstreamFacts<'a> {
--- a/crates/foldhaven-gateway/src/places/overview.rs
+++ b/crates/foldhaven-gateway/src/places/overview.rs
@@ -6,7 +6,7 @@
 use foldhaven_core::ids::RegionName;
 use foldhaven_wire::operator::PlacePrice;
 
-use super::TriedPlaces;
+use super::TriedDestinations;
 use super::far::price_far;
 use super::near::price_near;
 use crate::job::GatewayJob;
@@ -28,7 +28,7 @@
         read_tokens: choice.read_tokens,
         parts: choice.parts,
     });
-    let far = price_far(shared, view, job, &TriedPlaces::default());
+    let far = price_far(shared, view, job, &TriedDestinations::default());
     let far = far.into_iter().map(|far| PlacePrice {
         name: far.region.to_string(),
         is_far: true,
--- a/crates/foldhaven-gateway/src/reload.rs
+++ b/crates/foldhaven-gateway/src/reload.rs
@@ -6,7 +6,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::time::sleep;
 
-use crate::keeper::{KeeperAddress, ReplaceSettings};
+use crate::keeper::{ControlAddress, ReplaceSettings};
 use crate::settings::GatewaySettings;
 
 /// How often the file is compared with what was read of it last.
@@ -14,7 +14,7 @@
 
 /// Follows the settings file. What names this VM and its addresses holds until the next start; the
 /// rest is taken over.
-pub async fn follow_settings(path: PathBuf, mut held: GatewaySettings, keeper: KeeperAddress) {
+pub async fn follow_settings(path: PathBuf, mut held: GatewaySettings, control: ControlAddress) {
     let mut hangup = match signal(SignalKind::hangup()) {
         Ok(hangup) => hangup,
         Err(error) => {
@@ -43,7 +43,7 @@
         warn_of_fixed(&held, &read);
         tracing::info!(told = is_told, seeds = read.seeds.len(), "settings reloaded");
         held = read.clone();
-        if keeper.send(ReplaceSettings { settings: read }).await.is_err() {
+        if control.send(ReplaceSettings { settings: read }).await.is_err() {
             return;
         }
     }
--- a/crates/foldhaven-gateway/src/signal_news.rs
+++ b/crates/foldhaven-gateway/src/signal_news.rs
@@ -8,7 +8,7 @@
 use tokio::net::UdpSocket;
 
 use crate::datagrams::send_to;
-use crate::keeper::{KeeperAddress, PlanSignalTargets, TellOccasion};
+use crate::keeper::{ControlAddress, PlanSignalTargets, SendReason};
 use crate::news_teller::{NewsTeller, await_others};
 use crate::peer_message::PeerMessage;
 use crate::shared::GatewayShared;
@@ -37,7 +37,7 @@
 /// Tells of limits and of upstreams that leave. Several VMs hear one upstream at once.
 pub struct SignalTeller {
     pub socket: Arc<UdpSocket>,
-    pub keeper: KeeperAddress,
+    pub control: ControlAddress,
     pub shared: Arc<GatewayShared>,
 }
 
@@ -61,8 +61,8 @@
     }
 
     async fn tell_news(&self) -> Result<(), xtra::Error> {
-        let occasion = TellOccasion::News;
-        let targets = self.keeper.send(PlanSignalTargets { occasion }).await?;
+        let reason = SendReason::Change;
+        let targets = self.control.send(PlanSignalTargets { reason }).await?;
         await_others().await;
         let now = self.shared.now();
         let limits = self.shared.limits.take_news(now);
@@ -78,8 +78,8 @@
         if batch.is_empty() {
             return Ok(());
         }
-        let occasion = TellOccasion::Repeat;
-        let targets = self.keeper.send(PlanSignalTargets { occasion }).await?;
+        let reason = SendReason::Repeat;
+        let targets = self.control.send(PlanSignalTargets { reason }).await?;
         self.send(&targets, &batch).await;
         Ok(())
     }
--- a/crates/foldhaven-gateway/src/suspect_news.rs
+++ b/crates/foldhaven-gateway/src/suspect_news.rs
@@ -8,7 +8,7 @@
 use tokio::net::UdpSocket;
 
 use crate::datagrams::send_to;
-use crate::keeper::{KeeperAddress, PlanSuspectTargets, SuspectTargets, TellOccasion};
+use crate::keeper::{ControlAddress, PlanSuspectTargets, SendReason, SuspectTargets};
 use crate::news_teller::{NewsTeller, await_others};
 use crate::peer_message::{PeerMessage, SuspectTelling};
 use crate::shared::GatewayShared;
@@ -16,7 +16,7 @@
 /// Tells of what holds requests back.
 pub struct SuspectTeller {
     pub socket: Arc<UdpSocket>,
-    pub keeper: KeeperAddress,
+    pub control: ControlAddress,
     pub shared: Arc<GatewayShared>,
 }
 
@@ -25,9 +25,8 @@
         if news.is_empty() {
             return Ok(());
         }
-        let occasion = TellOccasion::News;
-        let SuspectTargets { near, far } =
-            self.keeper.send(PlanSuspectTargets { occasion }).await?;
+        let reason = SendReason::Change;
+        let SuspectTargets { near, far } = self.control.send(PlanSuspectTargets { reason }).await?;
         let wide = news.iter().filter(|news| news.reach == NewsReach::Wide);
         let wide: Vec<SuspectRecord> = wide.map(|news| news.record.clone()).collect();
         let all: Vec<SuspectRecord> = news.into_iter().map(|news| news.record).collect();
@@ -70,9 +69,8 @@
         if records.is_empty() {
             return Ok(());
         }
-        let occasion = TellOccasion::Repeat;
-        let SuspectTargets { near, far } =
-            self.keeper.send(PlanSuspectTargets { occasion }).await?;
+        let reason = SendReason::Repeat;
+        let SuspectTargets { near, far } = self.control.send(PlanSuspectTargets { reason }).await?;
         self.send(&far, &records).await;
         self.send(&near, &records).await;
         Ok(())
--- a/crates/foldhaven-gateway/tests/testsuite/known.rs
+++ b/crates/foldhaven-gateway/tests/testsuite/known.rs
@@ -22,7 +22,7 @@
 use foldhaven_gateway::feed::{
     ChangeSet, ChangeSubject, CountedChange, FeedChange, FeedSnapshot, PeerState,
 };
-use foldhaven_gateway::known::{EarlyChanges, PlatformKnowledge, StateOffer, TakeMoment};
+use foldhaven_gateway::known::{ApplyContext, EarlyChanges, PlatformState, StateOffer};
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -40,8 +40,8 @@
     named.unwrap_or(USUAL_ORDERS)
 }
 
-fn moment() -> TakeMoment {
-    TakeMoment { now: MonoTime::from_millis(1_000_000), behind: Duration::ZERO }
+fn moment() -> ApplyContext {
+    ApplyContext { now: MonoTime::from_millis(1_000_000), behind: Duration::ZERO }
 }
 
 fn route(name: &str, seconds: u64) -> OpaqueRoute {
@@ -229,7 +229,7 @@
 
 struct World {
     platform: Platform,
-    vms: Vec<PlatformKnowledge>,
+    vms: Vec<PlatformState>,
     /// What others may take over from each VM, as it was shown last.
     offers: Vec<Option<Arc<StateOffer>>>,
     /// Lists that are being read, by the revision of their first page.
@@ -243,7 +243,7 @@
     fn new() -> Self {
         Self {
             platform: Platform::default(),
-            vms: (0..VMS).map(|_| PlatformKnowledge::default()).collect(),
+            vms: (0..VMS).map(|_| PlatformState::default()).collect(),
             offers: vec![None; VMS],
             lists: vec![None; VMS],
             messages: Vec::new(),
@@ -265,7 +265,7 @@
     }
 
     fn restart(&mut self, vm: usize) {
-        self.vms[vm] = PlatformKnowledge::default();
+        self.vms[vm] = PlatformState::default();
         self.offers[vm] = None;
         self.lists[vm] = None;
         self.had[vm] = Default::default();
@@ -373,7 +373,7 @@
         Ok(())
     }
 
-    fn check_description(&self, known: &PlatformKnowledge) -> Result<(), String> {
+    fn check_description(&self, known: &PlatformState) -> Result<(), String> {
         let revision = known.revision();
         let held = known.routes().map(|routes| sorted(routes.description().clone()));
         let states = self.platform.states_since(ChangeSubject::Description, revision);
@@ -387,7 +387,7 @@
         }
     }
 
-    fn check_others(&self, known: &PlatformKnowledge) -> Result<(), String> {
+    fn check_others(&self, known: &PlatformState) -> Result<(), String> {
         let revision = known.revision();
         let records = known.table.records(moment().now);
         for name in NAMES {
--- a/crates/foldhaven-gateway/tests/testsuite/told_states.rs
+++ b/crates/foldhaven-gateway/tests/testsuite/told_states.rs
@@ -7,7 +7,9 @@
 use foldhaven_core::opaque::route_table::{CallerLimits, RouteDescription, RouteVersion};
 use foldhaven_core::time::MonoTime;
 use foldhaven_gateway::feed::FeedSnapshot;
-use foldhaven_gateway::known::{PlatformKnowledge, StateAsk, StateOffer, TakeMoment, ToldStates};
+use foldhaven_gateway::known::{
+    AnswerCache, ApplyContext, PlatformState, StateOffer, StateRequest,
+};
 
 fn offer(revision: u64) -> Arc<StateOffer> {
     let limits = CallerLimits {
@@ -32,17 +34,17 @@
         evacuated: BTreeSet::new(),
     };
     let now = MonoTime::from_millis(1_000_000);
-    let mut known = PlatformKnowledge::default();
-    known.take_snapshot(snapshot, TakeMoment { now, behind: Duration::ZERO });
+    let mut known = PlatformState::default();
+    known.take_snapshot(snapshot, ApplyContext { now, behind: Duration::ZERO });
     Arc::new(known.offer(now).unwrap())
 }
 
-const ALL: StateAsk = StateAsk { known: None, is_spanning: true };
+const ALL: StateRequest = StateRequest { known: None, is_spanning: true };
 
 /// A VM wrote the same changes anew for each VM of its region that asked, one after the other.
 #[test]
 fn an_answer_is_written_once_for_all_that_ask_the_same() {
-    let (told, offer) = (ToldStates::default(), offer(7));
+    let (told, offer) = (AnswerCache::default(), offer(7));
     let first = told.answer(&offer, ALL).unwrap();
     let second = told.answer(&offer, ALL).unwrap();
     assert_eq!(first.as_ptr(), second.as_ptr(), "the same bytes");
@@ -50,12 +52,12 @@
 
 #[test]
 fn an_answer_is_of_what_is_asked_and_held_now() {
-    let told = ToldStates::default();
+    let told = AnswerCache::default();
     let (old, new) = (offer(7), offer(8));
-    let asks = [Some(7), Some(6), None].map(|known| StateAsk { known, is_spanning: true });
+    let asks = [Some(7), Some(6), None].map(|known| StateRequest { known, is_spanning: true });
     for ask in asks.iter().chain(&asks) {
         for offer in [&old, &new] {
-            let fresh = ToldStates::default().answer(offer, *ask).unwrap();
+            let fresh = AnswerCache::default().answer(offer, *ask).unwrap();
             assert_eq!(told.answer(offer, *ask).unwrap(), fresh, "{ask:?}");
         }
     }
