--- a/crates/foldhaven-gateway/src/attempts/mod.rs
+++ b/crates/foldhaven-gateway/src/attempts/mod.rs
@@ -22,7 +22,8 @@
 use crate::credential::{KeyState, key_state};
 use crate::job::GatewayJob;
 use crate::places::{
-    DestinationChoice, RequestDestination, TriedDestinations, choose_place, describe_places,
+    DestinationChoice, RequestDestination, TriedDestinations, choose_destination,
+    describe_candidates,
 };
 use crate::shared::GatewayShared;
 use crate::upstream::{GuestSeat, LoadSeat};
@@ -259,13 +260,13 @@
         let Some(view) = self.shared.view() else { return Err(Refusal::NoDescription) };
         self.check_key(&view).map_err(|refusal| self.after_tries(refusal))?;
         self.check_suspicion().map_err(|refusal| self.after_tries(refusal))?;
-        let chosen = match choose_place(&self.shared, &view, &self.job, &self.tried) {
+        let chosen = match choose_destination(&self.shared, &view, &self.job, &self.tried) {
             Ok(chosen) => chosen,
             Err(Refusal::NoUpstream | Refusal::HeldBack { .. }) if self.awaits_peers(&view) => {
                 return Ok(None);
             }
             Err(refusal) => {
-                self.weighed = Some(describe_places(&self.shared, &view, &self.job));
+                self.weighed = Some(describe_candidates(&self.shared, &view, &self.job));
                 return Err(self.after_tries(refusal));
             }
         };
@@ -289,7 +290,7 @@
     /// request. After a loss of all VMs their callers come back in the first tenths of a second.
     fn awaits_peers(&self, view: &GatewayView) -> bool {
         let own_region = self.shared.settings.region();
-        let is_elsewhere = view.waits.keys().any(|(region, service)| {
+        let is_elsewhere = view.expected_waits.keys().any(|(region, service)| {
             *service == self.job.service && region != own_region && self.job.permits(region)
         });
         is_elsewhere && !self.job.is_forwarded && self.shared.viewed_for() < PEERS_KNOWN_AFTER
--- a/crates/foldhaven-gateway/src/attempts/notes.rs
+++ b/crates/foldhaven-gateway/src/attempts/notes.rs
@@ -14,7 +14,7 @@
 use crate::call::{CallFault, OpenAnswer};
 use crate::clock::BootInstant;
 use crate::metrics::{RequestBurn, RequestEnd};
-use crate::places::{RequestDestination, TOLD_TOKENS};
+use crate::places::{MIN_ANNOUNCED_TOKENS, RequestDestination};
 use crate::upstream::Upstream;
 use crate::upstream_ends::look_into_end;
 
@@ -34,7 +34,7 @@
             own_tokens: outline.own_tokens,
         };
         self.shared.hints.lock().note(&placement);
-        if outline.shared_tokens() >= TOLD_TOKENS {
+        if outline.shared_tokens() >= MIN_ANNOUNCED_TOKENS {
             self.shared.placements.lock().push(placement);
         }
     }
@@ -224,7 +224,7 @@
             fault = self.last_fault.as_deref().unwrap_or("-"),
             forwarded = job.is_forwarded,
             version = view.as_ref().map_or(0, |view| view.routes.version().0),
-            news_ms = view.as_ref().map_or(0, |view| view.news_age().as_millis() as u64),
+            news_ms = view.as_ref().map_or(0, |view| view.report_age().as_millis() as u64),
             ms = job.started.elapsed().as_millis() as u64,
             left_ms = job.deadline.saturating_duration_since(BootInstant::now()).as_millis() as u64,
             "request ended"
--- a/crates/foldhaven-gateway/src/attempts/retries.rs
+++ b/crates/foldhaven-gateway/src/attempts/retries.rs
@@ -6,7 +6,7 @@
 use crate::answer::Refusal;
 use crate::call::CallFault;
 use crate::clock::BootInstant;
-use crate::places::held_back_wait;
+use crate::places::throttled_wait;
 
 /// How many places are tried at most, those included that could not be reached.
 const MAX_TRIES: usize = 4;
@@ -66,7 +66,7 @@
         match fault {
             CallFault::Declined { status } if *status == StatusCode::SERVICE_UNAVAILABLE => {
                 let view = self.shared.view();
-                let wait = view.and_then(|view| held_back_wait(&self.shared, &view, &self.job));
+                let wait = view.and_then(|view| throttled_wait(&self.shared, &view, &self.job));
                 wait.map_or(Refusal::Full, |wait| Refusal::HeldBack { wait })
             }
             _ => Refusal::NoUpstream,
--- a/crates/foldhaven-gateway/src/daemon.rs
+++ b/crates/foldhaven-gateway/src/daemon.rs
@@ -17,7 +17,7 @@
 
 use crate::caller_front::{CallerHandler, ReadyHandler};
 use crate::datagrams::{
-    hear_datagrams, send_beats, send_demands, send_pacts, send_reports, tell_changes,
+    receive_datagrams, send_agreements, send_demands, send_heartbeats, send_reports, send_updates,
 };
 use crate::directory::{DirectoryCodec, DirectoryHandler};
 use crate::feed::{FeedSink, PlatformFeed};
@@ -152,25 +152,25 @@
     let incarnation = new_incarnation();
     let (news, told) = mpsc::unbounded_channel();
     let control = ControlActor::new(shared.clone(), incarnation, news);
-    let turns = control.turns();
+    let read_assignments = control.read_assignments();
     let is_rate_used = control.rate_watch();
     let address = xtra::spawn_tokio(control, Mailbox::unbounded());
-    tokio::spawn(hear_datagrams(socket.clone(), address.clone(), shared.clone()));
-    tokio::spawn(tell_changes(socket.clone(), told, shared.clone()));
+    tokio::spawn(receive_datagrams(socket.clone(), address.clone(), shared.clone()));
+    tokio::spawn(send_updates(socket.clone(), told, shared.clone()));
     tokio::spawn(send_reports(socket.clone(), address.clone()));
     let control = address.clone();
     let suspects = SuspectTeller { socket: socket.clone(), control, shared: shared.clone() };
     tokio::spawn(tell_until_end(suspects));
-    tokio::spawn(send_pacts(socket.clone(), address.clone(), is_rate_used));
+    tokio::spawn(send_agreements(socket.clone(), address.clone(), is_rate_used));
     let control = address.clone();
     let signals = SignalTeller { socket: socket.clone(), control, shared: shared.clone() };
     tokio::spawn(tell_until_end(signals));
     tokio::spawn(send_demands(socket.clone(), address.clone()));
-    tokio::spawn(send_beats(socket, address.clone(), shared.clone()));
+    tokio::spawn(send_heartbeats(socket, address.clone(), shared.clone()));
     tokio::spawn(follow_settings(settings_path, shared.settings.clone(), address.clone()));
     tokio::spawn(follow_peers(shared, address.clone()));
     tokio::spawn(tick(address.clone()));
-    feed.run(FeedSink::new(address, turns)).await;
+    feed.run(FeedSink::new(address, read_assignments)).await;
 }
 
 async fn tick(control: ControlAddress) {
--- a/crates/foldhaven-gateway/src/datagrams.rs
+++ b/crates/foldhaven-gateway/src/datagrams.rs
@@ -16,7 +16,7 @@
 use tokio::time::sleep;
 
 use crate::clock::BootInstant;
-use crate::feed::CountedChange;
+use crate::feed::NumberedChange;
 use crate::keeper::{
     ControlAddress, OutgoingChanges, OutgoingUpdate, PlanAgreementRound, PlanDemandReports,
     PlanHeartbeats, PlanLoadReport, PlannedLoadReport, ReceiveAgreement, ReceiveChanges,
@@ -30,20 +30,20 @@
 
 /// How many parts of prompts go into one datagram. A part is a hash and a count of at most 14 bytes together, so that
 /// half of the datagram is left for the rest.
-const MAX_PARTS: usize = 580;
+const MAX_PROMPT_PARTS: usize = 580;
 /// A VM without requests reports in every n-th round only.
-const IDLE_ROUNDS: u32 = 4;
+const IDLE_REPORT_EVERY: u32 = 4;
 
 /// Passes changes of the platform on to VMs that do not read them themselves. Those that do not fit
 /// a datagram are asked for; what must not wait for that goes ahead.
-pub async fn tell_changes(
+pub async fn send_updates(
     socket: Arc<UdpSocket>,
-    mut news: mpsc::UnboundedReceiver<OutgoingUpdate>,
+    mut updates: mpsc::UnboundedReceiver<OutgoingUpdate>,
     shared: Arc<GatewayShared>,
 ) {
-    while let Some(told) = news.recv().await {
-        match told {
-            OutgoingUpdate::Changes(told) => tell_set(&socket, told, &shared).await,
+    while let Some(update) = updates.recv().await {
+        match update {
+            OutgoingUpdate::Changes(update) => send_changes(&socket, update, &shared).await,
             OutgoingUpdate::Notice { targets, notice } => {
                 send_to(&socket, &targets, &PeerMessage::News(notice)).await;
             }
@@ -51,18 +51,18 @@
     }
 }
 
-async fn tell_set(socket: &UdpSocket, told: OutgoingChanges, shared: &GatewayShared) {
-    let OutgoingChanges { targets, changes, offer } = told;
+async fn send_changes(socket: &UdpSocket, update: OutgoingChanges, shared: &GatewayShared) {
+    let OutgoingChanges { targets, changes, offer } = update;
     let (revision, count) = (changes.revision, changes.changes.len());
-    let small = changes.changes.iter().filter(|it| EarlyChanges::may_precede(&it.change));
-    let small: Vec<CountedChange> = small.cloned().collect();
+    let urgent = changes.changes.iter().filter(|it| EarlyChanges::may_apply_early(&it.change));
+    let urgent: Vec<NumberedChange> = urgent.cloned().collect();
     let mut is_offered = false;
     let bytes = PeerMessage::Changes(changes).bytes().or_else(|error| {
         is_offered = true;
         shared.metrics.count_event("changes_too_large");
-        let early = small.len();
+        let early = urgent.len();
         tracing::warn!(revision, count, early, error = %error, "changes have to be asked for");
-        PeerMessage::Early(small).bytes()
+        PeerMessage::Early(urgent).bytes()
     });
     match bytes {
         Ok(bytes) => {
@@ -83,31 +83,31 @@
 /// Tells the other VMs of the region of this one's requests at its upstreams.
 pub async fn send_reports(socket: Arc<UdpSocket>, control: ControlAddress) {
     let mut idle_rounds = 0;
-    let mut late = Duration::ZERO;
+    let mut timer_delay = Duration::ZERO;
     loop {
-        let Ok(planned) = control.send(PlanLoadReport { late }).await else { return };
-        let PlannedLoadReport { report, legs, far_targets, far_placements, region, interval } =
+        let Ok(planned) = control.send(PlanLoadReport { timer_delay }).await else { return };
+        let PlannedLoadReport { report, legs, remote_targets, remote_placements, region, interval } =
             planned;
         let is_idle = !report.is_active() && legs.iter().all(|leg| leg.news.is_empty());
         // The first idle report says that the earlier requests have ended; later ones that this VM
         // lives.
-        if !is_idle || idle_rounds % IDLE_ROUNDS == 0 {
+        if !is_idle || idle_rounds % IDLE_REPORT_EVERY == 0 {
             for ReportLeg { targets, news } in legs {
                 let ReportNews { placements, regions } = news;
                 let report = LoadReport { placements, regions, ..report.clone() };
                 send_report(&socket, &targets, report).await;
             }
         }
-        for placements in fitting_chunks(far_placements) {
-            send_to(&socket, &far_targets, &PeerMessage::Placements(placements)).await;
+        for placements in fitting_chunks(remote_placements) {
+            send_to(&socket, &remote_targets, &PeerMessage::Placements(placements)).await;
         }
         if let Some(region) = region {
-            send_to(&socket, &far_targets, &PeerMessage::Region(region)).await;
+            send_to(&socket, &remote_targets, &PeerMessage::Region(region)).await;
         }
         idle_rounds = if is_idle { idle_rounds + 1 } else { 0 };
         let slept = BootInstant::now();
         sleep(interval).await;
-        late = slept.elapsed().saturating_sub(interval);
+        timer_delay = slept.elapsed().saturating_sub(interval);
     }
 }
 
@@ -126,13 +126,13 @@
 /// Prompts in portions of which each fits a datagram, with other things beside it.
 fn fitting_chunks(placements: Vec<PromptPlacement>) -> Vec<Vec<PromptPlacement>> {
     let mut chunks: Vec<Vec<PromptPlacement>> = Vec::new();
-    let mut parts = MAX_PARTS;
+    let mut parts = MAX_PROMPT_PARTS;
     for mut placement in placements {
         // What is left is the beginning of the prompt, which is where prompts meet.
-        placement.shared.truncate(MAX_PARTS - 1);
+        placement.shared.truncate(MAX_PROMPT_PARTS - 1);
         let size = placement.shared.len() + 1;
         match chunks.last_mut() {
-            Some(chunk) if parts + size <= MAX_PARTS => chunk.push(placement),
+            Some(chunk) if parts + size <= MAX_PROMPT_PARTS => chunk.push(placement),
             _ => {
                 parts = 0;
                 chunks.push(vec![placement]);
@@ -144,7 +144,7 @@
 }
 
 /// Takes datagrams and hands them to the keeper.
-pub async fn hear_datagrams(
+pub async fn receive_datagrams(
     socket: Arc<UdpSocket>,
     control: ControlAddress,
     shared: Arc<GatewayShared>,
@@ -169,17 +169,17 @@
                 continue;
             }
         };
-        if let Some(asker) = asker_of_all(&message) {
-            tell_starter(&socket, &shared, asker).await;
+        if let Some(starting_peer_address) = starting_peer(&message) {
+            send_suspects_to_starting_peer(&socket, &shared, starting_peer_address).await;
         }
         let message = match message {
             PeerMessage::Suspects(telling) => {
-                hear_suspects(&shared, &telling);
+                apply_suspects(&shared, &telling);
                 continue;
             }
             message => message,
         };
-        match hand_over(&control, message).await {
+        match dispatch(&control, message).await {
             Ok(replies) => send_all(&socket, replies).await,
             Err(_) => return,
         }
@@ -187,21 +187,21 @@
 }
 
 /// Messages with their receivers.
-type PlannedMessages = Vec<(SocketAddr, PeerMessage)>;
+type OutgoingMessages = Vec<(SocketAddr, PeerMessage)>;
 
-fn beat_replies(replies: PlannedBeats) -> PlannedMessages {
+fn heartbeat_messages(replies: PlannedBeats) -> OutgoingMessages {
     replies.into_iter().map(|(target, beat)| (target, PeerMessage::Beat(beat))).collect()
 }
 
 /// Hands a message to the keeper. Returns what is to be sent in reply.
-async fn hand_over(
+async fn dispatch(
     control: &ControlAddress,
     message: PeerMessage,
-) -> Result<PlannedMessages, xtra::Error> {
+) -> Result<OutgoingMessages, xtra::Error> {
     match message {
         PeerMessage::Beat(message) => {
             let replies = control.send(ReceiveHeartbeat { message }).await?;
-            return Ok(beat_replies(replies));
+            return Ok(heartbeat_messages(replies));
         }
         PeerMessage::View(notice) => {
             let answer = control.send(ReceiveView { notice }).await?;
@@ -212,7 +212,7 @@
         }
         PeerMessage::ViewList(list) => {
             let replies = control.send(ReceiveViewList { list }).await?;
-            return Ok(beat_replies(replies));
+            return Ok(heartbeat_messages(replies));
         }
         PeerMessage::Pact(notice) => {
             let answer = control.send(ReceiveAgreement { notice }).await?;
@@ -233,11 +233,11 @@
         PeerMessage::Leavers(leavers) => control.send(ReceiveLeavingNotices { leavers }).await?,
         PeerMessage::Suspects(_) => {}
     }
-    Ok(PlannedMessages::new())
+    Ok(OutgoingMessages::new())
 }
 
 /// The address of a VM that has just started and asks for all there is to know.
-fn asker_of_all(message: &PeerMessage) -> Option<SocketAddr> {
+fn starting_peer(message: &PeerMessage) -> Option<SocketAddr> {
     match message {
         PeerMessage::Beat(beat) if beat.asks == AskedBeats::All => Some(beat.own.peer),
         _ => None,
@@ -245,14 +245,18 @@
 }
 
 /// Tells a VM that has just started which requests are held back, also when there are none: it waits for that.
-async fn tell_starter(socket: &UdpSocket, shared: &GatewayShared, starter: SocketAddr) {
+async fn send_suspects_to_starting_peer(
+    socket: &UdpSocket,
+    shared: &GatewayShared,
+    target: SocketAddr,
+) {
     let records = shared.suspects.told_to_starter();
     let telling = SuspectTelling { region: shared.settings.region().clone(), records };
-    send_to(socket, &[starter], &PeerMessage::Suspects(telling)).await;
+    send_to(socket, &[target], &PeerMessage::Suspects(telling)).await;
 }
 
 /// Takes in what another VM tells of suspected requests.
-fn hear_suspects(shared: &GatewayShared, telling: &SuspectTelling) {
+fn apply_suspects(shared: &GatewayShared, telling: &SuspectTelling) {
     let source = match telling.region == *shared.settings.region() {
         true => RecordSource::Near,
         false => RecordSource::Far,
@@ -261,7 +265,7 @@
 }
 
 /// Sends heartbeats in rounds, and at once when this daemon starts to leave.
-pub async fn send_beats(
+pub async fn send_heartbeats(
     socket: Arc<UdpSocket>,
     control: ControlAddress,
     shared: Arc<GatewayShared>,
@@ -275,19 +279,19 @@
             () = shared.wake.await_found() => false,
         };
         let Ok(round) = control.send(PlanHeartbeats { to_all }).await else { return };
-        pause = round.pause;
-        let targets: Vec<SocketAddr> = round.beats.iter().map(|(target, _)| *target).collect();
-        send_all(&socket, beat_replies(round.beats)).await;
+        pause = round.next_in;
+        let targets: Vec<SocketAddr> = round.heartbeats.iter().map(|(target, _)| *target).collect();
+        send_all(&socket, heartbeat_messages(round.heartbeats)).await;
         send_to(&socket, &round.view_targets, &PeerMessage::View(round.view)).await;
-        if let Some(news) = round.news {
-            send_to(&socket, &targets, &PeerMessage::News(news)).await;
+        if let Some(notice) = round.notice {
+            send_to(&socket, &targets, &PeerMessage::News(notice)).await;
         }
     }
 }
 
 /// Tells the VMs that share the limits of the region which list of them this one holds, while a limit of an upstream is in
 /// use.
-pub async fn send_pacts(
+pub async fn send_agreements(
     socket: Arc<UdpSocket>,
     control: ControlAddress,
     mut is_used: watch::Receiver<bool>,
@@ -309,10 +313,10 @@
     loop {
         let Ok(planned) = control.send(PlanDemandReports).await else { return };
         if let Some(near) = planned.near {
-            send_near_demand(&socket, &planned.near_targets, near).await;
+            send_near_demand(&socket, &planned.local_targets, near).await;
         }
         if let Some(far) = planned.far {
-            send_to(&socket, &planned.far_targets, &PeerMessage::RegionDemand(far)).await;
+            send_to(&socket, &planned.remote_targets, &PeerMessage::RegionDemand(far)).await;
         }
         sleep(DEMAND_INTERVAL).await;
     }
@@ -349,7 +353,7 @@
     bytes.len()
 }
 
-async fn send_all(socket: &UdpSocket, planned: PlannedMessages) {
+async fn send_all(socket: &UdpSocket, planned: OutgoingMessages) {
     for (target, message) in planned {
         send_to(socket, &[target], &message).await;
     }
--- a/crates/foldhaven-gateway/src/demand_meter.rs
+++ b/crates/foldhaven-gateway/src/demand_meter.rs
@@ -17,20 +17,20 @@
 /// What the requests of the last whole span needed.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct DemandMeter {
-    begun: BootInstant,
+    span_start: BootInstant,
     /// The requests taken until then.
-    taken: u64,
+    accepted: u64,
     /// The latest timer of the span.
-    latest: Duration,
+    max_timer_delay: Duration,
     busy: CoreShare,
 }
 
 impl Default for DemandMeter {
     fn default() -> Self {
         Self {
-            begun: BootInstant::now(),
-            taken: 0,
-            latest: Duration::ZERO,
+            span_start: BootInstant::now(),
+            accepted: 0,
+            max_timer_delay: Duration::ZERO,
             busy: CoreShare::default(),
         }
     }
@@ -38,23 +38,28 @@
 
 impl DemandMeter {
     /// Takes in how late a timer was.
-    pub(crate) fn note_timer(&mut self, late: Duration) {
-        self.latest = self.latest.max(late);
+    pub(crate) fn record_timer_delay(&mut self, delay: Duration) {
+        self.max_timer_delay = self.max_timer_delay.max(delay);
     }
 
-    /// The part of a core that the requests of the last span needed, where `taken` were taken since the start and
+    /// The part of a core that the requests of the last span needed, where `accepted` were taken since the start and
     /// this VM has `cores`.
-    pub(crate) fn busy(&mut self, taken: u64, cores: CoreShare) -> CoreShare {
-        let span = self.begun.elapsed();
+    pub(crate) fn busy(&mut self, accepted: u64, cores: CoreShare) -> CoreShare {
+        let span = self.span_start.elapsed();
         if span < SPAN {
             return self.busy;
         }
-        let requests = taken.saturating_sub(self.taken);
+        let requests = accepted.saturating_sub(self.accepted);
         let needed = REQUEST_TIME.as_secs_f64() * requests as f64 / span.as_secs_f64();
         let needed = CoreShare::of_cores(needed);
-        let is_strained = requests > 0 && self.latest >= LATE_TIMER;
-        let busy = if is_strained { needed.max(cores) } else { needed };
-        *self = Self { begun: BootInstant::now(), taken, latest: Duration::ZERO, busy };
+        let is_overloaded = requests > 0 && self.max_timer_delay >= LATE_TIMER;
+        let busy = if is_overloaded { needed.max(cores) } else { needed };
+        *self = Self {
+            span_start: BootInstant::now(),
+            accepted,
+            max_timer_delay: Duration::ZERO,
+            busy,
+        };
         busy
     }
 }
--- a/crates/foldhaven-gateway/src/directory.rs
+++ b/crates/foldhaven-gateway/src/directory.rs
@@ -57,9 +57,9 @@
             teller: &settings.vm,
             region: settings.region(),
             demand: view.demand,
-            doubted: &view.doubted,
+            doubted: &view.unresponsive_vms,
         };
-        Some(name_vms(&view.beats, &query.region, &near, bound, has_bound))
+        Some(name_vms(&view.heartbeats, &query.region, &near, bound, has_bound))
     }
 }
 
--- a/crates/foldhaven-gateway/src/explain.rs
+++ b/crates/foldhaven-gateway/src/explain.rs
@@ -11,7 +11,7 @@
 use crate::answer::Refusal;
 use crate::clock::BootInstant;
 use crate::job::GatewayJob;
-use crate::places::{REGION_MARGIN, price_places};
+use crate::places::{REGION_MARGIN, price_destinations};
 use crate::shared::GatewayShared;
 
 /// For a question that names no body.
@@ -80,7 +80,7 @@
         account: None,
         route,
     };
-    let mut places: Vec<PlacePrice> = price_places(shared, &view, &job);
+    let mut places: Vec<PlacePrice> = price_destinations(shared, &view, &job);
     places.sort_by(|left, right| left.parts.total().0.total_cmp(&right.parts.total().0));
     Ok(RouteExplanation {
         vm: shared.settings.vm.clone(),
--- a/crates/foldhaven-gateway/src/feed.rs
+++ b/crates/foldhaven-gateway/src/feed.rs
@@ -114,7 +114,7 @@
 
 /// A change with the platform's count of changes when it was made.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct CountedChange {
+pub struct NumberedChange {
     /// The count.
     pub revision: u64,
     /// The change.
@@ -128,22 +128,22 @@
 ///
 /// When a version between two descriptions is missing.
 pub fn drop_superseded<'a>(
-    changes: impl IntoIterator<Item = &'a CountedChange>,
-) -> Result<Vec<CountedChange>, DeltaError> {
-    let mut last: BTreeMap<ChangeSubject<'a>, Cow<'a, CountedChange>> = BTreeMap::new();
-    for counted in changes {
-        let subject = counted.change.subject();
+    changes: impl IntoIterator<Item = &'a NumberedChange>,
+) -> Result<Vec<NumberedChange>, DeltaError> {
+    let mut last: BTreeMap<ChangeSubject<'a>, Cow<'a, NumberedChange>> = BTreeMap::new();
+    for numbered in changes {
+        let subject = numbered.change.subject();
         let kept = match last.get(&subject) {
             Some(held) => {
-                let change = held.change.followed_by(&counted.change)?;
-                Cow::Owned(CountedChange { revision: counted.revision, change })
+                let change = held.change.followed_by(&numbered.change)?;
+                Cow::Owned(NumberedChange { revision: numbered.revision, change })
             }
-            None => Cow::Borrowed(counted),
+            None => Cow::Borrowed(numbered),
         };
         last.insert(subject, kept);
     }
-    let mut kept: Vec<CountedChange> = last.into_values().map(Cow::into_owned).collect();
-    kept.sort_by_key(|counted| counted.revision);
+    let mut kept: Vec<NumberedChange> = last.into_values().map(Cow::into_owned).collect();
+    kept.sort_by_key(|numbered| numbered.revision);
     Ok(kept)
 }
 
@@ -155,13 +155,13 @@
     /// The revision up to which there are no others.
     pub revision: u64,
     /// The changes in their order; of several about the same only the last.
-    pub changes: Vec<CountedChange>,
+    pub changes: Vec<NumberedChange>,
 }
 
 impl ChangeSet {
     /// The versions that its difference between descriptions was put together over.
     pub fn through(&self) -> Vec<RouteVersion> {
-        let deltas = self.changes.iter().filter_map(|counted| match &counted.change {
+        let deltas = self.changes.iter().filter_map(|numbered| match &numbered.change {
             FeedChange::DescriptionDelta(delta) => Some(delta.through()),
             _ => None,
         });
@@ -170,8 +170,8 @@
 
     /// The same changes, whose difference between descriptions is told to be put together over these versions.
     pub fn told_through(mut self, through: &[RouteVersion]) -> Self {
-        for counted in &mut self.changes {
-            if let FeedChange::DescriptionDelta(delta) = &mut counted.change {
+        for numbered in &mut self.changes {
+            if let FeedChange::DescriptionDelta(delta) = &mut numbered.change {
                 **delta = (**delta).clone().told_through(through.to_vec());
             }
         }
@@ -208,11 +208,11 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReadAssignment {
     /// Whether it is to read.
-    pub reads: bool,
+    pub is_reader: bool,
     /// The revision that it knows, from its own reading or from other VMs; nothing yet when absent.
-    pub known: Option<u64>,
+    pub known_revision: Option<u64>,
     /// Whether others know more, and did a moment ago: a call that waits for changes would have been answered.
-    pub is_overtaken: bool,
+    pub is_superseded: bool,
 }
 
 /// What a feed tells.
@@ -223,7 +223,7 @@
     /// What changed up to a revision.
     Changes(ChangeSet),
     /// Nothing could be read.
-    Disturbed {
+    Failed {
         /// What was tried and what went wrong.
         cause: String,
     },
@@ -233,33 +233,39 @@
 #[derive(Clone)]
 pub struct FeedSink {
     control: ControlAddress,
-    turn: watch::Receiver<ReadAssignment>,
+    assignment: watch::Receiver<ReadAssignment>,
 }
 
 impl FeedSink {
-    pub(crate) fn new(control: ControlAddress, turn: watch::Receiver<ReadAssignment>) -> Self {
-        Self { control, turn }
+    pub(crate) fn new(
+        control: ControlAddress,
+        assignment: watch::Receiver<ReadAssignment>,
+    ) -> Self {
+        Self { control, assignment }
     }
 
     /// Tells news. Returns whether anybody still listens.
-    pub async fn tell(&self, news: FeedUpdate) -> bool {
+    pub async fn send(&self, news: FeedUpdate) -> bool {
         self.control.send(news).await.is_ok()
     }
 
     /// Waits until this daemon is to read, and gives the revision from which to go on; nothing when
     /// everything is to be read. Returns an error when nobody listens any more.
-    pub async fn await_turn(&mut self) -> Result<Option<u64>, RecvError> {
-        self.turn.wait_for(|turn| turn.reads).await.map(|turn| turn.known)
+    pub async fn await_assignment(&mut self) -> Result<Option<u64>, RecvError> {
+        self.assignment
+            .wait_for(|assignment| assignment.is_reader)
+            .await
+            .map(|assignment| assignment.known_revision)
     }
 
     /// Waits until others have known more for a while, so that a call without an answer will get none.
-    pub async fn await_overtaken(&self, lasting: Duration) {
-        let mut turn = self.turn.clone();
+    pub async fn await_superseded(&self, lasting: Duration) {
+        let mut assignment = self.assignment.clone();
         loop {
-            if turn.wait_for(|turn| turn.is_overtaken).await.is_err() {
+            if assignment.wait_for(|assignment| assignment.is_superseded).await.is_err() {
                 return std::future::pending().await;
             }
-            let caught_up = turn.wait_for(|turn| !turn.is_overtaken);
+            let caught_up = assignment.wait_for(|assignment| !assignment.is_superseded);
             if timeout(lasting, caught_up).await.is_err() {
                 return;
             }
--- a/crates/foldhaven-gateway/src/keeper/account_limits.rs
+++ b/crates/foldhaven-gateway/src/keeper/account_limits.rs
@@ -19,9 +19,9 @@
 /// What is to be told, and to whom.
 #[derive(Default)]
 pub struct PlannedDemandReports {
-    pub near_targets: Vec<SocketAddr>,
+    pub local_targets: Vec<SocketAddr>,
     pub near: Option<NearDemand>,
-    pub far_targets: Vec<SocketAddr>,
+    pub remote_targets: Vec<SocketAddr>,
     pub far: Option<RegionDemand>,
 }
 
@@ -46,20 +46,21 @@
         let now = self.now();
         let (names, wants) = self.limited_accounts(now);
         if wants.is_empty() {
-            self.demands.rest();
+            self.account_demands.rest();
             return PlannedDemandReports::default();
         }
         let heard = self.peers.heard_near(now);
         let view = self.sharer_view(heard.len(), now);
         let incarnation = self.peers.incarnation();
-        let near = self.demands.tell_near(&wants, &view, &heard, incarnation, now);
-        self.renew_parts(names, &wants, view, now);
-        let speaks = self.phase() == PeerPhase::Serving && self.peers.is_delegate(now);
-        let far = speaks.then(|| self.demands.tell_far(&wants, incarnation, now)).flatten();
+        let near = self.account_demands.tell_near(&wants, &view, &heard, incarnation, now);
+        self.update_limit_shares(names, &wants, view, now);
+        let is_speaker = self.phase() == PeerPhase::Serving && self.peers.is_delegate(now);
+        let far =
+            is_speaker.then(|| self.account_demands.tell_far(&wants, incarnation, now)).flatten();
         PlannedDemandReports {
-            near_targets: near.as_ref().map(|_| self.near_peers()).unwrap_or_default(),
+            local_targets: near.as_ref().map(|_| self.local_peers()).unwrap_or_default(),
             near,
-            far_targets: match far.is_some() {
+            remote_targets: match far.is_some() {
                 true => self.peers.one_in_service_of_each_region(now),
                 false => Vec::new(),
             },
@@ -73,7 +74,7 @@
 
     async fn handle(&mut self, message: ReceiveLocalDemand, _: &mut Context<Self>) {
         let now = self.now();
-        self.demands.hear_near(&message.demand, now);
+        self.account_demands.hear_near(&message.demand, now);
     }
 }
 
@@ -82,13 +83,17 @@
 
     async fn handle(&mut self, message: ReceiveRegionDemand, _: &mut Context<Self>) {
         let now = self.now();
-        self.demands.hear_region(message.demand, now);
+        self.account_demands.hear_region(message.demand, now);
     }
 }
 
 /// Logs the part of the account that is wanted most here.
-fn log_largest(parts: &[(AccountName, LimitPart)], wants: &[LimitedWant], view: &SharerView) {
-    let both = parts.iter().zip(wants);
+fn log_largest_demand(
+    shares: &[(AccountName, LimitPart)],
+    wants: &[LimitedWant],
+    view: &SharerView,
+) {
+    let both = shares.iter().zip(wants);
     let largest = both.max_by(|left, right| left.1.want.total_cmp(&right.1.want));
     let Some(((account, part), want)) = largest.filter(|(_, want)| want.want > 0.0) else { return };
     tracing::info!(
@@ -106,7 +111,7 @@
 impl ControlActor {
     /// The accounts that have limits, and what their callers want here.
     fn limited_accounts(&self, now: MonoTime) -> (Vec<AccountName>, Vec<LimitedWant>) {
-        let described = self.known.routes().and_then(|it| it.description().accounts.as_ref());
+        let described = self.platform.routes().and_then(|it| it.description().accounts.as_ref());
         let Some(described) = described else { return Default::default() };
         let wants: BTreeMap<AccountName, f64> =
             self.shared.accounts.wants(now).into_iter().collect();
@@ -123,25 +128,25 @@
     fn sharer_view(&self, heard: usize, now: MonoTime) -> SharerView {
         let known = self.peers.region_count();
         let vms = usize::from(self.peers.assumed_counts(now).near).max(known);
-        let is_informed = self.assumed_vms().is_some() && self.is_witnessed();
-        self.demands.view(NearSharers { vms, heard, is_informed }, now)
+        let is_informed = self.assumed_vms().is_some() && self.has_reached_seed();
+        self.account_demands.view(NearSharers { vms, heard, is_informed }, now)
     }
 
     /// Divides the limits anew.
-    fn renew_parts(
+    fn update_limit_shares(
         &mut self,
         names: Vec<AccountName>,
         wants: &[LimitedWant],
         view: SharerView,
         now: MonoTime,
     ) {
-        let desk = &self.shared.accounts;
-        let demands = &mut self.demands;
-        let parts = wants.iter().map(|want| demands.part(want, &view, desk.slack(), now));
-        let parts: Vec<(AccountName, LimitPart)> = names.into_iter().zip(parts).collect();
+        let accounts = &self.shared.accounts;
+        let demands = &mut self.account_demands;
+        let shares = wants.iter().map(|want| demands.part(want, &view, accounts.slack(), now));
+        let shares: Vec<(AccountName, LimitPart)> = names.into_iter().zip(shares).collect();
         if self.shared.quota.take(true) {
-            log_largest(&parts, wants, &view);
+            log_largest_demand(&shares, wants, &view);
         }
-        desk.renew(view, parts, self.shared.started(), now);
+        accounts.renew(view, shares, self.shared.started(), now);
     }
 }
--- a/crates/foldhaven-gateway/src/keeper/behind.rs
+++ b/crates/foldhaven-gateway/src/keeper/behind.rs
@@ -13,17 +13,17 @@
 
 /// A VM of this region that has read more of the platform's changes than this one for so long is asked
 /// for them.
-const BEHIND_LIMIT: Duration = Duration::from_millis(350);
+const LOCAL_REQUEST_DELAY: Duration = Duration::from_millis(350);
 /// The same for a VM of another region, when no near one knows more: bytes between regions are paid for.
-const FAR_BEHIND_LIMIT: Duration = Duration::from_millis(1_000);
-/// The VM that is first to ask other regions waits so long, and each one after it [`ASKING_STEP`] longer: what one of them
+const REMOTE_REQUEST_DELAY: Duration = Duration::from_millis(1_000);
+/// The VM that is first to ask other regions waits so long, and each one after it [`REMOTE_REQUEST_STEP`] longer: what one of them
 /// brings is told to all of the region, and nobody else has to ask.
-const FIRST_FAR_LIMIT: Duration = Duration::from_millis(200);
-const ASKING_STEP: Duration = Duration::from_millis(150);
+const FIRST_REMOTE_REQUEST_DELAY: Duration = Duration::from_millis(200);
+const REMOTE_REQUEST_STEP: Duration = Duration::from_millis(150);
 /// After so long the others that may ask are told that another region knows more: the way to it is theirs too.
-const RELAY_AFTER: Duration = Duration::from_millis(100);
+const RELAY_DELAY: Duration = Duration::from_millis(100);
 /// From when on being behind is logged.
-const LONG_BEHIND: Duration = Duration::from_millis(1_000);
+const LAG_LOG_THRESHOLD: Duration = Duration::from_millis(1_000);
 
 /// That others know a revision that this VM does not.
 #[derive(Debug, Clone, Copy)]
@@ -32,7 +32,7 @@
     /// The revision that others knew then.
     revision: u64,
     /// Whether a VM of this region was among them.
-    is_near: bool,
+    is_local: bool,
     /// Whether it has lasted so long that it was logged.
     is_logged: bool,
 }
@@ -64,56 +64,64 @@
 
     async fn handle(&mut self, find: FindNewerPeer, _: &mut Context<Self>) -> CatchUpStep {
         let now = self.now();
-        self.note_progress();
-        let Some(ahead) = self.ahead_peer(find.avoided) else { return CatchUpStep::UpToDate };
+        self.check_caught_up();
+        let Some(ahead) = self.newer_peer(find.avoided) else { return CatchUpStep::UpToDate };
         let (peer, revision) = (ahead.peer, ahead.revision);
-        let is_near = ahead.region == *self.shared.settings.region();
+        let is_local = ahead.region == *self.shared.settings.region();
         let (vm, incarnation) = (VmTag::of(&ahead.vm), ahead.incarnation);
-        let limit = match is_near {
+        let limit = match is_local {
             // What does not fit a datagram will not come by itself.
-            true if self.offered.is_beyond(self.known.revision()) => Duration::ZERO,
-            true => BEHIND_LIMIT,
-            false => self.far_limit(now),
+            true if self.offered.is_beyond(self.platform.revision()) => Duration::ZERO,
+            true => LOCAL_REQUEST_DELAY,
+            false => self.remote_request_delay(now),
         };
-        let fresh = LagState { since: now, revision, is_near, is_logged: false };
-        let behind = self.note_behind(fresh, peer);
-        if !is_near && behind >= RELAY_AFTER {
-            self.relay(NewsNotice { vm, incarnation, revision, age_ms: None, is_offer: false });
+        let fresh = LagState { since: now, revision, is_local, is_logged: false };
+        let lag = self.update_lag(fresh, peer);
+        if !is_local && lag >= RELAY_DELAY {
+            self.relay_notice(NewsNotice {
+                vm,
+                incarnation,
+                revision,
+                age_ms: None,
+                is_offer: false,
+            });
         }
-        self.set_turn();
-        let is_due = self.known.routes().is_none() || self.known.needs_all() || behind >= limit;
-        let known = self.known.known();
+        self.update_read_assignment();
+        let is_due =
+            self.platform.routes().is_none() || self.platform.needs_snapshot() || lag >= limit;
+        let known = self.platform.base_revision();
         if is_due {
-            self.askings = self.askings.wrapping_add(1);
+            self.catch_up_attempts = self.catch_up_attempts.wrapping_add(1);
             return CatchUpStep::Ask(NewerPeer { peer, known });
         }
-        let next = if !is_near && behind < RELAY_AFTER { RELAY_AFTER } else { limit };
-        CatchUpStep::Wait(next.saturating_sub(behind))
+        let next = if !is_local && lag < RELAY_DELAY { RELAY_DELAY } else { limit };
+        CatchUpStep::Wait(next.saturating_sub(lag))
     }
 }
 
 impl ControlActor {
     /// For how long this VM leaves it to others to ask other regions.
-    fn far_limit(&self, now: MonoTime) -> Duration {
+    fn remote_request_delay(&self, now: MonoTime) -> Duration {
         let place = self.peers.asking_place(now).and_then(|place| u32::try_from(place).ok());
-        let limit = place.map(|place| FIRST_FAR_LIMIT + ASKING_STEP.saturating_mul(place));
-        limit.map_or(FAR_BEHIND_LIMIT, |limit| limit.min(FAR_BEHIND_LIMIT))
+        let limit = place
+            .map(|place| FIRST_REMOTE_REQUEST_DELAY + REMOTE_REQUEST_STEP.saturating_mul(place));
+        limit.map_or(REMOTE_REQUEST_DELAY, |limit| limit.min(REMOTE_REQUEST_DELAY))
     }
 
     /// Whether others know more, and none of them is of this region.
-    pub(super) fn is_behind_far_only(&self) -> bool {
-        self.behind.is_some_and(|mark| !mark.is_near)
+    pub(super) fn is_behind_remote_only(&self) -> bool {
+        self.lag.is_some_and(|lag_state| !lag_state.is_local)
     }
 
     /// A VM that knows more of the platform's changes than this one. Those of this data centre go first,
     /// then those of this region. Of these, two are drawn, other ones by each VM and at each asking, and the
     /// one that knows more is taken: if all asked the same one, its link would carry everything.
-    fn ahead_peer(&self, avoided: Option<SocketAddr>) -> Option<&PeerBeat> {
+    fn newer_peer(&self, avoided: Option<SocketAddr>) -> Option<&PeerBeat> {
         let now = self.now();
         let settings = &self.shared.settings;
-        let is_ahead = |beat: &&PeerBeat| match self.known.needs_all() {
-            true => beat.revision >= self.known.revision(),
-            false => beat.revision > self.known.revision(),
+        let is_ahead = |beat: &&PeerBeat| match self.platform.needs_snapshot() {
+            true => beat.revision >= self.platform.revision(),
+            false => beat.revision > self.platform.revision(),
         };
         let nearness = |beat: &PeerBeat| {
             let is_here = beat.data_centre == settings.data_centre;
@@ -122,58 +130,66 @@
         let mut ahead: Vec<&PeerBeat> = self.peers.live(now).filter(is_ahead).collect();
         let nearest = ahead.iter().map(|beat| nearness(beat)).max()?;
         ahead.retain(|beat| nearness(beat) == nearest);
-        let turn = self.askings.to_string();
-        let rank = |beat: &&PeerBeat| rank_hash(&[settings.vm.as_str(), beat.vm.as_str(), &turn]);
+        let attempt = self.catch_up_attempts.to_string();
+        let rank =
+            |beat: &&PeerBeat| rank_hash(&[settings.vm.as_str(), beat.vm.as_str(), &attempt]);
         ahead.sort_by_cached_key(rank);
         ahead.into_iter().take(2).max_by_key(|beat| beat.revision)
     }
 
     /// Notes that a VM knows more. Returns for how long this one has not known what others did.
-    fn note_behind(&mut self, fresh: LagState, peer: SocketAddr) -> Duration {
-        let held = self.behind.filter(|held| held.is_near || !fresh.is_near);
-        let mut mark = held.unwrap_or(fresh);
-        let behind = fresh.since.since(mark.since);
-        if behind >= LONG_BEHIND && !std::mem::replace(&mut mark.is_logged, true) {
-            let behind_ms = behind.as_millis() as u64;
+    fn update_lag(&mut self, fresh: LagState, peer: SocketAddr) -> Duration {
+        let held = self.lag.filter(|held| held.is_local || !fresh.is_local);
+        let mut lag_state = held.unwrap_or(fresh);
+        let lag = fresh.since.since(lag_state.since);
+        if lag >= LAG_LOG_THRESHOLD && !std::mem::replace(&mut lag_state.is_logged, true) {
+            let behind_ms = lag.as_millis() as u64;
             let (ahead, revision, version) =
-                (fresh.revision, self.known.revision(), self.version().0);
-            let is_near = mark.is_near;
-            tracing::warn!(peer = %peer, ahead, revision, version, is_near, behind_ms, "behind other VMs");
+                (fresh.revision, self.platform.revision(), self.version().0);
+            let is_local = lag_state.is_local;
+            tracing::warn!(peer = %peer, ahead, revision, version, is_near = is_local, behind_ms, "behind other VMs");
         }
-        self.behind = Some(mark);
-        self.show_behind();
-        behind
+        self.lag = Some(lag_state);
+        self.publish_lag();
+        lag
     }
 
     /// Notes whether what others knew is known now, or nobody is left who knew it.
-    pub(super) fn note_progress(&mut self) {
-        let Some(mark) = self.behind else { return };
-        let is_left = self.known.revision() < mark.revision;
-        if is_left && self.ahead_peer(None).is_some() {
+    pub(super) fn check_caught_up(&mut self) {
+        let Some(lag_state) = self.lag else { return };
+        let is_left = self.platform.revision() < lag_state.revision;
+        if is_left && self.newer_peer(None).is_some() {
             return;
         }
         if is_left {
             self.offered.forget();
         }
-        self.behind = None;
-        let behind = self.now().since(mark.since);
-        self.shared.metrics.note_span("behind", behind);
-        if mark.is_logged {
-            let behind_ms = behind.as_millis() as u64;
-            tracing::info!(revision = self.known.revision(), behind_ms, "caught up with other VMs");
+        self.lag = None;
+        let lag = self.now().since(lag_state.since);
+        self.shared.metrics.note_span("behind", lag);
+        if lag_state.is_logged {
+            let behind_ms = lag.as_millis() as u64;
+            tracing::info!(
+                revision = self.platform.revision(),
+                behind_ms,
+                "caught up with other VMs"
+            );
         }
-        self.show_behind();
-        self.set_turn();
+        self.publish_lag();
+        self.update_read_assignment();
     }
 
     /// For how long this VM has not known what others did.
-    pub(super) fn behind_for(&self) -> Duration {
-        self.behind.map_or(Duration::ZERO, |mark| self.now().since(mark.since))
+    pub(super) fn lag_time(&self) -> Duration {
+        self.lag.map_or(Duration::ZERO, |lag_state| self.now().since(lag_state.since))
     }
 
-    fn show_behind(&self) {
-        let belief = |mark: LagState| BehindBelief { since: mark.since, is_near: mark.is_near };
-        self.shared.set_behind(self.behind.map(belief));
-        self.shared.metrics.set_level("behind_ms", self.behind_for().as_millis() as u64);
+    fn publish_lag(&self) {
+        let belief = |lag_state: LagState| BehindBelief {
+            since: lag_state.since,
+            is_near: lag_state.is_local,
+        };
+        self.shared.set_behind(self.lag.map(belief));
+        self.shared.metrics.set_level("behind_ms", self.lag_time().as_millis() as u64);
     }
 }
--- a/crates/foldhaven-gateway/src/keeper/feed_changes.rs
+++ b/crates/foldhaven-gateway/src/keeper/feed_changes.rs
@@ -3,7 +3,7 @@
 use xtra::{Context, Handler};
 
 use super::ControlActor;
-use crate::feed::{ChangeSet, CountedChange, FeedSnapshot, FeedUpdate};
+use crate::feed::{ChangeSet, FeedSnapshot, FeedUpdate, NumberedChange};
 use crate::known::{AppliedChanges, ApplyContext};
 
 impl Handler<FeedUpdate> for ControlActor {
@@ -11,101 +11,102 @@
 
     async fn handle(&mut self, news: FeedUpdate, _: &mut Context<Self>) {
         match news {
-            FeedUpdate::Disturbed { cause } => return self.note_disturbed(&cause),
+            FeedUpdate::Failed { cause } => return self.note_platform_failure(&cause),
             FeedUpdate::Snapshot(snapshot) => {
-                let taken = self.take_snapshot(snapshot);
-                if let Some(taken) = taken {
-                    self.note_answer();
-                    self.tell_near(taken);
+                let applied = self.apply_snapshot(snapshot);
+                if let Some(applied) = applied {
+                    self.confirm_revision();
+                    self.announce_changes(applied);
                 }
             }
-            FeedUpdate::Changes(set) => self.take_and_tell(set),
+            FeedUpdate::Changes(set) => self.apply_and_announce(set),
         }
-        if std::mem::replace(&mut self.is_disturbed, false) {
-            tracing::info!(revision = self.known.revision(), "platform regained");
-            self.set_turn();
+        if std::mem::replace(&mut self.is_platform_unreachable, false) {
+            tracing::info!(revision = self.platform.revision(), "platform regained");
+            self.update_read_assignment();
         }
     }
 }
 
 impl ControlActor {
     /// Notes that the platform could not be read.
-    fn note_disturbed(&mut self, cause: &str) {
+    fn note_platform_failure(&mut self, cause: &str) {
         let now = self.now();
-        self.known.table.note_disturbed(now);
-        if !std::mem::replace(&mut self.is_disturbed, true) {
-            tracing::warn!(cause, revision = self.known.revision(), "platform lost");
-            self.set_turn();
+        self.platform.table.note_disturbed(now);
+        if !std::mem::replace(&mut self.is_platform_unreachable, true) {
+            tracing::warn!(cause, revision = self.platform.revision(), "platform lost");
+            self.update_read_assignment();
         }
     }
 
     /// Takes over from other VMs that the platform is away: what vanishes from its lists soon after may
     /// only have failed to renew its entry.
-    pub(super) fn note_told_outage(&mut self) {
+    pub(super) fn check_reported_outage(&mut self) {
         let now = self.now();
-        let is_told = self.peers.hears_of_outage(now);
-        if is_told {
-            self.known.table.note_disturbed(now);
+        let is_reported = self.peers.hears_of_outage(now);
+        if is_reported {
+            self.platform.table.note_disturbed(now);
         }
-        if std::mem::replace(&mut self.is_told_outage, is_told) != is_told {
+        if std::mem::replace(&mut self.is_outage_reported, is_reported) != is_reported {
             tracing::info!(
-                is_told,
-                revision = self.known.revision(),
+                is_told = is_reported,
+                revision = self.platform.revision(),
                 "other VMs tell of a platform outage"
             );
         }
     }
 
     /// Takes in changes that this VM read itself, and passes on what is new.
-    fn take_and_tell(&mut self, set: ChangeSet) {
-        if let Some(taken) = self.take_changes(set) {
-            self.note_answer();
-            self.tell_near(taken);
+    fn apply_and_announce(&mut self, set: ChangeSet) {
+        if let Some(applied) = self.apply_changes(set) {
+            self.confirm_revision();
+            self.announce_changes(applied);
         }
     }
 
     /// Replaces what is known by a snapshot, unless the snapshot is older. Returns what of it others are to be told.
-    pub(super) fn take_snapshot(&mut self, snapshot: FeedSnapshot) -> Option<ChangeSet> {
-        let moment = self.take_moment();
-        let taken = self.known.take_snapshot(snapshot, moment);
-        self.show_known();
+    pub(super) fn apply_snapshot(&mut self, snapshot: FeedSnapshot) -> Option<ChangeSet> {
+        let context = self.current_context();
+        let applied = self.platform.apply_snapshot(snapshot, context);
+        self.publish_metrics();
         self.publish();
-        taken
+        applied
     }
 
     /// Takes in changes. Returns what of them is new, as others are to be told of it; nothing when some before them are
     /// missing.
-    pub(super) fn take_changes(&mut self, set: ChangeSet) -> Option<ChangeSet> {
-        let moment = self.take_moment();
-        let AppliedChanges { changes, is_urgent } = self.known.take_changes(set, moment)?;
-        self.show_known();
-        self.is_stale |= !changes.changes.is_empty();
+    pub(super) fn apply_changes(&mut self, set: ChangeSet) -> Option<ChangeSet> {
+        let context = self.current_context();
+        let AppliedChanges { changes, is_urgent } = self.platform.apply_changes(set, context)?;
+        self.publish_metrics();
+        self.needs_publish |= !changes.changes.is_empty();
         match is_urgent {
             true => self.publish(),
-            false => self.set_turn(),
+            false => self.update_read_assignment(),
         }
         Some(changes)
     }
 
     /// Puts changes in force of which some before them are missing.
-    pub(super) fn take_early(&mut self, changes: Vec<CountedChange>) {
+    pub(super) fn apply_early_changes(&mut self, changes: Vec<NumberedChange>) {
         let now = self.now();
-        if self.known.take_early(changes, now) {
+        if self.platform.apply_early_changes(changes, now) {
             self.publish();
         }
     }
 
-    fn take_moment(&self) -> ApplyContext {
-        ApplyContext { now: self.now(), behind: self.behind_for() }
+    fn current_context(&self) -> ApplyContext {
+        ApplyContext { now: self.now(), lag: self.lag_time() }
     }
 
     /// Shows in the metrics what is known.
-    fn show_known(&mut self) {
+    fn publish_metrics(&mut self) {
         let metrics = &self.shared.metrics;
-        metrics.set_level("revision", self.known.revision());
-        metrics.set_level("description_version", self.known.version().0);
+        metrics.set_level("revision", self.platform.revision());
+        metrics.set_level("description_version", self.platform.version().0);
         // Gauges are floating point, exact up to 53 bits.
-        metrics.set_level("description_digest", self.known.digest() >> 16);
-        (0..self.known.take_unusable_seen()).for_each(|_| metrics.count_event("upstream_unusable"));
+        metrics.set_level("description_digest", self.platform.digest() >> 16);
+        (0..self.platform.take_unusable_count())
+            .for_each(|_| metrics.count_event("upstream_unusable"));
     }
 }
--- a/crates/foldhaven-gateway/src/keeper/heartbeats.rs
+++ b/crates/foldhaven-gateway/src/keeper/heartbeats.rs
@@ -29,13 +29,13 @@
 
 /// What is sent in a round, and when the next one is due.
 pub struct HeartbeatRound {
-    pub beats: PlannedBeats,
+    pub heartbeats: PlannedBeats,
     /// Who gets this VM's view.
     pub view_targets: Vec<SocketAddr>,
     pub view: ViewNotice,
     /// How far this VM knows the platform's changes, for all that get a heartbeat; nothing before it knows any.
-    pub news: Option<NewsNotice>,
-    pub pause: Duration,
+    pub notice: Option<NewsNotice>,
+    pub next_in: Duration,
 }
 
 /// Asks for the heartbeats of a round.
@@ -52,15 +52,15 @@
         let now = self.now();
         let (vm, phase) = (&message.own.vm, message.own.phase);
         let before = self.peers.incarnation().0;
-        let heard = self.peers.take_message(&message, now);
-        if heard.is_sender_news {
+        let outcome = self.peers.take_message(&message, now);
+        if outcome.is_sender_news {
             tracing::info!(peer = %vm, phase = ?phase, "peer heard");
         }
-        if let Some(after) = heard.outlived {
+        if let Some(after) = outcome.outlived {
             let after = after.0;
             tracing::info!(before, after, "took a later lifetime, since others held one");
         }
-        if let Some(later) = &heard.later {
+        if let Some(later) = &outcome.later {
             tracing::warn!(
                 peer = %vm,
                 held = later.incarnation.0,
@@ -68,10 +68,10 @@
                 "a VM names an earlier lifetime than it had"
             );
         }
-        if heard.is_news {
-            self.publish_soon();
+        if outcome.is_news {
+            self.publish_later();
         }
-        self.peers.reply_to(&message, &self.own_beat(), now)
+        self.peers.reply_to(&message, &self.own_heartbeat(), now)
     }
 }
 
@@ -79,23 +79,23 @@
     type Return = HeartbeatRound;
 
     async fn handle(&mut self, plan: PlanHeartbeats, _: &mut Context<Self>) -> HeartbeatRound {
-        self.beats += 1;
+        self.heartbeat_rounds += 1;
         let call = RoundCall {
-            own: self.own_beat(),
+            own: self.own_heartbeat(),
             seeds: self.settings.seed_peers(),
             is_to_all: plan.to_all,
         };
         let now = self.now();
         let is_learning = self.shared.uptime() < LEARNING_TIME;
-        let beats = self.peers.plan_round(call, now);
-        let view_targets = self.peers.view_targets(&beats, is_learning, now);
-        let pause = self.peers.round_pause(is_learning, now);
-        if self.turn.borrow().reads {
+        let heartbeats = self.peers.plan_round(call, now);
+        let view_targets = self.peers.view_targets(&heartbeats, is_learning, now);
+        let next_in = self.peers.round_pause(is_learning, now);
+        if self.assignment.borrow().is_reader {
             // What was held back since the last notice.
-            self.tell_far();
+            self.announce_remotely();
         }
-        let news = self.known.has_state().then(|| self.own_news());
-        HeartbeatRound { beats, view_targets, view: self.own_view(now), news, pause }
+        let notice = self.platform.has_state().then(|| self.own_revision_notice());
+        HeartbeatRound { heartbeats, view_targets, view: self.own_view(now), notice, next_in }
     }
 }
 
@@ -120,7 +120,7 @@
 
     async fn handle(&mut self, message: ReceiveViewList, _: &mut Context<Self>) -> PlannedBeats {
         let now = self.now();
-        let own = self.own_beat();
+        let own = self.own_heartbeat();
         self.peers.take_list(&message.list, &own, now)
     }
 }
@@ -137,12 +137,12 @@
         }
     }
 
-    pub(super) fn own_beat(&self) -> PeerBeat {
+    pub(super) fn own_heartbeat(&self) -> PeerBeat {
         let settings = &self.shared.settings;
         PeerBeat {
             vm: settings.vm.clone(),
             incarnation: self.peers.incarnation(),
-            sequence: self.beats,
+            sequence: self.heartbeat_rounds,
             data_centre: settings.data_centre.clone(),
             region: settings.region().clone(),
             cores: settings.cores,
@@ -150,8 +150,8 @@
             peer: settings.addresses.peer,
             phase: self.phase(),
             version: self.version(),
-            revision: self.known.revision(),
-            is_turned_away: self.is_disturbed,
+            revision: self.platform.revision(),
+            is_turned_away: self.is_platform_unreachable,
         }
     }
 }
--- a/crates/foldhaven-gateway/src/keeper/load_reports.rs
+++ b/crates/foldhaven-gateway/src/keeper/load_reports.rs
@@ -32,9 +32,9 @@
             upstream.set_others(self.loads.total(upstream.tag));
         }
         self.peers.note_report(vm, incarnation, now);
-        self.note_placements(&placements);
+        self.record_placements(&placements);
         for region in &regions {
-            self.note_region(region);
+            self.apply_region_report(region);
         }
     }
 }
@@ -48,7 +48,7 @@
     type Return = ();
 
     async fn handle(&mut self, message: ReceiveRegionReport, _: &mut Context<Self>) {
-        if self.note_region(&message.report) {
+        if self.apply_region_report(&message.report) {
             self.relayed_regions.push(message.report);
         }
     }
@@ -63,15 +63,15 @@
     type Return = ();
 
     async fn handle(&mut self, message: ReceivePlacements, _: &mut Context<Self>) {
-        self.note_placements(&message.placements);
-        self.relayed.extend(message.placements);
+        self.record_placements(&message.placements);
+        self.relayed_placements.extend(message.placements);
     }
 }
 
 /// Asks for the load report of a round.
 pub struct PlanLoadReport {
     /// How much later than planned the timer of the round fired.
-    pub late: Duration,
+    pub timer_delay: Duration,
 }
 
 /// A load report, whom to send it to, and when the next one is due.
@@ -80,8 +80,8 @@
     pub report: LoadReport,
     pub legs: Vec<ReportLeg>,
     /// A VM of each other region, which tells the rest there of these prompts.
-    pub far_targets: Vec<SocketAddr>,
-    pub far_placements: Vec<PromptPlacement>,
+    pub remote_targets: Vec<SocketAddr>,
+    pub remote_placements: Vec<PromptPlacement>,
     /// What the VMs of the far targets are told of this region, where this VM speaks for it.
     pub region: Option<RegionReport>,
     pub interval: Duration,
@@ -91,25 +91,25 @@
     type Return = PlannedLoadReport;
 
     async fn handle(&mut self, plan: PlanLoadReport, _: &mut Context<Self>) -> PlannedLoadReport {
-        self.meter.note_timer(plan.late);
-        self.reports += 1;
-        self.publish_stale();
-        self.take_totals();
+        self.meter.record_timer_delay(plan.timer_delay);
+        self.load_report_rounds += 1;
+        self.publish_deferred();
+        self.update_peer_loads();
         let targets = self.report_targets();
-        let far_placements = std::mem::take(&mut *self.shared.placements.lock());
-        let mut placements = std::mem::take(&mut self.relayed);
-        placements.extend(far_placements.iter().cloned());
+        let remote_placements = std::mem::take(&mut *self.shared.placements.lock());
+        let mut placements = std::mem::take(&mut self.relayed_placements);
+        placements.extend(remote_placements.iter().cloned());
         let news = ReportNews { placements, regions: std::mem::take(&mut self.relayed_regions) };
         let report = self.own_report();
         let (legs, interval) = self.plan_legs(&targets, news, report.is_active());
         let region = self.due_region_report();
-        let is_far = region.is_some() || !far_placements.is_empty();
+        let has_remote_news = region.is_some() || !remote_placements.is_empty();
         let now = self.now();
-        let far_targets = match is_far {
+        let remote_targets = match has_remote_news {
             true => self.peers.one_in_service_of_each_region(now),
             false => Vec::new(),
         };
-        PlannedLoadReport { report, legs, far_targets, far_placements, region, interval }
+        PlannedLoadReport { report, legs, remote_targets, remote_placements, region, interval }
     }
 }
 
@@ -117,12 +117,12 @@
     /// The other VMs of this region, and which of them have requests.
     fn report_targets(&self) -> Vec<ReportTarget> {
         let active: HashSet<VmTag> = self.loads.active().collect();
-        let near = self.peers.near(self.now());
+        let local = self.peers.near(self.now());
         let target = |beat: &PeerBeat| ReportTarget {
             address: beat.peer,
             is_active: active.contains(&VmTag::of(&beat.vm)),
         };
-        near.map(target).collect()
+        local.map(target).collect()
     }
 
     /// Who is told in this round, and when the next one is due. A VM without requests tells that it lives to those
@@ -151,7 +151,7 @@
         LoadReport {
             vm: VmTag::of(&self.shared.settings.vm),
             incarnation: self.peers.incarnation(),
-            sequence: self.reports,
+            sequence: self.load_report_rounds,
             shares: own.filter(|(_, share)| share.in_flight > 0).collect(),
             placements: Vec::new(),
             regions: Vec::new(),
@@ -162,40 +162,40 @@
     /// The report of this region to the others, when this VM speaks for it and one is due.
     fn due_region_report(&mut self) -> Option<RegionReport> {
         let now = self.now();
-        let is_due = self.region_told.is_none_or(|told| now.since(told) >= REGION_INTERVAL);
+        let is_due = self.last_region_report.is_none_or(|told| now.since(told) >= REGION_INTERVAL);
         if !is_due || self.phase() != PeerPhase::Serving || !self.peers.is_delegate(now) {
             return None;
         }
-        self.region_told = Some(now);
-        self.region_reports += 1;
+        self.last_region_report = Some(now);
+        self.region_report_count += 1;
         let mut lives = Vec::new();
-        if self.region_reports.is_multiple_of(LIVES_EVERY) {
+        if self.region_report_count.is_multiple_of(LIVES_EVERY) {
             lives = self.peers.heard_lives(now);
-            lives.push(self.own_beat().life());
+            lives.push(self.own_heartbeat().life());
         }
         Some(RegionReport {
             region: self.shared.settings.region().clone(),
             teller: VmTag::of(&self.shared.settings.vm),
             incarnation: self.peers.incarnation(),
-            sequence: self.region_reports,
-            waits: self.own_waits(),
+            sequence: self.region_report_count,
+            waits: self.local_waits(),
             lives,
         })
     }
 
     /// Takes in what a delegate tells of its region. Returns whether it is new.
-    fn note_region(&mut self, report: &RegionReport) -> bool {
+    fn apply_region_report(&mut self, report: &RegionReport) -> bool {
         let now = self.now();
         if report.region == *self.shared.settings.region() || !self.regions.hear(report, now) {
             return false;
         }
         if self.peers.note_lives(&report.lives, now) {
-            self.publish_soon();
+            self.publish_later();
         }
         true
     }
 
-    fn note_placements(&self, placements: &[PromptPlacement]) {
+    fn record_placements(&self, placements: &[PromptPlacement]) {
         let mut hints = self.shared.hints.lock();
         for placement in placements {
             hints.note(placement);
@@ -203,8 +203,8 @@
     }
 
     /// Leaves out VMs that are silent, and hands the requests of the others to the upstreams that they are at.
-    fn take_totals(&mut self) {
-        let interval = share_interval(self.near_peers().len());
+    fn update_peer_loads(&mut self) {
+        let interval = share_interval(self.local_peers().len());
         self.loads.forget_silent(interval, self.now());
         for upstream in self.upstreams.values() {
             upstream.set_others(self.loads.total(upstream.tag));
--- a/crates/foldhaven-gateway/src/keeper/members.rs
+++ b/crates/foldhaven-gateway/src/keeper/members.rs
@@ -8,15 +8,15 @@
 use super::ControlActor;
 
 /// How many names one line holds.
-const LOGGED_NAMES: usize = 12;
+const MAX_LOGGED_NAMES: usize = 12;
 /// What is believed is logged again after this time, as collectors may lose lines when many come at once.
-const LOGGED_AGAIN: Duration = Duration::from_secs(10);
+const RELOG_INTERVAL: Duration = Duration::from_secs(10);
 
 /// What was logged last, and when.
 #[derive(Debug, Default)]
 pub(super) struct LoggedMembers {
     members: RegionMembers,
-    at: MonoTime,
+    logged_at: MonoTime,
 }
 
 /// The VMs of the region as this one knows them, itself included.
@@ -31,7 +31,7 @@
 
 impl ControlActor {
     /// Counts and logs which VMs of the region are known, when that has changed and now and then.
-    pub(super) fn note_members(&mut self, now: MonoTime) {
+    pub(super) fn report_members(&mut self, now: MonoTime) {
         let near = || self.peers.near(now);
         let members = RegionMembers {
             known: self.peers.region_count(),
@@ -42,15 +42,15 @@
         let metrics = &self.shared.metrics;
         metrics.set_level("region_vms_known", members.known as u64);
         metrics.set_level("region_vms_live", members.live as u64);
-        let is_recent = now.since(self.members.at) < LOGGED_AGAIN;
+        let is_recent = now.since(self.members.logged_at) < RELOG_INTERVAL;
         if members == self.members.members && is_recent {
             return;
         }
-        self.members = LoggedMembers { members, at: now };
+        self.members = LoggedMembers { members, logged_at: now };
         let RegionMembers { known, live, serving, digest } = members;
-        let names: Vec<&str> = near().map(|beat| beat.vm.as_str()).take(LOGGED_NAMES).collect();
+        let names: Vec<&str> = near().map(|beat| beat.vm.as_str()).take(MAX_LOGGED_NAMES).collect();
         let digest = format!("{digest:016x}");
-        let beats = self.beats;
-        tracing::info!(known, live, serving, digest, beats, others = ?names, "VMs of the region");
+        let heartbeat_rounds = self.heartbeat_rounds;
+        tracing::info!(known, live, serving, digest, beats = heartbeat_rounds, others = ?names, "VMs of the region");
     }
 }
--- a/crates/foldhaven-gateway/src/keeper/mod.rs
+++ b/crates/foldhaven-gateway/src/keeper/mod.rs
@@ -64,11 +64,11 @@
 
 /// It has heard of those there are when no further one came for this long: heartbeats are asked for several times in
 /// it.
-const LEARNING_PAUSE: Duration = Duration::from_millis(750);
+const LEARNING_QUIET_TIME: Duration = Duration::from_millis(750);
 /// A VM that has not known for so long what others do looks whether its own call to the platform is still answered.
-const OVERTAKEN_AFTER: Duration = Duration::from_millis(250);
+const SUPERSEDED_AFTER: Duration = Duration::from_millis(250);
 /// After this time it takes them for all there are in any case.
-const LONGEST_LEARNING: Duration = Duration::from_millis(4_000);
+const MAX_LEARNING_TIME: Duration = Duration::from_millis(4_000);
 
 /// Which VMs of the region callers are sent to, as far as the log tells.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -85,11 +85,11 @@
     /// The settings as they were read last; those of `shared` are the ones of the start.
     settings: GatewaySettings,
     /// What is known of the platform.
-    known: PlatformState,
+    platform: PlatformState,
     /// What other VMs may take over, as it was published last.
     offer: Option<Arc<StateOffer>>,
     /// Whether something has changed that traffic is still to be shown.
-    is_stale: bool,
+    needs_publish: bool,
     /// The upstreams as traffic uses them.
     upstreams: HashMap<UpstreamName, Arc<Upstream>>,
     /// The same by what they are called in messages.
@@ -113,9 +113,9 @@
     /// Who shares the limits of the region, as it was looked at last.
     senders: SenderView,
     /// Whether the VMs that share the limits of the region agree on who they are.
-    pact: SenderPact,
+    agreement: SenderPact,
     /// What callers of limited accounts want, here and elsewhere.
-    demands: DemandShare,
+    account_demands: DemandShare,
     /// Whether an upstream of the region is cold or names a limit.
     rate_watch: watch::Sender<bool>,
     /// What delegates of other regions told.
@@ -123,45 +123,45 @@
     /// Reports of them, of which the VMs of this region are still to be told.
     relayed_regions: Vec<RegionReport>,
     /// When the other regions were told of this one.
-    region_told: Option<MonoTime>,
+    last_region_report: Option<MonoTime>,
     /// How often they were.
-    region_reports: u32,
+    region_report_count: u32,
     /// Prompts in other regions, of which the VMs of this region are still to be told.
-    relayed: Vec<PromptPlacement>,
+    relayed_placements: Vec<PromptPlacement>,
     /// How many VMs were known when it was looked last, and when one was heard of that had not been.
     known_vms: usize,
-    grown: MonoTime,
+    last_growth: MonoTime,
     /// How many rounds of heartbeats were sent.
-    beats: u32,
+    heartbeat_rounds: u32,
     /// How many rounds of load reports were made.
-    reports: u32,
+    load_report_rounds: u32,
     /// Since when another VM has known more of the platform's changes.
-    behind: Option<LagState>,
+    lag: Option<LagState>,
     /// How often other VMs were asked for what they know more.
-    askings: u32,
+    catch_up_attempts: u32,
     /// How old what is believed of the platform is.
-    belief: BeliefAge,
+    staleness: BeliefAge,
     /// Whether it was so old that it was logged.
-    is_belief_old: bool,
+    is_staleness_logged: bool,
     /// Of which revisions others were told without waiting for heartbeats.
-    told: AnnouncedRevisions,
+    announced: AnnouncedRevisions,
     /// Up to where other VMs offer changes that do not fit a datagram.
     offered: OfferedRevision,
     /// Whether the last reading of the platform failed.
-    is_disturbed: bool,
+    is_platform_unreachable: bool,
     /// Whether other VMs of the region tell of an outage of the platform.
-    is_told_outage: bool,
+    is_outage_reported: bool,
     /// Tells the feed when to read.
-    turn: watch::Sender<ReadAssignment>,
+    assignment: watch::Sender<ReadAssignment>,
     /// Takes what other VMs are to be told.
-    news: mpsc::UnboundedSender<OutgoingUpdate>,
+    outgoing: mpsc::UnboundedSender<OutgoingUpdate>,
 }
 
 impl ControlActor {
     pub fn new(
         shared: Arc<GatewayShared>,
         incarnation: IncarnationId,
-        news: mpsc::UnboundedSender<OutgoingUpdate>,
+        outgoing: mpsc::UnboundedSender<OutgoingUpdate>,
     ) -> Self {
         let settings = shared.settings.clone();
         let own = OwnVm {
@@ -170,17 +170,17 @@
             region: settings.region().clone(),
             cores: settings.cores,
         };
-        let pact = SenderPact::new(VmTag::of(&settings.vm), incarnation, shared.now());
+        let agreement = SenderPact::new(VmTag::of(&settings.vm), incarnation, shared.now());
         let peers = PeerTable::new(own, incarnation);
         let regions = settings.regions.values().map(RegionTag::of);
-        let demands =
+        let account_demands =
             DemandShare::new(VmTag::of(&settings.vm), RegionTag::of(settings.region()), regions);
         Self {
             shared,
             settings,
-            known: PlatformState::default(),
+            platform: PlatformState::default(),
             offer: None,
-            is_stale: false,
+            needs_publish: false,
             upstreams: HashMap::new(),
             by_tag: HashMap::new(),
             peers,
@@ -192,38 +192,38 @@
             in_service: InService::default(),
             members: LoggedMembers::default(),
             senders: SenderView::default(),
-            pact,
-            demands,
+            agreement,
+            account_demands,
             rate_watch: watch::Sender::new(false),
             regions: RegionBook::default(),
             relayed_regions: Vec::new(),
-            region_told: None,
-            region_reports: 0,
-            relayed: Vec::new(),
+            last_region_report: None,
+            region_report_count: 0,
+            relayed_placements: Vec::new(),
             known_vms: 0,
-            grown: MonoTime::default(),
-            beats: 0,
-            reports: 0,
-            behind: None,
-            askings: 0,
-            belief: BeliefAge::default(),
-            is_belief_old: false,
-            told: AnnouncedRevisions::default(),
+            last_growth: MonoTime::default(),
+            heartbeat_rounds: 0,
+            load_report_rounds: 0,
+            lag: None,
+            catch_up_attempts: 0,
+            staleness: BeliefAge::default(),
+            is_staleness_logged: false,
+            announced: AnnouncedRevisions::default(),
             offered: OfferedRevision::default(),
-            is_disturbed: false,
-            is_told_outage: false,
-            turn: watch::Sender::new(ReadAssignment {
-                reads: true,
-                known: None,
-                is_overtaken: false,
+            is_platform_unreachable: false,
+            is_outage_reported: false,
+            assignment: watch::Sender::new(ReadAssignment {
+                is_reader: true,
+                known_revision: None,
+                is_superseded: false,
             }),
-            news,
+            outgoing,
         }
     }
 
     /// When the feed is to read, and from where.
-    pub fn turns(&self) -> watch::Receiver<ReadAssignment> {
-        self.turn.subscribe()
+    pub fn read_assignments(&self) -> watch::Receiver<ReadAssignment> {
+        self.assignment.subscribe()
     }
 
     /// Whether a rate that holds over the region is in use.
@@ -231,26 +231,28 @@
         self.rate_watch.subscribe()
     }
 
-    fn set_turn(&self) {
-        let is_reader = match self.has_learnt() {
-            true => self.peers.is_reader(self.is_disturbed, self.belief_age(), self.now()),
+    fn update_read_assignment(&self) {
+        let is_reader = match self.has_learnt_peers() {
+            true => {
+                self.peers.is_reader(self.is_platform_unreachable, self.staleness(), self.now())
+            }
             false => self.is_seed(),
         };
-        let turn = ReadAssignment {
-            reads: !self.known.has_state() || is_reader,
-            known: self.known.has_state().then_some(self.known.revision()),
-            is_overtaken: self.behind_for() >= OVERTAKEN_AFTER,
+        let assignment = ReadAssignment {
+            is_reader: !self.platform.has_state() || is_reader,
+            known_revision: self.platform.has_state().then_some(self.platform.revision()),
+            is_superseded: self.lag_time() >= SUPERSEDED_AFTER,
         };
-        self.turn.send_if_modified(|held| std::mem::replace(held, turn) != turn);
+        self.assignment.send_if_modified(|held| std::mem::replace(held, assignment) != assignment);
     }
 
     /// Whether this process has heard of the others. One that has just started knows few, and would take itself for
     /// one of those that read the platform for its region: of 295 VMs that start together all would, with 2,100 calls in
     /// two seconds.
-    fn has_learnt(&self) -> bool {
+    fn has_learnt_peers(&self) -> bool {
         let uptime = self.shared.uptime();
-        let is_calm = self.now().since(self.grown) >= LEARNING_PAUSE;
-        uptime >= LEARNING_TIME && (is_calm || uptime >= LONGEST_LEARNING)
+        let is_calm = self.now().since(self.last_growth) >= LEARNING_QUIET_TIME;
+        uptime >= LEARNING_TIME && (is_calm || uptime >= MAX_LEARNING_TIME)
     }
 
     /// Whether others ask this VM first when they start. Until the readers are known, those read.
@@ -263,7 +265,7 @@
     fn note_growth(&mut self) {
         let known = self.peers.assumed_count();
         if known > self.known_vms {
-            self.grown = self.now();
+            self.last_growth = self.now();
         }
         self.known_vms = known;
     }
@@ -273,11 +275,11 @@
     }
 
     fn version(&self) -> RouteVersion {
-        self.known.version()
+        self.platform.version()
     }
 
     fn phase(&self) -> PeerPhase {
-        match (self.shared.is_leaving(), self.known.routes()) {
+        match (self.shared.is_leaving(), self.platform.routes()) {
             (true, _) => PeerPhase::Leaving,
             (false, None) => PeerPhase::Starting,
             (false, Some(_)) if self.shared.is_too_far_behind() => PeerPhase::Starting,
@@ -287,7 +289,7 @@
     }
 
     /// The other VMs of this region.
-    fn near_peers(&self) -> Vec<SocketAddr> {
+    fn local_peers(&self) -> Vec<SocketAddr> {
         self.peers.near(self.now()).map(|beat| beat.peer).collect()
     }
 
@@ -305,20 +307,20 @@
     type Return = ();
 
     async fn handle(&mut self, _: TickControl, _: &mut Context<Self>) {
-        self.note_standstill();
+        self.check_suspension();
         let now = self.now();
         self.peers.forget(now);
         self.regions.forget(now);
         let peers = &self.peers;
-        self.pact.keep_only(|vm| peers.address_of(vm).is_some());
+        self.agreement.keep_only(|vm| peers.address_of(vm).is_some());
         self.shared.suspects.forget(&self.shared.change_context());
         self.forget_signals();
         self.note_growth();
-        self.note_told_outage();
-        self.note_progress();
-        self.note_belief_age();
-        self.note_awake();
-        if self.known.table.expire(now) {
+        self.check_reported_outage();
+        self.check_caught_up();
+        self.report_staleness();
+        self.check_resumed();
+        if self.platform.table.expire(now) {
             tracing::info!("upstreams dropped that were not listed again");
         }
         self.publish();
--- a/crates/foldhaven-gateway/src/keeper/peer_changes.rs
+++ b/crates/foldhaven-gateway/src/keeper/peer_changes.rs
@@ -5,7 +5,7 @@
 use xtra::{Context, Handler};
 
 use super::ControlActor;
-use crate::feed::{ChangeSet, CountedChange, FeedSnapshot};
+use crate::feed::{ChangeSet, FeedSnapshot, NumberedChange};
 
 /// Another VM of the region told of changes that it read.
 pub struct ReceiveChanges {
@@ -17,25 +17,25 @@
 
     async fn handle(&mut self, message: ReceiveChanges, _: &mut Context<Self>) {
         let ReceiveChanges { changes } = message;
-        if self.known.follows(&changes) {
-            self.take_changes(changes);
+        if self.platform.can_apply(&changes) {
+            self.apply_changes(changes);
         } else {
             // What is missing is asked for, like after a lost datagram.
-            self.take_early(changes.changes);
+            self.apply_early_changes(changes.changes);
         }
     }
 }
 
 /// Another VM of the region told of changes without those that precede them.
 pub struct ReceiveEarlyChanges {
-    pub changes: Vec<CountedChange>,
+    pub changes: Vec<NumberedChange>,
 }
 
 impl Handler<ReceiveEarlyChanges> for ControlActor {
     type Return = ();
 
     async fn handle(&mut self, message: ReceiveEarlyChanges, _: &mut Context<Self>) {
-        self.take_early(message.changes);
+        self.apply_early_changes(message.changes);
     }
 }
 
@@ -51,14 +51,14 @@
     async fn handle(&mut self, offer: ApplySnapshot, _: &mut Context<Self>) {
         let ApplySnapshot { snapshot, peer } = offer;
         self.peers.note_told_revision(peer, snapshot.revision);
-        let (before, revision) = (self.known.revision(), snapshot.revision);
-        let is_news = revision > before || self.known.needs_all() && revision == before;
+        let (before, revision) = (self.platform.revision(), snapshot.revision);
+        let is_news = revision > before || self.platform.needs_snapshot() && revision == before;
         if is_news {
             tracing::info!(peer = %peer, revision, before, "state taken from a peer");
-            let is_from_afar = self.is_behind_far_only();
-            let taken = self.take_snapshot(snapshot);
-            if let Some(taken) = taken.filter(|_| is_from_afar) {
-                self.pass_on(taken);
+            let is_from_afar = self.is_behind_remote_only();
+            let applied = self.apply_snapshot(snapshot);
+            if let Some(applied) = applied.filter(|_| is_from_afar) {
+                self.forward_changes(applied);
             }
         }
     }
@@ -76,15 +76,15 @@
     async fn handle(&mut self, message: ApplyChanges, _: &mut Context<Self>) {
         let ApplyChanges { changes, peer } = message;
         self.peers.note_told_revision(peer, changes.revision);
-        let (before, revision) = (self.known.revision(), changes.revision);
+        let (before, revision) = (self.platform.revision(), changes.revision);
         if revision <= before {
             return;
         }
-        let is_from_afar = self.is_behind_far_only();
-        let Some(taken) = self.take_changes(changes) else { return };
+        let is_from_afar = self.is_behind_remote_only();
+        let Some(applied) = self.apply_changes(changes) else { return };
         tracing::info!(peer = %peer, revision, before, is_from_afar, "state taken from a peer");
         if is_from_afar {
-            self.pass_on(taken);
+            self.forward_changes(applied);
         }
     }
 }
--- a/crates/foldhaven-gateway/src/keeper/rate_parts.rs
+++ b/crates/foldhaven-gateway/src/keeper/rate_parts.rs
@@ -14,7 +14,7 @@
 use crate::upstream::Upstream;
 
 /// The part of a VM that has heard of none of the VMs that its settings name: there may be others who have not either.
-const UNWITNESSED_PART: f64 = 0.5;
+const UNWITNESSED_SHARE: f64 = 0.5;
 
 /// Notices with their receivers.
 pub type AgreementMessages = Vec<(SocketAddr, PactNotice)>;
@@ -32,11 +32,11 @@
 
     async fn handle(&mut self, _: PlanAgreementRound, _: &mut Context<Self>) -> AgreementMessages {
         let now = self.now();
-        self.look_at_senders(now);
-        self.pact.begin_round(self.peers.incarnation(), now);
-        self.share_rates(now);
+        self.refresh_senders(now);
+        self.agreement.begin_round(self.peers.incarnation(), now);
+        self.update_rate_shares(now);
         let notice =
-            |(vm, peer): &(VmTag, SocketAddr)| (*peer, self.pact.notice_to(*vm, true, now));
+            |(vm, peer): &(VmTag, SocketAddr)| (*peer, self.agreement.notice_to(*vm, true, now));
         self.senders.others.iter().map(notice).collect()
     }
 }
@@ -47,26 +47,26 @@
     async fn handle(&mut self, message: ReceiveAgreement, _: &mut Context<Self>) -> Self::Return {
         let now = self.now();
         let notice = message.notice;
-        self.pact.hear(&notice);
+        self.agreement.hear(&notice);
         // The list was looked at in this VM's own last round: ranking a hundred VMs for each of a hundred notices a second
         // would cost more than all else.
-        self.share_rates(now);
+        self.update_rate_shares(now);
         let peer = self.peers.address_of(notice.vm).filter(|_| notice.is_call)?;
-        Some((peer, self.pact.notice_to(notice.vm, false, now)))
+        Some((peer, self.agreement.notice_to(notice.vm, false, now)))
     }
 }
 
 impl ControlActor {
     /// Looks who shares the limits of the region.
-    pub(super) fn look_at_senders(&mut self, now: MonoTime) {
+    pub(super) fn refresh_senders(&mut self, now: MonoTime) {
         let has_learnt = self.assumed_vms().is_some();
         let is_serving = has_learnt && self.phase() == PeerPhase::Serving;
         self.senders = self.peers.senders(is_serving, now);
-        self.pact.note_list(self.senders.digest, now);
+        self.agreement.note_list(self.senders.digest, now);
     }
 
     /// Takes this VM's part of each rate that holds over the region, or gives it back.
-    pub(super) fn share_rates(&mut self, now: MonoTime) {
+    pub(super) fn update_rate_shares(&mut self, now: MonoTime) {
         let bounded: Vec<Arc<Upstream>> = self.bounded_upstreams(now);
         let is_used = !bounded.is_empty();
         self.rate_watch.send_if_modified(|held| std::mem::replace(held, is_used) != is_used);
@@ -74,26 +74,26 @@
             return;
         }
         let others: Vec<VmTag> = self.senders.others.iter().map(|(vm, _)| *vm).collect();
-        let until = self.pact.holds_until(&others, now);
+        let until = self.agreement.holds_until(&others, now);
         for upstream in bounded {
-            let part = match until {
-                Some(_) => self.part_of(&upstream, now),
+            let share = match until {
+                Some(_) => self.rate_share(&upstream, now),
                 None => RatePart::default(),
             };
-            note_part(&upstream, part, others.len() + 1);
-            upstream.set_part(part, until, now);
+            log_rate_share(&upstream, share, others.len() + 1);
+            upstream.set_part(share, until, now);
         }
     }
 
     fn bounded_upstreams(&self, now: MonoTime) -> Vec<Arc<Upstream>> {
         let own_region = self.shared.settings.region();
-        let near = self.upstreams.values().filter(|it| it.identity.region == *own_region);
-        near.filter(|upstream| upstream.bound_rate(now).is_some()).cloned().collect()
+        let local = self.upstreams.values().filter(|it| it.identity.region == *own_region);
+        local.filter(|upstream| upstream.bound_rate(now).is_some()).cloned().collect()
     }
 
     /// The rate that an upstream may get from all VMs of the region; nothing when it may get any.
     fn shared_rate(&self, upstream: &Upstream, now: MonoTime) -> Option<SharedRate> {
-        let routes = self.known.routes();
+        let routes = self.platform.routes();
         let service = routes.and_then(|routes| routes.service(&upstream.identity.service));
         // A service that is not described permits nothing.
         let described = service.map_or(0.0, |service| service.cold_rate);
@@ -102,30 +102,30 @@
         cold.into_iter().chain(named).reduce(SharedRate::narrower)
     }
 
-    fn part_of(&self, upstream: &Upstream, now: MonoTime) -> RatePart {
+    fn rate_share(&self, upstream: &Upstream, now: MonoTime) -> RatePart {
         let Some(rate) = self.shared_rate(upstream, now) else { return RatePart::default() };
         let own = &self.shared.settings.vm;
-        let part = rate_part(rate, upstream.name(), own, &self.senders.list);
-        match self.is_witnessed() {
-            true => part,
-            false => RatePart { per_s: part.per_s * UNWITNESSED_PART, ..part },
+        let share = rate_part(rate, upstream.name(), own, &self.senders.list);
+        match self.has_reached_seed() {
+            true => share,
+            false => RatePart { per_s: share.per_s * UNWITNESSED_SHARE, ..share },
         }
     }
 
     /// Whether one of the VMs that all others ask first was heard of, or there is none but this one.
-    pub(super) fn is_witnessed(&self) -> bool {
+    pub(super) fn has_reached_seed(&self) -> bool {
         let seeds = self.settings.seed_peers();
         seeds.is_empty() || seeds.iter().any(|seed| self.peers.is_known_at(*seed))
     }
 }
 
 /// Logs the part of an upstream's rate that this VM takes, when it has changed.
-fn note_part(upstream: &Upstream, part: RatePart, senders: usize) {
+fn log_rate_share(upstream: &Upstream, share: RatePart, senders: usize) {
     let before = upstream.noted_part();
-    if before != part.per_s {
+    if before != share.per_s {
         tracing::info!(
             upstream = %upstream.name(),
-            per_s = part.per_s,
+            per_s = share.per_s,
             before,
             senders,
             sent = upstream.bounded_sent(),
--- a/crates/foldhaven-gateway/src/keeper/region_waits.rs
+++ b/crates/foldhaven-gateway/src/keeper/region_waits.rs
@@ -14,29 +14,29 @@
 
 /// The wait in a region of which no delegate has told one lately, as after a start: requests that may
 /// run only there are better sent than refused.
-const UNTOLD_WAIT: Duration = Duration::from_millis(100);
+const UNREPORTED_WAIT: Duration = Duration::from_millis(100);
 
 impl ControlActor {
     /// The waits that requests would meet at the upstreams of this region.
-    pub(super) fn own_waits(&self) -> Vec<ServiceWait> {
+    pub(super) fn local_waits(&self) -> Vec<ServiceWait> {
         let now = self.now();
         let own_region = self.shared.settings.region();
-        let near = self.upstreams.values().filter(|it| it.identity.region == *own_region);
+        let local = self.upstreams.values().filter(|it| it.identity.region == *own_region);
         let is_open = |it: &&Arc<Upstream>| {
-            let is_welcome = it.backoff_left(now).is_zero() && !it.is_leaving();
-            is_welcome && it.bound_rate(now).is_none() && !it.health.lock().is_ejected(now)
+            let is_accepting = it.backoff_left(now).is_zero() && !it.is_leaving();
+            is_accepting && it.bound_rate(now).is_none() && !it.health.lock().is_ejected(now)
         };
-        let open = near.filter(is_open);
+        let open = local.filter(is_open);
         let mut by_service: BTreeMap<&ServiceName, Vec<ExpectedQueue>> = BTreeMap::new();
         for upstream in open {
             let service = &upstream.identity.service;
             let wait = expected_wait(upstream, &self.shared.measured_pace(service), now);
             let long_pauses = upstream.pace.lock().long_pauses(now);
-            let met = ExpectedQueue { wait, load: upstream.queue().in_flight, long_pauses };
-            by_service.entry(service).or_default().push(met);
+            let expected = ExpectedQueue { wait, load: upstream.queue().in_flight, long_pauses };
+            by_service.entry(service).or_default().push(expected);
         }
-        let service_wait = |(service, met): (&ServiceName, Vec<ExpectedQueue>)| {
-            let usual = lower_mean(met);
+        let service_wait = |(service, expected): (&ServiceName, Vec<ExpectedQueue>)| {
+            let usual = better_half_mean(expected);
             ServiceWait {
                 service: ServiceTag::of(service),
                 wait_ms: u16::try_from(usual.wait.as_millis()).unwrap_or(u16::MAX),
@@ -48,7 +48,7 @@
     }
 
     /// The waits in the other regions, as their delegates told; none where no upstream takes requests.
-    pub(super) fn far_waits(&self) -> HashMap<(RegionName, ServiceName), RegionWait> {
+    pub(super) fn waits_by_region(&self) -> HashMap<(RegionName, ServiceName), RegionWait> {
         let now = self.now();
         let mut waits: HashMap<(RegionName, ServiceName), RegionWait> = HashMap::new();
         for upstream in self.upstreams.values() {
@@ -58,18 +58,18 @@
             }
             let key = (identity.region.clone(), identity.service.clone());
             let wait = waits.entry(key).or_insert(RegionWait {
-                wait: UNTOLD_WAIT,
+                wait: UNREPORTED_WAIT,
                 upstreams: 0,
                 slots: 0,
                 load: 0,
                 long_pauses: 0.0,
             });
             if wait.upstreams == 0
-                && let Some(told) = self.regions.wait(&identity.region, &identity.service, now)
+                && let Some(reported) = self.regions.wait(&identity.region, &identity.service, now)
             {
-                wait.wait = Duration::from_millis(told.wait_ms.into());
-                wait.load = told.load.into();
-                wait.long_pauses = f64::from(told.long_pauses) / 1_000.0;
+                wait.wait = Duration::from_millis(reported.wait_ms.into());
+                wait.load = reported.load.into();
+                wait.long_pauses = f64::from(reported.long_pauses) / 1_000.0;
             }
             wait.upstreams += 1;
             wait.slots = identity.slots;
@@ -86,13 +86,13 @@
 }
 
 /// The mean of the better half: what a request meets that goes to one of the better places.
-fn lower_mean(mut met: Vec<ExpectedQueue>) -> ExpectedQueue {
-    met.sort_by_key(|met| (met.wait, met.load));
-    met.truncate(met.len().div_ceil(2));
-    let count = met.len().max(1) as u32;
-    let wait: Duration = met.iter().map(|met| met.wait).sum();
-    let load: u32 = met.iter().map(|met| met.load).sum();
-    let long_pauses: f64 = met.iter().map(|met| met.long_pauses).sum();
+fn better_half_mean(mut expected: Vec<ExpectedQueue>) -> ExpectedQueue {
+    expected.sort_by_key(|expected| (expected.wait, expected.load));
+    expected.truncate(expected.len().div_ceil(2));
+    let count = expected.len().max(1) as u32;
+    let wait: Duration = expected.iter().map(|expected| expected.wait).sum();
+    let load: u32 = expected.iter().map(|expected| expected.load).sum();
+    let long_pauses: f64 = expected.iter().map(|expected| expected.long_pauses).sum();
     ExpectedQueue {
         wait: wait / count,
         load: load / count,
--- a/crates/foldhaven-gateway/src/keeper/suspect_targets.rs
+++ b/crates/foldhaven-gateway/src/keeper/suspect_targets.rs
@@ -8,7 +8,7 @@
 use super::ControlActor;
 
 /// How many VMs of each other region are told of news; each tells the others of its region.
-const TOLD_OF_EACH_REGION: usize = 2;
+const TARGETS_PER_REGION: usize = 2;
 
 /// Why something is told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -43,11 +43,11 @@
             return SuspectTargets { near, far };
         }
         let mut far = Vec::new();
-        for _ in 0..TOLD_OF_EACH_REGION {
+        for _ in 0..TARGETS_PER_REGION {
             far.extend(self.peers.one_in_service_of_each_region(now));
         }
         far.sort_unstable();
         far.dedup();
-        SuspectTargets { near: self.near_peers(), far }
+        SuspectTargets { near: self.local_peers(), far }
     }
 }
--- a/crates/foldhaven-gateway/src/keeper/traffic_view.rs
+++ b/crates/foldhaven-gateway/src/keeper/traffic_view.rs
@@ -21,31 +21,31 @@
 impl ControlActor {
     /// Makes a new view for traffic, and decides whether this daemon reads the platform.
     pub(super) fn publish(&mut self) {
-        self.set_turn();
-        self.is_stale = false;
-        let Some(routes) = self.known.routes().cloned() else { return };
+        self.update_read_assignment();
+        self.needs_publish = false;
+        let Some(routes) = self.platform.routes().cloned() else { return };
         let now = self.now();
         let upstreams = self.current_upstreams(&routes, now);
-        let mut beats: Vec<PeerBeat> = self.peers.live(now).cloned().collect();
-        let peers = self.current_links(&beats);
-        let far_service = self.far_service(&beats);
-        let waits = self.far_waits();
-        beats.push(self.own_beat());
+        let mut heartbeats: Vec<PeerBeat> = self.peers.live(now).cloned().collect();
+        let peers = self.current_links(&heartbeats);
+        let remote_in_service = self.remote_in_service(&heartbeats);
+        let expected_waits = self.waits_by_region();
+        heartbeats.push(self.own_heartbeat());
         let Some(offer) = self.current_offer(&routes, now) else { return };
         let demand = self.current_demand(now);
-        self.note_service(demand, now);
-        self.note_members(now);
+        self.report_in_service(demand, now);
+        self.report_members(now);
         self.shared.publish(GatewayView {
             routes,
             upstreams,
             peers,
-            waits,
-            far_service,
-            beats,
-            doubted: self.peers.doubted(now),
+            expected_waits,
+            remote_in_service,
+            heartbeats,
+            unresponsive_vms: self.peers.doubted(now),
             demand,
             senders: self.loads.active().count() + 1,
-            heard: self.peers.heard_by_centre(),
+            last_seen: self.peers.heard_by_centre(),
             assumed_vms: self.assumed_vms(),
             offer,
         });
@@ -53,13 +53,13 @@
 
     /// Shows traffic what has changed with the next load report. For news of which many come at once,
     /// as when a large deployment starts: a view of thousands of upstreams takes milliseconds to make.
-    pub(super) fn publish_soon(&mut self) {
-        self.is_stale = true;
+    pub(super) fn publish_later(&mut self) {
+        self.needs_publish = true;
     }
 
-    /// Shows traffic what [`ControlActor::publish_soon`] has put off.
-    pub(super) fn publish_stale(&mut self) {
-        if self.is_stale {
+    /// Shows traffic what [`ControlActor::publish_later`] has put off.
+    pub(super) fn publish_deferred(&mut self) {
+        if self.needs_publish {
             self.publish();
         }
     }
@@ -72,10 +72,10 @@
     ) -> Option<Arc<StateOffer>> {
         let is_of_now = |offer: &Arc<StateOffer>| {
             // All may have been taken anew at one revision.
-            offer.revision == self.known.revision() && Arc::ptr_eq(&offer.routes, routes)
+            offer.revision == self.platform.revision() && Arc::ptr_eq(&offer.routes, routes)
         };
         let held = self.offer.take().filter(is_of_now);
-        self.offer = held.or_else(|| self.known.offer(now).map(Arc::new));
+        self.offer = held.or_else(|| self.platform.offer(now).map(Arc::new));
         self.offer.clone()
     }
 
@@ -89,7 +89,7 @@
         let vms = usize::from(self.peers.assumed_counts(now).near);
         let mut kept = HashMap::new();
         let mut by_service: HashMap<ServiceName, Vec<Arc<Upstream>>> = HashMap::new();
-        for entry in self.known.table.usable() {
+        for entry in self.platform.table.usable() {
             if !routes.names_service(&entry.record.service) {
                 continue;
             }
@@ -110,8 +110,8 @@
         }
         self.by_tag = by_tag;
         self.upstreams = kept;
-        self.look_at_senders(now);
-        self.share_rates(now);
+        self.refresh_senders(now);
+        self.update_rate_shares(now);
         by_service
     }
 
@@ -139,9 +139,12 @@
     }
 
     /// Links to the VMs of the other regions that take requests at any load there.
-    fn far_service(&self, beats: &[PeerBeat]) -> HashMap<RegionName, Vec<Arc<PeerLink>>> {
+    fn remote_in_service(
+        &self,
+        heartbeats: &[PeerBeat],
+    ) -> HashMap<RegionName, Vec<Arc<PeerLink>>> {
         let own_region = self.shared.settings.region();
-        let serving = beats.iter().filter(|beat| beat.phase == PeerPhase::Serving);
+        let serving = heartbeats.iter().filter(|beat| beat.phase == PeerPhase::Serving);
         let mut by_region: HashMap<&RegionName, Vec<ServiceCandidate<'_>>> = HashMap::new();
         for beat in serving.filter(|beat| beat.region != *own_region) {
             by_region.entry(&beat.region).or_default().push(ServiceCandidate::of(beat));
@@ -162,7 +165,7 @@
     }
 
     /// Counts and logs which VMs of the region the demand puts in service.
-    fn note_service(&mut self, demand: CoreShare, now: MonoTime) {
+    fn report_in_service(&mut self, demand: CoreShare, now: MonoTime) {
         let order = self.peers.near_order(now);
         let (chosen, serving) = (order.for_demand(demand), order.len());
         let metrics = &self.shared.metrics;
@@ -183,9 +186,9 @@
     }
 
     /// Links to the VMs that serve. Those known already are kept with their connections.
-    fn current_links(&mut self, beats: &[PeerBeat]) -> Vec<Arc<PeerLink>> {
+    fn current_links(&mut self, heartbeats: &[PeerBeat]) -> Vec<Arc<PeerLink>> {
         let mut links = HashMap::new();
-        for beat in beats.iter().filter(|beat| beat.phase == PeerPhase::Serving) {
+        for beat in heartbeats.iter().filter(|beat| beat.phase == PeerPhase::Serving) {
             let known = self.links.get(&beat.vm).filter(|link| link.address == beat.peer);
             let link = known.cloned().unwrap_or_else(|| Arc::new(PeerLink::new(beat)));
             links.insert(beat.vm.clone(), link);
--- a/crates/foldhaven-gateway/src/keeper/upstream_signals.rs
+++ b/crates/foldhaven-gateway/src/keeper/upstream_signals.rs
@@ -20,16 +20,16 @@
     async fn handle(&mut self, message: ReceiveLimits, _: &mut Context<Self>) {
         let now = self.now();
         let mut has_changed = false;
-        for told in &message.limits {
-            let Some(change) = self.shared.limits.hear(told, now) else { continue };
+        for notice in &message.limits {
+            let Some(change) = self.shared.limits.hear(notice, now) else { continue };
             // One that is not listed yet is bounded from when it is.
-            let Some(upstream) = self.by_tag.get(&told.upstream) else { continue };
+            let Some(upstream) = self.by_tag.get(&notice.upstream) else { continue };
             self.shared.limits.apply(upstream);
             note_change(&self.shared, upstream, &change, "peer");
             has_changed = true;
         }
         if has_changed {
-            self.share_rates(now);
+            self.update_rate_shares(now);
         }
     }
 }
@@ -44,11 +44,11 @@
 
     async fn handle(&mut self, message: ReceiveLeavingNotices, _: &mut Context<Self>) {
         let now = self.now();
-        for told in &message.leavers {
-            if !self.shared.leavers.hear(told, now) {
+        for notice in &message.leavers {
+            if !self.shared.leavers.hear(notice, now) {
                 continue;
             }
-            let Some(upstream) = self.by_tag.get(&told.upstream) else { continue };
+            let Some(upstream) = self.by_tag.get(&notice.upstream) else { continue };
             self.shared.leavers.apply(upstream);
             note_leaving(&self.shared, upstream, "peer");
         }
@@ -67,8 +67,8 @@
         let now = self.now();
         match plan.reason {
             SendReason::Change => {
-                self.share_rates(now);
-                self.near_peers()
+                self.update_rate_shares(now);
+                self.local_peers()
             }
             SendReason::Repeat => self.peers.next_told_targets(now).near,
         }
--- a/crates/foldhaven-gateway/src/keeper/waking.rs
+++ b/crates/foldhaven-gateway/src/keeper/waking.rs
@@ -5,11 +5,11 @@
 impl ControlActor {
     /// Finds out whether the process stood still. What others said before counts for nothing until they say it again, and kept
     /// connections may have ended unseen.
-    pub(super) fn note_standstill(&mut self) {
+    pub(super) fn check_suspension(&mut self) {
         let now = self.now();
-        let Some(still) = self.shared.wake.look(now) else { return };
-        let still_ms = still.as_millis() as u64;
-        let (revision, version) = (self.known.revision(), self.version().0);
+        let Some(suspended_for) = self.shared.wake.look(now) else { return };
+        let still_ms = suspended_for.as_millis() as u64;
+        let (revision, version) = (self.platform.revision(), self.version().0);
         tracing::warn!(still_ms, revision, version, "this process stood still");
         self.shared.metrics.count_event("stood_still");
         self.shared.suspects.ask_again();
@@ -19,14 +19,14 @@
     }
 
     /// Notes whether what happened meanwhile is known: a VM has answered, and none knows more of the platform's changes.
-    pub(super) fn note_awake(&mut self) {
-        let is_known = self.shared.suspects.was_told() && self.behind_for().is_zero();
+    pub(super) fn check_resumed(&mut self) {
+        let is_known = self.shared.suspects.was_told() && self.lag_time().is_zero();
         if let Some(span) = self.shared.wake.note_known(is_known, self.now()) {
             let ms = span.as_millis() as u64;
             tracing::info!(
                 ms,
                 is_known,
-                revision = self.known.revision(),
+                revision = self.platform.revision(),
                 "requests are taken again"
             );
         }
--- a/crates/foldhaven-gateway/src/known/change_log.rs
+++ b/crates/foldhaven-gateway/src/known/change_log.rs
@@ -7,7 +7,9 @@
 use foldhaven_core::opaque::route_table::RouteTable;
 use foldhaven_core::opaque::upstream_table::UpstreamRecord;
 
-use crate::feed::{ChangeSet, CountedChange, FeedChange, FeedSnapshot, PeerState, drop_superseded};
+use crate::feed::{
+    ChangeSet, FeedChange, FeedSnapshot, NumberedChange, PeerState, drop_superseded,
+};
 
 /// How much is kept: changes, and the routes that they write or remove. A VM that is further behind is
 /// told everything.
@@ -18,7 +20,7 @@
 pub struct ChangeLog {
     /// The revision after which no change is missing here.
     after: u64,
-    changes: VecDeque<Arc<CountedChange>>,
+    changes: VecDeque<Arc<NumberedChange>>,
     /// The sum of the weights of all changes.
     weight: usize,
 }
@@ -30,7 +32,7 @@
     }
 
     /// Keeps one more change.
-    pub fn push(&mut self, change: CountedChange) {
+    pub fn push(&mut self, change: NumberedChange) {
         self.weight += weight_of(&change.change);
         self.changes.push_back(Arc::new(change));
         while self.weight > MAX_WEIGHT
@@ -48,7 +50,7 @@
 
     /// The changes after a revision, without what later ones supersede; nothing when some of them are not
     /// kept.
-    pub fn since(&self, after: u64) -> Option<Vec<CountedChange>> {
+    pub fn since(&self, after: u64) -> Option<Vec<NumberedChange>> {
         if after < self.after {
             return None;
         }
@@ -95,14 +97,14 @@
 impl StateOffer {
     /// What a VM is told that knows the changes up to a revision, or none, and understands differences that span several versions
     /// or not.
-    pub fn state_after(&self, known: Option<u64>, is_spanning: bool) -> PeerState {
+    pub fn state_after(&self, known: Option<u64>, accepts_spanning: bool) -> PeerState {
         let changes = known.and_then(|after| Some((after, self.log.since(after)?)));
         match changes {
             Some((after, changes)) => {
                 let revision = self.revision.max(after);
                 let set = ChangeSet { after, revision, changes };
                 let through = set.through();
-                match is_spanning && !through.is_empty() {
+                match accepts_spanning && !through.is_empty() {
                     true => PeerState::SpanningChanges(set, through),
                     false => PeerState::Changes(set),
                 }
--- a/crates/foldhaven-gateway/src/known/mod.rs
+++ b/crates/foldhaven-gateway/src/known/mod.rs
@@ -29,7 +29,7 @@
     /// The time.
     pub now: MonoTime,
     /// For how long others have known more.
-    pub behind: Duration,
+    pub lag: Duration,
 }
 
 /// Changes that were taken in.
@@ -57,11 +57,11 @@
     /// Changes in force ahead of their turn.
     early: EarlyChanges,
     /// Whether changes do not lead from what is known to what others know, so that all of it is asked for.
-    needs_all: bool,
+    needs_snapshot: bool,
     /// Whether a snapshot was taken in, so that changes can follow it.
     has_state: bool,
     /// How many records were seen that name no upstream.
-    unusable_seen: u64,
+    unusable_count: u64,
 }
 
 impl PlatformState {
@@ -91,18 +91,18 @@
     }
 
     /// Whether changes do not lead on, so that all is to be asked for.
-    pub fn needs_all(&self) -> bool {
-        self.needs_all
+    pub fn needs_snapshot(&self) -> bool {
+        self.needs_snapshot
     }
 
     /// The revision from which changes are to be told; nothing when all is to be.
-    pub fn known(&self) -> Option<u64> {
-        (self.has_state && !self.needs_all).then_some(self.revision)
+    pub fn base_revision(&self) -> Option<u64> {
+        (self.has_state && !self.needs_snapshot).then_some(self.revision)
     }
 
     /// How many records were seen that name no upstream, since this was asked last.
-    pub fn take_unusable_seen(&mut self) -> u64 {
-        std::mem::take(&mut self.unusable_seen)
+    pub fn take_unusable_count(&mut self) -> u64 {
+        std::mem::take(&mut self.unusable_count)
     }
 
     /// What other VMs may take over; nothing before the first description.
--- a/crates/foldhaven-gateway/src/known/takes.rs
+++ b/crates/foldhaven-gateway/src/known/takes.rs
@@ -11,15 +11,15 @@
 
 use super::description_digest::description_digest;
 use super::{AppliedChanges, ApplyContext, EarlyChanges, PlatformState};
-use crate::feed::{ChangeSet, ChangeSubject, CountedChange, FeedChange, FeedSnapshot};
+use crate::feed::{ChangeSet, ChangeSubject, FeedChange, FeedSnapshot, NumberedChange};
 
 impl PlatformState {
     /// Replaces what is known by a snapshot, unless the snapshot is older. Returns what of it may be in force at
     /// others before they know all of it.
-    pub fn take_snapshot(
+    pub fn apply_snapshot(
         &mut self,
         snapshot: FeedSnapshot,
-        moment: ApplyContext,
+        context: ApplyContext,
     ) -> Option<ChangeSet> {
         let FeedSnapshot { revision, description, upstreams, unusable, evacuated } = snapshot;
         if revision < self.revision {
@@ -29,12 +29,12 @@
         self.revision = revision;
         // What came and went since is in no difference: whoever knows less is told everything.
         self.log.reset(revision);
-        let replaces = std::mem::replace(&mut self.needs_all, false);
+        let replaces = std::mem::replace(&mut self.needs_snapshot, false);
         for name in &unusable {
             self.withdraw(name);
         }
-        let difference = self.table.replace(upstreams, moment.now);
-        let mut changes = self.change_evacuations(evacuated);
+        let difference = self.table.replace(upstreams, context.now);
+        let mut changes = self.replace_evacuated(evacuated);
         let upstreams = difference.listed.len();
         changes.extend(difference.listed.into_iter().map(FeedChange::UpstreamWritten));
         changes.extend(difference.unlisted.into_iter().map(FeedChange::UpstreamRemoved));
@@ -47,77 +47,81 @@
         // When differences do not lead on, the description that is held may be another one of its version.
         let is_newer = offered > held || replaces && offered == held;
         match description.filter(|_| is_newer) {
-            Some(description) => drop(self.adopt(description, moment)),
-            None => offered.into_iter().for_each(|offered| self.note_older(offered)),
+            Some(description) => drop(self.install_description(description, context)),
+            None => offered.into_iter().for_each(|offered| self.warn_older_description(offered)),
         }
-        self.renew_early(moment.now);
-        changes.retain(EarlyChanges::may_precede);
-        let counted = changes.into_iter().map(|change| CountedChange { revision, change });
+        self.reapply_early_changes(context.now);
+        changes.retain(EarlyChanges::may_apply_early);
+        let numbered = changes.into_iter().map(|change| NumberedChange { revision, change });
         // They follow on nothing before this revision.
-        Some(ChangeSet { after: revision, revision, changes: counted.collect() })
+        Some(ChangeSet { after: revision, revision, changes: numbered.collect() })
     }
 
     /// Whether nothing is missing between what is known and these changes.
-    pub fn follows(&self, set: &ChangeSet) -> bool {
+    pub fn can_apply(&self, set: &ChangeSet) -> bool {
         self.has_state && set.after <= self.revision
     }
 
     /// Takes in changes. Returns what of them is new, as others are to be told of it; nothing when some
     /// before them are missing.
-    pub fn take_changes(&mut self, set: ChangeSet, moment: ApplyContext) -> Option<AppliedChanges> {
-        if !self.follows(&set) {
+    pub fn apply_changes(
+        &mut self,
+        set: ChangeSet,
+        context: ApplyContext,
+    ) -> Option<AppliedChanges> {
+        if !self.can_apply(&set) {
             return None;
         }
         let (known, after) = (self.revision, self.log.last_revision());
-        let news: Vec<CountedChange> =
-            set.changes.into_iter().filter(|counted| counted.revision > known).collect();
+        let news: Vec<NumberedChange> =
+            set.changes.into_iter().filter(|numbered| numbered.revision > known).collect();
         let description = match self.newer_description(&news) {
             Ok(description) => description,
             Err(error) => {
                 tracing::warn!(revision = known, error = %error, "everything is asked for");
-                self.needs_all = true;
+                self.needs_snapshot = true;
                 return None;
             }
         };
         self.revision = known.max(set.revision);
-        self.needs_all = false;
-        let is_urgent = news.iter().any(|counted| counted.change.is_urgent());
-        let mut taken: Vec<CountedChange> = Vec::new();
+        self.needs_snapshot = false;
+        let is_urgent = news.iter().any(|numbered| numbered.change.is_urgent());
+        let mut applied: Vec<NumberedChange> = Vec::new();
         let mut described = None;
-        for counted in news {
-            if counted.change.subject() == ChangeSubject::Description {
-                described = Some(counted.revision);
+        for numbered in news {
+            if numbered.change.subject() == ChangeSubject::Description {
+                described = Some(numbered.revision);
                 continue;
             }
-            self.log_change(&counted.change);
-            self.apply_change(counted.change.clone(), moment.now);
-            taken.push(counted);
+            self.log_change(&numbered.change);
+            self.apply_change(numbered.change.clone(), context.now);
+            applied.push(numbered);
         }
         let change = match description {
-            Some(description) => Some(self.adopt(description, moment)),
+            Some(description) => Some(self.install_description(description, context)),
             // It came some other way before its turn. Others that follow what is passed on may not have it.
             None => self.held_description().map(FeedChange::Description),
         };
         let described = described.zip(change);
-        taken.extend(described.map(|(revision, change)| CountedChange { revision, change }));
-        taken.sort_by_key(|counted| counted.revision);
-        taken.iter().for_each(|counted| self.log.push(counted.clone()));
-        self.renew_early(moment.now);
-        let changes = ChangeSet { after, revision: self.revision, changes: taken };
+        applied.extend(described.map(|(revision, change)| NumberedChange { revision, change }));
+        applied.sort_by_key(|numbered| numbered.revision);
+        applied.iter().for_each(|numbered| self.log.push(numbered.clone()));
+        self.reapply_early_changes(context.now);
+        let changes = ChangeSet { after, revision: self.revision, changes: applied };
         Some(AppliedChanges { changes, is_urgent })
     }
 
     /// Puts changes in force of which some before them are missing, as far as requests could go wrong until
     /// these are known. Returns whether there are such.
-    pub fn take_early(&mut self, changes: Vec<CountedChange>, now: MonoTime) -> bool {
+    pub fn apply_early_changes(&mut self, changes: Vec<NumberedChange>, now: MonoTime) -> bool {
         if !self.has_state {
             return false;
         }
         let known = self.revision;
         let mut is_news = false;
-        for counted in changes {
-            let revision = counted.revision;
-            let Some(change) = self.early.hold(counted, known) else { continue };
+        for numbered in changes {
+            let revision = numbered.revision;
+            let Some(change) = self.early.insert(numbered, known) else { continue };
             tracing::info!(revision, known, "a change is put in force before its turn");
             self.log_change(&change);
             self.apply_change(change, now);
@@ -127,14 +131,18 @@
     }
 
     /// Puts in force again what is still ahead of what is known.
-    fn renew_early(&mut self, now: MonoTime) {
-        for change in self.early.drop_until(self.revision) {
+    fn reapply_early_changes(&mut self, now: MonoTime) {
+        for change in self.early.drop_through(self.revision) {
             self.apply_change(change, now);
         }
     }
 
     /// Puts a description in force that is newer than the one held. Returns what it changes.
-    fn adopt(&mut self, description: RouteDescription, moment: ApplyContext) -> FeedChange {
+    fn install_description(
+        &mut self,
+        description: RouteDescription,
+        context: ApplyContext,
+    ) -> FeedChange {
         let (held, offered) = (self.version(), description.version);
         let routes = description.routes.len();
         let known = self.routes.as_deref().map(RouteTable::description);
@@ -157,7 +165,7 @@
             routes,
             touched,
             revision = self.revision,
-            behind_ms = moment.behind.as_millis() as u64,
+            behind_ms = context.lag.as_millis() as u64,
             "description adopted"
         );
         change
@@ -166,17 +174,17 @@
     /// The description that changes lead to; nothing when they hold none that is newer than the one held.
     fn newer_description(
         &self,
-        changes: &[CountedChange],
+        changes: &[NumberedChange],
     ) -> Result<Option<RouteDescription>, DeltaError> {
         let mut newer: Option<RouteDescription> = None;
-        for counted in changes {
+        for numbered in changes {
             let known = self.routes.as_deref().map(RouteTable::description);
             let known = newer.as_ref().or(known);
             let held = known.map(|known| known.version);
-            newer = match (&counted.change, known) {
+            newer = match (&numbered.change, known) {
                 (FeedChange::Description(it), _) if held < Some(it.version) => Some((**it).clone()),
                 (FeedChange::Description(it), _) => {
-                    self.note_older(it.version);
+                    self.warn_older_description(it.version);
                     continue;
                 }
                 (FeedChange::DescriptionDelta(it), Some(known)) if it.version() > known.version => {
@@ -192,7 +200,7 @@
         Ok(newer)
     }
 
-    fn note_older(&self, offered: RouteVersion) {
+    fn warn_older_description(&self, offered: RouteVersion) {
         let held = self.version();
         if offered < held {
             tracing::warn!(held = held.0, offered = offered.0, "older description ignored");
@@ -223,22 +231,22 @@
             FeedChange::UpstreamRemoved(name) => self.table.remove(&name, now),
             FeedChange::UpstreamUnusable(name) => self.withdraw(&name),
             FeedChange::EvacuationStarted(centre) => {
-                self.change_evacuated(|evacuated| evacuated.insert(centre));
+                self.update_evacuated(|evacuated| evacuated.insert(centre));
             }
             FeedChange::EvacuationEnded(centre) => {
-                self.change_evacuated(|evacuated| evacuated.remove(&centre));
+                self.update_evacuated(|evacuated| evacuated.remove(&centre));
             }
         }
     }
 
     /// Drops an upstream whose record names none any more.
     fn withdraw(&mut self, name: &UpstreamName) {
-        self.unusable_seen += 1;
+        self.unusable_count += 1;
         self.table.withdraw(name);
     }
 
     /// Replaces the evacuated data centres. Returns the changes.
-    fn change_evacuations(&mut self, evacuated: BTreeSet<DataCentreName>) -> Vec<FeedChange> {
+    fn replace_evacuated(&mut self, evacuated: BTreeSet<DataCentreName>) -> Vec<FeedChange> {
         let held = self.table.evacuated();
         let started = evacuated.difference(held).cloned().map(FeedChange::EvacuationStarted);
         let ended = held.difference(&evacuated).cloned().map(FeedChange::EvacuationEnded);
@@ -247,7 +255,7 @@
         changes
     }
 
-    fn change_evacuated(&mut self, change: impl FnOnce(&mut BTreeSet<DataCentreName>) -> bool) {
+    fn update_evacuated(&mut self, change: impl FnOnce(&mut BTreeSet<DataCentreName>) -> bool) {
         let mut evacuated = self.table.evacuated().clone();
         change(&mut evacuated);
         self.table.set_evacuated(evacuated);
--- a/crates/foldhaven-gateway/src/known/told_states.rs
+++ b/crates/foldhaven-gateway/src/known/told_states.rs
@@ -16,9 +16,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StateRequest {
     /// The revision that it knows; none when it asks for everything.
-    pub known: Option<u64>,
+    pub known_revision: Option<u64>,
     /// Whether it understands differences that span several versions.
-    pub is_spanning: bool,
+    pub accepts_spanning: bool,
 }
 
 #[derive(Debug, Default)]
@@ -43,21 +43,21 @@
     pub fn answer(
         &self,
         offer: &Arc<StateOffer>,
-        ask: StateRequest,
+        request: StateRequest,
     ) -> Result<Bytes, bincode::Error> {
         let mut held = self.held.lock();
         if !std::ptr::eq(held.offer.as_ptr(), Arc::as_ptr(offer)) {
             *held = CachedAnswers { offer: Arc::downgrade(offer), answers: Vec::new() };
         }
-        if let Some((_, body)) = held.answers.iter().find(|(it, _)| *it == ask) {
+        if let Some((_, body)) = held.answers.iter().find(|(it, _)| *it == request) {
             return Ok(body.clone());
         }
-        let state = offer.state_after(ask.known, ask.is_spanning);
+        let state = offer.state_after(request.known_revision, request.accepts_spanning);
         let body = Bytes::from(peer_codec().serialize(&state)?);
         if held.answers.len() == MAX_ANSWERS {
             held.answers.remove(0);
         }
-        held.answers.push((ask, body.clone()));
+        held.answers.push((request, body.clone()));
         Ok(body)
     }
 }
--- a/crates/foldhaven-gateway/src/operator_front/status.rs
+++ b/crates/foldhaven-gateway/src/operator_front/status.rs
@@ -43,14 +43,14 @@
 
     /// The lifetime of this process; not known before the first description.
     fn own_lifetime(&self, view: &GatewayView) -> Option<IncarnationId> {
-        let own = view.beats.iter().find(|beat| beat.vm == self.shared.settings.vm);
+        let own = view.heartbeats.iter().find(|beat| beat.vm == self.shared.settings.vm);
         own.map(|beat| beat.incarnation)
     }
 
     /// The other VMs of this data centre.
     fn members(&self, view: &GatewayView) -> Vec<MemberStatus> {
         let settings = &self.shared.settings;
-        let others = view.beats.iter().filter(|beat| beat.vm != settings.vm);
+        let others = view.heartbeats.iter().filter(|beat| beat.vm != settings.vm);
         let near = others.filter(|beat| beat.data_centre == settings.data_centre);
         let member = |beat: &PeerBeat| MemberStatus {
             vm: beat.vm.clone(),
@@ -81,7 +81,7 @@
     fn centres(&self, view: &GatewayView) -> Vec<CentreStatus> {
         let own = &self.shared.settings.data_centre;
         let mut by_centre: BTreeMap<&DataCentreName, Vec<&PeerBeat>> = BTreeMap::new();
-        for beat in view.beats.iter().filter(|beat| beat.data_centre != *own) {
+        for beat in view.heartbeats.iter().filter(|beat| beat.data_centre != *own) {
             by_centre.entry(&beat.data_centre).or_default().push(beat);
         }
         let centres = by_centre.into_iter();
@@ -96,7 +96,7 @@
         beats: &[&PeerBeat],
     ) -> CentreStatus {
         let now = self.shared.now();
-        let heard = view.heard.get(data_centre);
+        let heard = view.last_seen.get(data_centre);
         let serving = beats.iter().filter(|beat| beat.phase == PeerPhase::Serving).count();
         let versions = beats.iter().map(|beat| beat.version);
         let stamps = versions.clone().min().zip(versions.max());
--- a/crates/foldhaven-gateway/src/peer_front.rs
+++ b/crates/foldhaven-gateway/src/peer_front.rs
@@ -56,7 +56,10 @@
         let Some(view) = self.shared.view() else { return Refusal::NoDescription.answer() };
         let known = query.and_then(|query| query.strip_prefix(PEER_STATE_AFTER));
         let known = known.and_then(|known| known.parse().ok());
-        match self.told.answer(&view.offer, StateRequest { known, is_spanning }) {
+        match self.told.answer(
+            &view.offer,
+            StateRequest { known_revision: known, accepts_spanning: is_spanning },
+        ) {
             Ok(body) => {
                 let (revision, bytes) = (view.offer.revision, body.len());
                 self.shared.metrics.count_event("state_told");
--- a/crates/foldhaven-gateway/src/peer_message.rs
+++ b/crates/foldhaven-gateway/src/peer_message.rs
@@ -18,7 +18,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::codec::peer_codec;
-use crate::feed::{ChangeSet, CountedChange};
+use crate::feed::{ChangeSet, NumberedChange};
 
 /// The largest datagram that is read, in bytes.
 pub const MAX_DATAGRAM: usize = 16 << 10;
@@ -44,7 +44,7 @@
     /// What the platform published.
     Changes(ChangeSet),
     /// Changes that must not wait for those before them.
-    Early(Vec<CountedChange>),
+    Early(Vec<NumberedChange>),
     /// What a delegate tells of its region.
     Region(RegionReport),
     /// Requests under which upstreams ended.
--- a/crates/foldhaven-gateway/src/places/far.rs
+++ b/crates/foldhaven-gateway/src/places/far.rs
@@ -13,19 +13,21 @@
 use foldhaven_core::opaque::pace::QueueFacts;
 use foldhaven_core::opaque::queue_rank::QueueRank;
 
-use super::{DestinationChoice, RequestDestination, TOLD_TOKENS, TriedDestinations, query_of};
+use super::{
+    DestinationChoice, MIN_ANNOUNCED_TOKENS, RequestDestination, TriedDestinations, choice_query,
+};
 use crate::job::GatewayJob;
 use crate::shared::GatewayShared;
 use crate::view::{GatewayView, PeerLink, RegionWait};
 
 /// The way to a region and back before any connection there came up, which takes some tenths of a second
 /// after a start.
-const UNMEASURED_ROUND_TRIP: Duration = Duration::from_millis(120);
+const DEFAULT_ROUND_TRIP: Duration = Duration::from_millis(120);
 /// What a byte between regions costs against a token of work. Not described; the users' prices differ
 /// between deployments by a factor of four.
 const REGION_BYTE_PRICE: f64 = 0.03;
 /// The share of a prompt's short shared parts that another region probably has to read.
-const FAR_MISSING_SHARE: f64 = 0.4;
+const REMOTE_MISSING_SHARE: f64 = 0.4;
 
 /// The best VM of another region.
 pub(super) struct RemoteChoice {
@@ -37,32 +39,32 @@
 
 impl RemoteChoice {
     /// The place, for the decision whether the request is sent there.
-    pub(super) fn offer(&self) -> PlaceOffer {
+    pub(super) fn estimate(&self) -> PlaceOffer {
         let DestinationChoice { first, rank, queue, .. } = self.choice;
         PlaceOffer { first, parts: self.parts, rank, queue, is_full: false }
     }
 }
 
 /// Chooses among the other regions that the route permits and that have upstreams of the service.
-pub(super) fn choose_far(
+pub(super) fn choose_remote(
     shared: &GatewayShared,
     view: &GatewayView,
     job: &GatewayJob,
     tried: &TriedDestinations,
 ) -> Option<RemoteChoice> {
-    let priced = price_far(shared, view, job, tried).into_iter();
+    let priced = price_remote(shared, view, job, tried).into_iter();
     priced.min_by(|left, right| left.cost.0.total_cmp(&right.cost.0))
 }
 
 /// Prices the other regions that can take a request, by a VM of each.
-pub(super) fn price_far(
+pub(super) fn price_remote(
     shared: &GatewayShared,
     view: &GatewayView,
     job: &GatewayJob,
     tried: &TriedDestinations,
 ) -> Vec<RemoteChoice> {
     let own_region = shared.settings.region();
-    let regions = view.waits.iter().filter(|((region, service), _)| {
+    let regions = view.expected_waits.iter().filter(|((region, service), _)| {
         *service == job.service && region != own_region && job.permits(region)
     });
     let priced = regions.filter_map(|((region, _), wait)| {
@@ -85,14 +87,14 @@
     /// What the request is expected to take and to cost when it is forwarded to a VM there.
     fn price(&self, peer: Arc<PeerLink>) -> RemoteChoice {
         let job = self.job;
-        let query = query_of(self.shared, self.view, job);
+        let query = choice_query(self.shared, self.view, job);
         let missing = self.missing_tokens(query.shared_tokens);
         let read_tokens = query.own_tokens + missing;
         let pace = self.shared.measured_pace(&job.service);
-        let way = self.way(&peer);
-        let sent = self.sent_since(pace.hold, way);
+        let connection_time = self.connection_time(&peer);
+        let sent = self.sent_since(pace.hold, connection_time);
         let there = pace.first(sent, QueueRank::Timely, read_tokens);
-        let first = way + self.wait.wait + there;
+        let first = connection_time + self.wait.wait + there;
         // What was told counts most requests that were sent since, too.
         let queue = QueueFacts { in_flight: sent.in_flight.max(self.wait.load), ..sent };
         let parts = CostParts {
@@ -118,8 +120,8 @@
     }
 
     /// The way there and back, twice where no connection is open.
-    fn way(&self, peer: &PeerLink) -> Duration {
-        let round_trip = self.view.round_trip(self.region).unwrap_or(UNMEASURED_ROUND_TRIP);
+    fn connection_time(&self, peer: &PeerLink) -> Duration {
+        let round_trip = self.view.round_trip(self.region).unwrap_or(DEFAULT_ROUND_TRIP);
         match peer.pool.has_open() {
             true => round_trip,
             false => round_trip * 2,
@@ -128,7 +130,7 @@
 
     /// What this region's VMs have sent there since its VMs told their waits, as far as it can be
     /// guessed from what this one has sent.
-    fn sent_since(&self, hold: Duration, way: Duration) -> QueueFacts {
+    fn sent_since(&self, hold: Duration, connection_time: Duration) -> QueueFacts {
         let links = self.view.peers.iter().filter(|peer| peer.region == *self.region);
         let sent = links.map(|peer| peer.share(&self.job.service));
         let own = sent.fold(UpstreamShare::default(), |sum, share| UpstreamShare {
@@ -137,13 +139,13 @@
             ..sum
         });
         let RegionWait { upstreams, slots, .. } = self.wait;
-        FarService { upstreams, slots, hold, way }.queue(own, self.view.senders)
+        FarService { upstreams, slots, hold, way: connection_time }.queue(own, self.view.senders)
     }
 
     /// The tokens of the shared parts that would have to be read there.
     fn missing_tokens(&self, shared_tokens: u32) -> u32 {
-        if shared_tokens < TOLD_TOKENS {
-            return (f64::from(shared_tokens) * FAR_MISSING_SHARE) as u32;
+        if shared_tokens < MIN_ANNOUNCED_TOKENS {
+            return (f64::from(shared_tokens) * REMOTE_MISSING_SHARE) as u32;
         }
         let parts = self.job.shared_parts();
         let hints = self.shared.hints.lock();
@@ -164,7 +166,7 @@
     tried: &TriedDestinations,
 ) -> Option<Arc<PeerLink>> {
     let is_untried = |peer: &&Arc<PeerLink>| !tried.peers.contains(&peer.vm);
-    let in_service = view.far_service.get(region).into_iter().flatten();
+    let in_service = view.remote_in_service.get(region).into_iter().flatten();
     let mut open: Vec<&Arc<PeerLink>> = in_service.filter(is_untried).collect();
     if open.is_empty() {
         let there = view.peers.iter().filter(|peer| peer.region == *region);
--- a/crates/foldhaven-gateway/src/places/mod.rs
+++ b/crates/foldhaven-gateway/src/places/mod.rs
@@ -14,10 +14,10 @@
 use foldhaven_core::opaque::pace::QueueFacts;
 use foldhaven_core::opaque::queue_rank::QueueRank;
 
-use self::far::{RemoteChoice, choose_far};
+use self::far::{RemoteChoice, choose_remote};
 pub use self::near::expected_wait;
-use self::near::{LocalChoice, choose_near, has_open, signalled_wait};
-pub use self::overview::{describe_places, price_places};
+use self::near::{LocalChoice, choose_local, has_open, signalled_wait};
+pub use self::overview::{describe_candidates, price_destinations};
 use crate::answer::Refusal;
 use crate::call::{CallTarget, HeadListener};
 use crate::clock::BootInstant;
@@ -31,10 +31,10 @@
 pub const REGION_MARGIN: RequestCost = RequestCost(0.04);
 /// After so many upstreams of this region that failed a request, another region is trusted more: they may
 /// have been lost together, and stay listed for some seconds.
-const FAULTS_TO_LEAVE: usize = 2;
+const MAX_LOCAL_FAULTS: usize = 2;
 /// Other VMs are told of prompts whose shared parts have at least so many tokens; for shorter ones
 /// the common ranking is good enough.
-pub const TOLD_TOKENS: u32 = 512;
+pub const MIN_ANNOUNCED_TOKENS: u32 = 512;
 
 /// A place for one try.
 #[derive(Clone)]
@@ -120,47 +120,47 @@
 
 /// Chooses a place: the best upstream here, unless another region is better by more than the way there costs, or
 /// has room and there is none here.
-pub fn choose_place(
+pub fn choose_destination(
     shared: &GatewayShared,
     view: &GatewayView,
     job: &GatewayJob,
     tried: &TriedDestinations,
 ) -> Result<DestinationChoice, Refusal> {
     let is_here = job.permits(shared.settings.region());
-    let near = if is_here { choose_near(shared, view, job, tried) } else { None };
+    let local = if is_here { choose_local(shared, view, job, tried) } else { None };
     if job.is_forwarded {
-        let near = near.ok_or_else(|| match is_here {
-            true => without_place(shared, view, job),
+        let local = local.ok_or_else(|| match is_here {
+            true => no_destination_refusal(shared, view, job),
             false => Refusal::NotPermitted,
         })?;
-        check_offer(job, &near.offer())?;
-        return near.take(shared);
+        admit_choice(job, &local.estimate())?;
+        return local.reserve(shared);
     }
-    let far = choose_far(shared, view, job, tried);
-    match (near, far) {
-        (Some(near), Some(far)) if prefers_far(&near, &far, tried) => {
-            check_offer(job, &far.offer())?;
-            Ok(far.choice)
+    let remote = choose_remote(shared, view, job, tried);
+    match (local, remote) {
+        (Some(local), Some(remote)) if prefers_remote(&local, &remote, tried) => {
+            admit_choice(job, &remote.estimate())?;
+            Ok(remote.choice)
         }
-        (Some(near), far) => match (check_offer(job, &near.offer()), far) {
-            (Ok(()), _) => near.take(shared),
-            (Err(_), Some(far)) if has_room(job, &far) => Ok(far.choice),
+        (Some(local), remote) => match (admit_choice(job, &local.estimate()), remote) {
+            (Ok(()), _) => local.reserve(shared),
+            (Err(_), Some(remote)) if has_free_capacity(job, &remote) => Ok(remote.choice),
             (Err(refusal), _) => Err(refusal),
         },
-        (None, Some(far)) => Ok(far.choice),
-        (None, None) if has_no_home(shared, job) => Err(Refusal::NoHome),
-        (None, None) => Err(without_place(shared, view, job)),
+        (None, Some(remote)) => Ok(remote.choice),
+        (None, None) if has_no_permitted_region(shared, job) => Err(Refusal::NoHome),
+        (None, None) => Err(no_destination_refusal(shared, view, job)),
     }
 }
 
 /// When a request that an upstream turned away could be sent to one, where all that may run it want nothing for now.
-pub fn held_back_wait(
+pub fn throttled_wait(
     shared: &GatewayShared,
     view: &GatewayView,
     job: &GatewayJob,
 ) -> Option<Duration> {
     let own_region = shared.settings.region();
-    let is_elsewhere = view.waits.keys().any(|(region, service)| {
+    let is_elsewhere = view.expected_waits.keys().any(|(region, service)| {
         *service == job.service && region != own_region && job.permits(region)
     });
     let is_open = is_elsewhere || has_open(shared, view, job);
@@ -168,7 +168,7 @@
 }
 
 /// Why no place takes a request.
-fn without_place(shared: &GatewayShared, view: &GatewayView, job: &GatewayJob) -> Refusal {
+fn no_destination_refusal(shared: &GatewayShared, view: &GatewayView, job: &GatewayJob) -> Refusal {
     match signalled_wait(shared, view, job).filter(|_| job.permits(shared.settings.region())) {
         Some(wait) => Refusal::HeldBack { wait },
         None => Refusal::NoUpstream,
@@ -176,26 +176,26 @@
 }
 
 /// Whether the homes of a request's route and account have no region in common that there is.
-fn has_no_home(shared: &GatewayShared, job: &GatewayJob) -> bool {
+fn has_no_permitted_region(shared: &GatewayShared, job: &GatewayJob) -> bool {
     !shared.settings.regions.values().any(|region| job.permits(region))
 }
 
 /// Whether another region is better: cheaper by more than the margin, or the only place that can be trusted.
-fn prefers_far(near: &LocalChoice, far: &RemoteChoice, tried: &TriedDestinations) -> bool {
-    let is_near_sound = near.choice.is_trusted && tried.upstreams.len() < FAULTS_TO_LEAVE;
-    !is_near_sound || far.cost + REGION_MARGIN < near.choice.cost
+fn prefers_remote(local: &LocalChoice, remote: &RemoteChoice, tried: &TriedDestinations) -> bool {
+    let is_local_trusted = local.choice.is_trusted && tried.upstreams.len() < MAX_LOCAL_FAULTS;
+    !is_local_trusted || remote.cost + REGION_MARGIN < local.choice.cost
 }
 
 /// Whether a region can answer in time what is better not sent to the best upstream here: by its last report its
 /// upstreams have places left.
-fn has_room(job: &GatewayJob, far: &RemoteChoice) -> bool {
-    let PlaceOffer { rank, queue, .. } = far.offer();
+fn has_free_capacity(job: &GatewayJob, remote: &RemoteChoice) -> bool {
+    let PlaceOffer { rank, queue, .. } = remote.estimate();
     let is_free = rank == QueueRank::Timely && queue.in_flight < queue.slots;
-    is_free && check_offer(job, &far.offer()).is_ok()
+    is_free && admit_choice(job, &remote.estimate()).is_ok()
 }
 
 /// Refuses a request that is better not sent to its best place. One whose answer has begun is sent on.
-fn check_offer(job: &GatewayJob, offer: &PlaceOffer) -> Result<(), Refusal> {
+fn admit_choice(job: &GatewayJob, estimate: &PlaceOffer) -> Result<(), Refusal> {
     if job.is_begun {
         return Ok(());
     }
@@ -204,12 +204,12 @@
         waited: job.waited(),
         remaining: job.deadline.saturating_duration_since(BootInstant::now()),
     };
-    admit(offer, limits)
-        .map_err(|cause| Refusal::Overloaded { cause, wait: come_back_after(offer, limits) })
+    admit(estimate, limits)
+        .map_err(|cause| Refusal::Overloaded { cause, wait: come_back_after(estimate, limits) })
 }
 
 /// What the choice weighs of a request.
-fn query_of(shared: &GatewayShared, view: &GatewayView, job: &GatewayJob) -> ChoiceQuery {
+fn choice_query(shared: &GatewayShared, view: &GatewayView, job: &GatewayJob) -> ChoiceQuery {
     let outline = job.outline.as_ref();
     ChoiceQuery {
         target: job.route.target,
@@ -220,7 +220,7 @@
         shared_tokens: outline.map_or(0, |outline| outline.shared_tokens()),
         own_tokens: outline.map_or(0, |outline| outline.own_tokens),
         meeting_key: outline.and_then(|outline| outline.meeting_key()),
-        news_age: view.news_age(),
+        news_age: view.report_age(),
         draw: rand::random(),
     }
 }
--- a/crates/foldhaven-gateway/src/places/near.rs
+++ b/crates/foldhaven-gateway/src/places/near.rs
@@ -12,7 +12,7 @@
 use foldhaven_core::opaque::queue_rank::QueueRank;
 use foldhaven_core::time::MonoTime;
 
-use super::{DestinationChoice, RequestDestination, TriedDestinations, query_of};
+use super::{DestinationChoice, RequestDestination, TriedDestinations, choice_query};
 use crate::answer::Refusal;
 use crate::job::GatewayJob;
 use crate::shared::GatewayShared;
@@ -24,7 +24,7 @@
 const CENTRE_BYTE_PRICE: f64 = 0.03;
 
 /// When a VM without a part of a limit has callers come back, as other VMs may have one.
-const PARTLESS_WAIT: Duration = Duration::from_millis(500);
+const NO_SHARE_WAIT: Duration = Duration::from_millis(500);
 
 /// The best upstream of this region.
 pub(super) struct LocalChoice {
@@ -35,13 +35,13 @@
 
 impl LocalChoice {
     /// The place, for the decision whether the request is sent there.
-    pub(super) fn offer(&self) -> PlaceOffer {
+    pub(super) fn estimate(&self) -> PlaceOffer {
         let UpstreamChoice { first, parts, rank, is_full, .. } = self.choice;
         PlaceOffer { first, parts, rank, queue: self.upstream.queue(), is_full }
     }
 
     /// Takes the place of an upstream that is cold or names a limit; fails when none is free.
-    pub(super) fn take(self, shared: &GatewayShared) -> Result<DestinationChoice, Refusal> {
+    pub(super) fn reserve(self, shared: &GatewayShared) -> Result<DestinationChoice, Refusal> {
         let now = shared.now();
         if let Some(rate) = self.upstream.bound_rate(now) {
             if !self.upstream.pacer.lock().take(rate, now) {
@@ -66,26 +66,26 @@
 }
 
 /// Chooses among the upstreams of this region; nothing where none can take the request.
-pub(super) fn choose_near(
+pub(super) fn choose_local(
     shared: &GatewayShared,
     view: &GatewayView,
     job: &GatewayJob,
     tried: &TriedDestinations,
 ) -> Option<LocalChoice> {
-    let near = near_upstreams(shared, view, job);
-    let candidates = candidates_of(shared, &near, job, tried);
+    let local = local_upstreams(shared, view, job);
+    let candidates = candidates_of(shared, &local, job, tried);
     let pace = shared.pace(&job.service, view);
-    let choice = choose_upstream(&candidates, &query_of(shared, view, job), &pace)?;
-    let fetch_from = choice.fetch_from.map(|at| near[at].identity.address);
-    Some(LocalChoice { upstream: near[choice.at].clone(), choice, fetch_from })
+    let choice = choose_upstream(&candidates, &choice_query(shared, view, job), &pace)?;
+    let fetch_from = choice.fetch_from.map(|at| local[at].identity.address);
+    Some(LocalChoice { upstream: local[choice.at].clone(), choice, fetch_from })
 }
 
 /// For how much longer an upstream gets nothing from this VM: it asked this VM to back off, or this VM's part of its rate is used up.
-fn held_back_for(upstream: &Upstream, now: MonoTime) -> Option<Duration> {
+fn throttled_for(upstream: &Upstream, now: MonoTime) -> Option<Duration> {
     let backoff = upstream.backoff_left(now);
     let part = upstream.bound_rate(now).map_or(Duration::ZERO, |rate| {
         let pacer = *upstream.pacer.lock();
-        pacer.wait(rate, now).unwrap_or(PARTLESS_WAIT)
+        pacer.wait(rate, now).unwrap_or(NO_SHARE_WAIT)
     });
     Some(backoff.max(part)).filter(|wait| !wait.is_zero())
 }
@@ -93,8 +93,8 @@
 /// Whether an upstream of this region may get a request now.
 pub(super) fn has_open(shared: &GatewayShared, view: &GatewayView, job: &GatewayJob) -> bool {
     let now = shared.now();
-    let mut near = near_upstreams(shared, view, job).into_iter();
-    near.any(|upstream| held_back_for(upstream, now).is_none())
+    let mut local = local_upstreams(shared, view, job).into_iter();
+    local.any(|upstream| throttled_for(upstream, now).is_none())
 }
 
 /// The shortest time until an upstream of this region that asked for a back-off or names a limit may get a request of this VM; nothing
@@ -105,45 +105,45 @@
     job: &GatewayJob,
 ) -> Option<Duration> {
     let now = shared.now();
-    let near = near_upstreams(shared, view, job).into_iter();
+    let local = local_upstreams(shared, view, job).into_iter();
     let has_said = |it: &&Arc<Upstream>| it.is_limited() || !it.backoff_left(now).is_zero();
-    let wait = |it: &Arc<Upstream>| held_back_for(it, now).unwrap_or_default();
-    near.filter(has_said).map(wait).min()
+    let wait = |it: &Arc<Upstream>| throttled_for(it, now).unwrap_or_default();
+    local.filter(has_said).map(wait).min()
 }
 
 /// Prices the upstreams of this region that a choice is made among.
-pub(super) fn price_near(
+pub(super) fn price_local(
     shared: &GatewayShared,
     view: &GatewayView,
     job: &GatewayJob,
 ) -> Vec<(Arc<Upstream>, UpstreamChoice)> {
-    let near = near_upstreams(shared, view, job);
-    let candidates = candidates_of(shared, &near, job, &TriedDestinations::default());
+    let local = local_upstreams(shared, view, job);
+    let candidates = candidates_of(shared, &local, job, &TriedDestinations::default());
     let pace = shared.pace(&job.service, view);
-    let priced = price_upstreams(&candidates, &query_of(shared, view, job), &pace);
-    priced.into_iter().map(|choice| (near[choice.at].clone(), choice)).collect()
+    let priced = price_upstreams(&candidates, &choice_query(shared, view, job), &pace);
+    priced.into_iter().map(|choice| (local[choice.at].clone(), choice)).collect()
 }
 
-fn near_upstreams<'a>(
+fn local_upstreams<'a>(
     shared: &GatewayShared,
     view: &'a GatewayView,
     job: &GatewayJob,
 ) -> Vec<&'a Arc<Upstream>> {
     let own_region = shared.settings.region();
     let all = view.upstreams_of(&job.service).iter();
-    let near = all.filter(|upstream| upstream.identity.region == *own_region);
-    near.filter(|upstream| !upstream.is_leaving()).collect()
+    let local = all.filter(|upstream| upstream.identity.region == *own_region);
+    local.filter(|upstream| !upstream.is_leaving()).collect()
 }
 
 fn candidates_of<'a>(
     shared: &GatewayShared,
-    near: &[&'a Arc<Upstream>],
+    local: &[&'a Arc<Upstream>],
     job: &GatewayJob,
     tried: &TriedDestinations,
 ) -> Vec<UpstreamFacts<'a>> {
     let now = shared.now();
     let hold = shared.measured_pace(&job.service).hold;
-    near.iter().map(|upstream| facts_of(shared, upstream, job, tried, hold, now)).collect()
+    local.iter().map(|upstream| facts_of(shared, upstream, job, tried, hold, now)).collect()
 }
 
 /// What the choice weighs of one upstream.
@@ -175,7 +175,7 @@
         move_cost,
         held_tokens,
         is_suspect: upstream.health.lock().is_ejected(now),
-        is_held_back: held_back_for(upstream, now).is_some(),
+        is_held_back: throttled_for(upstream, now).is_some(),
         is_tried: tried.upstreams.contains(upstream.name()),
     }
 }
--- a/crates/foldhaven-gateway/src/places/overview.rs
+++ b/crates/foldhaven-gateway/src/places/overview.rs
@@ -7,40 +7,40 @@
 use foldhaven_wire::operator::PlacePrice;
 
 use super::TriedDestinations;
-use super::far::price_far;
-use super::near::price_near;
+use super::far::price_remote;
+use super::near::price_local;
 use crate::job::GatewayJob;
 use crate::shared::GatewayShared;
 use crate::view::GatewayView;
 
 /// Prices all places that a request could be sent to.
-pub fn price_places(
+pub fn price_destinations(
     shared: &GatewayShared,
     view: &GatewayView,
     job: &GatewayJob,
 ) -> Vec<PlacePrice> {
     let is_here = job.permits(shared.settings.region());
-    let near = if is_here { price_near(shared, view, job) } else { Vec::new() };
-    let near = near.into_iter().map(|(upstream, choice)| PlacePrice {
+    let local = if is_here { price_local(shared, view, job) } else { Vec::new() };
+    let local = local.into_iter().map(|(upstream, choice)| PlacePrice {
         name: upstream.name().to_string(),
         is_far: false,
         first_ms: choice.first.as_millis() as u64,
         read_tokens: choice.read_tokens,
         parts: choice.parts,
     });
-    let far = price_far(shared, view, job, &TriedDestinations::default());
-    let far = far.into_iter().map(|far| PlacePrice {
-        name: far.region.to_string(),
+    let remote = price_remote(shared, view, job, &TriedDestinations::default());
+    let remote = remote.into_iter().map(|remote| PlacePrice {
+        name: remote.region.to_string(),
         is_far: true,
-        first_ms: far.choice.first.as_millis() as u64,
-        read_tokens: far.choice.read_tokens,
-        parts: far.parts,
+        first_ms: remote.choice.first.as_millis() as u64,
+        read_tokens: remote.choice.read_tokens,
+        parts: remote.parts,
     });
-    near.chain(far).collect()
+    local.chain(remote).collect()
 }
 
 /// What there was to choose among for a request that found no place, for the log.
-pub fn describe_places(shared: &GatewayShared, view: &GatewayView, job: &GatewayJob) -> String {
+pub fn describe_candidates(shared: &GatewayShared, view: &GatewayView, job: &GatewayJob) -> String {
     let own_region = shared.settings.region();
     let mut text = String::new();
     let listed = view.upstreams_of(&job.service).iter();
--- a/crates/foldhaven-gateway/src/view.rs
+++ b/crates/foldhaven-gateway/src/view.rs
@@ -73,19 +73,19 @@
     /// The other VMs that serve.
     pub peers: Vec<Arc<PeerLink>>,
     /// The waits in the other regions.
-    pub waits: HashMap<(RegionName, ServiceName), RegionWait>,
+    pub expected_waits: HashMap<(RegionName, ServiceName), RegionWait>,
     /// Those of each other region that take requests there at any load.
-    pub far_service: HashMap<RegionName, Vec<Arc<PeerLink>>>,
+    pub remote_in_service: HashMap<RegionName, Vec<Arc<PeerLink>>>,
     /// The heartbeats of all VMs that live, the own one included.
-    pub beats: Vec<PeerBeat>,
+    pub heartbeats: Vec<PeerBeat>,
     /// VMs of this region of which nothing has come for a while.
-    pub doubted: BTreeSet<VmName>,
+    pub unresponsive_vms: BTreeSet<VmName>,
     /// The processor time that the requests of this region took in the last seconds at most.
     pub demand: CoreShare,
     /// How many VMs of this region send requests to its upstreams, this one included.
     pub senders: usize,
     /// When something was heard of any VM of each data centre.
-    pub heard: HashMap<DataCentreName, MonoTime>,
+    pub last_seen: HashMap<DataCentreName, MonoTime>,
     /// The number of VMs by which limits are divided; nothing while it is not known.
     pub assumed_vms: Option<usize>,
     /// What a VM that cannot read the platform may take over.
@@ -100,7 +100,7 @@
     }
 
     /// How old reports of other VMs are at most when the next ones come.
-    pub fn news_age(&self) -> Duration {
+    pub fn report_age(&self) -> Duration {
         share_interval(self.senders.saturating_sub(1))
     }
 
--- a/crates/foldhaven-gateway/src/warm_links.rs
+++ b/crates/foldhaven-gateway/src/warm_links.rs
@@ -33,7 +33,8 @@
 /// One link of each region to which too few connections are open.
 fn cold_links(view: &GatewayView, own_region: &RegionName) -> Vec<Arc<PeerLink>> {
     let mut by_region: BTreeMap<&RegionName, (usize, Vec<&Arc<PeerLink>>)> = BTreeMap::new();
-    for link in view.far_service.values().flatten().filter(|link| link.region != *own_region) {
+    for link in view.remote_in_service.values().flatten().filter(|link| link.region != *own_region)
+    {
         let (warm, cold) = by_region.entry(&link.region).or_default();
         match link.pool.has_open() {
             true => *warm += 1,
--- a/crates/foldhaven-gateway/tests/testsuite/known.rs
+++ b/crates/foldhaven-gateway/tests/testsuite/known.rs
@@ -20,7 +20,7 @@
 use foldhaven_core::opaque::upstream_table::UpstreamRecord;
 use foldhaven_core::time::MonoTime;
 use foldhaven_gateway::feed::{
-    ChangeSet, ChangeSubject, CountedChange, FeedChange, FeedSnapshot, PeerState,
+    ChangeSet, ChangeSubject, FeedChange, FeedSnapshot, NumberedChange, PeerState,
 };
 use foldhaven_gateway::known::{ApplyContext, EarlyChanges, PlatformState, StateOffer};
 use rand::rngs::StdRng;
@@ -40,8 +40,8 @@
     named.unwrap_or(USUAL_ORDERS)
 }
 
-fn moment() -> ApplyContext {
-    ApplyContext { now: MonoTime::from_millis(1_000_000), behind: Duration::ZERO }
+fn context() -> ApplyContext {
+    ApplyContext { now: MonoTime::from_millis(1_000_000), lag: Duration::ZERO }
 }
 
 fn route(name: &str, seconds: u64) -> OpaqueRoute {
@@ -83,7 +83,7 @@
 /// The platform, with all that it ever published.
 #[derive(Default)]
 struct Platform {
-    history: Vec<CountedChange>,
+    history: Vec<NumberedChange>,
     version: u64,
     /// Up to which revision the history is gone.
     forgotten: u64,
@@ -96,7 +96,7 @@
 
     fn publish(&mut self, change: FeedChange) {
         let revision = self.revision() + 1;
-        self.history.push(CountedChange { revision, change });
+        self.history.push(NumberedChange { revision, change });
     }
 
     /// A description with some routes, of which each may be as an earlier version had it.
@@ -139,17 +139,17 @@
     }
 
     /// The last change about each subject up to a revision, as the platform lists them.
-    fn items_at(&self, revision: u64) -> Vec<CountedChange> {
-        let mut last: BTreeMap<ChangeSubject<'_>, &CountedChange> = BTreeMap::new();
-        for counted in self.history.iter().filter(|counted| counted.revision <= revision) {
-            last.insert(counted.change.subject(), counted);
+    fn items_at(&self, revision: u64) -> Vec<NumberedChange> {
+        let mut last: BTreeMap<ChangeSubject<'_>, &NumberedChange> = BTreeMap::new();
+        for numbered in self.history.iter().filter(|numbered| numbered.revision <= revision) {
+            last.insert(numbered.change.subject(), numbered);
         }
         last.into_values().cloned().collect()
     }
 
     /// A list of which some items are as of an earlier revision, which it names, and others as of now: pages are no snapshot.
     fn list(&self, random: &mut StdRng, since: u64) -> FeedSnapshot {
-        let mut items: BTreeMap<String, CountedChange> = BTreeMap::new();
+        let mut items: BTreeMap<String, NumberedChange> = BTreeMap::new();
         for revision in [since, self.revision()] {
             for item in self.items_at(revision) {
                 let subject = format!("{:?}", item.change.subject());
@@ -180,12 +180,12 @@
     /// The changes after a revision; of several about the same only the last.
     fn changes(&self, after: u64) -> ChangeSet {
         let revision = self.revision();
-        let mut last: BTreeMap<ChangeSubject<'_>, &CountedChange> = BTreeMap::new();
-        for counted in self.history.iter().filter(|counted| counted.revision > after) {
-            last.insert(counted.change.subject(), counted);
+        let mut last: BTreeMap<ChangeSubject<'_>, &NumberedChange> = BTreeMap::new();
+        for numbered in self.history.iter().filter(|numbered| numbered.revision > after) {
+            last.insert(numbered.change.subject(), numbered);
         }
-        let mut changes: Vec<CountedChange> = last.into_values().cloned().collect();
-        changes.sort_by_key(|counted| counted.revision);
+        let mut changes: Vec<NumberedChange> = last.into_values().cloned().collect();
+        changes.sort_by_key(|numbered| numbered.revision);
         ChangeSet { after, revision: revision.max(after), changes }
     }
 
@@ -195,10 +195,10 @@
         subject: ChangeSubject<'a>,
         revision: u64,
     ) -> Vec<Option<&'a FeedChange>> {
-        let about = |counted: &&CountedChange| counted.change.subject() == subject;
-        let of = |counted: &'a CountedChange| Some(&counted.change);
-        let (before, after): (Vec<&CountedChange>, Vec<&CountedChange>) =
-            self.history.iter().filter(about).partition(|counted| counted.revision <= revision);
+        let about = |numbered: &&NumberedChange| numbered.change.subject() == subject;
+        let of = |numbered: &'a NumberedChange| Some(&numbered.change);
+        let (before, after): (Vec<&NumberedChange>, Vec<&NumberedChange>) =
+            self.history.iter().filter(about).partition(|numbered| numbered.revision <= revision);
         let first = before.last().copied().and_then(of);
         std::iter::once(first).chain(after.into_iter().map(of)).collect()
     }
@@ -256,7 +256,7 @@
         match random.random_range(0..12) {
             0..3 => self.platform.publish_any(random),
             3..5 => self.read(vm, random),
-            5 => self.offers[vm] = self.vms[vm].offer(moment().now).map(Arc::new),
+            5 => self.offers[vm] = self.vms[vm].offer(context().now).map(Arc::new),
             6 => self.ask(vm, random),
             7 if random.random_bool(0.1) => self.platform.forgotten = self.platform.revision(),
             7 if random.random_bool(0.05) => self.restart(vm),
@@ -277,20 +277,20 @@
         let revision = self.platform.revision();
         if let Some(since) = self.lists[vm].take() {
             let list = self.platform.list(random, since);
-            let taken = self.vms[vm].take_snapshot(list, moment());
-            return self.tell(vm, taken);
+            let applied = self.vms[vm].apply_snapshot(list, context());
+            return self.tell(vm, applied);
         }
         let known = self.vms[vm].revision();
         if !self.vms[vm].has_state() || known < self.platform.forgotten {
             self.lists[vm] = Some(revision);
             return;
         }
-        let taken = self.vms[vm].take_changes(self.platform.changes(known), moment());
-        self.tell(vm, taken.map(|taken| taken.changes));
+        let applied = self.vms[vm].apply_changes(self.platform.changes(known), context());
+        self.tell(vm, applied.map(|applied| applied.changes));
     }
 
-    fn tell(&mut self, vm: usize, taken: Option<ChangeSet>) {
-        let Some(changes) = taken.filter(|taken| !taken.changes.is_empty()) else { return };
+    fn tell(&mut self, vm: usize, applied: Option<ChangeSet>) {
+        let Some(changes) = applied.filter(|applied| !applied.changes.is_empty()) else { return };
         let others = (0..VMS).filter(|other| *other != vm);
         self.messages.extend(others.map(|other| (other, Message::Told(changes.clone()))));
     }
@@ -298,7 +298,7 @@
     fn ask(&mut self, vm: usize, random: &mut StdRng) {
         let other = random.random_range(0..VMS);
         let Some(offer) = self.offers[other].clone().filter(|_| other != vm) else { return };
-        let answer = offer.state_after(self.vms[vm].known(), random.random_bool(0.7));
+        let answer = offer.state_after(self.vms[vm].base_revision(), random.random_bool(0.7));
         self.messages.push((vm, Message::Answer(answer)));
     }
 
@@ -326,13 +326,13 @@
         let known = &mut self.vms[vm];
         let before = known.revision();
         match message {
-            Message::Told(changes) if known.follows(&changes) => {
-                known.take_changes(changes, moment());
+            Message::Told(changes) if known.can_apply(&changes) => {
+                known.apply_changes(changes, context());
             }
             Message::Told(changes) => {
                 let early = changes.changes.into_iter();
-                let early = early.filter(|it| EarlyChanges::may_precede(&it.change)).collect();
-                known.take_early(early, moment().now);
+                let early = early.filter(|it| EarlyChanges::may_apply_early(&it.change)).collect();
+                known.apply_early_changes(early, context().now);
             }
             Message::Answer(PeerState::KeyedSnapshot(snapshot, accounts)) => {
                 let answer = PeerState::Snapshot(snapshot.with_accounts(accounts));
@@ -340,18 +340,18 @@
             }
             Message::Answer(PeerState::Snapshot(snapshot)) => {
                 let is_news = snapshot.revision > before;
-                if is_news || known.needs_all() && snapshot.revision == before {
-                    known.take_snapshot(snapshot, moment());
+                if is_news || known.needs_snapshot() && snapshot.revision == before {
+                    known.apply_snapshot(snapshot, context());
                 }
             }
             Message::Answer(PeerState::Changes(changes)) => {
                 if changes.revision > before {
-                    known.take_changes(changes, moment());
+                    known.apply_changes(changes, context());
                 }
             }
             Message::Answer(PeerState::SpanningChanges(changes, through)) => {
                 if changes.revision > before {
-                    known.take_changes(changes.told_through(&through), moment());
+                    known.apply_changes(changes.told_through(&through), context());
                 }
             }
         }
@@ -389,7 +389,7 @@
 
     fn check_others(&self, known: &PlatformState) -> Result<(), String> {
         let revision = known.revision();
-        let records = known.table.records(moment().now);
+        let records = known.table.records(context().now);
         for name in NAMES {
             let upstream = name.parse().unwrap();
             let held = records.iter().find(|record| record.name == upstream);
@@ -422,11 +422,11 @@
         while self.vms[0].revision() < self.platform.revision() {
             self.read(0, random);
         }
-        self.offers[0] = self.vms[0].offer(moment().now).map(Arc::new);
+        self.offers[0] = self.vms[0].offer(context().now).map(Arc::new);
         for _ in 0..2 {
             for vm in 1..VMS {
                 let Some(offer) = &self.offers[0] else { continue };
-                let answer = offer.state_after(self.vms[vm].known(), true);
+                let answer = offer.state_after(self.vms[vm].base_revision(), true);
                 self.messages = vec![(vm, Message::Answer(answer))];
                 self.hand_over(0);
             }
--- a/crates/foldhaven-gateway/tests/testsuite/peer_messages.rs
+++ b/crates/foldhaven-gateway/tests/testsuite/peer_messages.rs
@@ -21,7 +21,7 @@
 use foldhaven_core::opaque::sender_pact::{ListDigest, PactNotice, PactRound};
 use foldhaven_core::opaque::upstream_signals::{LeavingNotice, LimitNotice};
 use foldhaven_core::units::CoreShare;
-use foldhaven_gateway::feed::{ChangeSet, CountedChange, FeedChange};
+use foldhaven_gateway::feed::{ChangeSet, FeedChange, NumberedChange};
 use foldhaven_gateway::peer_message::{PeerMessage, SuspectTelling};
 use rstest::rstest;
 
@@ -155,8 +155,8 @@
     let delta = RouteDelta::between(&before, &after).unwrap();
     let changes =
         [FeedChange::Description(Box::new(before)), FeedChange::DescriptionDelta(Box::new(delta))];
-    let counted = changes.into_iter().map(|change| CountedChange { revision: 5, change });
-    PeerMessage::Changes(ChangeSet { after: 4, revision: 5, changes: counted.collect() })
+    let numbered = changes.into_iter().map(|change| NumberedChange { revision: 5, change });
+    PeerMessage::Changes(ChangeSet { after: 4, revision: 5, changes: numbered.collect() })
 }
 
 /// The bytes of each kind as this version writes them.
--- a/crates/foldhaven-gateway/tests/testsuite/told_states.rs
+++ b/crates/foldhaven-gateway/tests/testsuite/told_states.rs
@@ -35,31 +35,32 @@
     };
     let now = MonoTime::from_millis(1_000_000);
     let mut known = PlatformState::default();
-    known.take_snapshot(snapshot, ApplyContext { now, behind: Duration::ZERO });
+    known.apply_snapshot(snapshot, ApplyContext { now, lag: Duration::ZERO });
     Arc::new(known.offer(now).unwrap())
 }
 
-const ALL: StateRequest = StateRequest { known: None, is_spanning: true };
+const ALL: StateRequest = StateRequest { known_revision: None, accepts_spanning: true };
 
 /// A VM wrote the same changes anew for each VM of its region that asked, one after the other.
 #[test]
 fn an_answer_is_written_once_for_all_that_ask_the_same() {
-    let (told, offer) = (AnswerCache::default(), offer(7));
-    let first = told.answer(&offer, ALL).unwrap();
-    let second = told.answer(&offer, ALL).unwrap();
+    let (cache, offer) = (AnswerCache::default(), offer(7));
+    let first = cache.answer(&offer, ALL).unwrap();
+    let second = cache.answer(&offer, ALL).unwrap();
     assert_eq!(first.as_ptr(), second.as_ptr(), "the same bytes");
 }
 
 #[test]
 fn an_answer_is_of_what_is_asked_and_held_now() {
-    let told = AnswerCache::default();
-    let (old, new) = (offer(7), offer(8));
-    let asks = [Some(7), Some(6), None].map(|known| StateRequest { known, is_spanning: true });
-    for ask in asks.iter().chain(&asks) {
-        for offer in [&old, &new] {
-            let fresh = AnswerCache::default().answer(offer, *ask).unwrap();
-            assert_eq!(told.answer(offer, *ask).unwrap(), fresh, "{ask:?}");
+    let cache = AnswerCache::default();
+    let (older, newer) = (offer(7), offer(8));
+    let requests = [Some(7), Some(6), None]
+        .map(|known| StateRequest { known_revision: known, accepts_spanning: true });
+    for request in requests.iter().chain(&requests) {
+        for offer in [&older, &newer] {
+            let fresh = AnswerCache::default().answer(offer, *request).unwrap();
+            assert_eq!(cache.answer(offer, *request).unwrap(), fresh, "{request:?}");
         }
     }
-    assert_ne!(told.answer(&old, ALL).unwrap(), told.answer(&new, ALL).unwrap());
+    assert_ne!(cache.answer(&older, ALL).unwrap(), cache.answer(&newer, ALL).unwrap());
 }
