--- a/crates/foldhaven-gateway/src/attempts/mod.rs
+++ b/crates/foldhaven-gateway/src/attempts/mod.rs
@@ -20,11 +20,11 @@
 use crate::call::{OpenAnswer, read_whole};
 use crate::clock::BootInstant;
 use crate::credential::{KeyState, key_state};
-use crate::job::GatewayJob;
-use crate::places::{
+use crate::destinations::{
     DestinationChoice, RequestDestination, TriedDestinations, choose_destination,
     describe_candidates,
 };
+use crate::job::GatewayJob;
 use crate::shared::GatewayShared;
 use crate::upstream::{GuestSeat, LoadSeat};
 use crate::view::GatewayView;
--- a/crates/foldhaven-gateway/src/attempts/notes.rs
+++ b/crates/foldhaven-gateway/src/attempts/notes.rs
@@ -13,8 +13,8 @@
 use super::{ExpectedFirst, RequestDriver};
 use crate::call::{CallFault, OpenAnswer};
 use crate::clock::BootInstant;
+use crate::destinations::{MIN_ANNOUNCED_TOKENS, RequestDestination};
 use crate::metrics::{RequestBurn, RequestEnd};
-use crate::places::{MIN_ANNOUNCED_TOKENS, RequestDestination};
 use crate::upstream::Upstream;
 use crate::upstream_ends::look_into_end;
 
--- a/crates/foldhaven-gateway/src/attempts/requests.rs
+++ b/crates/foldhaven-gateway/src/attempts/requests.rs
@@ -14,8 +14,8 @@
 use crate::call::{CallFault, HeadListener, OpenAnswer, open_call};
 use crate::clock::{BootInstant, timeout};
 use crate::credential::print_value;
+use crate::destinations::{DestinationChoice, RequestDestination};
 use crate::names::HeaderNames;
-use crate::places::{DestinationChoice, RequestDestination};
 use crate::upstream::{GuestSeat, Upstream};
 use crate::upstream_listener::{DeafListener, UpstreamListener};
 
--- a/crates/foldhaven-gateway/src/attempts/retries.rs
+++ b/crates/foldhaven-gateway/src/attempts/retries.rs
@@ -6,7 +6,7 @@
 use crate::answer::Refusal;
 use crate::call::CallFault;
 use crate::clock::BootInstant;
-use crate::places::throttled_wait;
+use crate::destinations::throttled_wait;
 
 /// How many places are tried at most, those included that could not be reached.
 const MAX_TRIES: usize = 4;
--- a/crates/foldhaven-gateway/src/attempts/suspicion.rs
+++ b/crates/foldhaven-gateway/src/attempts/suspicion.rs
@@ -8,7 +8,7 @@
 use super::RequestDriver;
 use crate::answer::Refusal;
 use crate::call::{CallFault, OpenAnswer};
-use crate::places::RequestDestination;
+use crate::destinations::RequestDestination;
 use crate::upstream::GuestSeat;
 
 impl RequestDriver {
--- a/crates/foldhaven-gateway/src/keeper/feed_changes.rs
+++ b/crates/foldhaven-gateway/src/control/feed_changes.rs
@@ -4,7 +4,7 @@
 
 use super::ControlActor;
 use crate::feed::{ChangeSet, FeedSnapshot, FeedUpdate, NumberedChange};
-use crate::known::{AppliedChanges, ApplyContext};
+use crate::platform_state::{AppliedChanges, ApplyContext};
 
 impl Handler<FeedUpdate> for ControlActor {
     type Return = ();
--- a/crates/foldhaven-gateway/src/keeper/mod.rs
+++ b/crates/foldhaven-gateway/src/control/mod.rs
@@ -1,19 +1,19 @@
 //! The control actor: the one place where this daemon's beliefs change.
 
 mod account_limits;
-mod behind;
+mod announcements;
+mod catch_up;
 mod feed_changes;
 mod heartbeats;
 mod load_reports;
 mod members;
-mod news;
 mod peer_changes;
-mod rate_parts;
+mod rate_shares;
 mod region_waits;
 mod suspect_targets;
+mod suspension;
 mod traffic_view;
 mod upstream_signals;
-mod waking;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -38,22 +38,22 @@
 use xtra::{Context, Handler};
 
 pub use self::account_limits::{PlanDemandReports, ReceiveLocalDemand, ReceiveRegionDemand};
-use self::behind::LagState;
-pub use self::behind::{CatchUpStep, FindNewerPeer, NewerPeer};
+use self::announcements::AnnouncedRevisions;
+pub use self::announcements::{OutgoingChanges, OutgoingUpdate, ReceiveRevisionNotice};
+use self::catch_up::LagState;
+pub use self::catch_up::{CatchUpStep, FindNewerPeer, NewerPeer};
 pub use self::heartbeats::{PlanHeartbeats, ReceiveHeartbeat, ReceiveView, ReceiveViewList};
 pub use self::load_reports::{
     PlanLoadReport, PlannedLoadReport, ReceiveLoadReport, ReceivePlacements, ReceiveRegionReport,
 };
 use self::members::LoggedMembers;
-use self::news::AnnouncedRevisions;
-pub use self::news::{OutgoingChanges, OutgoingUpdate, ReceiveRevisionNotice};
 pub use self::peer_changes::{ApplyChanges, ApplySnapshot, ReceiveChanges, ReceiveEarlyChanges};
-pub use self::rate_parts::{PlanAgreementRound, ReceiveAgreement};
+pub use self::rate_shares::{PlanAgreementRound, ReceiveAgreement};
 pub use self::suspect_targets::{PlanSuspectTargets, SendReason, SuspectTargets};
 pub use self::upstream_signals::{PlanSignalTargets, ReceiveLeavingNotices, ReceiveLimits};
 use crate::demand_meter::DemandMeter;
 use crate::feed::ReadAssignment;
-use crate::known::{PlatformState, StateOffer};
+use crate::platform_state::{PlatformState, StateOffer};
 use crate::settings::GatewaySettings;
 use crate::shared::GatewayShared;
 use crate::upstream::Upstream;
--- a/crates/foldhaven-gateway/src/keeper/region_waits.rs
+++ b/crates/foldhaven-gateway/src/control/region_waits.rs
@@ -8,7 +8,7 @@
 use foldhaven_core::opaque::peer_table::{ServiceTag, ServiceWait};
 
 use super::ControlActor;
-use crate::places::expected_wait;
+use crate::destinations::expected_wait;
 use crate::upstream::Upstream;
 use crate::view::RegionWait;
 
--- a/crates/foldhaven-gateway/src/keeper/traffic_view.rs
+++ b/crates/foldhaven-gateway/src/control/traffic_view.rs
@@ -14,7 +14,7 @@
 use foldhaven_core::units::CoreShare;
 
 use super::{ControlActor, InService};
-use crate::known::StateOffer;
+use crate::platform_state::StateOffer;
 use crate::upstream::{Upstream, UpstreamIdentity};
 use crate::view::{GatewayView, PeerLink};
 
--- a/crates/foldhaven-gateway/src/daemon.rs
+++ b/crates/foldhaven-gateway/src/daemon.rs
@@ -16,13 +16,13 @@
 use xtra::Mailbox;
 
 use crate::caller_front::{CallerHandler, ReadyHandler};
+use crate::control::{ControlActor, ControlAddress, TickControl};
 use crate::datagrams::{
     receive_datagrams, send_agreements, send_demands, send_heartbeats, send_reports, send_updates,
 };
 use crate::directory::{DirectoryCodec, DirectoryHandler};
 use crate::feed::{FeedSink, PlatformFeed};
 use crate::front::{FrontHandler, serve_front};
-use crate::keeper::{ControlActor, ControlAddress, TickControl};
 use crate::names::HeaderNames;
 use crate::news_teller::tell_until_end;
 use crate::operator_front::OperatorHandler;
--- a/crates/foldhaven-gateway/src/datagrams.rs
+++ b/crates/foldhaven-gateway/src/datagrams.rs
@@ -16,16 +16,16 @@
 use tokio::time::sleep;
 
 use crate::clock::BootInstant;
-use crate::feed::NumberedChange;
-use crate::keeper::{
+use crate::control::{
     ControlAddress, OutgoingChanges, OutgoingUpdate, PlanAgreementRound, PlanDemandReports,
     PlanHeartbeats, PlanLoadReport, PlannedLoadReport, ReceiveAgreement, ReceiveChanges,
     ReceiveEarlyChanges, ReceiveHeartbeat, ReceiveLeavingNotices, ReceiveLimits, ReceiveLoadReport,
     ReceiveLocalDemand, ReceivePlacements, ReceiveRegionDemand, ReceiveRegionReport,
     ReceiveRevisionNotice, ReceiveView, ReceiveViewList,
 };
-use crate::known::EarlyChanges;
+use crate::feed::NumberedChange;
 use crate::peer_message::{MAX_DATAGRAM, PeerMessage, SuspectTelling};
+use crate::platform_state::EarlyChanges;
 use crate::shared::GatewayShared;
 
 /// How many parts of prompts go into one datagram. A part is a hash and a count of at most 14 bytes together, so that
--- a/crates/foldhaven-gateway/src/places/mod.rs
+++ b/crates/foldhaven-gateway/src/destinations/mod.rs
@@ -1,8 +1,8 @@
 //! Where a try of a request goes: an upstream of this region, or a VM of another region.
 
-mod far;
-mod near;
+mod local;
 mod overview;
+mod remote;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,10 +14,10 @@
 use foldhaven_core::opaque::pace::QueueFacts;
 use foldhaven_core::opaque::queue_rank::QueueRank;
 
-use self::far::{RemoteChoice, choose_remote};
-pub use self::near::expected_wait;
-use self::near::{LocalChoice, choose_local, has_open, signalled_wait};
+pub use self::local::expected_wait;
+use self::local::{LocalChoice, choose_local, has_open, signalled_wait};
 pub use self::overview::{describe_candidates, price_destinations};
+use self::remote::{RemoteChoice, choose_remote};
 use crate::answer::Refusal;
 use crate::call::{CallTarget, HeadListener};
 use crate::clock::BootInstant;
--- a/crates/foldhaven-gateway/src/places/overview.rs
+++ b/crates/foldhaven-gateway/src/destinations/overview.rs
@@ -7,8 +7,8 @@
 use foldhaven_wire::operator::PlacePrice;
 
 use super::TriedDestinations;
-use super::far::price_remote;
-use super::near::price_local;
+use super::local::price_local;
+use super::remote::price_remote;
 use crate::job::GatewayJob;
 use crate::shared::GatewayShared;
 use crate::view::GatewayView;
--- a/crates/foldhaven-gateway/src/events.rs
+++ b/crates/foldhaven-gateway/src/events.rs
@@ -19,8 +19,8 @@
 use crate::attempts::{ExpectedFirst, PlacedAnswer, RequestDriver};
 use crate::call::ConnectionLease;
 use crate::clock::{BootInstant, BootSleep};
+use crate::destinations::RequestDestination;
 use crate::metrics::RequestEnd;
-use crate::places::RequestDestination;
 use crate::shared::InFlightGuard;
 use crate::upstream::{GuestSeat, LoadSeat, Upstream};
 
--- a/crates/foldhaven-gateway/src/explain.rs
+++ b/crates/foldhaven-gateway/src/explain.rs
@@ -10,8 +10,8 @@
 
 use crate::answer::Refusal;
 use crate::clock::BootInstant;
+use crate::destinations::{REGION_MARGIN, price_destinations};
 use crate::job::GatewayJob;
-use crate::places::{REGION_MARGIN, price_destinations};
 use crate::shared::GatewayShared;
 
 /// For a question that names no body.
--- a/crates/foldhaven-gateway/src/feed.rs
+++ b/crates/foldhaven-gateway/src/feed.rs
@@ -16,7 +16,7 @@
 use tokio::sync::watch::error::RecvError;
 
 use crate::clock::timeout;
-use crate::keeper::ControlAddress;
+use crate::control::ControlAddress;
 use crate::told_change::ToldChange;
 
 /// Everything that the platform publishes, at one revision.
--- a/crates/foldhaven-gateway/src/peer_front.rs
+++ b/crates/foldhaven-gateway/src/peer_front.rs
@@ -17,8 +17,8 @@
 use crate::job::{
     CallerTerms, GatewayJob, ReadRequest, RoutedPlace, host_of, read_body, read_terms,
 };
-use crate::known::{AnswerCache, StateRequest};
 use crate::peer_state::{PEER_STATE_AFTER, PEER_STATE_PATH};
+use crate::platform_state::{AnswerCache, StateRequest};
 use crate::shared::GatewayShared;
 
 /// Answers other VMs.
--- a/crates/foldhaven-gateway/src/peer_state.rs
+++ b/crates/foldhaven-gateway/src/peer_state.rs
@@ -17,10 +17,10 @@
 use crate::clock::{BootInstant, timeout};
 use crate::codec::peer_codec;
 use crate::connection::{Connection, FAR_CONNECT_LIMIT};
-use crate::feed::PeerState;
-use crate::keeper::{
+use crate::control::{
     ApplyChanges, ApplySnapshot, CatchUpStep, ControlAddress, FindNewerPeer, NewerPeer,
 };
+use crate::feed::PeerState;
 use crate::shared::GatewayShared;
 
 /// Where peers tell what the platform published.
--- a/crates/foldhaven-gateway/src/known/mod.rs
+++ b/crates/foldhaven-gateway/src/platform_state/mod.rs
@@ -4,11 +4,11 @@
 //! and more than once. Whatever the order, all that the platform published up to [`PlatformState::revision`] is in
 //! force here, or something newer: VMs that hold the newest revision neither ask nor refuse.
 
+mod answer_cache;
 mod change_log;
 mod description_digest;
 mod early_changes;
-mod takes;
-mod told_states;
+mod updates;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,10 +17,10 @@
 use foldhaven_core::opaque::upstream_table::UpstreamTable;
 use foldhaven_core::time::MonoTime;
 
+pub use self::answer_cache::{AnswerCache, StateRequest};
 use self::change_log::ChangeLog;
 pub use self::change_log::StateOffer;
 pub use self::early_changes::EarlyChanges;
-pub use self::told_states::{AnswerCache, StateRequest};
 use crate::feed::ChangeSet;
 
 /// When something is taken in, for the log and for what lapses.
--- a/crates/foldhaven-gateway/src/reload.rs
+++ b/crates/foldhaven-gateway/src/reload.rs
@@ -6,7 +6,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::time::sleep;
 
-use crate::keeper::{ControlAddress, ReplaceSettings};
+use crate::control::{ControlAddress, ReplaceSettings};
 use crate::settings::GatewaySettings;
 
 /// How often the file is compared with what was read of it last.
--- a/crates/foldhaven-gateway/src/signal_news.rs
+++ b/crates/foldhaven-gateway/src/signal_news.rs
@@ -7,8 +7,8 @@
 use foldhaven_core::opaque::upstream_signals::{LeavingNotice, LimitNotice};
 use tokio::net::UdpSocket;
 
+use crate::control::{ControlAddress, PlanSignalTargets, SendReason};
 use crate::datagrams::send_to;
-use crate::keeper::{ControlAddress, PlanSignalTargets, SendReason};
 use crate::news_teller::{NewsTeller, await_others};
 use crate::peer_message::PeerMessage;
 use crate::shared::GatewayShared;
--- a/crates/foldhaven-gateway/src/suspect_news.rs
+++ b/crates/foldhaven-gateway/src/suspect_news.rs
@@ -7,8 +7,8 @@
 use foldhaven_core::opaque::suspects::{MAX_TOLD, NewsReach, SuspectNews, SuspectRecord};
 use tokio::net::UdpSocket;
 
+use crate::control::{ControlAddress, PlanSuspectTargets, SendReason, SuspectTargets};
 use crate::datagrams::send_to;
-use crate::keeper::{ControlAddress, PlanSuspectTargets, SendReason, SuspectTargets};
 use crate::news_teller::{NewsTeller, await_others};
 use crate::peer_message::{PeerMessage, SuspectTelling};
 use crate::shared::GatewayShared;
--- a/crates/foldhaven-gateway/src/view.rs
+++ b/crates/foldhaven-gateway/src/view.rs
@@ -15,7 +15,7 @@
 use parking_lot::Mutex;
 
 use crate::connection::{ConnectionPool, PEER_IDLE_LIMIT};
-use crate::known::StateOffer;
+use crate::platform_state::StateOffer;
 use crate::upstream::{LoadCounter, LoadSeat, Upstream};
 
 /// Another VM that takes forwarded requests.
--- a/crates/foldhaven-gateway/tests/testsuite/told_states.rs
+++ b/crates/foldhaven-gateway/tests/testsuite/answer_cache.rs
@@ -7,7 +7,7 @@
 use foldhaven_core::opaque::route_table::{CallerLimits, RouteDescription, RouteVersion};
 use foldhaven_core::time::MonoTime;
 use foldhaven_gateway::feed::FeedSnapshot;
-use foldhaven_gateway::known::{
+use foldhaven_gateway::platform_state::{
     AnswerCache, ApplyContext, PlatformState, StateOffer, StateRequest,
 };
 
--- a/crates/foldhaven-gateway/tests/testsuite/main.rs
+++ b/crates/foldhaven-gateway/tests/testsuite/main.rs
@@ -1,5 +1,5 @@
 //! Tests of the gateway's parts that need no process.
 
-mod known;
+mod answer_cache;
 mod peer_messages;
-mod told_states;
+mod platform_state;
--- a/crates/foldhaven-gateway/tests/testsuite/known.rs
+++ b/crates/foldhaven-gateway/tests/testsuite/platform_state.rs
@@ -22,7 +22,7 @@
 use foldhaven_gateway::feed::{
     ChangeSet, ChangeSubject, FeedChange, FeedSnapshot, NumberedChange, PeerState,
 };
-use foldhaven_gateway::known::{ApplyContext, EarlyChanges, PlatformState, StateOffer};
+use foldhaven_gateway::platform_state::{ApplyContext, EarlyChanges, PlatformState, StateOffer};
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
