--- a/crates/foldhaven-gateway/src/control/account_limits.rs
+++ b/crates/foldhaven-gateway/src/control/account_limits.rs
@@ -1,4 +1,5 @@
-//! This VM's parts of the limits of accounts: hears and tells what callers want, and puts the parts in force.
+//! This VM's shares of account limits: exchanges the demand of callers with other VMs, and applies
+//! the shares.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,10 +14,10 @@
 
 use super::ControlActor;
 
-/// Asks for what is to be told in a round.
+/// Requests the demand reports of a round.
 pub struct PlanDemandReports;
 
-/// What is to be told, and to whom.
+/// The demand reports of a round, and their targets.
 #[derive(Default)]
 pub struct PlannedDemandReports {
     pub local_targets: Vec<SocketAddr>,
@@ -25,12 +26,12 @@
     pub far: Option<RegionDemand>,
 }
 
-/// Another VM of the region told what its callers want.
+/// A demand report received from another VM of the region.
 pub struct ReceiveLocalDemand {
     pub demand: NearDemand,
 }
 
-/// A delegate of another region told of its region.
+/// A demand report received from a delegate of another region.
 pub struct ReceiveRegionDemand {
     pub demand: RegionDemand,
 }
@@ -87,7 +88,7 @@
     }
 }
 
-/// Logs the part of the account that is wanted most here.
+/// Logs the share of the account with the largest local demand.
 fn log_largest_demand(
     shares: &[(AccountName, LimitPart)],
     wants: &[LimitedWant],
@@ -104,12 +105,12 @@
         owed = part.owed,
         wanted_per_s = want.want,
         view = ?view,
-        "part of the limit of an account"
+        "share of an account limit"
     );
 }
 
 impl ControlActor {
-    /// The accounts that have limits, and what their callers want here.
+    /// Returns the accounts with limits, and the local demand of their callers.
     fn limited_accounts(&self, now: MonoTime) -> (Vec<AccountName>, Vec<LimitedWant>) {
         let described = self.platform.routes().and_then(|it| it.description().accounts.as_ref());
         let Some(described) = described else { return Default::default() };
@@ -124,7 +125,8 @@
         limited.unzip()
     }
 
-    /// How sure this VM is of those that share limits of accounts with it, of which it heard so many a moment ago.
+    /// Returns how complete this VM's view of the VMs is that share account limits with it. `heard`
+    /// is the number of other VMs of the region that were heard from recently.
     fn sharer_view(&self, heard: usize, now: MonoTime) -> SharerView {
         let known = self.peers.region_count();
         let vms = usize::from(self.peers.assumed_counts(now).near).max(known);
@@ -132,7 +134,7 @@
         self.account_demands.view(NearSharers { vms, heard, is_informed }, now)
     }
 
-    /// Divides the limits anew.
+    /// Recomputes this VM's shares of the account limits.
     fn update_limit_shares(
         &mut self,
         names: Vec<AccountName>,
--- a/crates/foldhaven-gateway/src/control/announcements.rs
+++ b/crates/foldhaven-gateway/src/control/announcements.rs
@@ -1,4 +1,5 @@
-//! Tells other VMs how far this one knows the platform's changes, and how old what is believed is.
+//! Announces this VM's platform revision to other VMs, and tracks the staleness of its platform
+//! state.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,39 +13,40 @@
 use crate::feed::ChangeSet;
 use crate::shared::OLD_BELIEF;
 
-/// Between two notices to other regions. What changes meanwhile goes with the next one.
+/// Minimum interval between two announcements to other regions. Changes in between are part of the
+/// next one.
 const REMOTE_ANNOUNCE_INTERVAL: Duration = Duration::from_millis(200);
-/// Between two notices to this region of what another one knows.
+/// Minimum interval between two announcements to this region of another region's revision.
 const RELAY_INTERVAL: Duration = Duration::from_millis(200);
-/// What was old is young again when it was proven within this time.
+/// Stale state counts as fresh again once it was confirmed within this time.
 const FRESH_WITHIN: Duration = Duration::from_millis(2_500);
 
-/// What other VMs are told at once.
+/// An update that is sent to other VMs immediately.
 pub enum OutgoingUpdate {
     /// Changes of the platform.
     Changes(OutgoingChanges),
-    /// How far a VM knows them.
+    /// The announcement of a VM's revision.
     Notice { targets: Vec<SocketAddr>, notice: NewsNotice },
 }
 
-/// Changes that other VMs are to be told of.
+/// Platform changes to send to other VMs.
 pub struct OutgoingChanges {
     pub targets: Vec<SocketAddr>,
     pub changes: ChangeSet,
-    /// What they are told where the changes do not fit a datagram.
+    /// The announcement that is sent if the changes do not fit into a datagram.
     pub offer: NewsNotice,
 }
 
-/// Of which revisions others were told without waiting for heartbeats.
+/// The revisions announced outside of heartbeats.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct AnnouncedRevisions {
-    /// When other regions were told last, and of which revision.
+    /// When other regions last got an announcement, and of which revision.
     remote: Option<(MonoTime, u64)>,
-    /// When the VMs of this region were told last of a revision of another one, and of which.
+    /// When this region last got an announcement of another region's revision, and of which one.
     relayed: Option<(MonoTime, u64)>,
 }
 
-/// Another VM told how far it knows the platform's changes.
+/// A received announcement of another VM's revision.
 pub struct ReceiveRevisionNotice {
     pub notice: NewsNotice,
 }
@@ -70,19 +72,20 @@
 }
 
 impl ControlActor {
-    /// Notes that an answer of the platform proved what is held now.
+    /// Records that the platform has just confirmed the current revision.
     pub(super) fn confirm_revision(&mut self) {
         let proof = RevisionProof { revision: self.platform.revision(), at: self.now() };
         self.staleness.hear(proof, self.platform.revision());
     }
 
-    /// For how long what is believed has not been proven; since the start when it never was.
+    /// Returns the time since the platform state was last confirmed as current, or since the start
+    /// of the process if it never was.
     pub(super) fn staleness(&self) -> Duration {
         self.staleness.age(self.now()).unwrap_or_else(|| self.shared.uptime())
     }
 
-    /// Passes changes on to the VMs of this region that do not read the platform themselves, and tells other regions that
-    /// there are some.
+    /// Forwards changes to the VMs of this region, unless the region is so small that all of them
+    /// read the platform themselves, and announces the revision to other regions.
     pub(super) fn announce_changes(&mut self, changes: ChangeSet) {
         if changes.changes.is_empty() {
             return;
@@ -93,15 +96,16 @@
         self.announce_remotely();
     }
 
-    /// Passes changes on to the VMs of this region.
+    /// Forwards changes to the VMs of this region.
     pub(super) fn forward_changes(&self, changes: ChangeSet) {
         let targets = self.local_peers();
         let offer = NewsNotice { is_offer: true, ..self.own_revision_notice() };
         self.send_update(OutgoingUpdate::Changes(OutgoingChanges { targets, changes, offer }));
     }
 
-    /// Tells a few VMs of each other region how far the changes are known here, unless that was told a moment ago: a region
-    /// whose own readers get no answer learns of a change in no other way.
+    /// Announces this VM's revision to a few VMs of each other region, unless it was announced
+    /// already or the last announcement is too recent. A region whose own readers get no answer
+    /// learns of changes only in this way.
     pub(super) fn announce_remotely(&mut self) {
         let (now, revision) = (self.now(), self.platform.revision());
         let is_told = |(at, told): (MonoTime, u64)| {
@@ -115,10 +119,11 @@
         self.send_update(OutgoingUpdate::Notice { targets, notice: self.own_revision_notice() });
     }
 
-    /// Tells those of this region that may ask other regions how far a VM there knows the changes.
+    /// Relays the announcement of a remote VM to the VMs of this region that may ask other regions.
     pub(super) fn relay_notice(&mut self, notice: NewsNotice) {
         let (now, revision) = (self.now(), notice.revision);
-        // Not by the larger one: a revision that there is not would keep all true ones from being told.
+        // Compares for equality, not by order: one announcement of a revision that does not exist
+        // would suppress all later announcements of real ones.
         let is_told =
             |(at, told): (MonoTime, u64)| told == revision || now.since(at) < RELAY_INTERVAL;
         if self.announced.relayed.is_some_and(is_told) {
@@ -130,11 +135,11 @@
     }
 
     fn send_update(&self, outgoing: OutgoingUpdate) {
-        // Nobody takes them only when the process ends.
+        // Sending fails only when the process ends.
         let _ = self.outgoing.send(outgoing);
     }
 
-    /// How far this VM knows the platform's changes.
+    /// Returns the announcement of this VM's revision.
     pub(super) fn own_revision_notice(&self) -> NewsNotice {
         let age = self.staleness.age(self.now());
         NewsNotice {
@@ -146,7 +151,8 @@
         }
     }
 
-    /// Shows how old what is believed is, and says so once when it is old and when it is young again.
+    /// Updates the metric for staleness, and logs once when the state becomes stale and once when
+    /// it is fresh again.
     pub(super) fn report_staleness(&mut self) {
         self.staleness.note_held(self.platform.revision());
         let age = self.staleness();
--- a/crates/foldhaven-gateway/src/control/catch_up.rs
+++ b/crates/foldhaven-gateway/src/control/catch_up.rs
@@ -1,4 +1,5 @@
-//! Knows for how long other VMs have known more of the platform's changes, and which one to ask.
+//! Measures how long other VMs have known newer platform state than this one, and chooses a VM to
+//! fetch it from.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,51 +12,53 @@
 use super::ControlActor;
 use crate::shared::BehindBelief;
 
-/// A VM of this region that has read more of the platform's changes than this one for so long is asked
-/// for them.
+/// A VM of this region that has had a newer revision for this long is asked for the changes.
 const LOCAL_REQUEST_DELAY: Duration = Duration::from_millis(350);
-/// The same for a VM of another region, when no near one knows more: bytes between regions are paid for.
+/// The same delay for a VM of another region, if no VM of this region has a newer revision. Traffic
+/// between regions is charged.
 const REMOTE_REQUEST_DELAY: Duration = Duration::from_millis(1_000);
-/// The VM that is first to ask other regions waits so long, and each one after it [`REMOTE_REQUEST_STEP`] longer: what one of them
-/// brings is told to all of the region, and nobody else has to ask.
+/// The VM that is first in line to ask other regions waits this long, and each further VM
+/// [`REMOTE_REQUEST_STEP`] longer. The first one forwards what it receives to the whole region, so
+/// the others do not have to ask.
 const FIRST_REMOTE_REQUEST_DELAY: Duration = Duration::from_millis(200);
 const REMOTE_REQUEST_STEP: Duration = Duration::from_millis(150);
-/// After so long the others that may ask are told that another region knows more: the way to it is theirs too.
+/// After this delay, the other VMs that may ask remote regions are told that a remote region has a
+/// newer revision, since they can ask it as well.
 const RELAY_DELAY: Duration = Duration::from_millis(100);
-/// From when on being behind is logged.
+/// A lag of this length is logged.
 const LAG_LOG_THRESHOLD: Duration = Duration::from_millis(1_000);
 
-/// That others know a revision that this VM does not.
+/// Records that other VMs know a newer revision than this one.
 #[derive(Debug, Clone, Copy)]
 pub struct LagState {
     since: MonoTime,
-    /// The revision that others knew then.
+    /// The newer revision when the lag began.
     revision: u64,
-    /// Whether a VM of this region was among them.
+    /// Whether a VM of this region knew it.
     is_local: bool,
-    /// Whether it has lasted so long that it was logged.
+    /// Whether the lag was logged as too long.
     is_logged: bool,
 }
 
-/// Asks which VM knows more of the platform's changes.
+/// Requests the next step to catch up with newer platform state.
 pub struct FindNewerPeer {
-    /// A VM that did not answer, and is asked again only when no other knows more.
+    /// A VM that did not answer. It is chosen again only if no other VM has a newer revision.
     pub avoided: Option<SocketAddr>,
 }
 
-/// A VM that knows more, and the revision that this one knows.
+/// A VM with newer state, and the revision from which this VM needs the changes.
 pub struct NewerPeer {
     pub peer: SocketAddr,
     pub known: Option<u64>,
 }
 
-/// What a VM does next about changes that others know.
+/// The next step to catch up with other VMs.
 pub enum CatchUpStep {
-    /// It asks a VM that knows more.
+    /// Ask this VM for newer state.
     Ask(NewerPeer),
-    /// Others know more, and are to be asked after this time.
+    /// Other VMs have newer state. Ask again after this delay.
     Wait(Duration),
-    /// It knows of none that knows more.
+    /// No known VM has newer state.
     UpToDate,
 }
 
@@ -70,7 +73,7 @@
         let is_local = ahead.region == *self.shared.settings.region();
         let (vm, incarnation) = (VmTag::of(&ahead.vm), ahead.incarnation);
         let limit = match is_local {
-            // What does not fit a datagram will not come by itself.
+            // Changes that do not fit into a datagram arrive only when requested.
             true if self.offered.is_beyond(self.platform.revision()) => Duration::ZERO,
             true => LOCAL_REQUEST_DELAY,
             false => self.remote_request_delay(now),
@@ -100,7 +103,7 @@
 }
 
 impl ControlActor {
-    /// For how long this VM leaves it to others to ask other regions.
+    /// Returns how long this VM waits for others before it asks another region itself.
     fn remote_request_delay(&self, now: MonoTime) -> Duration {
         let place = self.peers.asking_place(now).and_then(|place| u32::try_from(place).ok());
         let limit = place
@@ -108,14 +111,15 @@
         limit.map_or(REMOTE_REQUEST_DELAY, |limit| limit.min(REMOTE_REQUEST_DELAY))
     }
 
-    /// Whether others know more, and none of them is of this region.
+    /// Returns whether newer state is known, but only to VMs of other regions.
     pub(super) fn is_behind_remote_only(&self) -> bool {
         self.lag.is_some_and(|lag_state| !lag_state.is_local)
     }
 
-    /// A VM that knows more of the platform's changes than this one. Those of this data centre go first,
-    /// then those of this region. Of these, two are drawn, other ones by each VM and at each asking, and the
-    /// one that knows more is taken: if all asked the same one, its link would carry everything.
+    /// Returns a VM with newer platform state than this one. VMs of this data centre are preferred,
+    /// then those of this region. Two of the nearest ones are drawn, different ones for each VM and
+    /// attempt, and the one with the newer revision is returned. If all VMs asked the same one, its
+    /// link would carry all the traffic.
     fn newer_peer(&self, avoided: Option<SocketAddr>) -> Option<&PeerBeat> {
         let now = self.now();
         let settings = &self.shared.settings;
@@ -137,7 +141,7 @@
         ahead.into_iter().take(2).max_by_key(|beat| beat.revision)
     }
 
-    /// Notes that a VM knows more. Returns for how long this one has not known what others did.
+    /// Updates the lag after a VM with newer state was found. Returns the length of the lag.
     fn update_lag(&mut self, fresh: LagState, peer: SocketAddr) -> Duration {
         let held = self.lag.filter(|held| held.is_local || !fresh.is_local);
         let mut lag_state = held.unwrap_or(fresh);
@@ -154,7 +158,7 @@
         lag
     }
 
-    /// Notes whether what others knew is known now, or nobody is left who knew it.
+    /// Ends the lag if the newer revision is now known, or if no VM with newer state is left.
     pub(super) fn check_caught_up(&mut self) {
         let Some(lag_state) = self.lag else { return };
         let is_left = self.platform.revision() < lag_state.revision;
@@ -179,7 +183,7 @@
         self.update_read_assignment();
     }
 
-    /// For how long this VM has not known what others did.
+    /// Returns for how long other VMs have known newer state. Zero if this VM is up to date.
     pub(super) fn lag_time(&self) -> Duration {
         self.lag.map_or(Duration::ZERO, |lag_state| self.now().since(lag_state.since))
     }
--- a/crates/foldhaven-gateway/src/control/feed_changes.rs
+++ b/crates/foldhaven-gateway/src/control/feed_changes.rs
@@ -1,4 +1,4 @@
-//! Takes in what the platform publishes, as the feed reads it or other VMs tell of it, and passes it on.
+//! Applies the platform state that the feed reads, and forwards it to other VMs.
 
 use xtra::{Context, Handler};
 
@@ -29,7 +29,7 @@
 }
 
 impl ControlActor {
-    /// Notes that the platform could not be read.
+    /// Records that the platform could not be read.
     fn note_platform_failure(&mut self, cause: &str) {
         let now = self.now();
         self.platform.table.note_disturbed(now);
@@ -39,8 +39,8 @@
         }
     }
 
-    /// Takes over from other VMs that the platform is away: what vanishes from its lists soon after may
-    /// only have failed to renew its entry.
+    /// Checks whether other VMs report a platform outage. An entry that vanishes from the
+    /// platform's lists soon after an outage may only have failed to be renewed.
     pub(super) fn check_reported_outage(&mut self) {
         let now = self.now();
         let is_reported = self.peers.hears_of_outage(now);
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Takes in changes that this VM read itself, and passes on what is new.
+    /// Applies changes that this VM read itself, and announces the new ones.
     fn apply_and_announce(&mut self, set: ChangeSet) {
         if let Some(applied) = self.apply_changes(set) {
             self.confirm_revision();
@@ -64,7 +64,8 @@
         }
     }
 
-    /// Replaces what is known by a snapshot, unless the snapshot is older. Returns what of it others are to be told.
+    /// Replaces the platform state by a snapshot, unless the snapshot is older. Returns the changes
+    /// to forward to other VMs.
     pub(super) fn apply_snapshot(&mut self, snapshot: FeedSnapshot) -> Option<ChangeSet> {
         let context = self.current_context();
         let applied = self.platform.apply_snapshot(snapshot, context);
@@ -73,8 +74,8 @@
         applied
     }
 
-    /// Takes in changes. Returns what of them is new, as others are to be told of it; nothing when some before them are
-    /// missing.
+    /// Applies changes. Returns the new ones, to be forwarded to other VMs, or `None` if changes
+    /// before them are missing.
     pub(super) fn apply_changes(&mut self, set: ChangeSet) -> Option<ChangeSet> {
         let context = self.current_context();
         let AppliedChanges { changes, is_urgent } = self.platform.apply_changes(set, context)?;
@@ -87,7 +88,7 @@
         Some(changes)
     }
 
-    /// Puts changes in force of which some before them are missing.
+    /// Applies urgent changes although changes before them are missing.
     pub(super) fn apply_early_changes(&mut self, changes: Vec<NumberedChange>) {
         let now = self.now();
         if self.platform.apply_early_changes(changes, now) {
@@ -99,12 +100,12 @@
         ApplyContext { now: self.now(), lag: self.lag_time() }
     }
 
-    /// Shows in the metrics what is known.
+    /// Updates the metrics on the platform state.
     fn publish_metrics(&mut self) {
         let metrics = &self.shared.metrics;
         metrics.set_level("revision", self.platform.revision());
         metrics.set_level("description_version", self.platform.version().0);
-        // Gauges are floating point, exact up to 53 bits.
+        // Gauges are floating point numbers, which are exact up to 53 bits.
         metrics.set_level("description_digest", self.platform.digest() >> 16);
         (0..self.platform.take_unusable_count())
             .for_each(|_| metrics.count_event("upstream_unusable"));
--- a/crates/foldhaven-gateway/src/control/heartbeats.rs
+++ b/crates/foldhaven-gateway/src/control/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Takes in heartbeats of other VMs, and plans those of this one.
+//! Handles heartbeats and views of other VMs, and plans those of this one.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,35 +12,36 @@
 
 use super::ControlActor;
 
-/// A heartbeat arrived.
+/// A received heartbeat.
 pub struct ReceiveHeartbeat {
     pub message: BeatMessage,
 }
 
-/// Another VM told which VMs of its region it holds to live, in short.
+/// A received digest of the live VMs that another VM sees in its region.
 pub struct ReceiveView {
     pub notice: ViewNotice,
 }
 
-/// Another VM told which VMs of a region it holds to live.
+/// A received list of the live VMs that another VM sees in a region.
 pub struct ReceiveViewList {
     pub list: ViewList,
 }
 
-/// What is sent in a round, and when the next one is due.
+/// The messages of one heartbeat round, and the delay until the next one.
 pub struct HeartbeatRound {
     pub heartbeats: PlannedBeats,
-    /// Who gets this VM's view.
+    /// The VMs that get this VM's view.
     pub view_targets: Vec<SocketAddr>,
     pub view: ViewNotice,
-    /// How far this VM knows the platform's changes, for all that get a heartbeat; nothing before it knows any.
+    /// The announcement of this VM's revision for all VMs that get a heartbeat. `None` before the
+    /// first snapshot.
     pub notice: Option<NewsNotice>,
     pub next_in: Duration,
 }
 
-/// Asks for the heartbeats of a round.
+/// Requests the messages of a heartbeat round.
 pub struct PlanHeartbeats {
-    /// Whether all VMs get one, because there is news.
+    /// Whether to send to all VMs, because this VM's state has changed.
     pub to_all: bool,
 }
 
@@ -58,7 +59,7 @@
         }
         if let Some(after) = outcome.outlived {
             let after = after.0;
-            tracing::info!(before, after, "took a later lifetime, since others held one");
+            tracing::info!(before, after, "adopted a later incarnation because other VMs held one");
         }
         if let Some(later) = &outcome.later {
             tracing::warn!(
@@ -91,7 +92,7 @@
         let view_targets = self.peers.view_targets(&heartbeats, is_learning, now);
         let next_in = self.peers.round_pause(is_learning, now);
         if self.assignment.borrow().is_reader {
-            // What was held back since the last notice.
+            // Announces changes that were held back since the last announcement.
             self.announce_remotely();
         }
         let notice = self.platform.has_state().then(|| self.own_revision_notice());
@@ -126,7 +127,7 @@
 }
 
 impl ControlActor {
-    /// Which VMs of its region this one holds to live, in short.
+    /// Returns the digest of the live VMs that this VM sees in its region.
     pub(super) fn own_view(&self, now: MonoTime) -> ViewNotice {
         ViewNotice {
             vm: VmTag::of(&self.shared.settings.vm),
--- a/crates/foldhaven-gateway/src/control/load_reports.rs
+++ b/crates/foldhaven-gateway/src/control/load_reports.rs
@@ -1,4 +1,5 @@
-//! Takes in load reports, prompt placements and reports of whole regions, and plans those of this VM.
+//! Handles load reports, prompt placements and region reports of other VMs, and plans those of this
+//! one.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -13,7 +14,7 @@
 
 use super::ControlActor;
 
-/// A load report of another VM of the region arrived.
+/// A load report received from another VM of the region.
 pub struct ReceiveLoadReport {
     pub report: LoadReport,
 }
@@ -39,7 +40,7 @@
     }
 }
 
-/// A delegate of another region told of it.
+/// A region report received from a delegate of another region.
 pub struct ReceiveRegionReport {
     pub report: RegionReport,
 }
@@ -54,7 +55,8 @@
     }
 }
 
-/// A VM of another region told of prompts that were sent there.
+/// Prompt placements received from a VM of another region, which sent these prompts to its
+/// upstreams.
 pub struct ReceivePlacements {
     pub placements: Vec<PromptPlacement>,
 }
@@ -68,21 +70,22 @@
     }
 }
 
-/// Asks for the load report of a round.
+/// Requests the load report of a round.
 pub struct PlanLoadReport {
-    /// How much later than planned the timer of the round fired.
+    /// How late the timer of the round fired.
     pub timer_delay: Duration,
 }
 
-/// A load report, whom to send it to, and when the next one is due.
+/// A load report, its targets, and the delay until the next one.
 pub struct PlannedLoadReport {
-    /// The load; each leg has its own news.
+    /// The load. Each leg adds its own placements and region reports.
     pub report: LoadReport,
     pub legs: Vec<ReportLeg>,
-    /// A VM of each other region, which tells the rest there of these prompts.
+    /// One VM of each other region, which relays the placements and the region report there.
     pub remote_targets: Vec<SocketAddr>,
     pub remote_placements: Vec<PromptPlacement>,
-    /// What the VMs of the far targets are told of this region, where this VM speaks for it.
+    /// The report of this region for the remote targets. `None` unless this VM is a delegate and a
+    /// report is due.
     pub region: Option<RegionReport>,
     pub interval: Duration,
 }
@@ -114,7 +117,7 @@
 }
 
 impl ControlActor {
-    /// The other VMs of this region, and which of them have requests.
+    /// Returns the other VMs of this region, and whether each of them has requests in flight.
     fn report_targets(&self) -> Vec<ReportTarget> {
         let active: HashSet<VmTag> = self.loads.active().collect();
         let local = self.peers.near(self.now());
@@ -125,8 +128,9 @@
         local.map(target).collect()
     }
 
-    /// Who is told in this round, and when the next one is due. A VM without requests tells that it lives to those
-    /// that speak for the region; others hear of that by heartbeats.
+    /// Returns the targets of this round, and the delay until the next one. A VM without requests
+    /// reports that it is live only to the VMs that take requests at any load; the others learn it
+    /// from heartbeats.
     fn plan_legs(
         &mut self,
         targets: &[ReportTarget],
@@ -144,7 +148,7 @@
         (self.report_plan.next(targets, news, interval), interval)
     }
 
-    /// The requests that this VM has at each upstream.
+    /// Returns a report of the requests that this VM has at each upstream.
     fn own_report(&mut self) -> LoadReport {
         let busy = self.meter.busy(self.shared.taken(), self.shared.settings.cores);
         let own = self.upstreams.values().map(|upstream| (upstream.tag, upstream.load.share()));
@@ -159,7 +163,8 @@
         }
     }
 
-    /// The report of this region to the others, when this VM speaks for it and one is due.
+    /// Returns the report of this region for other regions, if this VM is a delegate and a report
+    /// is due.
     fn due_region_report(&mut self) -> Option<RegionReport> {
         let now = self.now();
         let is_due = self.last_region_report.is_none_or(|told| now.since(told) >= REGION_INTERVAL);
@@ -183,7 +188,7 @@
         })
     }
 
-    /// Takes in what a delegate tells of its region. Returns whether it is new.
+    /// Applies the report of another region. Returns whether it is new.
     fn apply_region_report(&mut self, report: &RegionReport) -> bool {
         let now = self.now();
         if report.region == *self.shared.settings.region() || !self.regions.hear(report, now) {
@@ -202,7 +207,8 @@
         }
     }
 
-    /// Leaves out VMs that are silent, and hands the requests of the others to the upstreams that they are at.
+    /// Drops the loads of VMs that stopped reporting, and updates the load of other VMs at each
+    /// upstream.
     fn update_peer_loads(&mut self) {
         let interval = share_interval(self.local_peers().len());
         self.loads.forget_silent(interval, self.now());
--- a/crates/foldhaven-gateway/src/control/members.rs
+++ b/crates/foldhaven-gateway/src/control/members.rs
@@ -1,4 +1,4 @@
-//! Tells operators which VMs of the region this one knows.
+//! Logs and counts the known VMs of the region.
 
 use std::time::Duration;
 
@@ -7,30 +7,32 @@
 
 use super::ControlActor;
 
-/// How many names one line holds.
+/// Maximum number of VM names in one log line.
 const MAX_LOGGED_NAMES: usize = 12;
-/// What is believed is logged again after this time, as collectors may lose lines when many come at once.
+/// The known VMs are logged again after this time even if nothing changed, since log collectors may
+/// lose lines in bursts.
 const RELOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What was logged last, and when.
+/// The last logged members, and when they were logged.
 #[derive(Debug, Default)]
 pub(super) struct LoggedMembers {
     members: RegionMembers,
     logged_at: MonoTime,
 }
 
-/// The VMs of the region as this one knows them, itself included.
+/// The counts of the region's VMs as this VM sees them, itself included.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 struct RegionMembers {
     known: usize,
     live: usize,
     serving: usize,
-    /// The same at all VMs that hold the same lifetimes to live.
+    /// Equal on all VMs that consider the same VM incarnations live.
     digest: u64,
 }
 
 impl ControlActor {
-    /// Counts and logs which VMs of the region are known, when that has changed and now and then.
+    /// Updates the metrics on the region's VMs, and logs them on changes and every
+    /// [`RELOG_INTERVAL`].
     pub(super) fn report_members(&mut self, now: MonoTime) {
         let near = || self.peers.near(now);
         let members = RegionMembers {
--- a/crates/foldhaven-gateway/src/control/mod.rs
+++ b/crates/foldhaven-gateway/src/control/mod.rs
@@ -1,4 +1,4 @@
-//! The control actor: the one place where this daemon's beliefs change.
+//! The control actor, which owns all of this daemon's control state.
 
 mod account_limits;
 mod announcements;
@@ -59,18 +59,19 @@
 use crate::upstream::Upstream;
 use crate::view::PeerLink;
 
-/// Where messages to the control actor go.
+/// The address to which messages for the control actor are sent.
 pub type ControlAddress = xtra::Address<ControlActor>;
 
-/// It has heard of those there are when no further one came for this long: heartbeats are asked for several times in
-/// it.
+/// The peer table counts as complete when no new VM was discovered for this long. Heartbeats are
+/// requested several times within it.
 const LEARNING_QUIET_TIME: Duration = Duration::from_millis(750);
-/// A VM that has not known for so long what others do looks whether its own call to the platform is still answered.
+/// How long other VMs must have known a newer revision before the feed checks whether its pending
+/// platform call is still answered.
 const SUPERSEDED_AFTER: Duration = Duration::from_millis(250);
-/// After this time it takes them for all there are in any case.
+/// After this uptime the peer table counts as complete in any case.
 const MAX_LEARNING_TIME: Duration = Duration::from_millis(4_000);
 
-/// Which VMs of the region callers are sent to, as far as the log tells.
+/// The VMs of the region that get callers, as last logged.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 struct InService {
     vms: usize,
@@ -78,82 +79,83 @@
     is_own: bool,
 }
 
-/// The control state.
+/// The actor that holds the control state.
 #[derive(xtra::Actor)]
 pub struct ControlActor {
     shared: Arc<GatewayShared>,
-    /// The settings as they were read last; those of `shared` are the ones of the start.
+    /// The current settings. `shared.settings` are those read at startup.
     settings: GatewaySettings,
-    /// What is known of the platform.
+    /// The state of the platform: routes, upstreams and evacuations.
     platform: PlatformState,
-    /// What other VMs may take over, as it was published last.
+    /// The platform state that other VMs can fetch, as last published.
     offer: Option<Arc<StateOffer>>,
-    /// Whether something has changed that traffic is still to be shown.
+    /// Whether there are changes that are not yet in the published view.
     needs_publish: bool,
-    /// The upstreams as traffic uses them.
+    /// The upstreams that are in the published view.
     upstreams: HashMap<UpstreamName, Arc<Upstream>>,
-    /// The same by what they are called in messages.
+    /// The same upstreams by the tags that messages use.
     by_tag: HashMap<UpstreamTag, Arc<Upstream>>,
     /// The other VMs.
     peers: PeerTable,
-    /// Connections to those of them that serve.
+    /// Connections to the other VMs that serve requests.
     links: HashMap<VmName, Arc<PeerLink>>,
     /// The load reports of other VMs.
     loads: LoadBook,
-    /// Whom the next ones of this VM go to.
+    /// Chooses the targets of this VM's load reports.
     report_plan: ReportPlan,
-    /// The processor time that the requests of this VM take.
+    /// Estimates the processor time used by this VM's requests.
     meter: DemandMeter,
-    /// The processor time that those of the region took in the last seconds at most.
+    /// The peak processor time that the region's requests used in the last few seconds.
     demand: DemandPeak,
-    /// Which VMs of the region that puts in service.
+    /// The VMs of the region that this demand puts in service.
     in_service: InService,
-    /// Which VMs of the region are known, as far as the log tells.
+    /// The VMs of the region that are known, as last logged.
     members: LoggedMembers,
-    /// Who shares the limits of the region, as it was looked at last.
+    /// The VMs that share the region's rate limits, as of the last check.
     senders: SenderView,
-    /// Whether the VMs that share the limits of the region agree on who they are.
+    /// Tracks whether the VMs that share the region's rate limits agree on the list of senders.
     agreement: SenderPact,
-    /// What callers of limited accounts want, here and elsewhere.
+    /// The demand of callers with account limits, here and on other VMs.
     account_demands: DemandShare,
-    /// Whether an upstream of the region is cold or names a limit.
+    /// Whether an upstream of the region is cold or has announced a rate limit.
     rate_watch: watch::Sender<bool>,
-    /// What delegates of other regions told.
+    /// The reports received from delegates of other regions.
     regions: RegionBook,
-    /// Reports of them, of which the VMs of this region are still to be told.
+    /// Received reports of other regions that are still to be relayed to the VMs of this region.
     relayed_regions: Vec<RegionReport>,
-    /// When the other regions were told of this one.
+    /// When this region was last reported to other regions. `None` if never.
     last_region_report: Option<MonoTime>,
-    /// How often they were.
+    /// The number of those reports.
     region_report_count: u32,
-    /// Prompts in other regions, of which the VMs of this region are still to be told.
+    /// Prompt placements received from other regions that are still to be relayed to the VMs of
+    /// this region.
     relayed_placements: Vec<PromptPlacement>,
-    /// How many VMs were known when it was looked last, and when one was heard of that had not been.
+    /// The number of known VMs at the last check, and the time at which it last grew.
     known_vms: usize,
     last_growth: MonoTime,
-    /// How many rounds of heartbeats were sent.
+    /// The number of heartbeat rounds sent.
     heartbeat_rounds: u32,
-    /// How many rounds of load reports were made.
+    /// The number of load report rounds planned.
     load_report_rounds: u32,
-    /// Since when another VM has known more of the platform's changes.
+    /// Set while another VM knows a newer revision of the platform than this one.
     lag: Option<LagState>,
-    /// How often other VMs were asked for what they know more.
+    /// The number of requests for newer platform state sent to other VMs.
     catch_up_attempts: u32,
-    /// How old what is believed of the platform is.
+    /// How long ago the platform state was last confirmed as current.
     staleness: BeliefAge,
-    /// Whether it was so old that it was logged.
+    /// Whether the state is stale and this was logged.
     is_staleness_logged: bool,
-    /// Of which revisions others were told without waiting for heartbeats.
+    /// The revisions announced to other VMs outside of heartbeats.
     announced: AnnouncedRevisions,
-    /// Up to where other VMs offer changes that do not fit a datagram.
+    /// The revision up to which other VMs offer changes that do not fit into a datagram.
     offered: OfferedRevision,
-    /// Whether the last reading of the platform failed.
+    /// Whether the last attempt to read the platform failed.
     is_platform_unreachable: bool,
-    /// Whether other VMs of the region tell of an outage of the platform.
+    /// Whether other VMs of the region report a platform outage.
     is_outage_reported: bool,
-    /// Tells the feed when to read.
+    /// Tells the feed when to read the platform.
     assignment: watch::Sender<ReadAssignment>,
-    /// Takes what other VMs are to be told.
+    /// Queues updates for sending to other VMs.
     outgoing: mpsc::UnboundedSender<OutgoingUpdate>,
 }
 
@@ -221,12 +223,12 @@
         }
     }
 
-    /// When the feed is to read, and from where.
+    /// Returns the receiver that tells the feed when to read, and from which revision.
     pub fn read_assignments(&self) -> watch::Receiver<ReadAssignment> {
         self.assignment.subscribe()
     }
 
-    /// Whether a rate that holds over the region is in use.
+    /// Returns a receiver that holds whether a rate shared over the region is in use.
     pub fn rate_watch(&self) -> watch::Receiver<bool> {
         self.rate_watch.subscribe()
     }
@@ -246,22 +248,23 @@
         self.assignment.send_if_modified(|held| std::mem::replace(held, assignment) != assignment);
     }
 
-    /// Whether this process has heard of the others. One that has just started knows few, and would take itself for
-    /// one of those that read the platform for its region: of 295 VMs that start together all would, with 2,100 calls in
-    /// two seconds.
+    /// Returns whether this process knows its peers. A process that has just started knows few VMs
+    /// and would appoint itself as one of the readers of its region: with 295 VMs that start
+    /// together, all of them would, and make 2,100 calls in two seconds.
     fn has_learnt_peers(&self) -> bool {
         let uptime = self.shared.uptime();
         let is_calm = self.now().since(self.last_growth) >= LEARNING_QUIET_TIME;
         uptime >= LEARNING_TIME && (is_calm || uptime >= MAX_LEARNING_TIME)
     }
 
-    /// Whether others ask this VM first when they start. Until the readers are known, those read.
+    /// Returns whether this VM is a seed, which other VMs contact first when they start. The seeds
+    /// read the platform until the readers are known.
     fn is_seed(&self) -> bool {
         let own = self.settings.addresses.peer.ip();
         self.settings.seeds.iter().any(|seed| seed.ip() == own)
     }
 
-    /// Notes when this process has last heard of a VM that it did not know.
+    /// Records the time when the number of known VMs grows.
     fn note_growth(&mut self) {
         let known = self.peers.assumed_count();
         if known > self.known_vms {
@@ -288,19 +291,20 @@
         }
     }
 
-    /// The other VMs of this region.
+    /// Returns the addresses of the other VMs of this region.
     fn local_peers(&self) -> Vec<SocketAddr> {
         self.peers.near(self.now()).map(|beat| beat.peer).collect()
     }
 
-    /// How many VMs limits are divided by; nothing while this process is learning who there is.
+    /// Returns the number of VMs by which limits are divided. `None` while this process is still
+    /// learning its peers.
     fn assumed_vms(&self) -> Option<usize> {
         let assumed = || usize::from(self.peers.assumed_counts(self.now()).all);
         (self.shared.uptime() >= LEARNING_TIME).then(assumed)
     }
 }
 
-/// Looks the state over: what has lapsed, who has been silent.
+/// Runs the periodic checks of the control state, such as expiry and staleness.
 pub struct TickControl;
 
 impl Handler<TickControl> for ControlActor {
@@ -321,13 +325,13 @@
         self.report_staleness();
         self.check_resumed();
         if self.platform.table.expire(now) {
-            tracing::info!("upstreams dropped that were not listed again");
+            tracing::info!("dropped upstreams that were not listed again");
         }
         self.publish();
     }
 }
 
-/// The settings have changed.
+/// Replaces the settings after they were reloaded.
 pub struct ReplaceSettings {
     pub settings: GatewaySettings,
 }
--- a/crates/foldhaven-gateway/src/control/peer_changes.rs
+++ b/crates/foldhaven-gateway/src/control/peer_changes.rs
@@ -1,4 +1,4 @@
-//! Takes in what other VMs tell of the platform's changes, when asked and unasked.
+//! Applies platform changes received from other VMs, both requested and unrequested.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 use super::ControlActor;
 use crate::feed::{ChangeSet, FeedSnapshot, NumberedChange};
 
-/// Another VM of the region told of changes that it read.
+/// Changes that another VM of the region has read and forwarded.
 pub struct ReceiveChanges {
     pub changes: ChangeSet,
 }
@@ -20,13 +20,13 @@
         if self.platform.can_apply(&changes) {
             self.apply_changes(changes);
         } else {
-            // What is missing is asked for, like after a lost datagram.
+            // The missing changes are requested, as after a lost datagram.
             self.apply_early_changes(changes.changes);
         }
     }
 }
 
-/// Another VM of the region told of changes without those that precede them.
+/// Urgent changes sent by another VM of the region without the changes that precede them.
 pub struct ReceiveEarlyChanges {
     pub changes: Vec<NumberedChange>,
 }
@@ -39,7 +39,7 @@
     }
 }
 
-/// What a VM that was asked told of the platform's changes.
+/// Applies a snapshot that this VM requested from a peer.
 pub struct ApplySnapshot {
     pub snapshot: FeedSnapshot,
     pub peer: SocketAddr,
@@ -64,7 +64,7 @@
     }
 }
 
-/// The changes that a VM was asked for.
+/// Applies changes that this VM requested from a peer.
 pub struct ApplyChanges {
     pub changes: ChangeSet,
     pub peer: SocketAddr,
--- a/crates/foldhaven-gateway/src/control/rate_shares.rs
+++ b/crates/foldhaven-gateway/src/control/rate_shares.rs
@@ -1,5 +1,6 @@
-//! This VM's parts of what upstreams that are cold or name a limit may get from all VMs of the region, while these agree
-//! on who they are.
+//! This VM's shares of the rates at which the VMs of the region together may send to upstreams that
+//! are cold or have announced a limit. A share is used only while these VMs agree on the list of
+//! senders.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,16 +14,17 @@
 use super::ControlActor;
 use crate::upstream::Upstream;
 
-/// The part of a VM that has heard of none of the VMs that its settings name: there may be others who have not either.
+/// The factor for the share of a VM that has not heard from any seed: there may be other VMs that
+/// have not reached one either.
 const UNWITNESSED_SHARE: f64 = 0.5;
 
-/// Notices with their receivers.
+/// Notices of one round with their targets.
 pub type AgreementMessages = Vec<(SocketAddr, PactNotice)>;
 
-/// Asks for the notices of a round.
+/// Requests the notices of a round.
 pub struct PlanAgreementRound;
 
-/// Another VM told which list of senders it holds.
+/// A notice of another VM's list of senders.
 pub struct ReceiveAgreement {
     pub notice: PactNotice,
 }
@@ -48,8 +50,8 @@
         let now = self.now();
         let notice = message.notice;
         self.agreement.hear(&notice);
-        // The list was looked at in this VM's own last round: ranking a hundred VMs for each of a hundred notices a second
-        // would cost more than all else.
+        // The list of senders is refreshed only in this VM's own rounds. Ranking a hundred VMs for
+        // each of a hundred notices per second would be too expensive.
         self.update_rate_shares(now);
         let peer = self.peers.address_of(notice.vm).filter(|_| notice.is_call)?;
         Some((peer, self.agreement.notice_to(notice.vm, false, now)))
@@ -57,7 +59,7 @@
 }
 
 impl ControlActor {
-    /// Looks who shares the limits of the region.
+    /// Updates the list of VMs that share the region's rate limits.
     pub(super) fn refresh_senders(&mut self, now: MonoTime) {
         let has_learnt = self.assumed_vms().is_some();
         let is_serving = has_learnt && self.phase() == PeerPhase::Serving;
@@ -65,7 +67,7 @@
         self.agreement.note_list(self.senders.digest, now);
     }
 
-    /// Takes this VM's part of each rate that holds over the region, or gives it back.
+    /// Sets this VM's share of each shared rate. It is zero while the senders do not agree.
     pub(super) fn update_rate_shares(&mut self, now: MonoTime) {
         let bounded: Vec<Arc<Upstream>> = self.bounded_upstreams(now);
         let is_used = !bounded.is_empty();
@@ -91,11 +93,12 @@
         local.filter(|upstream| upstream.bound_rate(now).is_some()).cloned().collect()
     }
 
-    /// The rate that an upstream may get from all VMs of the region; nothing when it may get any.
+    /// Returns the rate at which all VMs of the region together may send to an upstream. `None` if
+    /// it is not limited.
     fn shared_rate(&self, upstream: &Upstream, now: MonoTime) -> Option<SharedRate> {
         let routes = self.platform.routes();
         let service = routes.and_then(|routes| routes.service(&upstream.identity.service));
-        // A service that is not described permits nothing.
+        // A service without a description permits no requests.
         let described = service.map_or(0.0, |service| service.cold_rate);
         let cold = upstream.is_cold(now).then(|| SharedRate::of_cold(described));
         let named = self.shared.limits.limit(upstream).map(SharedRate::of_limit);
@@ -112,14 +115,14 @@
         }
     }
 
-    /// Whether one of the VMs that all others ask first was heard of, or there is none but this one.
+    /// Returns whether this VM has heard from a seed, or there are no seeds besides itself.
     pub(super) fn has_reached_seed(&self) -> bool {
         let seeds = self.settings.seed_peers();
         seeds.is_empty() || seeds.iter().any(|seed| self.peers.is_known_at(*seed))
     }
 }
 
-/// Logs the part of an upstream's rate that this VM takes, when it has changed.
+/// Logs this VM's share of an upstream's rate if it has changed.
 fn log_rate_share(upstream: &Upstream, share: RatePart, senders: usize) {
     let before = upstream.noted_part();
     if before != share.per_s {
--- a/crates/foldhaven-gateway/src/control/region_waits.rs
+++ b/crates/foldhaven-gateway/src/control/region_waits.rs
@@ -1,4 +1,5 @@
-//! The waits that requests would meet: in this region as this VM expects them, in others as told.
+//! The waits that requests can expect: as estimated by this VM for its own region, and as reported
+//! for other regions.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -12,12 +13,12 @@
 use crate::upstream::Upstream;
 use crate::view::RegionWait;
 
-/// The wait in a region of which no delegate has told one lately, as after a start: requests that may
-/// run only there are better sent than refused.
+/// The assumed wait in a region without a recent report, for example after a start. Requests that
+/// may run only there are better sent than refused.
 const UNREPORTED_WAIT: Duration = Duration::from_millis(100);
 
 impl ControlActor {
-    /// The waits that requests would meet at the upstreams of this region.
+    /// Returns the expected waits at the upstreams of this region, by service.
     pub(super) fn local_waits(&self) -> Vec<ServiceWait> {
         let now = self.now();
         let own_region = self.shared.settings.region();
@@ -47,7 +48,8 @@
         by_service.into_iter().map(service_wait).collect()
     }
 
-    /// The waits in the other regions, as their delegates told; none where no upstream takes requests.
+    /// Returns the expected waits by region and service, as reported by the delegates of other
+    /// regions. A service that has no available upstream in a region has no entry.
     pub(super) fn waits_by_region(&self) -> HashMap<(RegionName, ServiceName), RegionWait> {
         let now = self.now();
         let mut waits: HashMap<(RegionName, ServiceName), RegionWait> = HashMap::new();
@@ -78,14 +80,15 @@
     }
 }
 
-/// What a request would meet at one upstream.
+/// The expected wait and load of a request at one upstream.
 struct ExpectedQueue {
     wait: Duration,
     load: u32,
     long_pauses: f64,
 }
 
-/// The mean of the better half: what a request meets that goes to one of the better places.
+/// Returns the mean of the better half of the upstreams, since requests are sent to one of the
+/// better ones.
 fn better_half_mean(mut expected: Vec<ExpectedQueue>) -> ExpectedQueue {
     expected.sort_by_key(|expected| (expected.wait, expected.load));
     expected.truncate(expected.len().div_ceil(2));
--- a/crates/foldhaven-gateway/src/control/suspect_targets.rs
+++ b/crates/foldhaven-gateway/src/control/suspect_targets.rs
@@ -1,4 +1,4 @@
-//! Chooses whom to tell of suspected requests.
+//! Chooses the VMs that get messages about suspected requests.
 
 use std::net::SocketAddr;
 
@@ -7,24 +7,24 @@
 
 use super::ControlActor;
 
-/// How many VMs of each other region are told of news; each tells the others of its region.
+/// How many VMs of each other region are sent a change. Each of them relays it within its region.
 const TARGETS_PER_REGION: usize = 2;
 
-/// Why something is told.
+/// Why a message is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendReason {
     /// Something has changed.
     Change,
-    /// It may not have been heard.
+    /// An earlier message may have been lost.
     Repeat,
 }
 
-/// Asks whom to tell.
+/// Requests the targets of a message.
 pub struct PlanSuspectTargets {
     pub reason: SendReason,
 }
 
-/// Whom to tell.
+/// The targets of a message.
 #[derive(Debug, Default)]
 pub struct SuspectTargets {
     /// VMs of this region.
--- a/crates/foldhaven-gateway/src/control/suspension.rs
+++ b/crates/foldhaven-gateway/src/control/suspension.rs
@@ -1,10 +1,11 @@
-//! What the control state does after the process stood still: asks before it serves.
+//! Detects that the process was suspended, and requests the current state from other VMs before
+//! requests are served again.
 
 use super::ControlActor;
 
 impl ControlActor {
-    /// Finds out whether the process stood still. What others said before counts for nothing until they say it again, and kept
-    /// connections may have ended unseen.
+    /// Detects that the process was suspended. What other VMs reported before has to be requested
+    /// again, and pooled connections may have been closed unnoticed.
     pub(super) fn check_suspension(&mut self) {
         let now = self.now();
         let Some(suspended_for) = self.shared.wake.look(now) else { return };
@@ -18,7 +19,8 @@
         self.links.values().for_each(|link| link.pool.clear());
     }
 
-    /// Notes whether what happened meanwhile is known: a VM has answered, and none knows more of the platform's changes.
+    /// Checks whether the process is up to date after a suspension: another VM has answered, and
+    /// none has newer platform state.
     pub(super) fn check_resumed(&mut self) {
         let is_known = self.shared.suspects.was_told() && self.lag_time().is_zero();
         if let Some(span) = self.shared.wake.note_known(is_known, self.now()) {
--- a/crates/foldhaven-gateway/src/control/traffic_view.rs
+++ b/crates/foldhaven-gateway/src/control/traffic_view.rs
@@ -1,4 +1,5 @@
-//! Builds the view that traffic threads read: routes, upstreams, links to other VMs and waits.
+//! Builds the view that the traffic thread reads: routes, upstreams, links to other VMs and
+//! expected waits.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -19,7 +20,7 @@
 use crate::view::{GatewayView, PeerLink};
 
 impl ControlActor {
-    /// Makes a new view for traffic, and decides whether this daemon reads the platform.
+    /// Publishes a new view for traffic, and decides whether this daemon reads the platform.
     pub(super) fn publish(&mut self) {
         self.update_read_assignment();
         self.needs_publish = false;
@@ -51,27 +52,28 @@
         });
     }
 
-    /// Shows traffic what has changed with the next load report. For news of which many come at once,
-    /// as when a large deployment starts: a view of thousands of upstreams takes milliseconds to make.
+    /// Publishes a new view with the next load report. Used for changes that may come in large
+    /// numbers, such as at the start of a large deployment: building a view of thousands of
+    /// upstreams takes milliseconds.
     pub(super) fn publish_later(&mut self) {
         self.needs_publish = true;
     }
 
-    /// Shows traffic what [`ControlActor::publish_later`] has put off.
+    /// Publishes the changes deferred by [`ControlActor::publish_later`].
     pub(super) fn publish_deferred(&mut self) {
         if self.needs_publish {
             self.publish();
         }
     }
 
-    /// What another VM may take over from this one, made anew when something of it has changed.
+    /// Returns the platform state that other VMs can fetch. It is rebuilt only after a change.
     fn current_offer(
         &mut self,
         routes: &Arc<RouteTable>,
         now: MonoTime,
     ) -> Option<Arc<StateOffer>> {
         let is_of_now = |offer: &Arc<StateOffer>| {
-            // All may have been taken anew at one revision.
+            // A snapshot may replace the whole state without a new revision.
             offer.revision == self.platform.revision() && Arc::ptr_eq(&offer.routes, routes)
         };
         let held = self.offer.take().filter(is_of_now);
@@ -79,7 +81,8 @@
         self.offer.clone()
     }
 
-    /// The upstreams that may get new requests. What was measured of those that stay listed is kept.
+    /// Returns the upstreams that may get new requests. Upstreams that are still listed keep their
+    /// measurements.
     fn current_upstreams(
         &mut self,
         routes: &RouteTable,
@@ -115,8 +118,9 @@
         by_service
     }
 
-    /// The upstream of an entry: the one known already, unless it has started again or stands elsewhere. Nothing
-    /// that was measured of an earlier life counts for a later one.
+    /// Returns the upstream of an entry. A known one is reused unless its process was restarted or
+    /// its address has changed, since measurements of an earlier process do not apply to a later
+    /// one.
     fn upstream_of(&self, entry: &UpstreamEntry, routes: &RouteTable) -> Option<Arc<Upstream>> {
         let record = &entry.record;
         if let Some(known) = self.upstreams.get(&record.name)
@@ -138,7 +142,7 @@
         }))
     }
 
-    /// Links to the VMs of the other regions that take requests at any load there.
+    /// Returns links to the VMs of other regions that take requests there at any load.
     fn remote_in_service(
         &self,
         heartbeats: &[PeerBeat],
@@ -158,13 +162,14 @@
         links.collect()
     }
 
-    /// The processor time that the requests of this region took in the last seconds at most.
+    /// Returns the peak processor time that the region's requests used in the last few seconds.
     fn current_demand(&mut self, now: MonoTime) -> CoreShare {
         let own = self.meter.busy(self.shared.taken(), self.shared.settings.cores);
         self.demand.note(self.loads.busy().plus(own), now)
     }
 
-    /// Counts and logs which VMs of the region the demand puts in service.
+    /// Updates the metrics on the VMs of the region that the demand puts in service, and logs
+    /// changes.
     fn report_in_service(&mut self, demand: CoreShare, now: MonoTime) {
         let order = self.peers.near_order(now);
         let (chosen, serving) = (order.for_demand(demand), order.len());
@@ -185,7 +190,7 @@
         }
     }
 
-    /// Links to the VMs that serve. Those known already are kept with their connections.
+    /// Returns links to the VMs that serve. Known links are reused with their connections.
     fn current_links(&mut self, heartbeats: &[PeerBeat]) -> Vec<Arc<PeerLink>> {
         let mut links = HashMap::new();
         for beat in heartbeats.iter().filter(|beat| beat.phase == PeerPhase::Serving) {
--- a/crates/foldhaven-gateway/src/control/upstream_signals.rs
+++ b/crates/foldhaven-gateway/src/control/upstream_signals.rs
@@ -1,4 +1,5 @@
-//! Takes in what upstreams have said of themselves to other VMs, and chooses whom to tell what they have said to this one.
+//! Handles the limits and leave notices of upstreams that other VMs relay, and chooses the targets
+//! of those that this VM received.
 
 use std::net::SocketAddr;
 
@@ -9,7 +10,7 @@
 use crate::leaving_desk::note_leaving;
 use crate::limit_desk::note_change;
 
-/// Another VM of the region told of limits.
+/// Upstream limits received from another VM of the region.
 pub struct ReceiveLimits {
     pub limits: Vec<LimitNotice>,
 }
@@ -22,7 +23,7 @@
         let mut has_changed = false;
         for notice in &message.limits {
             let Some(change) = self.shared.limits.hear(notice, now) else { continue };
-            // One that is not listed yet is bounded from when it is.
+            // The limit of an upstream that is not listed yet is applied once it is.
             let Some(upstream) = self.by_tag.get(&notice.upstream) else { continue };
             self.shared.limits.apply(upstream);
             note_change(&self.shared, upstream, &change, "peer");
@@ -34,7 +35,7 @@
     }
 }
 
-/// Another VM of the region told of upstreams that leave.
+/// Notices of leaving upstreams received from another VM of the region.
 pub struct ReceiveLeavingNotices {
     pub leavers: Vec<LeavingNotice>,
 }
@@ -55,7 +56,8 @@
     }
 }
 
-/// Puts in force what this VM has heard, and asks whom to tell of it.
+/// Applies the signals that this VM has received from upstreams, and requests the VMs to relay them
+/// to.
 pub struct PlanSignalTargets {
     pub reason: SendReason,
 }
@@ -76,7 +78,7 @@
 }
 
 impl ControlActor {
-    /// Forgets what upstreams said that are gone.
+    /// Removes the signals of upstreams that are no longer listed.
     pub(super) fn forget_signals(&self) {
         let is_listed = |tag| self.by_tag.contains_key(&tag);
         self.shared.limits.forget(is_listed, &self.shared);
