--- a/crates/foldhaven-gateway/src/attempts/mod.rs
+++ b/crates/foldhaven-gateway/src/attempts/mod.rs
@@ -63,8 +63,8 @@
 impl LoggedChoice {
     fn of(chosen: &DestinationChoice) -> Self {
         Self {
-            first_ms: chosen.first.as_millis() as u64,
-            read_tokens: chosen.read_tokens,
+            first_ms: chosen.time_to_first.as_millis() as u64,
+            read_tokens: chosen.prefill_tokens,
             load: chosen.queue.in_flight,
             rank: chosen.rank,
         }
@@ -238,7 +238,7 @@
                 sleep(PEER_POLL).await;
                 continue;
             };
-            let place = chosen.place.clone();
+            let place = chosen.destination.clone();
             match self.call(chosen, resume_after).await {
                 Ok(placed) => return Ok(placed),
                 Err(fault) => {
@@ -270,9 +270,9 @@
                 return Err(self.after_tries(refusal));
             }
         };
-        self.begin_trial(&chosen.place).map_err(|refusal| self.after_tries(refusal))?;
-        self.tried.note(&chosen.place);
-        self.last_place = Some(chosen.place.name().to_owned());
+        self.begin_trial(&chosen.destination).map_err(|refusal| self.after_tries(refusal))?;
+        self.tried.record(&chosen.destination);
+        self.last_place = Some(chosen.destination.name().to_owned());
         self.last_expected = Some(LoggedChoice::of(&chosen));
         Ok(Some(chosen))
     }
--- a/crates/foldhaven-gateway/src/attempts/requests.rs
+++ b/crates/foldhaven-gateway/src/attempts/requests.rs
@@ -32,8 +32,15 @@
         chosen: DestinationChoice,
         resume_after: Option<&str>,
     ) -> Result<PlacedAnswer, CallFault> {
-        let DestinationChoice { place, first, read_tokens, queue, rank, until_answer, fetch_from } =
-            chosen;
+        let DestinationChoice {
+            destination: place,
+            time_to_first: first,
+            prefill_tokens: read_tokens,
+            queue,
+            rank,
+            until_answer,
+            fetch_from,
+        } = chosen;
         let mut request = self.make_request(&place, resume_after, rank);
         if let Some(holder) = fetch_from {
             let name = self.shared.names.fetch_from.clone();
--- a/crates/foldhaven-gateway/src/control/account_limits.rs
+++ b/crates/foldhaven-gateway/src/control/account_limits.rs
@@ -21,9 +21,9 @@
 #[derive(Default)]
 pub struct PlannedDemandReports {
     pub local_targets: Vec<SocketAddr>,
-    pub near: Option<NearDemand>,
+    pub local: Option<NearDemand>,
     pub remote_targets: Vec<SocketAddr>,
-    pub far: Option<RegionDemand>,
+    pub remote: Option<RegionDemand>,
 }
 
 /// A demand report received from another VM of the region.
@@ -53,19 +53,19 @@
         let heard = self.peers.heard_near(now);
         let view = self.sharer_view(heard.len(), now);
         let incarnation = self.peers.incarnation();
-        let near = self.account_demands.tell_near(&wants, &view, &heard, incarnation, now);
+        let local = self.account_demands.tell_near(&wants, &view, &heard, incarnation, now);
         self.update_limit_shares(names, &wants, view, now);
         let is_speaker = self.phase() == PeerPhase::Serving && self.peers.is_delegate(now);
-        let far =
+        let remote =
             is_speaker.then(|| self.account_demands.tell_far(&wants, incarnation, now)).flatten();
         PlannedDemandReports {
-            local_targets: near.as_ref().map(|_| self.local_peers()).unwrap_or_default(),
-            near,
-            remote_targets: match far.is_some() {
+            local_targets: local.as_ref().map(|_| self.local_peers()).unwrap_or_default(),
+            local,
+            remote_targets: match remote.is_some() {
                 true => self.peers.one_in_service_of_each_region(now),
                 false => Vec::new(),
             },
-            far,
+            remote,
         }
     }
 }
--- a/crates/foldhaven-gateway/src/control/catch_up.rs
+++ b/crates/foldhaven-gateway/src/control/catch_up.rs
@@ -49,7 +49,7 @@
 /// A VM with newer state, and the revision from which this VM needs the changes.
 pub struct NewerPeer {
     pub peer: SocketAddr,
-    pub known: Option<u64>,
+    pub base_revision: Option<u64>,
 }
 
 /// The next step to catch up with other VMs.
@@ -92,10 +92,10 @@
         self.update_read_assignment();
         let is_due =
             self.platform.routes().is_none() || self.platform.needs_snapshot() || lag >= limit;
-        let known = self.platform.base_revision();
+        let base_revision = self.platform.base_revision();
         if is_due {
             self.catch_up_attempts = self.catch_up_attempts.wrapping_add(1);
-            return CatchUpStep::Ask(NewerPeer { peer, known });
+            return CatchUpStep::Ask(NewerPeer { peer, base_revision });
         }
         let next = if !is_local && lag < RELAY_DELAY { RELAY_DELAY } else { limit };
         CatchUpStep::Wait(next.saturating_sub(lag))
--- a/crates/foldhaven-gateway/src/control/suspect_targets.rs
+++ b/crates/foldhaven-gateway/src/control/suspect_targets.rs
@@ -28,9 +28,9 @@
 #[derive(Debug, Default)]
 pub struct SuspectTargets {
     /// VMs of this region.
-    pub near: Vec<SocketAddr>,
+    pub local: Vec<SocketAddr>,
     /// VMs of other regions.
-    pub far: Vec<SocketAddr>,
+    pub remote: Vec<SocketAddr>,
 }
 
 impl Handler<PlanSuspectTargets> for ControlActor {
@@ -39,15 +39,15 @@
     async fn handle(&mut self, plan: PlanSuspectTargets, _: &mut Context<Self>) -> SuspectTargets {
         let now = self.now();
         if plan.reason == SendReason::Repeat {
-            let BeatTargets { near, far } = self.peers.next_told_targets(now);
-            return SuspectTargets { near, far };
+            let BeatTargets { near: local, far: remote } = self.peers.next_told_targets(now);
+            return SuspectTargets { local, remote };
         }
-        let mut far = Vec::new();
+        let mut remote = Vec::new();
         for _ in 0..TARGETS_PER_REGION {
-            far.extend(self.peers.one_in_service_of_each_region(now));
+            remote.extend(self.peers.one_in_service_of_each_region(now));
         }
-        far.sort_unstable();
-        far.dedup();
-        SuspectTargets { near: self.local_peers(), far }
+        remote.sort_unstable();
+        remote.dedup();
+        SuspectTargets { local: self.local_peers(), remote }
     }
 }
--- a/crates/foldhaven-gateway/src/datagrams.rs
+++ b/crates/foldhaven-gateway/src/datagrams.rs
@@ -98,7 +98,7 @@
                 send_report(&socket, &targets, report).await;
             }
         }
-        for placements in fitting_chunks(remote_placements) {
+        for placements in datagram_chunks(remote_placements) {
             send_to(&socket, &remote_targets, &PeerMessage::Placements(placements)).await;
         }
         if let Some(region) = region {
@@ -114,7 +114,7 @@
 /// Sends a load report. It is also the sign that this VM lives, and so must fit a datagram: prompts beyond that,
 /// which only make requests faster, are left out.
 async fn send_report(socket: &UdpSocket, targets: &[SocketAddr], mut report: LoadReport) {
-    let mut chunks = fitting_chunks(std::mem::take(&mut report.placements)).into_iter();
+    let mut chunks = datagram_chunks(std::mem::take(&mut report.placements)).into_iter();
     report.placements = chunks.next().unwrap_or_default();
     let left_out: usize = chunks.map(|chunk| chunk.len()).sum();
     if left_out > 0 {
@@ -124,7 +124,7 @@
 }
 
 /// Prompts in portions of which each fits a datagram, with other things beside it.
-fn fitting_chunks(placements: Vec<PromptPlacement>) -> Vec<Vec<PromptPlacement>> {
+fn datagram_chunks(placements: Vec<PromptPlacement>) -> Vec<Vec<PromptPlacement>> {
     let mut chunks: Vec<Vec<PromptPlacement>> = Vec::new();
     let mut parts = MAX_PROMPT_PARTS;
     for mut placement in placements {
@@ -312,18 +312,18 @@
 pub async fn send_demands(socket: Arc<UdpSocket>, control: ControlAddress) {
     loop {
         let Ok(planned) = control.send(PlanDemandReports).await else { return };
-        if let Some(near) = planned.near {
-            send_near_demand(&socket, &planned.local_targets, near).await;
+        if let Some(local) = planned.local {
+            send_local_demand(&socket, &planned.local_targets, local).await;
         }
-        if let Some(far) = planned.far {
-            send_to(&socket, &planned.remote_targets, &PeerMessage::RegionDemand(far)).await;
+        if let Some(remote) = planned.remote {
+            send_to(&socket, &planned.remote_targets, &PeerMessage::RegionDemand(remote)).await;
         }
         sleep(DEMAND_INTERVAL).await;
     }
 }
 
 /// Sends what one VM tells its region; in messages of one part each where all together may not fit a datagram.
-async fn send_near_demand(socket: &UdpSocket, targets: &[SocketAddr], demand: NearDemand) {
+async fn send_local_demand(socket: &UdpSocket, targets: &[SocketAddr], demand: NearDemand) {
     let own = demand.own.as_ref().map_or(0, |own| own.wants.len());
     let wants: usize = own + demand.regions.iter().map(|it| it.wants.len()).sum::<usize>();
     if wants <= MAX_WANTS {
--- a/crates/foldhaven-gateway/src/destinations/local.rs
+++ b/crates/foldhaven-gateway/src/destinations/local.rs
@@ -54,9 +54,9 @@
         }
         let queue = self.upstream.queue();
         Ok(DestinationChoice {
-            place: RequestDestination::Upstream(self.upstream),
-            first: self.choice.first,
-            read_tokens: self.choice.read_tokens,
+            destination: RequestDestination::Upstream(self.upstream),
+            time_to_first: self.choice.first,
+            prefill_tokens: self.choice.read_tokens,
             queue,
             rank: self.choice.rank,
             until_answer: self.choice.until_answer,
@@ -91,7 +91,7 @@
 }
 
 /// Whether an upstream of this region may get a request now.
-pub(super) fn has_open(shared: &GatewayShared, view: &GatewayView, job: &GatewayJob) -> bool {
+pub(super) fn has_available(shared: &GatewayShared, view: &GatewayView, job: &GatewayJob) -> bool {
     let now = shared.now();
     let mut local = local_upstreams(shared, view, job).into_iter();
     local.any(|upstream| throttled_for(upstream, now).is_none())
@@ -143,11 +143,11 @@
 ) -> Vec<UpstreamFacts<'a>> {
     let now = shared.now();
     let hold = shared.measured_pace(&job.service).hold;
-    local.iter().map(|upstream| facts_of(shared, upstream, job, tried, hold, now)).collect()
+    local.iter().map(|upstream| candidate_of(shared, upstream, job, tried, hold, now)).collect()
 }
 
 /// What the choice weighs of one upstream.
-fn facts_of<'a>(
+fn candidate_of<'a>(
     shared: &GatewayShared,
     upstream: &'a Upstream,
     job: &GatewayJob,
--- a/crates/foldhaven-gateway/src/destinations/mod.rs
+++ b/crates/foldhaven-gateway/src/destinations/mod.rs
@@ -15,7 +15,7 @@
 use foldhaven_core::opaque::queue_rank::QueueRank;
 
 pub use self::local::expected_wait;
-use self::local::{LocalChoice, choose_local, has_open, signalled_wait};
+use self::local::{LocalChoice, choose_local, has_available, signalled_wait};
 pub use self::overview::{describe_candidates, price_destinations};
 use self::remote::{RemoteChoice, choose_remote};
 use crate::answer::Refusal;
@@ -82,11 +82,11 @@
 
 /// A place with what is expected of it.
 pub struct DestinationChoice {
-    pub place: RequestDestination,
+    pub destination: RequestDestination,
     /// The expected time to the answer, or to its first event.
-    pub first: Duration,
+    pub time_to_first: Duration,
     /// The prompt tokens that are to be read.
-    pub read_tokens: u32,
+    pub prefill_tokens: u32,
     /// The requests that the place has.
     pub queue: QueueFacts,
     /// Its rank there.
@@ -105,8 +105,8 @@
 }
 
 impl TriedDestinations {
-    pub fn note(&mut self, place: &RequestDestination) {
-        match place {
+    pub fn record(&mut self, destination: &RequestDestination) {
+        match destination {
             RequestDestination::Upstream(upstream) => self.upstreams.push(upstream.name().clone()),
             RequestDestination::Peer(peer) => self.peers.push(peer.vm.clone()),
         }
@@ -163,7 +163,7 @@
     let is_elsewhere = view.expected_waits.keys().any(|(region, service)| {
         *service == job.service && region != own_region && job.permits(region)
     });
-    let is_open = is_elsewhere || has_open(shared, view, job);
+    let is_open = is_elsewhere || has_available(shared, view, job);
     if is_open { None } else { signalled_wait(shared, view, job) }
 }
 
--- a/crates/foldhaven-gateway/src/destinations/overview.rs
+++ b/crates/foldhaven-gateway/src/destinations/overview.rs
@@ -32,8 +32,8 @@
     let remote = remote.into_iter().map(|remote| PlacePrice {
         name: remote.region.to_string(),
         is_far: true,
-        first_ms: remote.choice.first.as_millis() as u64,
-        read_tokens: remote.choice.read_tokens,
+        first_ms: remote.choice.time_to_first.as_millis() as u64,
+        read_tokens: remote.choice.prefill_tokens,
         parts: remote.parts,
     });
     local.chain(remote).collect()
--- a/crates/foldhaven-gateway/src/destinations/remote.rs
+++ b/crates/foldhaven-gateway/src/destinations/remote.rs
@@ -40,7 +40,7 @@
 impl RemoteChoice {
     /// The place, for the decision whether the request is sent there.
     pub(super) fn estimate(&self) -> PlaceOffer {
-        let DestinationChoice { first, rank, queue, .. } = self.choice;
+        let DestinationChoice { time_to_first: first, rank, queue, .. } = self.choice;
         PlaceOffer { first, parts: self.parts, rank, queue, is_full: false }
     }
 }
@@ -89,30 +89,30 @@
         let job = self.job;
         let query = choice_query(self.shared, self.view, job);
         let missing = self.missing_tokens(query.shared_tokens);
-        let read_tokens = query.own_tokens + missing;
+        let prefill_tokens = query.own_tokens + missing;
         let pace = self.shared.measured_pace(&job.service);
-        let connection_time = self.connection_time(&peer);
-        let sent = self.sent_since(pace.hold, connection_time);
-        let there = pace.first(sent, QueueRank::Timely, read_tokens);
-        let first = connection_time + self.wait.wait + there;
+        let network_time = self.network_time(&peer);
+        let sent = self.sent_since(pace.hold, network_time);
+        let there = pace.first(sent, QueueRank::Timely, prefill_tokens);
+        let time_to_first = network_time + self.wait.wait + there;
         // What was told counts most requests that were sent since, too.
         let queue = QueueFacts { in_flight: sent.in_flight.max(self.wait.load), ..sent };
         let parts = CostParts {
-            time: RequestCost::of_time(query.waited + first, query.target).0,
+            time: RequestCost::of_time(query.waited + time_to_first, query.target).0,
             rereading: RequestCost::of_rereading(missing, query.size).0,
             moving: RequestCost::of_bytes(job.body.len(), REGION_BYTE_PRICE, query.size).0,
             pauses: pause_cost(&query, self.wait.long_pauses).0,
             streaming: streaming_cost(&query, &pace, queue).0,
-            slowing: slowing_cost(&query, &pace, queue, read_tokens).0,
+            slowing: slowing_cost(&query, &pace, queue, prefill_tokens).0,
             ..CostParts::default()
         };
-        let place = RequestDestination::Peer(peer);
+        let destination = RequestDestination::Peer(peer);
         let choice = DestinationChoice {
-            place,
-            first,
-            read_tokens,
+            destination,
+            time_to_first,
+            prefill_tokens,
             queue,
-            rank: query.rank(first),
+            rank: query.rank(time_to_first),
             until_answer: None,
             fetch_from: None,
         };
@@ -120,7 +120,7 @@
     }
 
     /// The way there and back, twice where no connection is open.
-    fn connection_time(&self, peer: &PeerLink) -> Duration {
+    fn network_time(&self, peer: &PeerLink) -> Duration {
         let round_trip = self.view.round_trip(self.region).unwrap_or(DEFAULT_ROUND_TRIP);
         match peer.pool.has_open() {
             true => round_trip,
@@ -130,7 +130,7 @@
 
     /// What this region's VMs have sent there since its VMs told their waits, as far as it can be
     /// guessed from what this one has sent.
-    fn sent_since(&self, hold: Duration, connection_time: Duration) -> QueueFacts {
+    fn sent_since(&self, hold: Duration, network_time: Duration) -> QueueFacts {
         let links = self.view.peers.iter().filter(|peer| peer.region == *self.region);
         let sent = links.map(|peer| peer.share(&self.job.service));
         let own = sent.fold(UpstreamShare::default(), |sum, share| UpstreamShare {
@@ -139,7 +139,7 @@
             ..sum
         });
         let RegionWait { upstreams, slots, .. } = self.wait;
-        FarService { upstreams, slots, hold, way: connection_time }.queue(own, self.view.senders)
+        FarService { upstreams, slots, hold, way: network_time }.queue(own, self.view.senders)
     }
 
     /// The tokens of the shared parts that would have to be read there.
--- a/crates/foldhaven-gateway/src/feed.rs
+++ b/crates/foldhaven-gateway/src/feed.rs
@@ -160,7 +160,7 @@
 
 impl ChangeSet {
     /// The versions that its difference between descriptions was put together over.
-    pub fn through(&self) -> Vec<RouteVersion> {
+    pub fn spanned_versions(&self) -> Vec<RouteVersion> {
         let deltas = self.changes.iter().filter_map(|numbered| match &numbered.change {
             FeedChange::DescriptionDelta(delta) => Some(delta.through()),
             _ => None,
@@ -169,10 +169,10 @@
     }
 
     /// The same changes, whose difference between descriptions is told to be put together over these versions.
-    pub fn told_through(mut self, through: &[RouteVersion]) -> Self {
+    pub fn with_spanned_versions(mut self, versions: &[RouteVersion]) -> Self {
         for numbered in &mut self.changes {
             if let FeedChange::DescriptionDelta(delta) = &mut numbered.change {
-                **delta = (**delta).clone().told_through(through.to_vec());
+                **delta = (**delta).clone().told_through(versions.to_vec());
             }
         }
         self
--- a/crates/foldhaven-gateway/src/peer_state.rs
+++ b/crates/foldhaven-gateway/src/peer_state.rs
@@ -62,7 +62,7 @@
     let mut avoided = None;
     loop {
         let Ok(next) = control.send(FindNewerPeer { avoided }).await else { return };
-        let NewerPeer { peer, known } = match next {
+        let NewerPeer { peer, base_revision: known } = match next {
             CatchUpStep::Ask(ahead) => ahead,
             CatchUpStep::Wait(pause) => {
                 await_news(&shared, pause.min(CHECK_INTERVAL)).await;
@@ -93,7 +93,7 @@
                         control.send(ApplyChanges { changes, peer }).await
                     }
                     PeerState::SpanningChanges(changes, through) => {
-                        let changes = changes.told_through(&through);
+                        let changes = changes.with_spanned_versions(&through);
                         control.send(ApplyChanges { changes, peer }).await
                     }
                 };
@@ -151,7 +151,7 @@
         Ok(CatchUpStep::Ask(other)) if other.peer != first => other,
         _ => return (first, read_answer(begun.await).await),
     };
-    let (second, known) = (other.peer, other.known);
+    let (second, known) = (other.peer, other.base_revision);
     tracing::info!(peer = %first, other = %second, "a peer says nothing, another one is asked too");
     let mut hedge = pin!(begin_asking(second, known));
     let (peer, answer) = tokio::select! {
--- a/crates/foldhaven-gateway/src/platform_state/change_log.rs
+++ b/crates/foldhaven-gateway/src/platform_state/change_log.rs
@@ -103,7 +103,7 @@
             Some((after, changes)) => {
                 let revision = self.revision.max(after);
                 let set = ChangeSet { after, revision, changes };
-                let through = set.through();
+                let through = set.spanned_versions();
                 match accepts_spanning && !through.is_empty() {
                     true => PeerState::SpanningChanges(set, through),
                     false => PeerState::Changes(set),
--- a/crates/foldhaven-gateway/src/suspect_news.rs
+++ b/crates/foldhaven-gateway/src/suspect_news.rs
@@ -26,7 +26,8 @@
             return Ok(());
         }
         let reason = SendReason::Change;
-        let SuspectTargets { near, far } = self.control.send(PlanSuspectTargets { reason }).await?;
+        let SuspectTargets { local: near, remote: far } =
+            self.control.send(PlanSuspectTargets { reason }).await?;
         let wide = news.iter().filter(|news| news.reach == NewsReach::Wide);
         let wide: Vec<SuspectRecord> = wide.map(|news| news.record.clone()).collect();
         let all: Vec<SuspectRecord> = news.into_iter().map(|news| news.record).collect();
@@ -70,7 +71,8 @@
             return Ok(());
         }
         let reason = SendReason::Repeat;
-        let SuspectTargets { near, far } = self.control.send(PlanSuspectTargets { reason }).await?;
+        let SuspectTargets { local: near, remote: far } =
+            self.control.send(PlanSuspectTargets { reason }).await?;
         self.send(&far, &records).await;
         self.send(&near, &records).await;
         Ok(())
--- a/crates/foldhaven-gateway/tests/testsuite/answer_cache.rs
+++ b/crates/foldhaven-gateway/tests/testsuite/answer_cache.rs
@@ -43,7 +43,7 @@
 
 /// A VM wrote the same changes anew for each VM of its region that asked, one after the other.
 #[test]
-fn an_answer_is_written_once_for_all_that_ask_the_same() {
+fn equal_requests_share_one_serialized_answer() {
     let (cache, offer) = (AnswerCache::default(), offer(7));
     let first = cache.answer(&offer, ALL).unwrap();
     let second = cache.answer(&offer, ALL).unwrap();
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn an_answer_is_of_what_is_asked_and_held_now() {
+fn answer_matches_request_and_current_state() {
     let cache = AnswerCache::default();
     let (older, newer) = (offer(7), offer(8));
     let requests = [Some(7), Some(6), None]
--- a/crates/foldhaven-gateway/tests/testsuite/peer_messages.rs
+++ b/crates/foldhaven-gateway/tests/testsuite/peer_messages.rs
@@ -195,7 +195,7 @@
 
 /// What a later version adds is of a kind that is not known here, and is no message; so is what is cut, or too long.
 #[test]
-fn messages_of_another_form_are_dropped() {
+fn malformed_messages_are_rejected() {
     for kind in 10..=250u8 {
         assert!(PeerMessage::read(&[kind, 1, 2, 3, 4, 5, 6, 7, 8]).is_err(), "kind {kind}");
     }
--- a/crates/foldhaven-gateway/tests/testsuite/platform_state.rs
+++ b/crates/foldhaven-gateway/tests/testsuite/platform_state.rs
@@ -29,15 +29,15 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-const USUAL_ORDERS: u64 = 300;
+const DEFAULT_SEEDS: u64 = 300;
 /// How much happens in one order.
 const EVENTS: usize = 400;
 const VMS: usize = 3;
 const NAMES: [&str; 4] = ["a", "b", "c", "d"];
 
-fn orders() -> u64 {
+fn seed_count() -> u64 {
     let named = std::env::var("KNOWN_ORDERS").ok().and_then(|text| text.parse().ok());
-    named.unwrap_or(USUAL_ORDERS)
+    named.unwrap_or(DEFAULT_SEEDS)
 }
 
 fn context() -> ApplyContext {
@@ -86,7 +86,7 @@
     history: Vec<NumberedChange>,
     version: u64,
     /// Up to which revision the history is gone.
-    forgotten: u64,
+    compacted_revision: u64,
 }
 
 impl Platform {
@@ -148,7 +148,7 @@
     }
 
     /// A list of which some items are as of an earlier revision, which it names, and others as of now: pages are no snapshot.
-    fn list(&self, random: &mut StdRng, since: u64) -> FeedSnapshot {
+    fn paged_list(&self, random: &mut StdRng, since: u64) -> FeedSnapshot {
         let mut items: BTreeMap<String, NumberedChange> = BTreeMap::new();
         for revision in [since, self.revision()] {
             for item in self.items_at(revision) {
@@ -207,21 +207,21 @@
 /// A message on its way to a VM.
 #[derive(Clone)]
 enum Message {
-    Told(ChangeSet),
+    Announced(ChangeSet),
     Answer(PeerState),
 }
 
 impl Message {
     /// As it arrives at another process.
-    fn written_and_read(self) -> Self {
+    fn serialized(self) -> Self {
         match self {
-            Self::Told(changes) => Self::Told(reread(&changes)),
-            Self::Answer(state) => Self::Answer(reread(&state)),
+            Self::Announced(changes) => Self::Announced(serialize_round_trip(&changes)),
+            Self::Answer(state) => Self::Answer(serialize_round_trip(&state)),
         }
     }
 }
 
-fn reread<T: Serialize + DeserializeOwned>(value: &T) -> T {
+fn serialize_round_trip<T: Serialize + DeserializeOwned>(value: &T) -> T {
     let codec = bincode::DefaultOptions::new();
     let bytes = codec.serialize(value).unwrap();
     bincode::DefaultOptions::new().deserialize(&bytes).unwrap()
@@ -233,10 +233,10 @@
     /// What others may take over from each VM, as it was shown last.
     offers: Vec<Option<Arc<StateOffer>>>,
     /// Lists that are being read, by the revision of their first page.
-    lists: Vec<Option<u64>>,
+    pending_lists: Vec<Option<u64>>,
     messages: Vec<(usize, Message)>,
     /// The revision and the version that each VM had last; no life of a VM goes back.
-    had: Vec<(u64, RouteVersion)>,
+    previous: Vec<(u64, RouteVersion)>,
 }
 
 impl World {
@@ -245,9 +245,9 @@
             platform: Platform::default(),
             vms: (0..VMS).map(|_| PlatformState::default()).collect(),
             offers: vec![None; VMS],
-            lists: vec![None; VMS],
+            pending_lists: vec![None; VMS],
             messages: Vec::new(),
-            had: vec![Default::default(); VMS],
+            previous: vec![Default::default(); VMS],
         }
     }
 
@@ -257,8 +257,10 @@
             0..3 => self.platform.publish_any(random),
             3..5 => self.read(vm, random),
             5 => self.offers[vm] = self.vms[vm].offer(context().now).map(Arc::new),
-            6 => self.ask(vm, random),
-            7 if random.random_bool(0.1) => self.platform.forgotten = self.platform.revision(),
+            6 => self.request_state(vm, random),
+            7 if random.random_bool(0.1) => {
+                self.platform.compacted_revision = self.platform.revision()
+            }
             7 if random.random_bool(0.05) => self.restart(vm),
             _ => self.deliver(random),
         }
@@ -267,35 +269,35 @@
     fn restart(&mut self, vm: usize) {
         self.vms[vm] = PlatformState::default();
         self.offers[vm] = None;
-        self.lists[vm] = None;
-        self.had[vm] = Default::default();
+        self.pending_lists[vm] = None;
+        self.previous[vm] = Default::default();
         self.messages.retain(|(to, _)| *to != vm);
     }
 
     /// Reads what changed, or goes on with a list.
     fn read(&mut self, vm: usize, random: &mut StdRng) {
         let revision = self.platform.revision();
-        if let Some(since) = self.lists[vm].take() {
-            let list = self.platform.list(random, since);
+        if let Some(since) = self.pending_lists[vm].take() {
+            let list = self.platform.paged_list(random, since);
             let applied = self.vms[vm].apply_snapshot(list, context());
-            return self.tell(vm, applied);
+            return self.announce(vm, applied);
         }
         let known = self.vms[vm].revision();
-        if !self.vms[vm].has_state() || known < self.platform.forgotten {
-            self.lists[vm] = Some(revision);
+        if !self.vms[vm].has_state() || known < self.platform.compacted_revision {
+            self.pending_lists[vm] = Some(revision);
             return;
         }
         let applied = self.vms[vm].apply_changes(self.platform.changes(known), context());
-        self.tell(vm, applied.map(|applied| applied.changes));
+        self.announce(vm, applied.map(|applied| applied.changes));
     }
 
-    fn tell(&mut self, vm: usize, applied: Option<ChangeSet>) {
+    fn announce(&mut self, vm: usize, applied: Option<ChangeSet>) {
         let Some(changes) = applied.filter(|applied| !applied.changes.is_empty()) else { return };
         let others = (0..VMS).filter(|other| *other != vm);
-        self.messages.extend(others.map(|other| (other, Message::Told(changes.clone()))));
+        self.messages.extend(others.map(|other| (other, Message::Announced(changes.clone()))));
     }
 
-    fn ask(&mut self, vm: usize, random: &mut StdRng) {
+    fn request_state(&mut self, vm: usize, random: &mut StdRng) {
         let other = random.random_range(0..VMS);
         let Some(offer) = self.offers[other].clone().filter(|_| other != vm) else { return };
         let answer = offer.state_after(self.vms[vm].base_revision(), random.random_bool(0.7));
@@ -313,30 +315,30 @@
             false => self.messages.swap_remove(at),
         };
         if !random.random_bool(0.2) {
-            self.take(vm, message.written_and_read());
+            self.apply(vm, message.serialized());
         }
     }
 
-    fn hand_over(&mut self, at: usize) {
+    fn deliver_at(&mut self, at: usize) {
         let (vm, message) = self.messages.swap_remove(at);
-        self.take(vm, message);
+        self.apply(vm, message);
     }
 
-    fn take(&mut self, vm: usize, message: Message) {
+    fn apply(&mut self, vm: usize, message: Message) {
         let known = &mut self.vms[vm];
         let before = known.revision();
         match message {
-            Message::Told(changes) if known.can_apply(&changes) => {
+            Message::Announced(changes) if known.can_apply(&changes) => {
                 known.apply_changes(changes, context());
             }
-            Message::Told(changes) => {
+            Message::Announced(changes) => {
                 let early = changes.changes.into_iter();
                 let early = early.filter(|it| EarlyChanges::may_apply_early(&it.change)).collect();
                 known.apply_early_changes(early, context().now);
             }
             Message::Answer(PeerState::KeyedSnapshot(snapshot, accounts)) => {
                 let answer = PeerState::Snapshot(snapshot.with_accounts(accounts));
-                self.take(vm, Message::Answer(answer));
+                self.apply(vm, Message::Answer(answer));
             }
             Message::Answer(PeerState::Snapshot(snapshot)) => {
                 let is_news = snapshot.revision > before;
@@ -351,7 +353,7 @@
             }
             Message::Answer(PeerState::SpanningChanges(changes, through)) => {
                 if changes.revision > before {
-                    known.apply_changes(changes.told_through(&through), context());
+                    known.apply_changes(changes.with_spanned_versions(&through), context());
                 }
             }
         }
@@ -360,11 +362,11 @@
     /// What a VM holds must be as the platform had it at its revision or later.
     fn check(&mut self) -> Result<(), String> {
         for (vm, known) in self.vms.iter().enumerate() {
-            let (has, had) = ((known.revision(), known.version()), self.had[vm]);
-            if has.0 < had.0 || has.1 < had.1 {
-                return Err(format!("VM {vm} goes back from {had:?} to {has:?}"));
+            let (current, previous) = ((known.revision(), known.version()), self.previous[vm]);
+            if current.0 < previous.0 || current.1 < previous.1 {
+                return Err(format!("VM {vm} goes back from {previous:?} to {current:?}"));
             }
-            self.had[vm] = has;
+            self.previous[vm] = current;
         }
         for (vm, known) in self.vms.iter().enumerate().filter(|(_, known)| known.has_state()) {
             self.check_description(known).map_err(|wrong| format!("VM {vm}: {wrong}"))?;
@@ -428,7 +430,7 @@
                 let Some(offer) = &self.offers[0] else { continue };
                 let answer = offer.state_after(self.vms[vm].base_revision(), true);
                 self.messages = vec![(vm, Message::Answer(answer))];
-                self.hand_over(0);
+                self.deliver_at(0);
             }
         }
     }
@@ -445,8 +447,8 @@
 }
 
 #[test]
-fn a_revision_never_passes_what_was_taken_in() {
-    for seed in 0..orders() {
+fn revision_never_exceeds_applied_changes() {
+    for seed in 0..seed_count() {
         let mut random = StdRng::seed_from_u64(seed);
         let mut world = World::new();
         world.platform.publish_description(&mut random);
