--- a/crates/foldhaven-gateway/src/datagrams.rs
+++ b/crates/foldhaven-gateway/src/datagrams.rs
@@ -1,4 +1,5 @@
-//! Sends and takes what VMs tell each other over UDP: a silent VM must not hold up anybody.
+//! Sends and receives the UDP messages between VMs. UDP is used so that an unresponsive VM cannot
+//! delay the others.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -28,14 +29,15 @@
 use crate::platform_state::EarlyChanges;
 use crate::shared::GatewayShared;
 
-/// How many parts of prompts go into one datagram. A part is a hash and a count of at most 14 bytes together, so that
-/// half of the datagram is left for the rest.
-const MAX_PROMPT_PARTS: usize = 580;
-/// A VM without requests reports in every n-th round only.
+/// Maximum number of prompt segments in one datagram. A segment is a hash and a token count of at
+/// most 14 bytes together, so that half of the datagram is left for other content.
+const MAX_PROMPT_SEGMENTS: usize = 580;
+/// A VM without requests sends a report only every this many rounds.
 const IDLE_REPORT_EVERY: u32 = 4;
 
-/// Passes changes of the platform on to VMs that do not read them themselves. Those that do not fit
-/// a datagram are asked for; what must not wait for that goes ahead.
+/// Forwards platform changes to VMs that do not read the platform themselves. Changes that do not
+/// fit into a datagram have to be requested by the receivers; urgent ones among them are sent
+/// ahead.
 pub async fn send_updates(
     socket: Arc<UdpSocket>,
     mut updates: mpsc::UnboundedReceiver<OutgoingUpdate>,
@@ -73,14 +75,14 @@
                 send_bytes(socket, *target, &bytes).await;
             }
         }
-        Err(error) => tracing::warn!(revision, error = %error, "changes were not told"),
+        Err(error) => tracing::warn!(revision, error = %error, "changes were not sent"),
     }
     if is_offered {
         send_to(socket, &targets, &PeerMessage::News(offer)).await;
     }
 }
 
-/// Tells the other VMs of the region of this one's requests at its upstreams.
+/// Reports this VM's load at the upstreams to the other VMs of the region.
 pub async fn send_reports(socket: Arc<UdpSocket>, control: ControlAddress) {
     let mut idle_rounds = 0;
     let mut timer_delay = Duration::ZERO;
@@ -89,8 +91,8 @@
         let PlannedLoadReport { report, legs, remote_targets, remote_placements, region, interval } =
             planned;
         let is_idle = !report.is_active() && legs.iter().all(|leg| leg.news.is_empty());
-        // The first idle report says that the earlier requests have ended; later ones that this VM
-        // lives.
+        // The first idle report says that the earlier requests have ended; later ones say that this
+        // VM is live.
         if !is_idle || idle_rounds % IDLE_REPORT_EVERY == 0 {
             for ReportLeg { targets, news } in legs {
                 let ReportNews { placements, regions } = news;
@@ -111,8 +113,8 @@
     }
 }
 
-/// Sends a load report. It is also the sign that this VM lives, and so must fit a datagram: prompts beyond that,
-/// which only make requests faster, are left out.
+/// Sends a load report. Since it also shows that this VM is live, it has to fit into a datagram:
+/// excess prompt placements are left out, as they only make requests faster.
 async fn send_report(socket: &UdpSocket, targets: &[SocketAddr], mut report: LoadReport) {
     let mut chunks = datagram_chunks(std::mem::take(&mut report.placements)).into_iter();
     report.placements = chunks.next().unwrap_or_default();
@@ -123,27 +125,27 @@
     send_to(socket, targets, &PeerMessage::Load(report)).await;
 }
 
-/// Prompts in portions of which each fits a datagram, with other things beside it.
+/// Splits prompt placements into chunks that fit into a datagram with other content.
 fn datagram_chunks(placements: Vec<PromptPlacement>) -> Vec<Vec<PromptPlacement>> {
     let mut chunks: Vec<Vec<PromptPlacement>> = Vec::new();
-    let mut parts = MAX_PROMPT_PARTS;
+    let mut segments = MAX_PROMPT_SEGMENTS;
     for mut placement in placements {
-        // What is left is the beginning of the prompt, which is where prompts meet.
-        placement.shared.truncate(MAX_PROMPT_PARTS - 1);
+        // The beginning of the prompt is kept, since prompts share their beginnings.
+        placement.shared.truncate(MAX_PROMPT_SEGMENTS - 1);
         let size = placement.shared.len() + 1;
         match chunks.last_mut() {
-            Some(chunk) if parts + size <= MAX_PROMPT_PARTS => chunk.push(placement),
+            Some(chunk) if segments + size <= MAX_PROMPT_SEGMENTS => chunk.push(placement),
             _ => {
-                parts = 0;
+                segments = 0;
                 chunks.push(vec![placement]);
             }
         }
-        parts += size;
+        segments += size;
     }
     chunks
 }
 
-/// Takes datagrams and hands them to the keeper.
+/// Receives datagrams and dispatches them to the control actor.
 pub async fn receive_datagrams(
     socket: Arc<UdpSocket>,
     control: ControlAddress,
@@ -154,8 +156,8 @@
         let (length, sender) = match socket.recv_from(&mut buffer).await {
             Ok(received) => received,
             Err(error) => {
-                // An earlier datagram met a closed port; the socket goes on.
-                tracing::debug!(error = %error, "receiving a heartbeat failed");
+                // An earlier datagram was sent to a closed port. The socket stays usable.
+                tracing::debug!(error = %error, "receiving a datagram failed");
                 continue;
             }
         };
@@ -186,14 +188,14 @@
     }
 }
 
-/// Messages with their receivers.
+/// Messages with their targets.
 type OutgoingMessages = Vec<(SocketAddr, PeerMessage)>;
 
 fn heartbeat_messages(replies: PlannedBeats) -> OutgoingMessages {
     replies.into_iter().map(|(target, beat)| (target, PeerMessage::Beat(beat))).collect()
 }
 
-/// Hands a message to the keeper. Returns what is to be sent in reply.
+/// Dispatches a message to the control actor. Returns the messages to send in reply.
 async fn dispatch(
     control: &ControlAddress,
     message: PeerMessage,
@@ -236,7 +238,8 @@
     Ok(OutgoingMessages::new())
 }
 
-/// The address of a VM that has just started and asks for all there is to know.
+/// Returns the address of the sender if the message requests all heartbeats, as VMs do after their
+/// start.
 fn starting_peer(message: &PeerMessage) -> Option<SocketAddr> {
     match message {
         PeerMessage::Beat(beat) if beat.asks == AskedBeats::All => Some(beat.own.peer),
@@ -244,7 +247,8 @@
     }
 }
 
-/// Tells a VM that has just started which requests are held back, also when there are none: it waits for that.
+/// Sends the suspected requests to a VM that has just started. An empty message is sent as well,
+/// because that VM waits for it.
 async fn send_suspects_to_starting_peer(
     socket: &UdpSocket,
     shared: &GatewayShared,
@@ -255,7 +259,7 @@
     send_to(socket, &[target], &PeerMessage::Suspects(telling)).await;
 }
 
-/// Takes in what another VM tells of suspected requests.
+/// Applies the suspected requests that another VM sent.
 fn apply_suspects(shared: &GatewayShared, telling: &SuspectTelling) {
     let source = match telling.region == *shared.settings.region() {
         true => RecordSource::Near,
@@ -264,7 +268,8 @@
     shared.suspects.hear(&telling.records, source, &shared.change_context());
 }
 
-/// Sends heartbeats in rounds, and at once when this daemon starts to leave.
+/// Sends heartbeats in rounds, and immediately when this daemon starts to leave or finds that it
+/// was suspended.
 pub async fn send_heartbeats(
     socket: Arc<UdpSocket>,
     control: ControlAddress,
@@ -289,8 +294,8 @@
     }
 }
 
-/// Tells the VMs that share the limits of the region which list of them this one holds, while a limit of an upstream is in
-/// use.
+/// Sends this VM's list of senders to the VMs that share the region's rate limits, while a rate
+/// limit of an upstream is in use.
 pub async fn send_agreements(
     socket: Arc<UdpSocket>,
     control: ControlAddress,
@@ -308,7 +313,7 @@
     }
 }
 
-/// Tells other VMs what the callers of limited accounts want.
+/// Sends the demand of callers with account limits to other VMs.
 pub async fn send_demands(socket: Arc<UdpSocket>, control: ControlAddress) {
     loop {
         let Ok(planned) = control.send(PlanDemandReports).await else { return };
@@ -322,7 +327,8 @@
     }
 }
 
-/// Sends what one VM tells its region; in messages of one part each where all together may not fit a datagram.
+/// Sends the demand to the VMs of this region. It is split into one message per part if it may not
+/// fit into a datagram.
 async fn send_local_demand(socket: &UdpSocket, targets: &[SocketAddr], demand: NearDemand) {
     let own = demand.own.as_ref().map_or(0, |own| own.wants.len());
     let wants: usize = own + demand.regions.iter().map(|it| it.wants.len()).sum::<usize>();
@@ -338,7 +344,7 @@
     }
 }
 
-/// Sends a message to some VMs. Returns how many bytes it has.
+/// Sends a message to some VMs. Returns its size in bytes, or 0 if it was not sent.
 pub async fn send_to(socket: &UdpSocket, targets: &[SocketAddr], message: &PeerMessage) -> usize {
     let bytes = match message.bytes() {
         Ok(bytes) => bytes,
@@ -359,7 +365,7 @@
     }
 }
 
-/// Sends a datagram; one that is lost is made up for like one that was never sent.
+/// Sends a datagram. Errors are only logged: a failed datagram is treated like a lost one.
 async fn send_bytes(socket: &UdpSocket, target: SocketAddr, bytes: &[u8]) {
     if let Err(error) = socket.send_to(bytes, target).await {
         tracing::debug!(peer = %target, error = %error, "sending to a peer failed");
--- a/crates/foldhaven-gateway/src/demand_meter.rs
+++ b/crates/foldhaven-gateway/src/demand_meter.rs
@@ -6,21 +6,23 @@
 
 use crate::clock::BootInstant;
 
-/// The span of one measurement. Shorter ones would show single requests.
+/// The duration of one measurement. Shorter ones would be dominated by single requests.
 const SPAN: Duration = Duration::from_millis(1_000);
-/// The processor time of a request. Where the platform charges it, 102,000 requests more on a day took 57 s more,
-/// 0.56 ms each. It is not measured here: the platform's processor clock runs on while a process waits.
+/// The processor time of a request: 102,000 additional requests on a day cost 57 s of charged
+/// processor time, 0.56 ms each. It cannot be measured here, because the platform's processor clock
+/// also counts the time that a process waits.
 const REQUEST_TIME: Duration = Duration::from_micros(560);
-/// A timer that fires so late shows that this process waits for its processor: it is then taken to use all of it.
+/// A timer that fires this late shows that the process waits for its processor, which then counts
+/// as fully used.
 const LATE_TIMER: Duration = Duration::from_millis(60);
 
-/// What the requests of the last whole span needed.
+/// Measures the processor time needed by the requests of the last complete span.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct DemandMeter {
     span_start: BootInstant,
-    /// The requests taken until then.
+    /// The number of requests accepted before the span.
     accepted: u64,
-    /// The latest timer of the span.
+    /// The longest timer delay in the span.
     max_timer_delay: Duration,
     busy: CoreShare,
 }
@@ -37,13 +39,13 @@
 }
 
 impl DemandMeter {
-    /// Takes in how late a timer was.
+    /// Records how late a timer fired.
     pub(crate) fn record_timer_delay(&mut self, delay: Duration) {
         self.max_timer_delay = self.max_timer_delay.max(delay);
     }
 
-    /// The part of a core that the requests of the last span needed, where `accepted` were taken since the start and
-    /// this VM has `cores`.
+    /// Returns the processor time, in cores, that the requests of the last span needed. `accepted`
+    /// is the number of requests accepted since the start, and `cores` the capacity of this VM.
     pub(crate) fn busy(&mut self, accepted: u64, cores: CoreShare) -> CoreShare {
         let span = self.span_start.elapsed();
         if span < SPAN {
--- a/crates/foldhaven-gateway/src/destinations/local.rs
+++ b/crates/foldhaven-gateway/src/destinations/local.rs
@@ -19,11 +19,12 @@
 use crate::upstream::Upstream;
 use crate::view::GatewayView;
 
-/// What a byte between data centres of a region costs against a token of work. Not described; doubled it
-/// changed nothing.
+/// The cost of a byte sent between data centres of a region, relative to a token of work. It is not
+/// configurable in the description: doubling it changed nothing.
 const CENTRE_BYTE_PRICE: f64 = 0.03;
 
-/// When a VM without a part of a limit has callers come back, as other VMs may have one.
+/// The retry delay for callers if this VM has no share of a rate limit, since other VMs may have
+/// one.
 const NO_SHARE_WAIT: Duration = Duration::from_millis(500);
 
 /// The best upstream of this region.
@@ -34,13 +35,14 @@
 }
 
 impl LocalChoice {
-    /// The place, for the decision whether the request is sent there.
+    /// Returns the estimate for deciding whether the request is admitted.
     pub(super) fn estimate(&self) -> PlaceOffer {
         let UpstreamChoice { first, parts, rank, is_full, .. } = self.choice;
         PlaceOffer { first, parts, rank, queue: self.upstream.queue(), is_full }
     }
 
-    /// Takes the place of an upstream that is cold or names a limit; fails when none is free.
+    /// Reserves a request at an upstream that is cold or has announced a limit. Fails if the rate
+    /// does not permit one now.
     pub(super) fn reserve(self, shared: &GatewayShared) -> Result<DestinationChoice, Refusal> {
         let now = shared.now();
         if let Some(rate) = self.upstream.bound_rate(now) {
@@ -65,7 +67,7 @@
     }
 }
 
-/// Chooses among the upstreams of this region; nothing where none can take the request.
+/// Chooses among the upstreams of this region. Returns `None` if none of them can take the request.
 pub(super) fn choose_local(
     shared: &GatewayShared,
     view: &GatewayView,
@@ -80,7 +82,8 @@
     Some(LocalChoice { upstream: local[choice.at].clone(), choice, fetch_from })
 }
 
-/// For how much longer an upstream gets nothing from this VM: it asked this VM to back off, or this VM's part of its rate is used up.
+/// Returns for how much longer this VM sends nothing to an upstream, because the upstream asked it
+/// to back off or its share of the upstream's rate is used up. `None` if it may send now.
 fn throttled_for(upstream: &Upstream, now: MonoTime) -> Option<Duration> {
     let backoff = upstream.backoff_left(now);
     let part = upstream.bound_rate(now).map_or(Duration::ZERO, |rate| {
@@ -90,15 +93,15 @@
     Some(backoff.max(part)).filter(|wait| !wait.is_zero())
 }
 
-/// Whether an upstream of this region may get a request now.
+/// Returns whether an upstream of this region can get a request now.
 pub(super) fn has_available(shared: &GatewayShared, view: &GatewayView, job: &GatewayJob) -> bool {
     let now = shared.now();
     let mut local = local_upstreams(shared, view, job).into_iter();
     local.any(|upstream| throttled_for(upstream, now).is_none())
 }
 
-/// The shortest time until an upstream of this region that asked for a back-off or names a limit may get a request of this VM; nothing
-/// where none does.
+/// Returns the shortest time until this VM may send to an upstream of this region that asked it to
+/// back off or has announced a limit. `None` if there is no such upstream.
 pub(super) fn signalled_wait(
     shared: &GatewayShared,
     view: &GatewayView,
@@ -111,7 +114,7 @@
     local.filter(has_said).map(wait).min()
 }
 
-/// Prices the upstreams of this region that a choice is made among.
+/// Prices the candidate upstreams of this region.
 pub(super) fn price_local(
     shared: &GatewayShared,
     view: &GatewayView,
@@ -146,7 +149,7 @@
     local.iter().map(|upstream| candidate_of(shared, upstream, job, tried, hold, now)).collect()
 }
 
-/// What the choice weighs of one upstream.
+/// Returns the properties of an upstream that the choice depends on.
 fn candidate_of<'a>(
     shared: &GatewayShared,
     upstream: &'a Upstream,
@@ -180,7 +183,7 @@
     }
 }
 
-/// The wait of a timely request at an upstream, as this VM expects it.
+/// Returns the wait that this VM expects for a timely request at an upstream.
 pub fn expected_wait(upstream: &Upstream, pace: &ServicePace, now: MonoTime) -> Duration {
     let wait = pace.wait(upstream.queue(), QueueRank::Timely);
     wait.mul_f64(upstream.pace.lock().factor(now))
--- a/crates/foldhaven-gateway/src/destinations/mod.rs
+++ b/crates/foldhaven-gateway/src/destinations/mod.rs
@@ -1,4 +1,5 @@
-//! Where a try of a request goes: an upstream of this region, or a VM of another region.
+//! Chooses the destination of each attempt of a request: an upstream of this region, or a VM of
+//! another region.
 
 mod local;
 mod overview;
@@ -27,16 +28,17 @@
 use crate::upstream::{LoadSeat, Upstream};
 use crate::view::{GatewayView, PeerLink};
 
-/// How much better another region must be, since what is known of it is up to a second old.
+/// How much cheaper another region must be to be preferred, since reports of it are up to a second
+/// old.
 pub const REGION_MARGIN: RequestCost = RequestCost(0.04);
-/// After so many upstreams of this region that failed a request, another region is trusted more: they may
-/// have been lost together, and stay listed for some seconds.
+/// After this many upstreams of this region failed a request, another region is preferred. The
+/// local upstreams may have been lost together, and stay listed for some seconds.
 const MAX_LOCAL_FAULTS: usize = 2;
-/// Other VMs are told of prompts whose shared parts have at least so many tokens; for shorter ones
-/// the common ranking is good enough.
+/// Prompts whose shared segments have at least this many tokens are announced to other VMs. For
+/// shorter ones the ranking that all VMs have in common is good enough.
 pub const MIN_ANNOUNCED_TOKENS: u32 = 512;
 
-/// A place for one try.
+/// The destination of one attempt.
 #[derive(Clone)]
 pub enum RequestDestination {
     /// An upstream that this VM can reach itself.
@@ -46,7 +48,7 @@
 }
 
 impl RequestDestination {
-    /// The name in logs.
+    /// Returns the name for log lines.
     pub fn name(&self) -> &str {
         match self {
             Self::Upstream(upstream) => upstream.name().as_str(),
@@ -54,7 +56,7 @@
         }
     }
 
-    /// Its connections.
+    /// Returns the connection pool of the destination.
     pub fn pool(&self) -> &ConnectionPool {
         match self {
             Self::Upstream(upstream) => &upstream.pool,
@@ -62,7 +64,7 @@
         }
     }
 
-    /// Where calls go. Those to another region may take longer to connect.
+    /// Returns the target of calls. Connecting to another region may take longer.
     pub fn call_target<'a>(&'a self, listener: &'a dyn HeadListener) -> CallTarget<'a> {
         let (address, connect_limit) = match self {
             Self::Upstream(upstream) => (upstream.identity.address, NEAR_CONNECT_LIMIT),
@@ -71,7 +73,7 @@
         CallTarget { address, pool: self.pool(), connect_limit, listener }
     }
 
-    /// Counts a request of a service there.
+    /// Counts a request of a service at the destination until the returned guard is dropped.
     pub fn enter(&self, service: &ServiceName, tokens: u32, rank: QueueRank) -> LoadSeat {
         match self {
             Self::Upstream(upstream) => upstream.load.enter(tokens, rank),
@@ -80,24 +82,26 @@
     }
 }
 
-/// A place with what is expected of it.
+/// A destination with the estimates for a request.
 pub struct DestinationChoice {
     pub destination: RequestDestination,
     /// The expected time to the answer, or to its first event.
     pub time_to_first: Duration,
-    /// The prompt tokens that are to be read.
+    /// The prompt tokens that the destination has to prefill.
     pub prefill_tokens: u32,
-    /// The requests that the place has.
+    /// The requests that the destination already has.
     pub queue: QueueFacts,
-    /// Its rank there.
+    /// The rank of the request in the queue of the destination.
     pub rank: QueueRank,
-    /// The prompt tokens that the place reads until it can answer, where nothing but reading takes time.
+    /// The prompt tokens that the destination has to prefill before it can answer. `None` if other
+    /// work takes time as well.
     pub until_answer: Option<u32>,
-    /// The upstream from which the chosen one takes over what it does not hold of the prompt.
+    /// The upstream from which the destination fetches the part of the prompt that it has not
+    /// cached.
     pub fetch_from: Option<SocketAddr>,
 }
 
-/// What was tried for a request.
+/// The destinations already tried for a request.
 #[derive(Debug, Default)]
 pub struct TriedDestinations {
     pub upstreams: Vec<UpstreamName>,
@@ -112,14 +116,14 @@
         }
     }
 
-    /// How many places were tried, those included that could not be reached.
+    /// Returns the number of tried destinations, including those that could not be reached.
     pub fn count(&self) -> usize {
         self.upstreams.len() + self.peers.len()
     }
 }
 
-/// Chooses a place: the best upstream here, unless another region is better by more than the way there costs, or
-/// has room and there is none here.
+/// Chooses a destination. Prefers the best upstream of this region, unless another region is
+/// cheaper by more than [`REGION_MARGIN`], or has free capacity while this one has none.
 pub fn choose_destination(
     shared: &GatewayShared,
     view: &GatewayView,
@@ -153,7 +157,9 @@
     }
 }
 
-/// When a request that an upstream turned away could be sent to one, where all that may run it want nothing for now.
+/// Returns how long a request has to wait while all local upstreams that may run it are throttled.
+/// `None` if one of them is available, if another region offers the service, or if no upstream
+/// asked to back off or announced a limit.
 pub fn throttled_wait(
     shared: &GatewayShared,
     view: &GatewayView,
@@ -167,7 +173,7 @@
     if is_open { None } else { signalled_wait(shared, view, job) }
 }
 
-/// Why no place takes a request.
+/// Returns the reason why a request has no destination.
 fn no_destination_refusal(shared: &GatewayShared, view: &GatewayView, job: &GatewayJob) -> Refusal {
     match signalled_wait(shared, view, job).filter(|_| job.permits(shared.settings.region())) {
         Some(wait) => Refusal::HeldBack { wait },
@@ -175,26 +181,28 @@
     }
 }
 
-/// Whether the homes of a request's route and account have no region in common that there is.
+/// Returns whether no existing region is permitted by the homes of both the route and the account.
 fn has_no_permitted_region(shared: &GatewayShared, job: &GatewayJob) -> bool {
     !shared.settings.regions.values().any(|region| job.permits(region))
 }
 
-/// Whether another region is better: cheaper by more than the margin, or the only place that can be trusted.
+/// Returns whether a remote region is better than the local choice: it is cheaper by more than the
+/// margin, or the local upstreams cannot be trusted.
 fn prefers_remote(local: &LocalChoice, remote: &RemoteChoice, tried: &TriedDestinations) -> bool {
     let is_local_trusted = local.choice.is_trusted && tried.upstreams.len() < MAX_LOCAL_FAULTS;
     !is_local_trusted || remote.cost + REGION_MARGIN < local.choice.cost
 }
 
-/// Whether a region can answer in time what is better not sent to the best upstream here: by its last report its
-/// upstreams have places left.
+/// Returns whether a remote region can answer in time a request that was not admitted locally. Its
+/// last report has to show free slots.
 fn has_free_capacity(job: &GatewayJob, remote: &RemoteChoice) -> bool {
     let PlaceOffer { rank, queue, .. } = remote.estimate();
     let is_free = rank == QueueRank::Timely && queue.in_flight < queue.slots;
     is_free && admit_choice(job, &remote.estimate()).is_ok()
 }
 
-/// Refuses a request that is better not sent to its best place. One whose answer has begun is sent on.
+/// Refuses a request that should not be sent even to its best destination. A request whose answer
+/// has begun is always admitted.
 fn admit_choice(job: &GatewayJob, estimate: &PlaceOffer) -> Result<(), Refusal> {
     if job.is_begun {
         return Ok(());
@@ -208,7 +216,7 @@
         .map_err(|cause| Refusal::Overloaded { cause, wait: come_back_after(estimate, limits) })
 }
 
-/// What the choice weighs of a request.
+/// Returns the properties of a request that the choice depends on.
 fn choice_query(shared: &GatewayShared, view: &GatewayView, job: &GatewayJob) -> ChoiceQuery {
     let outline = job.outline.as_ref();
     ChoiceQuery {
--- a/crates/foldhaven-gateway/src/destinations/overview.rs
+++ b/crates/foldhaven-gateway/src/destinations/overview.rs
@@ -1,4 +1,4 @@
-//! What operators and logs are told of the places that a request could be sent to.
+//! Describes the possible destinations of a request to operators and in logs.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -13,7 +13,7 @@
 use crate::shared::GatewayShared;
 use crate::view::GatewayView;
 
-/// Prices all places that a request could be sent to.
+/// Prices all possible destinations of a request.
 pub fn price_destinations(
     shared: &GatewayShared,
     view: &GatewayView,
@@ -39,7 +39,7 @@
     local.chain(remote).collect()
 }
 
-/// What there was to choose among for a request that found no place, for the log.
+/// Describes the regions and upstreams of a request that found no destination, for the log.
 pub fn describe_candidates(shared: &GatewayShared, view: &GatewayView, job: &GatewayJob) -> String {
     let own_region = shared.settings.region();
     let mut text = String::new();
--- a/crates/foldhaven-gateway/src/destinations/remote.rs
+++ b/crates/foldhaven-gateway/src/destinations/remote.rs
@@ -20,13 +20,13 @@
 use crate::shared::GatewayShared;
 use crate::view::{GatewayView, PeerLink, RegionWait};
 
-/// The way to a region and back before any connection there came up, which takes some tenths of a second
-/// after a start.
+/// The assumed round trip to a region before the first connection to it is established, which takes
+/// some tenths of a second after a start.
 const DEFAULT_ROUND_TRIP: Duration = Duration::from_millis(120);
-/// What a byte between regions costs against a token of work. Not described; the users' prices differ
-/// between deployments by a factor of four.
+/// The cost of a byte sent between regions, relative to a token of work. It is not part of the
+/// description; traffic prices differ between deployments by a factor of four.
 const REGION_BYTE_PRICE: f64 = 0.03;
-/// The share of a prompt's short shared parts that another region probably has to read.
+/// The assumed share of a prompt's short shared segments that is not cached in another region.
 const REMOTE_MISSING_SHARE: f64 = 0.4;
 
 /// The best VM of another region.
@@ -38,14 +38,14 @@
 }
 
 impl RemoteChoice {
-    /// The place, for the decision whether the request is sent there.
+    /// Returns the estimate for deciding whether the request is admitted.
     pub(super) fn estimate(&self) -> PlaceOffer {
         let DestinationChoice { time_to_first: first, rank, queue, .. } = self.choice;
         PlaceOffer { first, parts: self.parts, rank, queue, is_full: false }
     }
 }
 
-/// Chooses among the other regions that the route permits and that have upstreams of the service.
+/// Chooses among the other regions that the request permits and that have upstreams of its service.
 pub(super) fn choose_remote(
     shared: &GatewayShared,
     view: &GatewayView,
@@ -56,7 +56,7 @@
     priced.min_by(|left, right| left.cost.0.total_cmp(&right.cost.0))
 }
 
-/// Prices the other regions that can take a request, by a VM of each.
+/// Prices the other regions that can take a request, with one VM of each.
 pub(super) fn price_remote(
     shared: &GatewayShared,
     view: &GatewayView,
@@ -74,7 +74,7 @@
     priced.collect()
 }
 
-/// Prices one other region for a request.
+/// Prices one remote region for a request.
 struct RemotePricer<'a> {
     shared: &'a GatewayShared,
     view: &'a GatewayView,
@@ -84,7 +84,7 @@
 }
 
 impl RemotePricer<'_> {
-    /// What the request is expected to take and to cost when it is forwarded to a VM there.
+    /// Returns the expected time and cost of the request if it is forwarded to a VM of the region.
     fn price(&self, peer: Arc<PeerLink>) -> RemoteChoice {
         let job = self.job;
         let query = choice_query(self.shared, self.view, job);
@@ -95,7 +95,7 @@
         let sent = self.sent_since(pace.hold, network_time);
         let there = pace.first(sent, QueueRank::Timely, prefill_tokens);
         let time_to_first = network_time + self.wait.wait + there;
-        // What was told counts most requests that were sent since, too.
+        // The reported load already contains most of the requests sent since.
         let queue = QueueFacts { in_flight: sent.in_flight.max(self.wait.load), ..sent };
         let parts = CostParts {
             time: RequestCost::of_time(query.waited + time_to_first, query.target).0,
@@ -119,7 +119,7 @@
         RemoteChoice { choice, cost: parts.total(), parts, region: self.region.clone() }
     }
 
-    /// The way there and back, twice where no connection is open.
+    /// Returns the round trip to the region, doubled if a connection has to be opened first.
     fn network_time(&self, peer: &PeerLink) -> Duration {
         let round_trip = self.view.round_trip(self.region).unwrap_or(DEFAULT_ROUND_TRIP);
         match peer.pool.has_open() {
@@ -128,8 +128,8 @@
         }
     }
 
-    /// What this region's VMs have sent there since its VMs told their waits, as far as it can be
-    /// guessed from what this one has sent.
+    /// Estimates the requests that the VMs of this region have sent there since the last report,
+    /// from those that this VM has sent.
     fn sent_since(&self, hold: Duration, network_time: Duration) -> QueueFacts {
         let links = self.view.peers.iter().filter(|peer| peer.region == *self.region);
         let sent = links.map(|peer| peer.share(&self.job.service));
@@ -142,7 +142,7 @@
         FarService { upstreams, slots, hold, way: network_time }.queue(own, self.view.senders)
     }
 
-    /// The tokens of the shared parts that would have to be read there.
+    /// Returns the tokens of the shared segments that would have to be prefilled in the region.
     fn missing_tokens(&self, shared_tokens: u32) -> u32 {
         if shared_tokens < MIN_ANNOUNCED_TOKENS {
             return (f64::from(shared_tokens) * REMOTE_MISSING_SHARE) as u32;
@@ -158,8 +158,8 @@
     }
 }
 
-/// A VM of a region that was not tried yet: one in service there if there is one, and one to which a connection is
-/// open.
+/// Returns a random VM of a region that was not tried yet. VMs in service there and VMs with an
+/// open connection are preferred.
 fn pick_peer(
     view: &GatewayView,
     region: &RegionName,
--- a/crates/foldhaven-gateway/src/feed.rs
+++ b/crates/foldhaven-gateway/src/feed.rs
@@ -1,4 +1,4 @@
-//! The border to the platform: who tells this daemon of descriptions, upstreams and evacuations.
+//! The interface to the platform, which publishes descriptions, upstreams and evacuations.
 
 use std::borrow::Cow;
 use std::collections::{BTreeMap, BTreeSet};
@@ -22,20 +22,20 @@
 /// Everything that the platform publishes, at one revision.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct FeedSnapshot {
-    /// The platform's count of changes.
+    /// The revision: the platform's count of changes.
     pub revision: u64,
-    /// The description; nothing while none is published.
+    /// The description. `None` if none is published.
     pub description: Option<RouteDescription>,
     /// The upstreams of all data centres.
     pub upstreams: Vec<UpstreamRecord>,
-    /// Upstreams whose records are of no form that names one.
+    /// The upstreams whose records are invalid.
     pub unusable: BTreeSet<UpstreamName>,
-    /// The data centres whose upstreams are to get nothing.
+    /// The data centres whose upstreams are to get no requests.
     pub evacuated: BTreeSet<DataCentreName>,
 }
 
 impl FeedSnapshot {
-    /// The same with the accounts of its description, which are told beside it.
+    /// Returns the snapshot with the accounts of its description, which are sent separately.
     pub fn with_accounts(mut self, accounts: Arc<AccountDescription>) -> Self {
         if let Some(description) = &mut self.description {
             description.accounts = Some(accounts);
@@ -44,27 +44,28 @@
     }
 }
 
-/// One change.
+/// A change of the platform.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(from = "ToldChange", into = "ToldChange")]
 pub enum FeedChange {
     /// A description was published.
     Description(Box<RouteDescription>),
-    /// The same, as VMs tell each other of it: what differs from the description before.
+    /// A description was published, given as the delta to the one before. VMs send descriptions to
+    /// each other in this form.
     DescriptionDelta(Box<RouteDelta>),
     /// An upstream wrote its record.
     UpstreamWritten(UpstreamRecord),
     /// The record of an upstream was removed.
     UpstreamRemoved(UpstreamName),
-    /// The record of an upstream was written in a form that names none, whatever it was before.
+    /// The record of an upstream was replaced by an invalid one.
     UpstreamUnusable(UpstreamName),
-    /// A data centre is to be evacuated.
+    /// The evacuation of a data centre was started.
     EvacuationStarted(DataCentreName),
-    /// The evacuation of a data centre was withdrawn.
+    /// The evacuation of a data centre was ended.
     EvacuationEnded(DataCentreName),
 }
 
-/// What a change is about. Of two changes about the same, the later one is all that counts.
+/// What a change is about. Of several changes of one subject, only the last one matters.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ChangeSubject<'a> {
     /// The description.
@@ -76,7 +77,7 @@
 }
 
 impl FeedChange {
-    /// What it is about.
+    /// Returns the subject of the change.
     pub fn subject(&self) -> ChangeSubject<'_> {
         match self {
             Self::Description(_) | Self::DescriptionDelta(_) => ChangeSubject::Description,
@@ -90,7 +91,7 @@
         }
     }
 
-    /// One change in place of this one and a later one about the same.
+    /// Combines this change and a later one of the same subject into one.
     fn followed_by(&self, next: &Self) -> Result<Self, DeltaError> {
         match (self, next) {
             (Self::Description(held), Self::DescriptionDelta(delta)) => {
@@ -103,7 +104,8 @@
         }
     }
 
-    /// Whether requests may be sent wrongly until it is in force. An upstream more can wait a little.
+    /// Returns whether requests may be sent to wrong destinations until the change is applied. A
+    /// new upstream can wait a little.
     pub fn is_urgent(&self) -> bool {
         match self {
             Self::UpstreamWritten(record) => record.leaving || !record.cold_for.is_zero(),
@@ -112,21 +114,21 @@
     }
 }
 
-/// A change with the platform's count of changes when it was made.
+/// A change with its revision.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct NumberedChange {
-    /// The count.
+    /// The revision.
     pub revision: u64,
     /// The change.
     pub change: FeedChange,
 }
 
-/// Drops what later changes supersede, so that what is told is bounded by how much there is to know, and
-/// not by how often it changed.
+/// Drops changes that are superseded by later ones. The result is thus bounded by the size of the
+/// state, and not by the number of changes.
 ///
 /// # Errors
 ///
-/// When a version between two descriptions is missing.
+/// If a version between two descriptions is missing.
 pub fn drop_superseded<'a>(
     changes: impl IntoIterator<Item = &'a NumberedChange>,
 ) -> Result<Vec<NumberedChange>, DeltaError> {
@@ -150,16 +152,16 @@
 /// All changes after one revision up to another.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ChangeSet {
-    /// The revision after which they were made.
+    /// The revision after which the changes were made.
     pub after: u64,
-    /// The revision up to which there are no others.
+    /// The revision up to which the set is complete.
     pub revision: u64,
-    /// The changes in their order; of several about the same only the last.
+    /// The changes in order. Only the last one of each subject is included.
     pub changes: Vec<NumberedChange>,
 }
 
 impl ChangeSet {
-    /// The versions that its difference between descriptions was put together over.
+    /// Returns the versions that the description deltas of the set span.
     pub fn spanned_versions(&self) -> Vec<RouteVersion> {
         let deltas = self.changes.iter().filter_map(|numbered| match &numbered.change {
             FeedChange::DescriptionDelta(delta) => Some(delta.through()),
@@ -168,7 +170,7 @@
         deltas.flatten().copied().collect()
     }
 
-    /// The same changes, whose difference between descriptions is told to be put together over these versions.
+    /// Returns the same changes, with the description delta marked as spanning these versions.
     pub fn with_spanned_versions(mut self, versions: &[RouteVersion]) -> Self {
         for numbered in &mut self.changes {
             if let FeedChange::DescriptionDelta(delta) = &mut numbered.change {
@@ -179,22 +181,23 @@
     }
 }
 
-/// What one VM tells another of the platform.
+/// The platform state that one VM sends to another.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum PeerState {
-    /// All that is published.
+    /// The whole state.
     Snapshot(FeedSnapshot),
-    /// What changed after the revision that the asker knows.
+    /// The changes after the revision that the requesting VM knows.
     Changes(ChangeSet),
-    /// The same, with a difference between descriptions that was put together over these versions. Only VMs that say that they
-    /// understand it are told so.
+    /// The same, with a description delta that spans these versions. Sent only to VMs that announce
+    /// that they understand it.
     SpanningChanges(ChangeSet, Vec<RouteVersion>),
-    /// All that is published, with the accounts of its description.
+    /// The whole state, with the accounts of its description.
     KeyedSnapshot(FeedSnapshot, Arc<AccountDescription>),
 }
 
 impl PeerState {
-    /// All that is published, in the form that daemons without accounts read where it has none.
+    /// Returns the whole state. Without accounts, it has the form that daemons without account
+    /// support can read.
     pub fn of_snapshot(snapshot: FeedSnapshot) -> Self {
         let accounts = snapshot.description.as_ref().and_then(|it| it.accounts.clone());
         match accounts {
@@ -204,32 +207,33 @@
     }
 }
 
-/// Whether this daemon is to read the platform now, and what it knows already.
+/// Whether this daemon reads the platform now, and the revision that it already knows.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReadAssignment {
-    /// Whether it is to read.
+    /// Whether it reads the platform.
     pub is_reader: bool,
-    /// The revision that it knows, from its own reading or from other VMs; nothing yet when absent.
+    /// The revision known from the platform or from other VMs. `None` before the first snapshot.
     pub known_revision: Option<u64>,
-    /// Whether others know more, and did a moment ago: a call that waits for changes would have been answered.
+    /// Whether other VMs have known a newer revision for a short time, so that a pending call for
+    /// changes should already have been answered.
     pub is_superseded: bool,
 }
 
-/// What a feed tells.
+/// An update from a feed.
 #[derive(Debug, Clone)]
 pub enum FeedUpdate {
-    /// All that is published.
+    /// The whole state.
     Snapshot(FeedSnapshot),
-    /// What changed up to a revision.
+    /// The changes up to a revision.
     Changes(ChangeSet),
-    /// Nothing could be read.
+    /// The platform could not be read.
     Failed {
-        /// What was tried and what went wrong.
+        /// The failed operation and its error.
         cause: String,
     },
 }
 
-/// Where a feed puts its news, and learns when it is to read.
+/// Receives the updates of a feed, and tells the feed when to read.
 #[derive(Clone)]
 pub struct FeedSink {
     control: ControlAddress,
@@ -244,13 +248,14 @@
         Self { control, assignment }
     }
 
-    /// Tells news. Returns whether anybody still listens.
+    /// Sends an update. Returns `false` if the control actor has stopped.
     pub async fn send(&self, news: FeedUpdate) -> bool {
         self.control.send(news).await.is_ok()
     }
 
-    /// Waits until this daemon is to read, and gives the revision from which to go on; nothing when
-    /// everything is to be read. Returns an error when nobody listens any more.
+    /// Waits until this daemon has to read the platform. Returns the revision from which to
+    /// continue, or `None` if the whole state has to be read. Fails if the control actor has
+    /// stopped.
     pub async fn await_assignment(&mut self) -> Result<Option<u64>, RecvError> {
         self.assignment
             .wait_for(|assignment| assignment.is_reader)
@@ -258,7 +263,8 @@
             .map(|assignment| assignment.known_revision)
     }
 
-    /// Waits until others have known more for a while, so that a call without an answer will get none.
+    /// Waits until other VMs have known a newer revision for the duration `lasting`, so that a call
+    /// without an answer by then will not get one.
     pub async fn await_superseded(&self, lasting: Duration) {
         let mut assignment = self.assignment.clone();
         loop {
@@ -273,9 +279,9 @@
     }
 }
 
-/// Reads what the platform publishes. Nothing is ever written.
+/// Reads what the platform publishes. A feed never writes to the platform.
 #[async_trait]
 pub trait PlatformFeed: Send + Sync {
-    /// Tells news until nobody listens any more.
+    /// Sends updates until the control actor has stopped.
     async fn run(&self, sink: FeedSink);
 }
--- a/crates/foldhaven-gateway/src/platform_state/answer_cache.rs
+++ b/crates/foldhaven-gateway/src/platform_state/answer_cache.rs
@@ -1,4 +1,5 @@
-//! Keeps what peers were told of the platform last, as it was written: all VMs of a region ask for the same changes at once.
+//! Caches the serialized platform state sent to peers, since all VMs of a region ask for the same
+//! changes at the same time.
 
 use std::sync::{Arc, Weak};
 
@@ -9,37 +10,38 @@
 use super::StateOffer;
 use crate::codec::peer_codec;
 
-/// How many answers are kept. Most VMs that ask know the same revision; one that starts knows none.
+/// Maximum number of cached answers. Most VMs that ask have the same revision, and a VM that has
+/// just started has none.
 const MAX_ANSWERS: usize = 2;
 
 /// What a peer asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StateRequest {
-    /// The revision that it knows; none when it asks for everything.
+    /// The revision that the peer knows. `None` if it asks for the whole state.
     pub known_revision: Option<u64>,
-    /// Whether it understands differences that span several versions.
+    /// Whether the peer understands deltas that span several versions of the description.
     pub accepts_spanning: bool,
 }
 
 #[derive(Debug, Default)]
 struct CachedAnswers {
-    /// What they were written from.
+    /// The state from which the answers were serialized.
     offer: Weak<StateOffer>,
     answers: Vec<(StateRequest, Bytes)>,
 }
 
-/// The answers to peers that were written last.
+/// A cache of the answers that were serialized last.
 #[derive(Debug, Default)]
 pub struct AnswerCache {
     held: Mutex<CachedAnswers>,
 }
 
 impl AnswerCache {
-    /// The answer to a peer, written at most once for all that ask the same.
+    /// Returns the answer to a peer. Equal requests for the same state share one serialized answer.
     ///
     /// # Errors
     ///
-    /// When it cannot be written.
+    /// If the state cannot be serialized.
     pub fn answer(
         &self,
         offer: &Arc<StateOffer>,
--- a/crates/foldhaven-gateway/src/platform_state/change_log.rs
+++ b/crates/foldhaven-gateway/src/platform_state/change_log.rs
@@ -1,4 +1,4 @@
-//! Keeps the newest changes of the platform, so that a VM that missed some can be told just those.
+//! Keeps the newest platform changes, so that a VM that missed some can get just those.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -11,14 +11,14 @@
     ChangeSet, FeedChange, FeedSnapshot, NumberedChange, PeerState, drop_superseded,
 };
 
-/// How much is kept: changes, and the routes that they write or remove. A VM that is further behind is
-/// told everything.
+/// Maximum weight of the log, counted in changes and in the routes that they write or remove. A VM
+/// that is further behind gets the whole state.
 const MAX_WEIGHT: usize = 2_048;
 
-/// The newest changes.
+/// The newest changes, in the order of their revisions.
 #[derive(Debug, Clone, Default)]
 pub struct ChangeLog {
-    /// The revision after which no change is missing here.
+    /// The log is complete after this revision.
     after: u64,
     changes: VecDeque<Arc<NumberedChange>>,
     /// The sum of the weights of all changes.
@@ -26,12 +26,12 @@
 }
 
 impl ChangeLog {
-    /// Begins anew: everything up to a revision was taken over as a whole.
+    /// Clears the log after a snapshot of this revision was applied.
     pub fn reset(&mut self, revision: u64) {
         *self = Self { after: revision, ..Self::default() };
     }
 
-    /// Keeps one more change.
+    /// Appends a change, and drops the oldest ones beyond [`MAX_WEIGHT`].
     pub fn push(&mut self, change: NumberedChange) {
         self.weight += weight_of(&change.change);
         self.changes.push_back(Arc::new(change));
@@ -43,13 +43,14 @@
         }
     }
 
-    /// The revision of the newest change; there was none since.
+    /// Returns the revision of the newest change, or the one after which the log is complete if the
+    /// log is empty.
     pub fn last_revision(&self) -> u64 {
         self.changes.back().map_or(self.after, |change| change.revision)
     }
 
-    /// The changes after a revision, without what later ones supersede; nothing when some of them are not
-    /// kept.
+    /// Returns the changes after a revision without superseded ones, or `None` if the log does not
+    /// go back that far.
     pub fn since(&self, after: u64) -> Option<Vec<NumberedChange>> {
         if after < self.after {
             return None;
@@ -58,14 +59,15 @@
         match drop_superseded(newer.map(Arc::as_ref)) {
             Ok(changes) => Some(changes),
             Err(error) => {
-                tracing::error!(after, error = %error, "kept changes do not follow each other");
+                tracing::error!(after, error = %error, "changes in the log do not follow each other");
                 None
             }
         }
     }
 }
 
-/// Descriptions are kept as differences, whose size is that of the routes they touch.
+/// Returns the weight of a change. Descriptions are kept as deltas, which weigh as much as the
+/// routes that they touch.
 fn weight_of(change: &FeedChange) -> usize {
     1 + match change {
         FeedChange::Description(description) => {
@@ -77,26 +79,27 @@
     }
 }
 
-/// What other VMs may take over from this one.
+/// The platform state that other VMs can fetch from this one.
 #[derive(Debug)]
 pub struct StateOffer {
-    /// The platform's count of changes that all of it is of.
+    /// The revision of the state.
     pub revision: u64,
-    /// The description in force.
+    /// The current description.
     pub routes: Arc<RouteTable>,
-    /// Its digest.
+    /// The digest of the description.
     pub digest: u64,
-    /// The upstreams as they are listed.
+    /// The listed upstreams.
     pub upstreams: Vec<UpstreamRecord>,
-    /// The data centres whose upstreams get nothing.
+    /// The data centres whose upstreams get no requests.
     pub evacuated: BTreeSet<DataCentreName>,
     /// The newest changes.
     pub log: ChangeLog,
 }
 
 impl StateOffer {
-    /// What a VM is told that knows the changes up to a revision, or none, and understands differences that span several versions
-    /// or not.
+    /// Returns the answer for a VM that knows all changes up to `known`, or no state at all if
+    /// `known` is `None`. A delta over several versions is sent as such only if `accepts_spanning`
+    /// is set.
     pub fn state_after(&self, known: Option<u64>, accepts_spanning: bool) -> PeerState {
         let changes = known.and_then(|after| Some((after, self.log.since(after)?)));
         match changes {
--- a/crates/foldhaven-gateway/src/platform_state/description_digest.rs
+++ b/crates/foldhaven-gateway/src/platform_state/description_digest.rs
@@ -1,4 +1,5 @@
-//! A number by which two VMs that hold the same description of a version are told from two that do not.
+//! A digest that shows whether two VMs hold the same content for the same version of the
+//! description.
 
 use bincode::Options;
 use foldhaven_core::opaque::route_table::{OpaqueRoute, RouteDescription};
@@ -6,7 +7,7 @@
 
 use crate::codec::peer_codec;
 
-/// The digest of what a description says, whatever the order of its routes.
+/// Returns the digest of a description's content. The order of its routes does not matter.
 pub fn description_digest(description: &RouteDescription) -> bincode::Result<u64> {
     let mut routes: Vec<&OpaqueRoute> = description.routes.iter().map(AsRef::as_ref).collect();
     routes.sort_by(|left, right| left.name.cmp(&right.name));
--- a/crates/foldhaven-gateway/src/platform_state/early_changes.rs
+++ b/crates/foldhaven-gateway/src/platform_state/early_changes.rs
@@ -1,26 +1,27 @@
-//! Changes that were heard before others that precede them. What keeps requests from going wrong, such as an
-//! upstream that leaves, is put in force at once: it must not wait behind a large description.
+//! Changes that were received before their predecessors. Urgent ones, such as an upstream that is
+//! leaving, are applied immediately: they must not wait for a large description.
 
 use crate::feed::{ChangeSubject, FeedChange, NumberedChange};
 
-/// How many are held; others wait for their turn. They are few: all of them are dropped once what precedes them
-/// is known.
+/// Maximum number of early changes. Further ones are applied in order. There are few, since they
+/// are dropped once their predecessors are known.
 const MAX_EARLY: usize = 1_024;
 
-/// Changes in force ahead of their turn, in the order of their revisions.
+/// Changes that were applied early, in the order of their revisions.
 #[derive(Debug, Default)]
 pub struct EarlyChanges {
     held: Vec<NumberedChange>,
 }
 
 impl EarlyChanges {
-    /// Whether a change may be put in force although others before it are not known. A description may
-    /// not: its versions go upwards only.
+    /// Returns whether a change may be applied although its predecessors are missing. A description
+    /// may not, since its version must never decrease.
     pub fn may_apply_early(change: &FeedChange) -> bool {
         change.is_urgent() && change.subject() != ChangeSubject::Description
     }
 
-    /// Holds a change that is ahead of a revision. Returns it if it is new and the last about its subject.
+    /// Stores a change that is newer than the revision `known`. Returns it if it is to be applied
+    /// now: it is new, and no later change of the same subject is stored.
     pub fn insert(&mut self, numbered: NumberedChange, known: u64) -> Option<FeedChange> {
         let (revision, change) = (numbered.revision, numbered.change.clone());
         let subject = change.subject();
@@ -35,8 +36,8 @@
         Some(change)
     }
 
-    /// Drops what has had its turn with a revision. The rest is to be put in force again, since changes
-    /// before it may have undone it.
+    /// Drops the changes up to the revision `known`. Returns the remaining ones, which have to be
+    /// applied again, since older changes may have overwritten them.
     pub fn drop_through(&mut self, known: u64) -> Vec<FeedChange> {
         self.held.retain(|held| held.revision > known);
         self.held.iter().map(|held| held.change.clone()).collect()
--- a/crates/foldhaven-gateway/src/platform_state/mod.rs
+++ b/crates/foldhaven-gateway/src/platform_state/mod.rs
@@ -1,8 +1,10 @@
-//! What is known of the platform, and up to which of its changes, without sockets or timers.
+//! The state of the platform, and the revision up to which its changes are applied. Uses no sockets
+//! or timers.
 //!
-//! A VM learns of changes by its own reading, by snapshots and differences of other VMs, and of some before their turn, in any order
-//! and more than once. Whatever the order, all that the platform published up to [`PlatformState::revision`] is in
-//! force here, or something newer: VMs that hold the newest revision neither ask nor refuse.
+//! A VM gets changes from the platform itself, from snapshots and deltas of other VMs, and as early
+//! changes; they may arrive in any order and more than once. In any case, everything that the
+//! platform published up to [`PlatformState::revision`] is applied, or something newer: a VM that
+//! holds the newest revision neither asks for changes nor refuses requests.
 
 mod answer_cache;
 mod change_log;
@@ -23,89 +25,89 @@
 pub use self::early_changes::EarlyChanges;
 use crate::feed::ChangeSet;
 
-/// When something is taken in, for the log and for what lapses.
+/// The time and lag at which an update is applied, for expiry and for the log.
 #[derive(Debug, Clone, Copy)]
 pub struct ApplyContext {
     /// The time.
     pub now: MonoTime,
-    /// For how long others have known more.
+    /// For how long other VMs have known newer state.
     pub lag: Duration,
 }
 
-/// Changes that were taken in.
+/// The result of applying changes.
 #[derive(Debug)]
 pub struct AppliedChanges {
-    /// What of them was new, as others are to be told of it.
+    /// The changes that were new, to be forwarded to other VMs.
     pub changes: ChangeSet,
-    /// Whether requests may be sent wrongly until traffic sees them.
+    /// Whether requests may be sent to wrong destinations until traffic sees the changes.
     pub is_urgent: bool,
 }
 
-/// What is known of the platform.
+/// The state of the platform.
 #[derive(Debug, Default)]
 pub struct PlatformState {
-    /// The description in force.
+    /// The current description. `None` before the first one.
     routes: Option<Arc<RouteTable>>,
-    /// The digest of that description.
+    /// The digest of the current description.
     digest: u64,
-    /// The upstreams as the platform lists them.
+    /// The listed upstreams.
     pub table: UpstreamTable,
-    /// Up to which count the platform's changes are known.
+    /// The revision up to which all changes are applied.
     revision: u64,
-    /// The newest of them.
+    /// The newest changes.
     log: ChangeLog,
-    /// Changes in force ahead of their turn.
+    /// The changes that were applied before their predecessors.
     early: EarlyChanges,
-    /// Whether changes do not lead from what is known to what others know, so that all of it is asked for.
+    /// Whether the known state cannot be updated by changes, so that a snapshot is needed.
     needs_snapshot: bool,
-    /// Whether a snapshot was taken in, so that changes can follow it.
+    /// Whether a snapshot was applied, which changes can build on.
     has_state: bool,
-    /// How many records were seen that name no upstream.
+    /// The number of invalid upstream records seen.
     unusable_count: u64,
 }
 
 impl PlatformState {
-    /// Up to which count the platform's changes are known.
+    /// Returns the revision up to which all changes are applied.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The description in force.
+    /// Returns the current description. `None` before the first one.
     pub fn routes(&self) -> Option<&Arc<RouteTable>> {
         self.routes.as_ref()
     }
 
-    /// The digest of the description in force.
+    /// Returns the digest of the current description.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// The version of the description in force; the least one before there is any.
+    /// Returns the version of the current description, or the lowest version if there is none.
     pub fn version(&self) -> RouteVersion {
         self.routes.as_ref().map_or(RouteVersion::default(), |routes| routes.version())
     }
 
-    /// Whether changes can follow what is known.
+    /// Returns whether a snapshot was applied, which changes can build on.
     pub fn has_state(&self) -> bool {
         self.has_state
     }
 
-    /// Whether changes do not lead on, so that all is to be asked for.
+    /// Returns whether changes cannot be applied to the known state, so that a snapshot is needed.
     pub fn needs_snapshot(&self) -> bool {
         self.needs_snapshot
     }
 
-    /// The revision from which changes are to be told; nothing when all is to be.
+    /// Returns the revision from which changes are to be requested. `None` if a snapshot is needed.
     pub fn base_revision(&self) -> Option<u64> {
         (self.has_state && !self.needs_snapshot).then_some(self.revision)
     }
 
-    /// How many records were seen that name no upstream, since this was asked last.
+    /// Returns the number of invalid upstream records seen since the last call.
     pub fn take_unusable_count(&mut self) -> u64 {
         std::mem::take(&mut self.unusable_count)
     }
 
-    /// What other VMs may take over; nothing before the first description.
+    /// Returns the state that other VMs can fetch. `None` before the first description.
     pub fn offer(&self, now: MonoTime) -> Option<StateOffer> {
         Some(StateOffer {
             revision: self.revision,
--- a/crates/foldhaven-gateway/src/platform_state/updates.rs
+++ b/crates/foldhaven-gateway/src/platform_state/updates.rs
@@ -1,4 +1,4 @@
-//! Takes in what the platform publishes, by whichever way it came.
+//! Applies updates of the platform state, whatever their source.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -14,8 +14,8 @@
 use crate::feed::{ChangeSet, ChangeSubject, FeedChange, FeedSnapshot, NumberedChange};
 
 impl PlatformState {
-    /// Replaces what is known by a snapshot, unless the snapshot is older. Returns what of it may be in force at
-    /// others before they know all of it.
+    /// Replaces the state by a snapshot, unless the snapshot is older. Returns the changes that
+    /// other VMs may apply early.
     pub fn apply_snapshot(
         &mut self,
         snapshot: FeedSnapshot,
@@ -23,11 +23,12 @@
     ) -> Option<ChangeSet> {
         let FeedSnapshot { revision, description, upstreams, unusable, evacuated } = snapshot;
         if revision < self.revision {
-            tracing::warn!(held = self.revision, offered = revision, "older state ignored");
+            tracing::warn!(held = self.revision, offered = revision, "older snapshot ignored");
             return None;
         }
         self.revision = revision;
-        // What came and went since is in no difference: whoever knows less is told everything.
+        // Changes that came and went in between are in no delta, so VMs that know less get the
+        // whole state.
         self.log.reset(revision);
         let replaces = std::mem::replace(&mut self.needs_snapshot, false);
         for name in &unusable {
@@ -44,7 +45,8 @@
         }
         let offered = description.as_ref().map(|description| description.version);
         let held = self.routes.as_deref().map(RouteTable::version);
-        // When differences do not lead on, the description that is held may be another one of its version.
+        // After deltas failed to apply, the known description may differ from the platform's of the
+        // same version.
         let is_newer = offered > held || replaces && offered == held;
         match description.filter(|_| is_newer) {
             Some(description) => drop(self.install_description(description, context)),
@@ -53,16 +55,16 @@
         self.reapply_early_changes(context.now);
         changes.retain(EarlyChanges::may_apply_early);
         let numbered = changes.into_iter().map(|change| NumberedChange { revision, change });
-        // They follow on nothing before this revision.
+        // The set builds on no earlier revision.
         Some(ChangeSet { after: revision, revision, changes: numbered.collect() })
     }
 
-    /// Whether nothing is missing between what is known and these changes.
+    /// Returns whether no changes are missing between the known state and a change set.
     pub fn can_apply(&self, set: &ChangeSet) -> bool {
         self.has_state && set.after <= self.revision
     }
 
-    /// Takes in changes. Returns what of them is new, as others are to be told of it; nothing when some
+    /// Applies changes. Returns the new ones, to be forwarded to other VMs, or `None` if changes
     /// before them are missing.
     pub fn apply_changes(
         &mut self,
@@ -99,7 +101,8 @@
         }
         let change = match description {
             Some(description) => Some(self.install_description(description, context)),
-            // It came some other way before its turn. Others that follow what is passed on may not have it.
+            // The description arrived earlier by another way. VMs that get the forwarded changes
+            // may not have it.
             None => self.held_description().map(FeedChange::Description),
         };
         let described = described.zip(change);
@@ -111,8 +114,8 @@
         Some(AppliedChanges { changes, is_urgent })
     }
 
-    /// Puts changes in force of which some before them are missing, as far as requests could go wrong until
-    /// these are known. Returns whether there are such.
+    /// Applies changes although their predecessors are missing, if requests could be sent to wrong
+    /// destinations without them. Returns whether there were any.
     pub fn apply_early_changes(&mut self, changes: Vec<NumberedChange>, now: MonoTime) -> bool {
         if !self.has_state {
             return false;
@@ -130,14 +133,15 @@
         is_news
     }
 
-    /// Puts in force again what is still ahead of what is known.
+    /// Applies the remaining early changes again.
     fn reapply_early_changes(&mut self, now: MonoTime) {
         for change in self.early.drop_through(self.revision) {
             self.apply_change(change, now);
         }
     }
 
-    /// Puts a description in force that is newer than the one held. Returns what it changes.
+    /// Installs a description that is newer than the known one. Returns the change, as a delta to
+    /// the known one where possible.
     fn install_description(
         &mut self,
         description: RouteDescription,
@@ -153,7 +157,7 @@
             None => FeedChange::Description(Box::new(description.clone())),
         };
         let digest = description_digest(&description).unwrap_or_else(|error| {
-            tracing::error!(error = %error, "writing a description failed");
+            tracing::error!(error = %error, "serializing a description failed");
             0
         });
         self.digest = digest;
@@ -171,7 +175,8 @@
         change
     }
 
-    /// The description that changes lead to; nothing when they hold none that is newer than the one held.
+    /// Returns the description that results from the changes, or `None` if they contain no newer
+    /// one.
     fn newer_description(
         &self,
         changes: &[NumberedChange],
@@ -223,7 +228,7 @@
         }
     }
 
-    /// Puts a change in force that is not about the description.
+    /// Applies a change that is not about the description.
     fn apply_change(&mut self, change: FeedChange, now: MonoTime) {
         match change {
             FeedChange::Description(_) | FeedChange::DescriptionDelta(_) => {}
@@ -239,7 +244,7 @@
         }
     }
 
-    /// Drops an upstream whose record names none any more.
+    /// Removes an upstream whose record has become invalid.
     fn withdraw(&mut self, name: &UpstreamName) {
         self.unusable_count += 1;
         self.table.withdraw(name);
--- a/crates/foldhaven-gateway/src/view.rs
+++ b/crates/foldhaven-gateway/src/view.rs
@@ -1,4 +1,5 @@
-//! What the control thread publishes for traffic; replaced as a whole, never changed.
+//! The immutable view that the control thread publishes for traffic. It is always replaced as a
+//! whole.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -39,72 +40,74 @@
         }
     }
 
-    /// Counts a request of a service there until the guard is dropped.
+    /// Counts a forwarded request of a service until the returned guard is dropped.
     pub fn enter(&self, service: &ServiceName, tokens: u32, rank: QueueRank) -> LoadSeat {
         self.loads.lock().entry(service.clone()).or_default().enter(tokens, rank)
     }
 
-    /// The requests of a service that this VM has there.
+    /// Returns the load of a service that this VM has forwarded there.
     pub fn share(&self, service: &ServiceName) -> UpstreamShare {
         self.loads.lock().get(service).map_or(UpstreamShare::default(), |load| load.share())
     }
 }
 
-/// What a request would meet in another region.
+/// The expected wait and load of a service in a region.
 #[derive(Debug, Clone, Copy)]
 pub struct RegionWait {
-    /// The wait of timely requests, by the last heartbeats from there.
+    /// The wait of timely requests, by the last report from the region.
     pub wait: Duration,
-    /// How many upstreams the service has there.
+    /// The number of upstreams that the service has there.
     pub upstreams: usize,
-    /// How many requests one of them runs at once.
+    /// The number of requests that one of them runs at once.
     pub slots: u32,
-    /// How many requests one of them has, by the same heartbeats.
+    /// The number of requests at one of them, by the last report.
     pub load: u32,
-    /// The share of pauses between events that were longer than wanted, by the same heartbeats.
+    /// The share of pauses between events that were longer than wanted, by the last report.
     pub long_pauses: f64,
 }
 
-/// Everything that a decision on a request reads.
+/// Everything that decisions on requests depend on.
 pub struct GatewayView {
     pub routes: Arc<RouteTable>,
     /// The upstreams of each service that may get new requests, in all regions.
     pub upstreams: HashMap<ServiceName, Vec<Arc<Upstream>>>,
     /// The other VMs that serve.
     pub peers: Vec<Arc<PeerLink>>,
-    /// The waits in the other regions.
+    /// The expected waits by region and service, as reported by other regions.
     pub expected_waits: HashMap<(RegionName, ServiceName), RegionWait>,
-    /// Those of each other region that take requests there at any load.
+    /// The VMs of each other region that take requests there at any load.
     pub remote_in_service: HashMap<RegionName, Vec<Arc<PeerLink>>>,
-    /// The heartbeats of all VMs that live, the own one included.
+    /// The heartbeats of all live VMs, including this one.
     pub heartbeats: Vec<PeerBeat>,
-    /// VMs of this region of which nothing has come for a while.
+    /// The VMs of this region that have not been heard from for a while, but may still be live.
     pub unresponsive_vms: BTreeSet<VmName>,
-    /// The processor time that the requests of this region took in the last seconds at most.
+    /// The peak processor time that the region's requests used in the last few seconds.
     pub demand: CoreShare,
-    /// How many VMs of this region send requests to its upstreams, this one included.
+    /// The number of VMs of this region that send requests to its upstreams, including this one.
     pub senders: usize,
-    /// When something was heard of any VM of each data centre.
+    /// When any VM of each data centre was last heard from.
     pub last_seen: HashMap<DataCentreName, MonoTime>,
-    /// The number of VMs by which limits are divided; nothing while it is not known.
+    /// The number of VMs by which limits are divided. `None` while it is not known.
     pub assumed_vms: Option<usize>,
-    /// What a VM that cannot read the platform may take over.
+    /// The platform state that VMs that do not read the platform can fetch.
     pub offer: Arc<StateOffer>,
 }
 
 impl GatewayView {
-    /// The way to a region and back, as measured to any of its VMs; nothing before the first measurement.
+    /// Returns the shortest measured round trip to a VM of a region. `None` before the first
+    /// measurement.
     pub fn round_trip(&self, region: &RegionName) -> Option<Duration> {
         let there = self.peers.iter().filter(|peer| peer.region == *region);
         there.filter_map(|peer| peer.pool.round_trip()).min()
     }
 
-    /// How old reports of other VMs are at most when the next ones come.
+    /// Returns the maximum age of other VMs' load reports, which is the interval between two of
+    /// them.
     pub fn report_age(&self) -> Duration {
         share_interval(self.senders.saturating_sub(1))
     }
 
-    /// The upstreams of a service.
+    /// Returns the upstreams of a service.
     pub fn upstreams_of(&self, service: &ServiceName) -> &[Arc<Upstream>] {
         self.upstreams.get(service).map_or(&[], Vec::as_slice)
     }
--- a/crates/foldhaven-gateway/tests/testsuite/answer_cache.rs
+++ b/crates/foldhaven-gateway/tests/testsuite/answer_cache.rs
@@ -1,4 +1,4 @@
-//! What peers are told of the platform, written once for all that ask the same.
+//! The cache of platform state answers for peers.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -41,7 +41,7 @@
 
 const ALL: StateRequest = StateRequest { known_revision: None, accepts_spanning: true };
 
-/// A VM wrote the same changes anew for each VM of its region that asked, one after the other.
+/// Guards against serializing the same changes again for each VM of the region that asks.
 #[test]
 fn equal_requests_share_one_serialized_answer() {
     let (cache, offer) = (AnswerCache::default(), offer(7));
--- a/crates/foldhaven-gateway/tests/testsuite/main.rs
+++ b/crates/foldhaven-gateway/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the gateway's parts that need no process.
+//! Tests of gateway components that do not need a running process.
 
 mod answer_cache;
 mod peer_messages;
--- a/crates/foldhaven-gateway/tests/testsuite/peer_messages.rs
+++ b/crates/foldhaven-gateway/tests/testsuite/peer_messages.rs
@@ -1,7 +1,7 @@
-//! Messages between VMs as they were recorded are still understood, and are still written in the same way.
+//! Recorded messages between VMs can still be read, and are still written in the same way.
 //!
-//! While daemons are replaced one by one, two versions of them tell each other. A kind or a field that changes its place would
-//! be read as another one, or not at all: VMs would take each other for dead.
+//! During a rolling upgrade, two versions of the daemon exchange messages. If a message kind or
+//! field moved, messages would be misread or rejected, and VMs would consider each other dead.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -125,7 +125,7 @@
     PeerMessage::Leavers(vec![told(1), told(300)])
 }
 
-/// A description with an account, and what changes when it goes.
+/// Returns a description with an account, and the delta that removes the account.
 fn keyed_changes() -> PeerMessage {
     let account = ClientAccount {
         name: "one".parse().unwrap(),
@@ -159,7 +159,7 @@
     PeerMessage::Changes(ChangeSet { after: 4, revision: 5, changes: numbered.collect() })
 }
 
-/// The bytes of each kind as this version writes them.
+/// The bytes of each message kind as this version writes them.
 #[rstest]
 #[case::beat(
     beat(),
@@ -193,7 +193,8 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// What a later version adds is of a kind that is not known here, and is no message; so is what is cut, or too long.
+/// Unknown kinds from later versions, truncated messages and messages with trailing bytes are
+/// rejected.
 #[test]
 fn malformed_messages_are_rejected() {
     for kind in 10..=250u8 {
--- a/crates/foldhaven-gateway/tests/testsuite/platform_state.rs
+++ b/crates/foldhaven-gateway/tests/testsuite/platform_state.rs
@@ -1,11 +1,13 @@
-//! What is known of the platform, whatever the order in which it comes.
+//! The platform state is correct in whatever order changes arrive.
 //!
-//! VMs named the newest revision and version as theirs and decided by an older description. A VM that holds the newest
-//! revision asks nobody, so that its revision must never pass what it has taken in. Here a platform publishes, and three VMs
-//! read it at their own pace, page by page and by differences, tell each other by messages that are late, lost, doubled and
-//! in any order, and ask each other; each of the ways by which a revision rises is among it.
+//! Guards against VMs that announce the newest revision and version but decide by an older
+//! description. A VM that holds the newest revision does not ask for changes, so its revision must
+//! never exceed the changes that it has applied. A simulated platform publishes changes. Three VMs
+//! read it at different times, page by page and as changes, forward changes by messages that are
+//! delayed, lost, duplicated and reordered, and request state from each other. All ways in which a
+//! revision increases are covered.
 //!
-//! `KNOWN_ORDERS=10000` plays so many drawn orders in place of the few of CI.
+//! `KNOWN_ORDERS=10000` runs that many random orders instead of the few of CI.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -30,7 +32,7 @@
 use serde::de::DeserializeOwned;
 
 const DEFAULT_SEEDS: u64 = 300;
-/// How much happens in one order.
+/// Events in one order.
 const EVENTS: usize = 400;
 const VMS: usize = 3;
 const NAMES: [&str; 4] = ["a", "b", "c", "d"];
@@ -61,7 +63,7 @@
     }
 }
 
-/// Some accounts with keys, and whether the first route is open.
+/// Returns random accounts with keys. The first route may be open.
 fn accounts(random: &mut StdRng) -> AccountDescription {
     let chosen = NAMES.iter().filter(|_| random.random_bool(0.5)).copied();
     let chosen: Vec<&str> = chosen.collect();
@@ -80,12 +82,12 @@
     AccountDescription { accounts, open_routes: open.into_iter().collect() }
 }
 
-/// The platform, with all that it ever published.
+/// The simulated platform with its complete history.
 #[derive(Default)]
 struct Platform {
     history: Vec<NumberedChange>,
     version: u64,
-    /// Up to which revision the history is gone.
+    /// The revision up to which the history was compacted.
     compacted_revision: u64,
 }
 
@@ -99,7 +101,7 @@
         self.history.push(NumberedChange { revision, change });
     }
 
-    /// A description with some routes, of which each may be as an earlier version had it.
+    /// Publishes a description with random routes, each of which may be as in an earlier version.
     fn publish_description(&mut self, random: &mut StdRng) {
         self.version += random.random_range(1..4);
         let chosen = NAMES.iter().filter(|_| random.random_bool(0.5)).copied();
@@ -138,7 +140,7 @@
         }
     }
 
-    /// The last change about each subject up to a revision, as the platform lists them.
+    /// Returns the last change of each subject up to a revision, as the platform lists them.
     fn items_at(&self, revision: u64) -> Vec<NumberedChange> {
         let mut last: BTreeMap<ChangeSubject<'_>, &NumberedChange> = BTreeMap::new();
         for numbered in self.history.iter().filter(|numbered| numbered.revision <= revision) {
@@ -147,7 +149,8 @@
         last.into_values().cloned().collect()
     }
 
-    /// A list of which some items are as of an earlier revision, which it names, and others as of now: pages are no snapshot.
+    /// Returns a list that names an earlier revision, but in which some items are as of now: the
+    /// pages of a list are not read at one revision.
     fn paged_list(&self, random: &mut StdRng, since: u64) -> FeedSnapshot {
         let mut items: BTreeMap<String, NumberedChange> = BTreeMap::new();
         for revision in [since, self.revision()] {
@@ -177,7 +180,7 @@
         snapshot
     }
 
-    /// The changes after a revision; of several about the same only the last.
+    /// Returns the changes after a revision. Only the last one of each subject is included.
     fn changes(&self, after: u64) -> ChangeSet {
         let revision = self.revision();
         let mut last: BTreeMap<ChangeSubject<'_>, &NumberedChange> = BTreeMap::new();
@@ -189,7 +192,8 @@
         ChangeSet { after, revision: revision.max(after), changes }
     }
 
-    /// What a subject was from a revision on: at it, and after each later change.
+    /// Returns the states of a subject from a revision on: at the revision, and after each later
+    /// change.
     fn states_since<'a>(
         &'a self,
         subject: ChangeSubject<'a>,
@@ -204,7 +208,7 @@
     }
 }
 
-/// A message on its way to a VM.
+/// A message in transit to a VM.
 #[derive(Clone)]
 enum Message {
     Announced(ChangeSet),
@@ -212,7 +216,7 @@
 }
 
 impl Message {
-    /// As it arrives at another process.
+    /// Returns the message as another process receives it.
     fn serialized(self) -> Self {
         match self {
             Self::Announced(changes) => Self::Announced(serialize_round_trip(&changes)),
@@ -230,12 +234,12 @@
 struct World {
     platform: Platform,
     vms: Vec<PlatformState>,
-    /// What others may take over from each VM, as it was shown last.
+    /// The state that other VMs can fetch from each VM, as last published.
     offers: Vec<Option<Arc<StateOffer>>>,
     /// Lists that are being read, by the revision of their first page.
     pending_lists: Vec<Option<u64>>,
     messages: Vec<(usize, Message)>,
-    /// The revision and the version that each VM had last; no life of a VM goes back.
+    /// The last revision and version of each VM. They must not decrease until the VM restarts.
     previous: Vec<(u64, RouteVersion)>,
 }
 
@@ -274,7 +278,7 @@
         self.messages.retain(|(to, _)| *to != vm);
     }
 
-    /// Reads what changed, or goes on with a list.
+    /// Reads the changes, or completes a list.
     fn read(&mut self, vm: usize, random: &mut StdRng) {
         let revision = self.platform.revision();
         if let Some(since) = self.pending_lists[vm].take() {
@@ -304,7 +308,7 @@
         self.messages.push((vm, Message::Answer(answer)));
     }
 
-    /// Any message comes next; it may come again, or never come.
+    /// Delivers a random message. It may be delivered again later, or be lost.
     fn deliver(&mut self, random: &mut StdRng) {
         if self.messages.is_empty() {
             return;
@@ -359,7 +363,7 @@
         }
     }
 
-    /// What a VM holds must be as the platform had it at its revision or later.
+    /// Checks that each VM holds what the platform had at the VM's revision or later.
     fn check(&mut self) -> Result<(), String> {
         for (vm, known) in self.vms.iter().enumerate() {
             let (current, previous) = ((known.revision(), known.version()), self.previous[vm]);
@@ -418,7 +422,8 @@
 }
 
 impl World {
-    /// In calm whoever asks one that knows all soon knows all.
+    /// Brings all VMs up to date while no more changes are published: the first one reads the
+    /// platform, and the others ask it.
     fn settle(&mut self, random: &mut StdRng) {
         self.messages.clear();
         while self.vms[0].revision() < self.platform.revision() {
