--- a/crates/foldhaven-gateway/src/control/account_limits.rs
+++ b/crates/foldhaven-gateway/src/control/account_limits.rs
@@ -45,19 +45,19 @@
         _: &mut Context<Self>,
     ) -> PlannedDemandReports {
         let now = self.now();
-        let (names, wants) = self.limited_accounts(now);
-        if wants.is_empty() {
+        let (names, demands) = self.limited_accounts(now);
+        if demands.is_empty() {
             self.account_demands.rest();
             return PlannedDemandReports::default();
         }
         let heard = self.peers.heard_near(now);
         let view = self.sharer_view(heard.len(), now);
         let incarnation = self.peers.incarnation();
-        let local = self.account_demands.tell_near(&wants, &view, &heard, incarnation, now);
-        self.update_limit_shares(names, &wants, view, now);
+        let local = self.account_demands.tell_near(&demands, &view, &heard, incarnation, now);
+        self.update_limit_shares(names, &demands, view, now);
         let is_speaker = self.phase() == PeerPhase::Serving && self.peers.is_delegate(now);
         let remote =
-            is_speaker.then(|| self.account_demands.tell_far(&wants, incarnation, now)).flatten();
+            is_speaker.then(|| self.account_demands.tell_far(&demands, incarnation, now)).flatten();
         PlannedDemandReports {
             local_targets: local.as_ref().map(|_| self.local_peers()).unwrap_or_default(),
             local,
@@ -91,19 +91,21 @@
 /// Logs the share of the account with the largest local demand.
 fn log_largest_demand(
     shares: &[(AccountName, LimitPart)],
-    wants: &[LimitedWant],
+    demands: &[LimitedWant],
     view: &SharerView,
 ) {
-    let both = shares.iter().zip(wants);
+    let both = shares.iter().zip(demands);
     let largest = both.max_by(|left, right| left.1.want.total_cmp(&right.1.want));
-    let Some(((account, part), want)) = largest.filter(|(_, want)| want.want > 0.0) else { return };
+    let Some(((account, share), demand)) = largest.filter(|(_, demand)| demand.want > 0.0) else {
+        return;
+    };
     tracing::info!(
         account = %account,
-        per_s = want.limit.per_s,
-        part_per_s = part.per_s,
-        burst = part.burst,
-        owed = part.owed,
-        wanted_per_s = want.want,
+        per_s = demand.limit.per_s,
+        part_per_s = share.per_s,
+        burst = share.burst,
+        owed = share.owed,
+        wanted_per_s = demand.want,
         view = ?view,
         "share of an account limit"
     );
@@ -114,13 +116,14 @@
     fn limited_accounts(&self, now: MonoTime) -> (Vec<AccountName>, Vec<LimitedWant>) {
         let described = self.platform.routes().and_then(|it| it.description().accounts.as_ref());
         let Some(described) = described else { return Default::default() };
-        let wants: BTreeMap<AccountName, f64> =
+        let demands: BTreeMap<AccountName, f64> =
             self.shared.accounts.wants(now).into_iter().collect();
         let limited = described.accounts.values().filter_map(|account| {
             let name = account.name.clone();
-            let want = wants.get(&name).copied().unwrap_or_default();
-            let want = LimitedWant { account: AccountTag::of(&name), limit: account.limit?, want };
-            Some((name, want))
+            let demand = demands.get(&name).copied().unwrap_or_default();
+            let demand =
+                LimitedWant { account: AccountTag::of(&name), limit: account.limit?, want: demand };
+            Some((name, demand))
         });
         limited.unzip()
     }
@@ -138,16 +141,17 @@
     fn update_limit_shares(
         &mut self,
         names: Vec<AccountName>,
-        wants: &[LimitedWant],
+        demands: &[LimitedWant],
         view: SharerView,
         now: MonoTime,
     ) {
         let accounts = &self.shared.accounts;
-        let demands = &mut self.account_demands;
-        let shares = wants.iter().map(|want| demands.part(want, &view, accounts.slack(), now));
+        let exchange = &mut self.account_demands;
+        let shares =
+            demands.iter().map(|demand| exchange.part(demand, &view, accounts.slack(), now));
         let shares: Vec<(AccountName, LimitPart)> = names.into_iter().zip(shares).collect();
         if self.shared.quota.take(true) {
-            log_largest_demand(&shares, wants, &view);
+            log_largest_demand(&shares, demands, &view);
         }
         accounts.renew(view, shares, self.shared.started(), now);
     }
--- a/crates/foldhaven-gateway/src/control/announcements.rs
+++ b/crates/foldhaven-gateway/src/control/announcements.rs
@@ -108,10 +108,10 @@
     /// learns of changes only in this way.
     pub(super) fn announce_remotely(&mut self) {
         let (now, revision) = (self.now(), self.platform.revision());
-        let is_told = |(at, told): (MonoTime, u64)| {
-            told >= revision || now.since(at) < REMOTE_ANNOUNCE_INTERVAL
+        let is_suppressed = |(at, sent): (MonoTime, u64)| {
+            sent >= revision || now.since(at) < REMOTE_ANNOUNCE_INTERVAL
         };
-        if self.announced.remote.is_some_and(is_told) {
+        if self.announced.remote.is_some_and(is_suppressed) {
             return;
         }
         self.announced.remote = Some((now, revision));
@@ -124,9 +124,9 @@
         let (now, revision) = (self.now(), notice.revision);
         // Compares for equality, not by order: one announcement of a revision that does not exist
         // would suppress all later announcements of real ones.
-        let is_told =
-            |(at, told): (MonoTime, u64)| told == revision || now.since(at) < RELAY_INTERVAL;
-        if self.announced.relayed.is_some_and(is_told) {
+        let is_suppressed =
+            |(at, sent): (MonoTime, u64)| sent == revision || now.since(at) < RELAY_INTERVAL;
+        if self.announced.relayed.is_some_and(is_suppressed) {
             return;
         }
         self.announced.relayed = Some((now, revision));
--- a/crates/foldhaven-gateway/src/control/catch_up.rs
+++ b/crates/foldhaven-gateway/src/control/catch_up.rs
@@ -78,8 +78,8 @@
             true => LOCAL_REQUEST_DELAY,
             false => self.remote_request_delay(now),
         };
-        let fresh = LagState { since: now, revision, is_local, is_logged: false };
-        let lag = self.update_lag(fresh, peer);
+        let current = LagState { since: now, revision, is_local, is_logged: false };
+        let lag = self.update_lag(current, peer);
         if !is_local && lag >= RELAY_DELAY {
             self.relay_notice(NewsNotice {
                 vm,
@@ -105,9 +105,9 @@
 impl ControlActor {
     /// Returns how long this VM waits for others before it asks another region itself.
     fn remote_request_delay(&self, now: MonoTime) -> Duration {
-        let place = self.peers.asking_place(now).and_then(|place| u32::try_from(place).ok());
-        let limit = place
-            .map(|place| FIRST_REMOTE_REQUEST_DELAY + REMOTE_REQUEST_STEP.saturating_mul(place));
+        let rank = self.peers.asking_place(now).and_then(|rank| u32::try_from(rank).ok());
+        let limit =
+            rank.map(|rank| FIRST_REMOTE_REQUEST_DELAY + REMOTE_REQUEST_STEP.saturating_mul(rank));
         limit.map_or(REMOTE_REQUEST_DELAY, |limit| limit.min(REMOTE_REQUEST_DELAY))
     }
 
@@ -123,35 +123,44 @@
     fn newer_peer(&self, avoided: Option<SocketAddr>) -> Option<&PeerBeat> {
         let now = self.now();
         let settings = &self.shared.settings;
-        let is_ahead = |beat: &&PeerBeat| match self.platform.needs_snapshot() {
-            true => beat.revision >= self.platform.revision(),
-            false => beat.revision > self.platform.revision(),
+        let is_ahead = |heartbeat: &&PeerBeat| match self.platform.needs_snapshot() {
+            true => heartbeat.revision >= self.platform.revision(),
+            false => heartbeat.revision > self.platform.revision(),
         };
-        let nearness = |beat: &PeerBeat| {
-            let is_here = beat.data_centre == settings.data_centre;
-            (avoided != Some(beat.peer), beat.region == *settings.region(), is_here)
+        let proximity = |heartbeat: &PeerBeat| {
+            let is_here = heartbeat.data_centre == settings.data_centre;
+            (avoided != Some(heartbeat.peer), heartbeat.region == *settings.region(), is_here)
         };
         let mut ahead: Vec<&PeerBeat> = self.peers.live(now).filter(is_ahead).collect();
-        let nearest = ahead.iter().map(|beat| nearness(beat)).max()?;
-        ahead.retain(|beat| nearness(beat) == nearest);
+        let nearest = ahead.iter().map(|heartbeat| proximity(heartbeat)).max()?;
+        ahead.retain(|heartbeat| proximity(heartbeat) == nearest);
         let attempt = self.catch_up_attempts.to_string();
-        let rank =
-            |beat: &&PeerBeat| rank_hash(&[settings.vm.as_str(), beat.vm.as_str(), &attempt]);
+        let rank = |heartbeat: &&PeerBeat| {
+            rank_hash(&[settings.vm.as_str(), heartbeat.vm.as_str(), &attempt])
+        };
         ahead.sort_by_cached_key(rank);
-        ahead.into_iter().take(2).max_by_key(|beat| beat.revision)
+        ahead.into_iter().take(2).max_by_key(|heartbeat| heartbeat.revision)
     }
 
     /// Updates the lag after a VM with newer state was found. Returns the length of the lag.
-    fn update_lag(&mut self, fresh: LagState, peer: SocketAddr) -> Duration {
-        let held = self.lag.filter(|held| held.is_local || !fresh.is_local);
-        let mut lag_state = held.unwrap_or(fresh);
-        let lag = fresh.since.since(lag_state.since);
+    fn update_lag(&mut self, current: LagState, peer: SocketAddr) -> Duration {
+        let held = self.lag.filter(|held| held.is_local || !current.is_local);
+        let mut lag_state = held.unwrap_or(current);
+        let lag = current.since.since(lag_state.since);
         if lag >= LAG_LOG_THRESHOLD && !std::mem::replace(&mut lag_state.is_logged, true) {
             let behind_ms = lag.as_millis() as u64;
             let (ahead, revision, version) =
-                (fresh.revision, self.platform.revision(), self.version().0);
+                (current.revision, self.platform.revision(), self.version().0);
             let is_local = lag_state.is_local;
-            tracing::warn!(peer = %peer, ahead, revision, version, is_near = is_local, behind_ms, "behind other VMs");
+            tracing::warn!(
+                peer = %peer,
+                ahead,
+                revision,
+                version,
+                is_near = is_local,
+                behind_ms,
+                "behind other VMs"
+            );
         }
         self.lag = Some(lag_state);
         self.publish_lag();
@@ -189,11 +198,11 @@
     }
 
     fn publish_lag(&self) {
-        let belief = |lag_state: LagState| BehindBelief {
+        let published = |lag_state: LagState| BehindBelief {
             since: lag_state.since,
             is_near: lag_state.is_local,
         };
-        self.shared.set_behind(self.lag.map(belief));
+        self.shared.set_behind(self.lag.map(published));
         self.shared.metrics.set_level("behind_ms", self.lag_time().as_millis() as u64);
     }
 }
--- a/crates/foldhaven-gateway/src/control/feed_changes.rs
+++ b/crates/foldhaven-gateway/src/control/feed_changes.rs
@@ -9,8 +9,8 @@
 impl Handler<FeedUpdate> for ControlActor {
     type Return = ();
 
-    async fn handle(&mut self, news: FeedUpdate, _: &mut Context<Self>) {
-        match news {
+    async fn handle(&mut self, update: FeedUpdate, _: &mut Context<Self>) {
+        match update {
             FeedUpdate::Failed { cause } => return self.note_platform_failure(&cause),
             FeedUpdate::Snapshot(snapshot) => {
                 let applied = self.apply_snapshot(snapshot);
--- a/crates/foldhaven-gateway/src/control/load_reports.rs
+++ b/crates/foldhaven-gateway/src/control/load_reports.rs
@@ -121,9 +121,9 @@
     fn report_targets(&self) -> Vec<ReportTarget> {
         let active: HashSet<VmTag> = self.loads.active().collect();
         let local = self.peers.near(self.now());
-        let target = |beat: &PeerBeat| ReportTarget {
-            address: beat.peer,
-            is_active: active.contains(&VmTag::of(&beat.vm)),
+        let target = |heartbeat: &PeerBeat| ReportTarget {
+            address: heartbeat.peer,
+            is_active: active.contains(&VmTag::of(&heartbeat.vm)),
         };
         local.map(target).collect()
     }
@@ -167,7 +167,8 @@
     /// is due.
     fn due_region_report(&mut self) -> Option<RegionReport> {
         let now = self.now();
-        let is_due = self.last_region_report.is_none_or(|told| now.since(told) >= REGION_INTERVAL);
+        let is_due =
+            self.last_region_report.is_none_or(|reported| now.since(reported) >= REGION_INTERVAL);
         if !is_due || self.phase() != PeerPhase::Serving || !self.peers.is_delegate(now) {
             return None;
         }
--- a/crates/foldhaven-gateway/src/control/members.rs
+++ b/crates/foldhaven-gateway/src/control/members.rs
@@ -34,11 +34,11 @@
     /// Updates the metrics on the region's VMs, and logs them on changes and every
     /// [`RELOG_INTERVAL`].
     pub(super) fn report_members(&mut self, now: MonoTime) {
-        let near = || self.peers.near(now);
+        let local = || self.peers.near(now);
         let members = RegionMembers {
             known: self.peers.region_count(),
-            live: near().count() + 1,
-            serving: near().filter(|beat| beat.phase == PeerPhase::Serving).count() + 1,
+            live: local().count() + 1,
+            serving: local().filter(|heartbeat| heartbeat.phase == PeerPhase::Serving).count() + 1,
             digest: self.peers.region_digest(now),
         };
         let metrics = &self.shared.metrics;
@@ -50,9 +50,18 @@
         }
         self.members = LoggedMembers { members, logged_at: now };
         let RegionMembers { known, live, serving, digest } = members;
-        let names: Vec<&str> = near().map(|beat| beat.vm.as_str()).take(MAX_LOGGED_NAMES).collect();
+        let names: Vec<&str> =
+            local().map(|heartbeat| heartbeat.vm.as_str()).take(MAX_LOGGED_NAMES).collect();
         let digest = format!("{digest:016x}");
         let heartbeat_rounds = self.heartbeat_rounds;
-        tracing::info!(known, live, serving, digest, beats = heartbeat_rounds, others = ?names, "VMs of the region");
+        tracing::info!(
+            known,
+            live,
+            serving,
+            digest,
+            beats = heartbeat_rounds,
+            others = ?names,
+            "VMs of the region"
+        );
     }
 }
--- a/crates/foldhaven-gateway/src/control/mod.rs
+++ b/crates/foldhaven-gateway/src/control/mod.rs
@@ -293,7 +293,7 @@
 
     /// Returns the addresses of the other VMs of this region.
     fn local_peers(&self) -> Vec<SocketAddr> {
-        self.peers.near(self.now()).map(|beat| beat.peer).collect()
+        self.peers.near(self.now()).map(|heartbeat| heartbeat.peer).collect()
     }
 
     /// Returns the number of VMs by which limits are divided. `None` while this process is still
--- a/crates/foldhaven-gateway/src/control/peer_changes.rs
+++ b/crates/foldhaven-gateway/src/control/peer_changes.rs
@@ -52,12 +52,12 @@
         let ApplySnapshot { snapshot, peer } = offer;
         self.peers.note_told_revision(peer, snapshot.revision);
         let (before, revision) = (self.platform.revision(), snapshot.revision);
-        let is_news = revision > before || self.platform.needs_snapshot() && revision == before;
-        if is_news {
+        let is_newer = revision > before || self.platform.needs_snapshot() && revision == before;
+        if is_newer {
             tracing::info!(peer = %peer, revision, before, "state taken from a peer");
-            let is_from_afar = self.is_behind_remote_only();
+            let is_remote = self.is_behind_remote_only();
             let applied = self.apply_snapshot(snapshot);
-            if let Some(applied) = applied.filter(|_| is_from_afar) {
+            if let Some(applied) = applied.filter(|_| is_remote) {
                 self.forward_changes(applied);
             }
         }
@@ -80,10 +80,16 @@
         if revision <= before {
             return;
         }
-        let is_from_afar = self.is_behind_remote_only();
+        let is_remote = self.is_behind_remote_only();
         let Some(applied) = self.apply_changes(changes) else { return };
-        tracing::info!(peer = %peer, revision, before, is_from_afar, "state taken from a peer");
-        if is_from_afar {
+        tracing::info!(
+            peer = %peer,
+            revision,
+            before,
+            is_from_afar = is_remote,
+            "state taken from a peer"
+        );
+        if is_remote {
             self.forward_changes(applied);
         }
     }
--- a/crates/foldhaven-gateway/src/control/traffic_view.rs
+++ b/crates/foldhaven-gateway/src/control/traffic_view.rs
@@ -148,10 +148,10 @@
         heartbeats: &[PeerBeat],
     ) -> HashMap<RegionName, Vec<Arc<PeerLink>>> {
         let own_region = self.shared.settings.region();
-        let serving = heartbeats.iter().filter(|beat| beat.phase == PeerPhase::Serving);
+        let serving = heartbeats.iter().filter(|heartbeat| heartbeat.phase == PeerPhase::Serving);
         let mut by_region: HashMap<&RegionName, Vec<ServiceCandidate<'_>>> = HashMap::new();
-        for beat in serving.filter(|beat| beat.region != *own_region) {
-            by_region.entry(&beat.region).or_default().push(ServiceCandidate::of(beat));
+        for heartbeat in serving.filter(|heartbeat| heartbeat.region != *own_region) {
+            by_region.entry(&heartbeat.region).or_default().push(ServiceCandidate::of(heartbeat));
         }
         let links = by_region.into_iter().map(|(region, candidates)| {
             let order = ServiceOrder::of(candidates);
@@ -193,10 +193,11 @@
     /// Returns links to the VMs that serve. Known links are reused with their connections.
     fn current_links(&mut self, heartbeats: &[PeerBeat]) -> Vec<Arc<PeerLink>> {
         let mut links = HashMap::new();
-        for beat in heartbeats.iter().filter(|beat| beat.phase == PeerPhase::Serving) {
-            let known = self.links.get(&beat.vm).filter(|link| link.address == beat.peer);
-            let link = known.cloned().unwrap_or_else(|| Arc::new(PeerLink::new(beat)));
-            links.insert(beat.vm.clone(), link);
+        for heartbeat in heartbeats.iter().filter(|heartbeat| heartbeat.phase == PeerPhase::Serving)
+        {
+            let known = self.links.get(&heartbeat.vm).filter(|link| link.address == heartbeat.peer);
+            let link = known.cloned().unwrap_or_else(|| Arc::new(PeerLink::new(heartbeat)));
+            links.insert(heartbeat.vm.clone(), link);
         }
         self.links = links;
         self.links.values().cloned().collect()
--- a/crates/foldhaven-gateway/src/datagrams.rs
+++ b/crates/foldhaven-gateway/src/datagrams.rs
@@ -175,8 +175,8 @@
             send_suspects_to_starting_peer(&socket, &shared, starting_peer_address).await;
         }
         let message = match message {
-            PeerMessage::Suspects(telling) => {
-                apply_suspects(&shared, &telling);
+            PeerMessage::Suspects(suspects) => {
+                apply_suspects(&shared, &suspects);
                 continue;
             }
             message => message,
@@ -192,7 +192,7 @@
 type OutgoingMessages = Vec<(SocketAddr, PeerMessage)>;
 
 fn heartbeat_messages(replies: PlannedBeats) -> OutgoingMessages {
-    replies.into_iter().map(|(target, beat)| (target, PeerMessage::Beat(beat))).collect()
+    replies.into_iter().map(|(target, heartbeat)| (target, PeerMessage::Beat(heartbeat))).collect()
 }
 
 /// Dispatches a message to the control actor. Returns the messages to send in reply.
@@ -242,7 +242,9 @@
 /// start.
 fn starting_peer(message: &PeerMessage) -> Option<SocketAddr> {
     match message {
-        PeerMessage::Beat(beat) if beat.asks == AskedBeats::All => Some(beat.own.peer),
+        PeerMessage::Beat(heartbeat) if heartbeat.asks == AskedBeats::All => {
+            Some(heartbeat.own.peer)
+        }
         _ => None,
     }
 }
@@ -255,17 +257,17 @@
     target: SocketAddr,
 ) {
     let records = shared.suspects.told_to_starter();
-    let telling = SuspectTelling { region: shared.settings.region().clone(), records };
-    send_to(socket, &[target], &PeerMessage::Suspects(telling)).await;
+    let suspects = SuspectTelling { region: shared.settings.region().clone(), records };
+    send_to(socket, &[target], &PeerMessage::Suspects(suspects)).await;
 }
 
 /// Applies the suspected requests that another VM sent.
-fn apply_suspects(shared: &GatewayShared, telling: &SuspectTelling) {
-    let source = match telling.region == *shared.settings.region() {
+fn apply_suspects(shared: &GatewayShared, suspects: &SuspectTelling) {
+    let source = match suspects.region == *shared.settings.region() {
         true => RecordSource::Near,
         false => RecordSource::Far,
     };
-    shared.suspects.hear(&telling.records, source, &shared.change_context());
+    shared.suspects.hear(&suspects.records, source, &shared.change_context());
 }
 
 /// Sends heartbeats in rounds, and immediately when this daemon starts to leave or finds that it
@@ -331,8 +333,8 @@
 /// fit into a datagram.
 async fn send_local_demand(socket: &UdpSocket, targets: &[SocketAddr], demand: NearDemand) {
     let own = demand.own.as_ref().map_or(0, |own| own.wants.len());
-    let wants: usize = own + demand.regions.iter().map(|it| it.wants.len()).sum::<usize>();
-    if wants <= MAX_WANTS {
+    let entries: usize = own + demand.regions.iter().map(|it| it.wants.len()).sum::<usize>();
+    if entries <= MAX_WANTS {
         send_to(socket, targets, &PeerMessage::Demand(demand)).await;
         return;
     }
--- a/crates/foldhaven-gateway/src/feed.rs
+++ b/crates/foldhaven-gateway/src/feed.rs
@@ -249,8 +249,8 @@
     }
 
     /// Sends an update. Returns `false` if the control actor has stopped.
-    pub async fn send(&self, news: FeedUpdate) -> bool {
-        self.control.send(news).await.is_ok()
+    pub async fn send(&self, update: FeedUpdate) -> bool {
+        self.control.send(update).await.is_ok()
     }
 
     /// Waits until this daemon has to read the platform. Returns the revision from which to
--- a/crates/foldhaven-gateway/src/platform_state/updates.rs
+++ b/crates/foldhaven-gateway/src/platform_state/updates.rs
@@ -30,7 +30,7 @@
         // Changes that came and went in between are in no delta, so VMs that know less get the
         // whole state.
         self.log.reset(revision);
-        let replaces = std::mem::replace(&mut self.needs_snapshot, false);
+        let is_replacement = std::mem::replace(&mut self.needs_snapshot, false);
         for name in &unusable {
             self.withdraw(name);
         }
@@ -47,7 +47,7 @@
         let held = self.routes.as_deref().map(RouteTable::version);
         // After deltas failed to apply, the known description may differ from the platform's of the
         // same version.
-        let is_newer = offered > held || replaces && offered == held;
+        let is_newer = offered > held || is_replacement && offered == held;
         match description.filter(|_| is_newer) {
             Some(description) => drop(self.install_description(description, context)),
             None => offered.into_iter().for_each(|offered| self.warn_older_description(offered)),
@@ -75,9 +75,9 @@
             return None;
         }
         let (known, after) = (self.revision, self.log.last_revision());
-        let news: Vec<NumberedChange> =
+        let new_changes: Vec<NumberedChange> =
             set.changes.into_iter().filter(|numbered| numbered.revision > known).collect();
-        let description = match self.newer_description(&news) {
+        let description = match self.newer_description(&new_changes) {
             Ok(description) => description,
             Err(error) => {
                 tracing::warn!(revision = known, error = %error, "everything is asked for");
@@ -87,10 +87,10 @@
         };
         self.revision = known.max(set.revision);
         self.needs_snapshot = false;
-        let is_urgent = news.iter().any(|numbered| numbered.change.is_urgent());
+        let is_urgent = new_changes.iter().any(|numbered| numbered.change.is_urgent());
         let mut applied: Vec<NumberedChange> = Vec::new();
         let mut described = None;
-        for numbered in news {
+        for numbered in new_changes {
             if numbered.change.subject() == ChangeSubject::Description {
                 described = Some(numbered.revision);
                 continue;
--- a/crates/foldhaven-gateway/src/view.rs
+++ b/crates/foldhaven-gateway/src/view.rs
@@ -30,11 +30,11 @@
 }
 
 impl PeerLink {
-    pub fn new(beat: &PeerBeat) -> Self {
+    pub fn new(heartbeat: &PeerBeat) -> Self {
         Self {
-            vm: beat.vm.clone(),
-            region: beat.region.clone(),
-            address: beat.peer,
+            vm: heartbeat.vm.clone(),
+            region: heartbeat.region.clone(),
+            address: heartbeat.peer,
             pool: ConnectionPool::new(PEER_IDLE_LIMIT),
             loads: Mutex::default(),
         }
--- a/crates/foldhaven-gateway/tests/testsuite/peer_messages.rs
+++ b/crates/foldhaven-gateway/tests/testsuite/peer_messages.rs
@@ -116,13 +116,14 @@
 }
 
 fn limits() -> PeerMessage {
-    let told = |upstream, per_s| LimitNotice { upstream: UpstreamTag(upstream), per_s, age_ms: 3 };
-    PeerMessage::Limits(vec![told(1, Some(2.5)), told(2, None)])
+    let notice =
+        |upstream, per_s| LimitNotice { upstream: UpstreamTag(upstream), per_s, age_ms: 3 };
+    PeerMessage::Limits(vec![notice(1, Some(2.5)), notice(2, None)])
 }
 
 fn leavers() -> PeerMessage {
-    let told = |upstream| LeavingNotice { upstream: UpstreamTag(upstream), age_ms: 3 };
-    PeerMessage::Leavers(vec![told(1), told(300)])
+    let notice = |upstream| LeavingNotice { upstream: UpstreamTag(upstream), age_ms: 3 };
+    PeerMessage::Leavers(vec![notice(1), notice(300)])
 }
 
 /// Returns a description with an account, and the delta that removes the account.
--- a/crates/foldhaven-gateway/tests/testsuite/platform_state.rs
+++ b/crates/foldhaven-gateway/tests/testsuite/platform_state.rs
@@ -345,8 +345,8 @@
                 self.apply(vm, Message::Answer(answer));
             }
             Message::Answer(PeerState::Snapshot(snapshot)) => {
-                let is_news = snapshot.revision > before;
-                if is_news || known.needs_snapshot() && snapshot.revision == before {
+                let is_newer = snapshot.revision > before;
+                if is_newer || known.needs_snapshot() && snapshot.revision == before {
                     known.apply_snapshot(snapshot, context());
                 }
             }
