--- a/crates/foldhaven-gateway/src/control/announcements.rs
+++ b/crates/foldhaven-gateway/src/control/announcements.rs
@@ -168,16 +168,11 @@
                 revision,
                 version,
                 is_disturbed = is_platform_unreachable,
-                "what is believed of the platform is old"
+                "platform state is stale"
             );
         } else if self.is_staleness_logged && age < FRESH_WITHIN {
             self.is_staleness_logged = false;
-            tracing::info!(
-                age_ms,
-                revision,
-                version,
-                "what is believed of the platform is young again"
-            );
+            tracing::info!(age_ms, revision, version, "platform state is fresh again");
         }
     }
 }
--- a/crates/foldhaven-gateway/src/control/feed_changes.rs
+++ b/crates/foldhaven-gateway/src/control/feed_changes.rs
@@ -51,7 +51,7 @@
             tracing::info!(
                 is_told = is_reported,
                 revision = self.platform.revision(),
-                "other VMs tell of a platform outage"
+                "platform outage reported by other VMs changed"
             );
         }
     }
--- a/crates/foldhaven-gateway/src/control/heartbeats.rs
+++ b/crates/foldhaven-gateway/src/control/heartbeats.rs
@@ -55,7 +55,7 @@
         let before = self.peers.incarnation().0;
         let outcome = self.peers.take_message(&message, now);
         if outcome.is_sender_news {
-            tracing::info!(peer = %vm, phase = ?phase, "peer heard");
+            tracing::info!(peer = %vm, phase = ?phase, "heartbeat of a peer changed");
         }
         if let Some(after) = outcome.outlived {
             let after = after.0;
@@ -66,7 +66,7 @@
                 peer = %vm,
                 held = later.incarnation.0,
                 heard = message.own.incarnation.0,
-                "a VM names an earlier lifetime than it had"
+                "a VM announced an earlier incarnation than before"
             );
         }
         if outcome.is_news {
@@ -109,7 +109,7 @@
         if let ViewAnswer::List(peer, list) = &answer {
             self.shared.metrics.count_event("views_differed");
             if self.shared.quota.take(true) {
-                tracing::info!(peer = %peer, lives = list.lives.len(), "a VM told of another view");
+                tracing::info!(peer = %peer, lives = list.lives.len(), "a VM has a different view of the region");
             }
         }
         answer
--- a/crates/foldhaven-gateway/src/control/members.rs
+++ b/crates/foldhaven-gateway/src/control/members.rs
@@ -61,7 +61,7 @@
             digest,
             beats = heartbeat_rounds,
             others = ?names,
-            "VMs of the region"
+            "known VMs of the region"
         );
     }
 }
--- a/crates/foldhaven-gateway/src/control/peer_changes.rs
+++ b/crates/foldhaven-gateway/src/control/peer_changes.rs
@@ -54,7 +54,7 @@
         let (before, revision) = (self.platform.revision(), snapshot.revision);
         let is_newer = revision > before || self.platform.needs_snapshot() && revision == before;
         if is_newer {
-            tracing::info!(peer = %peer, revision, before, "state taken from a peer");
+            tracing::info!(peer = %peer, revision, before, "platform state received from a peer");
             let is_remote = self.is_behind_remote_only();
             let applied = self.apply_snapshot(snapshot);
             if let Some(applied) = applied.filter(|_| is_remote) {
@@ -87,7 +87,7 @@
             revision,
             before,
             is_from_afar = is_remote,
-            "state taken from a peer"
+            "platform state received from a peer"
         );
         if is_remote {
             self.forward_changes(applied);
--- a/crates/foldhaven-gateway/src/control/rate_shares.rs
+++ b/crates/foldhaven-gateway/src/control/rate_shares.rs
@@ -133,7 +133,7 @@
             senders,
             sent = upstream.bounded_sent(),
             is_limited = upstream.is_limited(),
-            "part of the rate of an upstream"
+            "share of an upstream rate"
         );
     }
 }
--- a/crates/foldhaven-gateway/src/control/suspension.rs
+++ b/crates/foldhaven-gateway/src/control/suspension.rs
@@ -11,7 +11,7 @@
         let Some(suspended_for) = self.shared.wake.look(now) else { return };
         let still_ms = suspended_for.as_millis() as u64;
         let (revision, version) = (self.platform.revision(), self.version().0);
-        tracing::warn!(still_ms, revision, version, "this process stood still");
+        tracing::warn!(still_ms, revision, version, "the process was suspended");
         self.shared.metrics.count_event("stood_still");
         self.shared.suspects.ask_again();
         self.peers.ask_again();
@@ -29,7 +29,7 @@
                 ms,
                 is_known,
                 revision = self.platform.revision(),
-                "requests are taken again"
+                "accepting requests again"
             );
         }
     }
--- a/crates/foldhaven-gateway/src/control/traffic_view.rs
+++ b/crates/foldhaven-gateway/src/control/traffic_view.rs
@@ -184,7 +184,7 @@
                 own = is_own,
                 serving,
                 demand = %demand,
-                "callers are sent to other VMs"
+                "VMs in service changed"
             );
             self.in_service = in_service;
         }
--- a/crates/foldhaven-gateway/src/datagrams.rs
+++ b/crates/foldhaven-gateway/src/datagrams.rs
@@ -63,7 +63,7 @@
         is_offered = true;
         shared.metrics.count_event("changes_too_large");
         let early = urgent.len();
-        tracing::warn!(revision, count, early, error = %error, "changes have to be asked for");
+        tracing::warn!(revision, count, early, error = %error, "changes do not fit into a datagram and have to be requested");
         PeerMessage::Early(urgent).bytes()
     });
     match bytes {
@@ -75,7 +75,7 @@
                 send_bytes(socket, *target, &bytes).await;
             }
         }
-        Err(error) => tracing::warn!(revision, error = %error, "changes were not sent"),
+        Err(error) => tracing::warn!(revision, error = %error, "sending changes failed"),
     }
     if is_offered {
         send_to(socket, &targets, &PeerMessage::News(offer)).await;
@@ -120,7 +120,11 @@
     report.placements = chunks.next().unwrap_or_default();
     let left_out: usize = chunks.map(|chunk| chunk.len()).sum();
     if left_out > 0 {
-        tracing::warn!(placements = report.placements.len(), left_out, "a load report was cut");
+        tracing::warn!(
+            placements = report.placements.len(),
+            left_out,
+            "prompt placements were left out of a load report"
+        );
     }
     send_to(socket, targets, &PeerMessage::Load(report)).await;
 }
--- a/crates/foldhaven-gateway/src/platform_state/updates.rs
+++ b/crates/foldhaven-gateway/src/platform_state/updates.rs
@@ -80,7 +80,7 @@
         let description = match self.newer_description(&new_changes) {
             Ok(description) => description,
             Err(error) => {
-                tracing::warn!(revision = known, error = %error, "everything is asked for");
+                tracing::warn!(revision = known, error = %error, "changes cannot be applied, requesting a snapshot");
                 self.needs_snapshot = true;
                 return None;
             }
@@ -125,7 +125,7 @@
         for numbered in changes {
             let revision = numbered.revision;
             let Some(change) = self.early.insert(numbered, known) else { continue };
-            tracing::info!(revision, known, "a change is put in force before its turn");
+            tracing::info!(revision, known, "change applied before its predecessors");
             self.log_change(&change);
             self.apply_change(change, now);
             is_news = true;
