--- a/crates/foldhaven-gateway/src/platform_state/change_log.rs
+++ b/crates/foldhaven-gateway/src/platform_state/change_log.rs
@@ -31,7 +31,7 @@
         *self = Self { after: revision, ..Self::default() };
     }
 
-    /// Appends a change, and drops the oldest ones beyond [`MAX_WEIGHT`].
+    /// Appends a change, and drops the oldest ones if the log is too large.
     pub fn push(&mut self, change: NumberedChange) {
         self.weight += weight_of(&change.change);
         self.changes.push_back(Arc::new(change));
