--- a/crates/foldhaven-gateway/src/attempts/notes.rs
+++ b/crates/foldhaven-gateway/src/attempts/notes.rs
@@ -13,8 +13,8 @@
 use super::{ExpectedFirst, RequestDriver};
 use crate::call::{CallFault, OpenAnswer};
 use crate::clock::BootInstant;
+use crate::destinations::{MIN_ANNOUNCED_TOKENS, RequestDestination};
 use crate::metrics::{RequestBurn, RequestEnd};
-use crate::places::{RequestPlace, TOLD_TOKENS};
 use crate::upstream::Upstream;
 use crate::upstream_ends::look_into_end;
 
@@ -23,8 +23,9 @@
 
 impl RequestDriver {
 /// Remembers, and tells others, where the parts of a prompt will be held.
-pub(super) fn note_placement(&self, place: &RequestPlace) {
-let (RequestPlace::Upstream(upstream), Some(outline)) = (place, &self.job.outline) else {
+pub(super) fn note_placement(&self, place: &RequestDestination) {
+let (RequestDestination::Upstream(upstream), Some(outline)) = (place, &self.job.outline)
+else {
 return;
 };
 let placement = PromptPlacement {
@@ -33,7 +34,7 @@
 own_tokens: outline.own_tokens,
 };
 self.shared.hints.lock().record(&placement);
-if outline.shared_tokens() >= TOLD_TOKENS {
+if outline.shared_tokens() >= MIN_ANNOUNCED_TOKENS {
 self.shared.placements.lock().push(placement);
 }
 }
@@ -62,8 +63,13 @@
 }
 
 /// Notes that a place has begun its answer.
-pub fn note_first(&self, place: &RequestPlace, expected: ExpectedFirst, sent: BootInstant) {
-if let RequestPlace::Upstream(upstream) = place
+pub fn note_first(
+&self,
+place: &RequestDestination,
+expected: ExpectedFirst,
+sent: BootInstant,
+) {
+if let RequestDestination::Upstream(upstream) = place
 && expected.rank == QueueRank::Timely
 {
 let took = sent.elapsed();
@@ -75,8 +81,8 @@
 }
 
 /// Notes that a place answered whole.
-pub fn note_success(&self, place: &RequestPlace, sent: BootInstant) {
-if let RequestPlace::Upstream(upstream) = place {
+pub fn note_success(&self, place: &RequestDestination, sent: BootInstant) {
+if let RequestDestination::Upstream(upstream) = place {
 let usual = self.note_route_end(false);
 upstream.pace.lock().record_end(false, usual, self.shared.now());
 upstream.health.lock().record_success();
@@ -85,9 +91,9 @@
 }
 
 /// Notes that a place answered with a failure of its own.
-pub(super) fn note_failed_answer(&mut self, place: &RequestPlace, status: StatusCode) {
+pub(super) fn note_failed_answer(&mut self, place: &RequestDestination, status: StatusCode) {
 self.last_fault = Some(format!("the upstream answered {status}"));
-if let RequestPlace::Upstream(upstream) = place {
+if let RequestDestination::Upstream(upstream) = place {
 self.note_failure(upstream);
 }
 }
@@ -155,11 +161,11 @@
 }
 
 /// Notes what a fault says of its place.
-pub(super) fn note_fault(&mut self, place: &RequestPlace, fault: &CallFault) {
+pub(super) fn note_fault(&mut self, place: &RequestDestination, fault: &CallFault) {
 self.last_fault = Some(fault.to_string());
 self.may_have_run |= fault.may_have_run();
 self.breaks += u32::from(matches!(fault, CallFault::Broken(_)));
-let RequestPlace::Upstream(upstream) = place else { return };
+let RequestDestination::Upstream(upstream) = place else { return };
 let now = self.shared.now();
 match fault {
 CallFault::NotSent(_) => upstream.note_unreachable(now),
@@ -221,7 +227,7 @@
 fault = self.last_fault.as_deref().unwrap_or("-"),
 forwarded = job.is_forwarded,
 version = view.as_ref().map_or(0, |view| view.routes.version().0),
-news_ms = view.as_ref().map_or(0, |view| view.news_age().as_millis() as u64),
+news_ms = view.as_ref().map_or(0, |view| view.report_age().as_millis() as u64),
 ms = job.started.elapsed().as_millis() as u64,
 left_ms = job.deadline.saturating_duration_since(BootInstant::now()).as_millis() as u64,
 "request ended"
--- a/crates/foldhaven-gateway/src/keeper/traffic_view.rs
+++ b/crates/foldhaven-gateway/src/control/traffic_view.rs
@@ -1,4 +1,5 @@
-//! Builds the view that traffic threads read: routes, upstreams, links to other VMs and waits.
+//! Builds the view that the traffic thread reads: routes, upstreams, links to other VMs and
+//! expected waits.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,73 +14,75 @@
 use foldhaven_core::time::MonoTime;
 use foldhaven_core::units::CoreShare;
 
-use super::{ControlKeeper, InService};
-use crate::known::StateOffer;
+use super::{ControlActor, InService};
+use crate::platform_state::StateOffer;
 use crate::upstream::{Upstream, UpstreamIdentity};
 use crate::view::{GatewayView, PeerLink};
 
-impl ControlKeeper {
-/// Makes a new view for traffic, and decides whether this daemon reads the platform.
+impl ControlActor {
+/// Publishes a new view for traffic, and decides whether this daemon reads the platform.
 pub(super) fn publish(&mut self) {
-self.set_turn();
-self.is_stale = false;
-let Some(routes) = self.known.routes().cloned() else { return };
+self.update_read_assignment();
+self.needs_publish = false;
+let Some(routes) = self.platform.routes().cloned() else { return };
 let now = self.now();
 let upstreams = self.current_upstreams(&routes, now);
-let mut beats: Vec<PeerHeartbeat> = self.peers.live(now).cloned().collect();
-let peers = self.current_links(&beats);
-let far_service = self.far_service(&beats);
-let waits = self.far_waits();
-beats.push(self.own_beat());
+let mut heartbeats: Vec<PeerHeartbeat> = self.peers.live(now).cloned().collect();
+let peers = self.current_links(&heartbeats);
+let remote_in_service = self.remote_in_service(&heartbeats);
+let expected_waits = self.waits_by_region();
+heartbeats.push(self.own_heartbeat());
 let Some(offer) = self.current_offer(&routes, now) else { return };
 let demand = self.current_demand(now);
-self.note_service(demand, now);
-self.note_members(now);
+self.report_in_service(demand, now);
+self.report_members(now);
 self.shared.publish(GatewayView {
 routes,
 upstreams,
 peers,
-waits,
-far_service,
-beats,
-doubted: self.peers.unresponsive_local_vms(now),
+expected_waits,
+remote_in_service,
+heartbeats,
+unresponsive_vms: self.peers.unresponsive_local_vms(now),
 demand,
 senders: self.loads.active_vms().count() + 1,
-heard: self.peers.last_seen_by_data_centre(),
+last_seen: self.peers.last_seen_by_data_centre(),
 assumed_vms: self.assumed_vms(),
 offer,
 });
 }
 
-/// Shows traffic what has changed with the next load report. For news of which many come at once,
-/// as when a large deployment starts: a view of thousands of upstreams takes milliseconds to make.
-pub(super) fn publish_soon(&mut self) {
-self.is_stale = true;
+/// Publishes a new view with the next load report. Used for changes that may come in large
+/// numbers, such as at the start of a large deployment: building a view of thousands of
+/// upstreams takes milliseconds.
+pub(super) fn publish_later(&mut self) {
+self.needs_publish = true;
 }
 
-/// Shows traffic what [`ControlKeeper::publish_soon`] has put off.
-pub(super) fn publish_stale(&mut self) {
-if self.is_stale {
+/// Publishes the changes deferred by [`ControlActor::publish_later`].
+pub(super) fn publish_deferred(&mut self) {
+if self.needs_publish {
 self.publish();
 }
 }
 
-/// What another VM may take over from this one, made anew when something of it has changed.
+/// Returns the platform state that other VMs can fetch. It is rebuilt only after a change.
 fn current_offer(
 &mut self,
 routes: &Arc<RouteTable>,
 now: MonoTime,
 ) -> Option<Arc<StateOffer>> {
 let is_of_now = |offer: &Arc<StateOffer>| {
-// All may have been taken anew at one revision.
-offer.revision == self.known.revision() && Arc::ptr_eq(&offer.routes, routes)
+// A snapshot may replace the whole state without a new revision.
+offer.revision == self.platform.revision() && Arc::ptr_eq(&offer.routes, routes)
 };
 let held = self.offer.take().filter(is_of_now);
-self.offer = held.or_else(|| self.known.offer(now).map(Arc::new));
+self.offer = held.or_else(|| self.platform.offer(now).map(Arc::new));
 self.offer.clone()
 }
 
-/// The upstreams that may get new requests. What was measured of those that stay listed is kept.
+/// Returns the upstreams that may get new requests. Upstreams that are still listed keep their
+/// measurements.
 fn current_upstreams(
 &mut self,
 routes: &RouteTable,
@@ -89,7 +92,7 @@
 let vms = usize::from(self.peers.assumed_counts(now).local);
 let mut kept = HashMap::new();
 let mut by_service: HashMap<ServiceName, Vec<Arc<Upstream>>> = HashMap::new();
-for entry in self.known.table.usable() {
+for entry in self.platform.table.usable() {
 if !routes.names_service(&entry.record.service) {
 continue;
 }
@@ -110,13 +113,14 @@
 }
 self.by_tag = by_tag;
 self.upstreams = kept;
-self.look_at_senders(now);
-self.share_rates(now);
+self.refresh_senders(now);
+self.update_rate_shares(now);
 by_service
 }
 
-/// The upstream of an entry: the one known already, unless it has started again or stands elsewhere. Nothing
-/// that was measured of an earlier life counts for a later one.
+/// Returns the upstream of an entry. A known one is reused unless its process was restarted or
+/// its address has changed, since measurements of an earlier process do not apply to a later
+/// one.
 fn upstream_of(&self, entry: &UpstreamEntry, routes: &RouteTable) -> Option<Arc<Upstream>> {
 let record = &entry.record;
 if let Some(known) = self.upstreams.get(&record.name)
@@ -138,13 +142,16 @@
 }))
 }
 
-/// Links to the VMs of the other regions that take requests at any load there.
-fn far_service(&self, beats: &[PeerHeartbeat]) -> HashMap<RegionName, Vec<Arc<PeerLink>>> {
+/// Returns links to the VMs of other regions that take requests there at any load.
+fn remote_in_service(
+&self,
+heartbeats: &[PeerHeartbeat],
+) -> HashMap<RegionName, Vec<Arc<PeerLink>>> {
 let own_region = self.shared.settings.region();
-let serving = beats.iter().filter(|beat| beat.phase == PeerPhase::Serving);
+let serving = heartbeats.iter().filter(|heartbeat| heartbeat.phase == PeerPhase::Serving);
 let mut by_region: HashMap<&RegionName, Vec<ServiceCandidate<'_>>> = HashMap::new();
-for beat in serving.filter(|beat| beat.region != *own_region) {
-by_region.entry(&beat.region).or_default().push(ServiceCandidate::of(beat));
+for heartbeat in serving.filter(|heartbeat| heartbeat.region != *own_region) {
+by_region.entry(&heartbeat.region).or_default().push(ServiceCandidate::of(heartbeat));
 }
 let links = by_region.into_iter().map(|(region, candidates)| {
 let order = ServiceOrder::of(candidates);
@@ -155,14 +162,15 @@
 links.collect()
 }
 
-/// The processor time that the requests of this region took in the last seconds at most.
+/// Returns the peak processor time that the region's requests used in the last few seconds.
 fn current_demand(&mut self, now: MonoTime) -> CoreShare {
 let own = self.meter.busy(self.shared.taken(), self.shared.settings.cores);
 self.demand.record(self.loads.busy().saturating_add(own), now)
 }
 
-/// Counts and logs which VMs of the region the demand puts in service.
-fn note_service(&mut self, demand: CoreShare, now: MonoTime) {
+/// Updates the metrics on the VMs of the region that the demand puts in service, and logs
+/// changes.
+fn report_in_service(&mut self, demand: CoreShare, now: MonoTime) {
 let order = self.peers.local_service_order(now);
 let (chosen, serving) = (order.for_demand(demand), order.len());
 let metrics = &self.shared.metrics;
@@ -176,19 +184,20 @@
 own = is_own,
 serving,
 demand = %demand,
-"callers are sent to other VMs"
+"VMs in service changed"
 );
 self.in_service = in_service;
 }
 }
 
-/// Links to the VMs that serve. Those known already are kept with their connections.
-fn current_links(&mut self, beats: &[PeerHeartbeat]) -> Vec<Arc<PeerLink>> {
+/// Returns links to the VMs that serve. Known links are reused with their connections.
+fn current_links(&mut self, heartbeats: &[PeerHeartbeat]) -> Vec<Arc<PeerLink>> {
 let mut links = HashMap::new();
-for beat in beats.iter().filter(|beat| beat.phase == PeerPhase::Serving) {
-let known = self.links.get(&beat.vm).filter(|link| link.address == beat.peer);
-let link = known.cloned().unwrap_or_else(|| Arc::new(PeerLink::new(beat)));
-links.insert(beat.vm.clone(), link);
+for heartbeat in heartbeats.iter().filter(|heartbeat| heartbeat.phase == PeerPhase::Serving)
+{
+let known = self.links.get(&heartbeat.vm).filter(|link| link.address == heartbeat.peer);
+let link = known.cloned().unwrap_or_else(|| Arc::new(PeerLink::new(heartbeat)));
+links.insert(heartbeat.vm.clone(), link);
 }
 self.links = links;
 self.links.values().cloned().collect()
--- a/crates/foldhaven-gateway/src/datagrams.rs
+++ b/crates/foldhaven-gateway/src/datagrams.rs
@@ -1,4 +1,5 @@
-//! Sends and takes what VMs tell each other over UDP: a silent VM must not hold up anybody.
+//! Sends and receives the UDP messages between VMs. UDP is used so that an unresponsive VM cannot
+//! delay the others.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,51 +21,54 @@
 use tokio::time::sleep;
 
 use crate::clock::BootInstant;
-use crate::feed::CountedChange;
-use crate::keeper::{
-HearBeat, HearChanges, HearEarly, HearLeavers, HearLimits, HearLoad, HearNearDemand, HearNews,
-HearPact, HearPlacements, HearRegion, HearRegionDemand, HearView, HearViewList, KeeperAddress,
-PlanBeats, PlanDemands, PlanPact, PlanReport, PlannedReport, ToldChanges, ToldNews,
+use crate::control::{
+ControlAddress, OutgoingChanges, OutgoingUpdate, PlanAgreementRound, PlanDemandReports,
+PlanHeartbeats, PlanLoadReport, PlannedLoadReport, ReceiveAgreement, ReceiveChanges,
+ReceiveEarlyChanges, ReceiveHeartbeat, ReceiveLeavingNotices, ReceiveLimits, ReceiveLoadReport,
+ReceiveLocalDemand, ReceivePlacements, ReceiveRegionDemand, ReceiveRegionReport,
+ReceiveRevisionNotice, ReceiveView, ReceiveViewList,
 };
-use crate::known::EarlyChanges;
+use crate::feed::NumberedChange;
 use crate::peer_message::{MAX_DATAGRAM, PeerMessage, SuspectTelling};
+use crate::platform_state::EarlyChanges;
 use crate::shared::GatewayShared;
 
-/// How many parts of prompts go into one datagram. A part is a hash and a count of at most 14 bytes together, so that
-/// half of the datagram is left for the rest.
-const MAX_PARTS: usize = 580;
-/// A VM without requests reports in every n-th round only.
-const IDLE_ROUNDS: u32 = 4;
+/// Maximum number of prompt segments in one datagram. A segment is a hash and a token count of at
+/// most 14 bytes together, so that half of the datagram is left for other content.
+const MAX_PROMPT_SEGMENTS: usize = 580;
+/// A VM without requests sends a report only every this many rounds.
+const IDLE_REPORT_EVERY: u32 = 4;
 
-/// Passes changes of the platform on to VMs that do not read them themselves. Those that do not fit
-/// a datagram are asked for; what must not wait for that goes ahead.
-pub async fn tell_changes(
+/// Forwards platform changes to VMs that do not read the platform themselves. Changes that do not
+/// fit into a datagram have to be requested by the receivers; urgent ones among them are sent
+/// ahead.
+pub async fn send_updates(
 socket: Arc<UdpSocket>,
-mut news: mpsc::UnboundedReceiver<ToldNews>,
+mut updates: mpsc::UnboundedReceiver<OutgoingUpdate>,
 shared: Arc<GatewayShared>,
 ) {
-while let Some(told) = news.recv().await {
-match told {
-ToldNews::Changes(told) => tell_set(&socket, told, &shared).await,
-ToldNews::Notice { targets, notice } => {
+while let Some(update) = updates.recv().await {
+match update {
+OutgoingUpdate::Changes(update) => send_changes(&socket, update, &shared).await,
+OutgoingUpdate::Notice { targets, notice } => {
 send_to(&socket, &targets, &PeerMessage::News(notice)).await;
 }
 }
 }
 }
 
-async fn tell_set(socket: &UdpSocket, told: ToldChanges, shared: &GatewayShared) {
-let ToldChanges { targets, changes, offer } = told;
+async fn send_changes(socket: &UdpSocket, update: OutgoingChanges, shared: &GatewayShared) {
+let OutgoingChanges { targets, changes, offer } = update;
 let (revision, count) = (changes.revision, changes.changes.len());
-let small = changes.changes.iter().filter(|it| EarlyChanges::may_precede(&it.change));
-let small: Vec<CountedChange> = small.cloned().collect();
+let urgent = changes.changes.iter().filter(|it| EarlyChanges::may_apply_early(&it.change));
+let urgent: Vec<NumberedChange> = urgent.cloned().collect();
 let mut is_offered = false;
 let bytes = PeerMessage::Changes(changes).bytes().or_else(|error| {
 is_offered = true;
 shared.metrics.count_event("changes_too_large");
-let early = small.len();
-tracing::warn!(revision, count, early, error = %error, "changes have to be asked for");
-PeerMessage::Early(small).bytes()
+let early = urgent.len();
+tracing::warn!(revision, count, early, error = %error, "changes do not fit into a datagram and have to be requested");
+PeerMessage::Early(urgent).bytes()
 });
 match bytes {
 Ok(bytes) => {
@@ -75,79 +79,84 @@
 send_bytes(socket, *target, &bytes).await;
 }
 }
-Err(error) => tracing::warn!(revision, error = %error, "changes were not told"),
+Err(error) => tracing::warn!(revision, error = %error, "sending changes failed"),
 }
 if is_offered {
 send_to(socket, &targets, &PeerMessage::News(offer)).await;
 }
 }
 
-/// Tells the other VMs of the region of this one's requests at its upstreams.
-pub async fn send_reports(socket: Arc<UdpSocket>, keeper: KeeperAddress) {
+/// Reports this VM's load at the upstreams to the other VMs of the region.
+pub async fn send_reports(socket: Arc<UdpSocket>, control: ControlAddress) {
 let mut idle_rounds = 0;
-let mut late = Duration::ZERO;
+let mut timer_delay = Duration::ZERO;
 loop {
-let Ok(planned) = keeper.send(PlanReport { late }).await else { return };
-let PlannedReport { report, legs, far_targets, far_placements, region, interval } = planned;
+let Ok(planned) = control.send(PlanLoadReport { timer_delay }).await else { return };
+let PlannedLoadReport { report, legs, remote_targets, remote_placements, region, interval } =
+planned;
 let is_idle = !report.is_active() && legs.iter().all(|leg| leg.updates.is_empty());
-// The first idle report says that the earlier requests have ended; later ones that this VM
-// lives.
-if !is_idle || idle_rounds % IDLE_ROUNDS == 0 {
+// The first idle report says that the earlier requests have ended; later ones say that this
+// VM is live.
+if !is_idle || idle_rounds % IDLE_REPORT_EVERY == 0 {
 for ReportBatch { targets, updates } in legs {
 let ReportUpdates { placements, regions } = updates;
 let report = LoadReport { placements, regions, ..report.clone() };
 send_report(&socket, &targets, report).await;
 }
 }
-for placements in fitting_chunks(far_placements) {
-send_to(&socket, &far_targets, &PeerMessage::Placements(placements)).await;
+for placements in datagram_chunks(remote_placements) {
+send_to(&socket, &remote_targets, &PeerMessage::Placements(placements)).await;
 }
 if let Some(region) = region {
-send_to(&socket, &far_targets, &PeerMessage::Region(region)).await;
+send_to(&socket, &remote_targets, &PeerMessage::Region(region)).await;
 }
 idle_rounds = if is_idle { idle_rounds + 1 } else { 0 };
 let slept = BootInstant::now();
 sleep(interval).await;
-late = slept.elapsed().saturating_sub(interval);
+timer_delay = slept.elapsed().saturating_sub(interval);
 }
 }
 
-/// Sends a load report. It is also the sign that this VM lives, and so must fit a datagram: prompts beyond that,
-/// which only make requests faster, are left out.
+/// Sends a load report. Since it also shows that this VM is live, it has to fit into a datagram:
+/// excess prompt placements are left out, as they only make requests faster.
 async fn send_report(socket: &UdpSocket, targets: &[SocketAddr], mut report: LoadReport) {
-let mut chunks = fitting_chunks(std::mem::take(&mut report.placements)).into_iter();
+let mut chunks = datagram_chunks(std::mem::take(&mut report.placements)).into_iter();
 report.placements = chunks.next().unwrap_or_default();
 let left_out: usize = chunks.map(|chunk| chunk.len()).sum();
 if left_out > 0 {
-tracing::warn!(placements = report.placements.len(), left_out, "a load report was cut");
+tracing::warn!(
+placements = report.placements.len(),
+left_out,
+"prompt placements were left out of a load report"
+);
 }
 send_to(socket, targets, &PeerMessage::Load(report)).await;
 }
 
-/// Prompts in portions of which each fits a datagram, with other things beside it.
-fn fitting_chunks(placements: Vec<PromptPlacement>) -> Vec<Vec<PromptPlacement>> {
+/// Splits prompt placements into chunks that fit into a datagram with other content.
+fn datagram_chunks(placements: Vec<PromptPlacement>) -> Vec<Vec<PromptPlacement>> {
 let mut chunks: Vec<Vec<PromptPlacement>> = Vec::new();
-let mut parts = MAX_PARTS;
+let mut segments = MAX_PROMPT_SEGMENTS;
 for mut placement in placements {
-// What is left is the beginning of the prompt, which is where prompts meet.
-placement.shared.truncate(MAX_PARTS - 1);
+// The beginning of the prompt is kept, since prompts share their beginnings.
+placement.shared.truncate(MAX_PROMPT_SEGMENTS - 1);
 let size = placement.shared.len() + 1;
 match chunks.last_mut() {
-Some(chunk) if parts + size <= MAX_PARTS => chunk.push(placement),
+Some(chunk) if segments + size <= MAX_PROMPT_SEGMENTS => chunk.push(placement),
 _ => {
-parts = 0;
+segments = 0;
 chunks.push(vec![placement]);
 }
 }
-parts += size;
+segments += size;
 }
 chunks
 }
 
-/// Takes datagrams and hands them to the keeper.
-pub async fn hear_datagrams(
+/// Receives datagrams and dispatches them to the control actor.
+pub async fn receive_datagrams(
 socket: Arc<UdpSocket>,
-keeper: KeeperAddress,
+control: ControlAddress,
 shared: Arc<GatewayShared>,
 ) {
 let mut buffer = vec![0; MAX_DATAGRAM];
@@ -155,8 +164,8 @@
 let (length, sender) = match socket.recv_from(&mut buffer).await {
 Ok(received) => received,
 Err(error) => {
-// An earlier datagram met a closed port; the socket goes on.
-tracing::debug!(error = %error, "receiving a heartbeat failed");
+// An earlier datagram was sent to a closed port. The socket stays usable.
+tracing::debug!(error = %error, "receiving a datagram failed");
 continue;
 }
 };
@@ -170,97 +179,112 @@
 continue;
 }
 };
-if let Some(asker) = asker_of_all(&message) {
-tell_starter(&socket, &shared, asker).await;
+if let Some(starting_peer_address) = starting_peer(&message) {
+send_suspects_to_starting_peer(&socket, &shared, starting_peer_address).await;
 }
 let message = match message {
-PeerMessage::Suspects(telling) => {
-hear_suspects(&shared, &telling);
+PeerMessage::Suspects(suspects) => {
+apply_suspects(&shared, &suspects);
 continue;
 }
 message => message,
 };
-match hand_over(&keeper, message).await {
+match dispatch(&control, message).await {
 Ok(replies) => send_all(&socket, replies).await,
 Err(_) => return,
 }
 }
 }
 
-/// Messages with their receivers.
-type PlannedMessages = Vec<(SocketAddr, PeerMessage)>;
+/// Messages with their targets.
+type OutgoingMessages = Vec<(SocketAddr, PeerMessage)>;
 
-fn beat_replies(replies: PlannedHeartbeats) -> PlannedMessages {
-replies.into_iter().map(|(target, beat)| (target, PeerMessage::Beat(beat))).collect()
+fn heartbeat_messages(replies: PlannedHeartbeats) -> OutgoingMessages {
+replies.into_iter().map(|(target, heartbeat)| (target, PeerMessage::Beat(heartbeat))).collect()
 }
 
-/// Hands a message to the keeper. Returns what is to be sent in reply.
-async fn hand_over(
-keeper: &KeeperAddress,
+/// Dispatches a message to the control actor. Returns the messages to send in reply.
+async fn dispatch(
+control: &ControlAddress,
 message: PeerMessage,
-) -> Result<PlannedMessages, xtra::Error> {
+) -> Result<OutgoingMessages, xtra::Error> {
 match message {
 PeerMessage::Beat(message) => {
-let replies = keeper.send(HearBeat { message }).await?;
-return Ok(beat_replies(replies));
+let replies = control.send(ReceiveHeartbeat { message }).await?;
+return Ok(heartbeat_messages(replies));
 }
 PeerMessage::View(notice) => {
-let answer = keeper.send(HearView { notice }).await?;
+let answer = control.send(ReceiveView { notice }).await?;
 return Ok(match answer {
 ViewAnswer::Nothing => Vec::new(),
 ViewAnswer::List(target, list) => vec![(target, PeerMessage::ViewList(list))],
 });
 }
 PeerMessage::ViewList(list) => {
-let replies = keeper.send(HearViewList { list }).await?;
-return Ok(beat_replies(replies));
+let replies = control.send(ReceiveViewList { list }).await?;
+return Ok(heartbeat_messages(replies));
 }
 PeerMessage::Pact(notice) => {
-let answer = keeper.send(HearPact { notice }).await?;
+let answer = control.send(ReceiveAgreement { notice }).await?;
 let answer = answer.map(|(target, notice)| (target, PeerMessage::Pact(notice)));
 return Ok(answer.into_iter().collect());
 }
-PeerMessage::Changes(changes) => keeper.send(HearChanges { changes }).await?,
-PeerMessage::Early(changes) => keeper.send(HearEarly { changes }).await?,
-PeerMessage::Placements(placements) => keeper.send(HearPlacements { placements }).await?,
-PeerMessage::Region(report) => keeper.send(HearRegion { report }).await?,
-PeerMessage::Load(report) => keeper.send(HearLoad { report }).await?,
-PeerMessage::News(notice) => keeper.send(HearNews { notice }).await?,
-PeerMessage::Demand(demand) => keeper.send(HearNearDemand { demand }).await?,
-PeerMessage::RegionDemand(demand) => keeper.send(HearRegionDemand { demand }).await?,
-PeerMessage::Limits(limits) => keeper.send(HearLimits { limits }).await?,
-PeerMessage::Leavers(leavers) => keeper.send(HearLeavers { leavers }).await?,
+PeerMessage::Changes(changes) => control.send(ReceiveChanges { changes }).await?,
+PeerMessage::Early(changes) => control.send(ReceiveEarlyChanges { changes }).await?,
+PeerMessage::Placements(placements) => {
+control.send(ReceivePlacements { placements }).await?
+}
+PeerMessage::Region(report) => control.send(ReceiveRegionReport { report }).await?,
+PeerMessage::Load(report) => control.send(ReceiveLoadReport { report }).await?,
+PeerMessage::News(notice) => control.send(ReceiveRevisionNotice { notice }).await?,
+PeerMessage::Demand(demand) => control.send(ReceiveLocalDemand { demand }).await?,
+PeerMessage::RegionDemand(demand) => control.send(ReceiveRegionDemand { demand }).await?,
+PeerMessage::Limits(limits) => control.send(ReceiveLimits { limits }).await?,
+PeerMessage::Leavers(leavers) => control.send(ReceiveLeavingNotices { leavers }).await?,
 PeerMessage::Suspects(_) => {}
 }
-Ok(PlannedMessages::new())
+Ok(OutgoingMessages::new())
 }
 
-/// The address of a VM that has just started and asks for all there is to know.
-fn asker_of_all(message: &PeerMessage) -> Option<SocketAddr> {
+/// Returns the address of the sender if the message requests all heartbeats, as VMs do after their
+/// start.
+fn starting_peer(message: &PeerMessage) -> Option<SocketAddr> {
 match message {
-PeerMessage::Beat(beat) if beat.requests == RequestedHeartbeats::All => Some(beat.own.peer),
+PeerMessage::Beat(heartbeat) if heartbeat.requests == RequestedHeartbeats::All => {
+Some(heartbeat.own.peer)
+}
 _ => None,
 }
 }
 
-/// Tells a VM that has just started which requests are held back, also when there are none: it waits for that.
-async fn tell_starter(socket: &UdpSocket, shared: &GatewayShared, starter: SocketAddr) {
+/// Sends the suspected requests to a VM that has just started. An empty message is sent as well,
+/// because that VM waits for it.
+async fn send_suspects_to_starting_peer(
+socket: &UdpSocket,
+shared: &GatewayShared,
+target: SocketAddr,
+) {
 let records = shared.suspects.told_to_starter();
-let telling = SuspectTelling { region: shared.settings.region().clone(), records };
-send_to(socket, &[starter], &PeerMessage::Suspects(telling)).await;
+let suspects = SuspectTelling { region: shared.settings.region().clone(), records };
+send_to(socket, &[target], &PeerMessage::Suspects(suspects)).await;
 }
 
-/// Takes in what another VM tells of suspected requests.
-fn hear_suspects(shared: &GatewayShared, telling: &SuspectTelling) {
-let source = match telling.region == *shared.settings.region() {
+/// Applies the suspected requests that another VM sent.
+fn apply_suspects(shared: &GatewayShared, suspects: &SuspectTelling) {
+let source = match suspects.region == *shared.settings.region() {
 true => RecordSource::Local,
 false => RecordSource::Remote,
 };
-shared.suspects.hear(&telling.records, source, &shared.change_context());
+shared.suspects.hear(&suspects.records, source, &shared.change_context());
 }
 
-/// Sends heartbeats in rounds, and at once when this daemon starts to leave.
-pub async fn send_beats(socket: Arc<UdpSocket>, keeper: KeeperAddress, shared: Arc<GatewayShared>) {
+/// Sends heartbeats in rounds, and immediately when this daemon starts to leave or finds that it
+/// was suspended.
+pub async fn send_heartbeats(
+socket: Arc<UdpSocket>,
+control: ControlAddress,
+shared: Arc<GatewayShared>,
+) {
 let mut stage = shared.stage.subscribe();
 let mut pause = LEARNING_INTERVAL;
 loop {
@@ -269,29 +293,29 @@
 Ok(()) = stage.changed() => true,
 () = shared.wake.await_found() => false,
 };
-let Ok(round) = keeper.send(PlanBeats { to_all }).await else { return };
-pause = round.pause;
-let targets: Vec<SocketAddr> = round.beats.iter().map(|(target, _)| *target).collect();
-send_all(&socket, beat_replies(round.beats)).await;
+let Ok(round) = control.send(PlanHeartbeats { to_all }).await else { return };
+pause = round.next_in;
+let targets: Vec<SocketAddr> = round.heartbeats.iter().map(|(target, _)| *target).collect();
+send_all(&socket, heartbeat_messages(round.heartbeats)).await;
 send_to(&socket, &round.view_targets, &PeerMessage::View(round.view)).await;
-if let Some(news) = round.news {
-send_to(&socket, &targets, &PeerMessage::News(news)).await;
+if let Some(notice) = round.notice {
+send_to(&socket, &targets, &PeerMessage::News(notice)).await;
 }
 }
 }
 
-/// Tells the VMs that share the limits of the region which list of them this one holds, while a limit of an upstream is in
-/// use.
-pub async fn send_pacts(
+/// Sends this VM's list of senders to the VMs that share the region's rate limits, while a rate
+/// limit of an upstream is in use.
+pub async fn send_agreements(
 socket: Arc<UdpSocket>,
-keeper: KeeperAddress,
+control: ControlAddress,
 mut is_used: watch::Receiver<bool>,
 ) {
 loop {
 if is_used.wait_for(|is_used| *is_used).await.is_err() {
 return;
 }
-let Ok(planned) = keeper.send(PlanPact).await else { return };
+let Ok(planned) = control.send(PlanAgreementRound).await else { return };
 for (target, notice) in planned {
 send_to(&socket, &[target], &PeerMessage::Pact(notice)).await;
 }
@@ -299,25 +323,26 @@
 }
 }
 
-/// Tells other VMs what the callers of limited accounts want.
-pub async fn send_demands(socket: Arc<UdpSocket>, keeper: KeeperAddress) {
+/// Sends the demand of callers with account limits to other VMs.
+pub async fn send_demands(socket: Arc<UdpSocket>, control: ControlAddress) {
 loop {
-let Ok(planned) = keeper.send(PlanDemands).await else { return };
-if let Some(near) = planned.near {
-send_near_demand(&socket, &planned.near_targets, near).await;
+let Ok(planned) = control.send(PlanDemandReports).await else { return };
+if let Some(local) = planned.local {
+send_local_demand(&socket, &planned.local_targets, local).await;
 }
-if let Some(far) = planned.far {
-send_to(&socket, &planned.far_targets, &PeerMessage::RegionDemand(far)).await;
+if let Some(remote) = planned.remote {
+send_to(&socket, &planned.remote_targets, &PeerMessage::RegionDemand(remote)).await;
 }
 sleep(DEMAND_INTERVAL).await;
 }
 }
 
-/// Sends what one VM tells its region; in messages of one part each where all together may not fit a datagram.
-async fn send_near_demand(socket: &UdpSocket, targets: &[SocketAddr], demand: LocalDemand) {
+/// Sends the demand to the VMs of this region. It is split into one message per part if it may not
+/// fit into a datagram.
+async fn send_local_demand(socket: &UdpSocket, targets: &[SocketAddr], demand: LocalDemand) {
 let own = demand.own.as_ref().map_or(0, |own| own.demands.len());
-let wants: usize = own + demand.regions.iter().map(|it| it.demands.len()).sum::<usize>();
-if wants <= MAX_ACCOUNTS_PER_MESSAGE {
+let entries: usize = own + demand.regions.iter().map(|it| it.demands.len()).sum::<usize>();
+if entries <= MAX_ACCOUNTS_PER_MESSAGE {
 send_to(socket, targets, &PeerMessage::Demand(demand)).await;
 return;
 }
@@ -329,7 +354,7 @@
 }
 }
 
-/// Sends a message to some VMs. Returns how many bytes it has.
+/// Sends a message to some VMs. Returns its size in bytes, or 0 if it was not sent.
 pub async fn send_to(socket: &UdpSocket, targets: &[SocketAddr], message: &PeerMessage) -> usize {
 let bytes = match message.bytes() {
 Ok(bytes) => bytes,
@@ -344,13 +369,13 @@
 bytes.len()
 }
 
-async fn send_all(socket: &UdpSocket, planned: PlannedMessages) {
+async fn send_all(socket: &UdpSocket, planned: OutgoingMessages) {
 for (target, message) in planned {
 send_to(socket, &[target], &message).await;
 }
 }
 
-/// Sends a datagram; one that is lost is made up for like one that was never sent.
+/// Sends a datagram. Errors are only logged: a failed datagram is treated like a lost one.
 async fn send_bytes(socket: &UdpSocket, target: SocketAddr, bytes: &[u8]) {
 if let Err(error) = socket.send_to(bytes, target).await {
 tracing::debug!(peer = %target, error = %error, "sending to a peer failed");
--- a/crates/foldhaven-gateway/src/demand_meter.rs
+++ b/crates/foldhaven-gateway/src/demand_meter.rs
@@ -6,55 +6,62 @@
 
 use crate::clock::BootInstant;
 
-/// The span of one measurement. Shorter ones would show single requests.
+/// The duration of one measurement. Shorter ones would be dominated by single requests.
 const SPAN: Duration = Duration::from_millis(1_000);
-/// The processor time of a request. Where the platform charges it, 102,000 requests more on a day took 57 s more,
-/// 0.56 ms each. It is not measured here: the platform's processor clock runs on while a process waits.
+/// The processor time of a request: 102,000 additional requests on a day cost 57 s of charged
+/// processor time, 0.56 ms each. It cannot be measured here, because the platform's processor clock
+/// also counts the time that a process waits.
 const REQUEST_TIME: Duration = Duration::from_micros(560);
-/// A timer that fires so late shows that this process waits for its processor: it is then taken to use all of it.
+/// A timer that fires this late shows that the process waits for its processor, which then counts
+/// as fully used.
 const LATE_TIMER: Duration = Duration::from_millis(60);
 
-/// What the requests of the last whole span needed.
+/// Measures the processor time needed by the requests of the last complete span.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct DemandMeter {
-    begun: BootInstant,
-    /// The requests taken until then.
-    taken: u64,
-    /// The latest timer of the span.
-    latest: Duration,
-    busy: CoreShare,
+span_start: BootInstant,
+/// The number of requests accepted before the span.
+accepted: u64,
+/// The longest timer delay in the span.
+max_timer_delay: Duration,
+busy: CoreShare,
 }
 
 impl Default for DemandMeter {
-    fn default() -> Self {
-        Self {
-            begun: BootInstant::now(),
-            taken: 0,
-            latest: Duration::ZERO,
-            busy: CoreShare::default(),
-        }
-    }
+fn default() -> Self {
+Self {
+span_start: BootInstant::now(),
+accepted: 0,
+max_timer_delay: Duration::ZERO,
+busy: CoreShare::default(),
+}
+}
 }
 
 impl DemandMeter {
-    /// Takes in how late a timer was.
-    pub(crate) fn note_timer(&mut self, late: Duration) {
-        self.latest = self.latest.max(late);
-    }
-
-    /// The part of a core that the requests of the last span needed, where `taken` were taken since the start and
-    /// this VM has `cores`.
-    pub(crate) fn busy(&mut self, taken: u64, cores: CoreShare) -> CoreShare {
-        let span = self.begun.elapsed();
-        if span < SPAN {
-            return self.busy;
-        }
-        let requests = taken.saturating_sub(self.taken);
-        let needed = REQUEST_TIME.as_secs_f64() * requests as f64 / span.as_secs_f64();
-        let needed = CoreShare::from_cores(needed);
-        let is_strained = requests > 0 && self.latest >= LATE_TIMER;
-        let busy = if is_strained { needed.max(cores) } else { needed };
-        *self = Self { begun: BootInstant::now(), taken, latest: Duration::ZERO, busy };
-        busy
-    }
+/// Records how late a timer fired.
+pub(crate) fn record_timer_delay(&mut self, delay: Duration) {
+self.max_timer_delay = self.max_timer_delay.max(delay);
+}
+
+/// Returns the processor time, in cores, that the requests of the last span needed. `accepted`
+/// is the number of requests accepted since the start, and `cores` the capacity of this VM.
+pub(crate) fn busy(&mut self, accepted: u64, cores: CoreShare) -> CoreShare {
+let span = self.span_start.elapsed();
+if span < SPAN {
+return self.busy;
+}
+let requests = accepted.saturating_sub(self.accepted);
+let needed = REQUEST_TIME.as_secs_f64() * requests as f64 / span.as_secs_f64();
+let needed = CoreShare::from_cores(needed);
+let is_overloaded = requests > 0 && self.max_timer_delay >= LATE_TIMER;
+let busy = if is_overloaded { needed.max(cores) } else { needed };
+*self = Self {
+span_start: BootInstant::now(),
+accepted,
+max_timer_delay: Duration::ZERO,
+busy,
+};
+busy
+}
 }
--- a/crates/foldhaven-gateway/src/places/near.rs
+++ b/crates/foldhaven-gateway/src/destinations/local.rs
@@ -12,30 +12,31 @@
 use foldhaven_core::opaque::queue_rank::QueueRank;
 use foldhaven_core::time::MonoTime;
 
-use super::{PlaceChoice, RequestPlace, TriedPlaces, query_of};
+use super::{DestinationChoice, RequestDestination, TriedDestinations, choice_query};
 use crate::answer::Refusal;
 use crate::job::GatewayJob;
 use crate::shared::GatewayShared;
 use crate::upstream::Upstream;
 use crate::view::GatewayView;
 
-/// What a byte between data centres of a region costs against a token of work. Not described; doubled it
-/// changed nothing.
+/// The cost of a byte sent between data centres of a region, relative to a token of work. It is not
+/// configurable in the description: doubling it changed nothing.
 const CENTRE_BYTE_PRICE: f64 = 0.03;
 
-/// When a VM without a part of a limit has callers come back, as other VMs may have one.
-const PARTLESS_WAIT: Duration = Duration::from_millis(500);
+/// The retry delay for callers if this VM has no share of a rate limit, since other VMs may have
+/// one.
+const NO_SHARE_WAIT: Duration = Duration::from_millis(500);
 
 /// The best upstream of this region.
-pub(super) struct NearChoice {
+pub(super) struct LocalChoice {
 upstream: Arc<Upstream>,
 pub(super) choice: UpstreamChoice,
 fetch_from: Option<SocketAddr>,
 }
 
-impl NearChoice {
-/// The place, for the decision whether the request is sent there.
-pub(super) fn offer(&self) -> DestinationEstimate {
+impl LocalChoice {
+/// Returns the estimate for deciding whether the request is admitted.
+pub(super) fn estimate(&self) -> DestinationEstimate {
 let UpstreamChoice { time_to_first, breakdown, rank, is_full, .. } = self.choice;
 DestinationEstimate {
 time_to_first,
@@ -46,8 +47,9 @@
 }
 }
 
-/// Takes the place of an upstream that is cold or names a limit; fails when none is free.
-pub(super) fn take(self, shared: &GatewayShared) -> Result<PlaceChoice, Refusal> {
+/// Reserves a request at an upstream that is cold or has announced a limit. Fails if the rate
+/// does not permit one now.
+pub(super) fn reserve(self, shared: &GatewayShared) -> Result<DestinationChoice, Refusal> {
 let now = shared.now();
 if let Some(rate) = self.upstream.bound_rate(now) {
 if !self.upstream.pacer.lock().try_acquire(rate, now) {
@@ -59,10 +61,10 @@
 shared.metrics.count_event(event);
 }
 let queue = self.upstream.queue();
-Ok(PlaceChoice {
-place: RequestPlace::Upstream(self.upstream),
-first: self.choice.time_to_first,
-read_tokens: self.choice.prefill_tokens,
+Ok(DestinationChoice {
+destination: RequestDestination::Upstream(self.upstream),
+time_to_first: self.choice.time_to_first,
+prefill_tokens: self.choice.prefill_tokens,
 queue,
 rank: self.choice.rank,
 prefill_before_answer: self.choice.prefill_before_answer,
@@ -71,93 +73,94 @@
 }
 }
 
-/// Chooses among the upstreams of this region; nothing where none can take the request.
-pub(super) fn choose_near(
+/// Chooses among the upstreams of this region. Returns `None` if none of them can take the request.
+pub(super) fn choose_local(
 shared: &GatewayShared,
 view: &GatewayView,
 job: &GatewayJob,
-tried: &TriedPlaces,
-) -> Option<NearChoice> {
-let near = near_upstreams(shared, view, job);
-let candidates = candidates_of(shared, &near, job, tried);
+tried: &TriedDestinations,
+) -> Option<LocalChoice> {
+let local = local_upstreams(shared, view, job);
+let candidates = candidates_of(shared, &local, job, tried);
 let pace = shared.pace(&job.service, view);
-let choice = choose_upstream(&candidates, &query_of(shared, view, job), &pace)?;
-let fetch_from = choice.fetch_from.map(|at| near[at].identity.address);
-Some(NearChoice { upstream: near[choice.index].clone(), choice, fetch_from })
+let choice = choose_upstream(&candidates, &choice_query(shared, view, job), &pace)?;
+let fetch_from = choice.fetch_from.map(|at| local[at].identity.address);
+Some(LocalChoice { upstream: local[choice.index].clone(), choice, fetch_from })
 }
 
-/// For how much longer an upstream gets nothing from this VM: it asked this VM to back off, or this VM's part of its rate is used up.
-fn held_back_for(upstream: &Upstream, now: MonoTime) -> Option<Duration> {
+/// Returns for how much longer this VM sends nothing to an upstream, because the upstream asked it
+/// to back off or its share of the upstream's rate is used up. `None` if it may send now.
+fn throttled_for(upstream: &Upstream, now: MonoTime) -> Option<Duration> {
 let backoff = upstream.backoff_left(now);
 let part = upstream.bound_rate(now).map_or(Duration::ZERO, |rate| {
 let pacer = *upstream.pacer.lock();
-pacer.wait(rate, now).unwrap_or(PARTLESS_WAIT)
+pacer.wait(rate, now).unwrap_or(NO_SHARE_WAIT)
 });
 Some(backoff.max(part)).filter(|wait| !wait.is_zero())
 }
 
-/// Whether an upstream of this region may get a request now.
-pub(super) fn has_open(shared: &GatewayShared, view: &GatewayView, job: &GatewayJob) -> bool {
+/// Returns whether an upstream of this region can get a request now.
+pub(super) fn has_available(shared: &GatewayShared, view: &GatewayView, job: &GatewayJob) -> bool {
 let now = shared.now();
-let mut near = near_upstreams(shared, view, job).into_iter();
-near.any(|upstream| held_back_for(upstream, now).is_none())
+let mut local = local_upstreams(shared, view, job).into_iter();
+local.any(|upstream| throttled_for(upstream, now).is_none())
 }
 
-/// The shortest time until an upstream of this region that asked for a back-off or names a limit may get a request of this VM; nothing
-/// where none does.
+/// Returns the shortest time until this VM may send to an upstream of this region that asked it to
+/// back off or has announced a limit. `None` if there is no such upstream.
 pub(super) fn signalled_wait(
 shared: &GatewayShared,
 view: &GatewayView,
 job: &GatewayJob,
 ) -> Option<Duration> {
 let now = shared.now();
-let near = near_upstreams(shared, view, job).into_iter();
+let local = local_upstreams(shared, view, job).into_iter();
 let has_said = |it: &&Arc<Upstream>| it.is_limited() || !it.backoff_left(now).is_zero();
-let wait = |it: &Arc<Upstream>| held_back_for(it, now).unwrap_or_default();
-near.filter(has_said).map(wait).min()
+let wait = |it: &Arc<Upstream>| throttled_for(it, now).unwrap_or_default();
+local.filter(has_said).map(wait).min()
 }
 
-/// Prices the upstreams of this region that a choice is made among.
-pub(super) fn price_near(
+/// Prices the candidate upstreams of this region.
+pub(super) fn price_local(
 shared: &GatewayShared,
 view: &GatewayView,
 job: &GatewayJob,
 ) -> Vec<(Arc<Upstream>, UpstreamChoice)> {
-let near = near_upstreams(shared, view, job);
-let candidates = candidates_of(shared, &near, job, &TriedPlaces::default());
+let local = local_upstreams(shared, view, job);
+let candidates = candidates_of(shared, &local, job, &TriedDestinations::default());
 let pace = shared.pace(&job.service, view);
-let priced = price_upstreams(&candidates, &query_of(shared, view, job), &pace);
-priced.into_iter().map(|choice| (near[choice.index].clone(), choice)).collect()
+let priced = price_upstreams(&candidates, &choice_query(shared, view, job), &pace);
+priced.into_iter().map(|choice| (local[choice.index].clone(), choice)).collect()
 }
 
-fn near_upstreams<'a>(
+fn local_upstreams<'a>(
 shared: &GatewayShared,
 view: &'a GatewayView,
 job: &GatewayJob,
 ) -> Vec<&'a Arc<Upstream>> {
 let own_region = shared.settings.region();
 let all = view.upstreams_of(&job.service).iter();
-let near = all.filter(|upstream| upstream.identity.region == *own_region);
-near.filter(|upstream| !upstream.is_leaving()).collect()
+let local = all.filter(|upstream| upstream.identity.region == *own_region);
+local.filter(|upstream| !upstream.is_leaving()).collect()
 }
 
 fn candidates_of<'a>(
 shared: &GatewayShared,
-near: &[&'a Arc<Upstream>],
+local: &[&'a Arc<Upstream>],
 job: &GatewayJob,
-tried: &TriedPlaces,
+tried: &TriedDestinations,
 ) -> Vec<UpstreamCandidate<'a>> {
 let now = shared.now();
 let hold = shared.measured_pace(&job.service).slot_time;
-near.iter().map(|upstream| facts_of(shared, upstream, job, tried, hold, now)).collect()
+local.iter().map(|upstream| candidate_of(shared, upstream, job, tried, hold, now)).collect()
 }
 
-/// What the choice weighs of one upstream.
-fn facts_of<'a>(
+/// Returns the properties of an upstream that the choice depends on.
+fn candidate_of<'a>(
 shared: &GatewayShared,
 upstream: &'a Upstream,
 job: &GatewayJob,
-tried: &TriedPlaces,
+tried: &TriedDestinations,
 hold: Duration,
 now: MonoTime,
 ) -> UpstreamCandidate<'a> {
@@ -181,12 +184,12 @@
 transfer_cost,
 cached_tokens,
 is_ejected: upstream.health.lock().is_ejected(now),
-is_throttled: held_back_for(upstream, now).is_some(),
+is_throttled: throttled_for(upstream, now).is_some(),
 is_tried: tried.upstreams.contains(upstream.name()),
 }
 }
 
-/// The wait of a timely request at an upstream, as this VM expects it.
+/// Returns the wait that this VM expects for a timely request at an upstream.
 pub fn expected_wait(upstream: &Upstream, pace: &ServicePerformance, now: MonoTime) -> Duration {
 let wait = pace.wait(upstream.queue(), QueueRank::Timely);
 wait.mul_f64(upstream.pace.lock().latency_factor(now))
--- a/crates/foldhaven-gateway/src/places/far.rs
+++ b/crates/foldhaven-gateway/src/destinations/remote.rs
@@ -13,32 +13,34 @@
 use foldhaven_core::opaque::queue_rank::QueueRank;
 use foldhaven_core::opaque::remote_queue::RemoteService;
 
-use super::{PlaceChoice, RequestPlace, TOLD_TOKENS, TriedPlaces, query_of};
+use super::{
+DestinationChoice, MIN_ANNOUNCED_TOKENS, RequestDestination, TriedDestinations, choice_query,
+};
 use crate::job::GatewayJob;
 use crate::shared::GatewayShared;
 use crate::view::{GatewayView, PeerLink, RegionWait};
 
-/// The way to a region and back before any connection there came up, which takes some tenths of a second
-/// after a start.
-const UNMEASURED_ROUND_TRIP: Duration = Duration::from_millis(120);
-/// What a byte between regions costs against a token of work. Not described; the users' prices differ
-/// between deployments by a factor of four.
+/// The assumed round trip to a region before the first connection to it is established, which takes
+/// some tenths of a second after a start.
+const DEFAULT_ROUND_TRIP: Duration = Duration::from_millis(120);
+/// The cost of a byte sent between regions, relative to a token of work. It is not part of the
+/// description; traffic prices differ between deployments by a factor of four.
 const REGION_BYTE_PRICE: f64 = 0.03;
-/// The share of a prompt's short shared parts that another region probably has to read.
-const FAR_MISSING_SHARE: f64 = 0.4;
+/// The assumed share of a prompt's short shared segments that is not cached in another region.
+const REMOTE_MISSING_SHARE: f64 = 0.4;
 
 /// The best VM of another region.
-pub(super) struct FarChoice {
-pub(super) choice: PlaceChoice,
+pub(super) struct RemoteChoice {
+pub(super) choice: DestinationChoice,
 pub(super) cost: RequestCost,
 pub(super) parts: CostBreakdown,
 pub(super) region: RegionName,
 }
 
-impl FarChoice {
-/// The place, for the decision whether the request is sent there.
-pub(super) fn offer(&self) -> DestinationEstimate {
-let PlaceChoice { first, rank, queue, .. } = self.choice;
+impl RemoteChoice {
+/// Returns the estimate for deciding whether the request is admitted.
+pub(super) fn estimate(&self) -> DestinationEstimate {
+let DestinationChoice { time_to_first: first, rank, queue, .. } = self.choice;
 DestinationEstimate {
 time_to_first: first,
 breakdown: self.parts,
@@ -49,37 +51,37 @@
 }
 }
 
-/// Chooses among the other regions that the route permits and that have upstreams of the service.
-pub(super) fn choose_far(
+/// Chooses among the other regions that the request permits and that have upstreams of its service.
+pub(super) fn choose_remote(
 shared: &GatewayShared,
 view: &GatewayView,
 job: &GatewayJob,
-tried: &TriedPlaces,
-) -> Option<FarChoice> {
-let priced = price_far(shared, view, job, tried).into_iter();
+tried: &TriedDestinations,
+) -> Option<RemoteChoice> {
+let priced = price_remote(shared, view, job, tried).into_iter();
 priced.min_by(|left, right| left.cost.0.total_cmp(&right.cost.0))
 }
 
-/// Prices the other regions that can take a request, by a VM of each.
-pub(super) fn price_far(
+/// Prices the other regions that can take a request, with one VM of each.
+pub(super) fn price_remote(
 shared: &GatewayShared,
 view: &GatewayView,
 job: &GatewayJob,
-tried: &TriedPlaces,
-) -> Vec<FarChoice> {
+tried: &TriedDestinations,
+) -> Vec<RemoteChoice> {
 let own_region = shared.settings.region();
-let regions = view.waits.iter().filter(|((region, service), _)| {
+let regions = view.expected_waits.iter().filter(|((region, service), _)| {
 *service == job.service && region != own_region && job.permits(region)
 });
 let priced = regions.filter_map(|((region, _), wait)| {
 let peer = pick_peer(view, region, tried)?;
-Some(FarPricer { shared, view, job, region, wait: *wait }.price(peer))
+Some(RemotePricer { shared, view, job, region, wait: *wait }.price(peer))
 });
 priced.collect()
 }
 
-/// Prices one other region for a request.
-struct FarPricer<'a> {
+/// Prices one remote region for a request.
+struct RemotePricer<'a> {
 shared: &'a GatewayShared,
 view: &'a GatewayView,
 job: &'a GatewayJob,
@@ -87,54 +89,54 @@
 wait: RegionWait,
 }
 
-impl FarPricer<'_> {
-/// What the request is expected to take and to cost when it is forwarded to a VM there.
-fn price(&self, peer: Arc<PeerLink>) -> FarChoice {
+impl RemotePricer<'_> {
+/// Returns the expected time and cost of the request if it is forwarded to a VM of the region.
+fn price(&self, peer: Arc<PeerLink>) -> RemoteChoice {
 let job = self.job;
-let query = query_of(self.shared, self.view, job);
+let query = choice_query(self.shared, self.view, job);
 let missing = self.missing_tokens(query.shared_tokens);
-let read_tokens = query.own_tokens + missing;
+let prefill_tokens = query.own_tokens + missing;
 let pace = self.shared.measured_pace(&job.service);
-let way = self.way(&peer);
-let sent = self.sent_since(pace.slot_time, way);
-let there = pace.time_to_first(sent, QueueRank::Timely, read_tokens);
-let first = way + self.wait.wait + there;
-// What was told counts most requests that were sent since, too.
+let network_time = self.network_time(&peer);
+let sent = self.sent_since(pace.slot_time, network_time);
+let there = pace.time_to_first(sent, QueueRank::Timely, prefill_tokens);
+let time_to_first = network_time + self.wait.wait + there;
+// The reported load already contains most of the requests sent since.
 let queue = QueueState { in_flight: sent.in_flight.max(self.wait.load), ..sent };
 let parts = CostBreakdown {
-time: RequestCost::of_time(query.waited + first, query.target).0,
+time: RequestCost::of_time(query.waited + time_to_first, query.target).0,
 repeated_prefill: RequestCost::of_repeated_prefill(missing, query.size).0,
 transfer: RequestCost::of_bytes(job.body.len(), REGION_BYTE_PRICE, query.size).0,
 long_pauses: pause_cost(&query, self.wait.long_pauses).0,
 streaming: streaming_cost(&query, &pace, queue).0,
-decode_slowdown: decode_slowdown_cost(&query, &pace, queue, read_tokens).0,
+decode_slowdown: decode_slowdown_cost(&query, &pace, queue, prefill_tokens).0,
 ..CostBreakdown::default()
 };
-let place = RequestPlace::Peer(peer);
-let choice = PlaceChoice {
-place,
-first,
-read_tokens,
+let destination = RequestDestination::Peer(peer);
+let choice = DestinationChoice {
+destination,
+time_to_first,
+prefill_tokens,
 queue,
-rank: query.rank(first),
+rank: query.rank(time_to_first),
 prefill_before_answer: None,
 fetch_from: None,
 };
-FarChoice { choice, cost: parts.total(), parts, region: self.region.clone() }
+RemoteChoice { choice, cost: parts.total(), parts, region: self.region.clone() }
 }
 
-/// The way there and back, twice where no connection is open.
-fn way(&self, peer: &PeerLink) -> Duration {
-let round_trip = self.view.round_trip(self.region).unwrap_or(UNMEASURED_ROUND_TRIP);
+/// Returns the round trip to the region, doubled if a connection has to be opened first.
+fn network_time(&self, peer: &PeerLink) -> Duration {
+let round_trip = self.view.round_trip(self.region).unwrap_or(DEFAULT_ROUND_TRIP);
 match peer.pool.has_open() {
 true => round_trip,
 false => round_trip * 2,
 }
 }
 
-/// What this region's VMs have sent there since its VMs told their waits, as far as it can be
-/// guessed from what this one has sent.
-fn sent_since(&self, hold: Duration, way: Duration) -> QueueState {
+/// Estimates the requests that the VMs of this region have sent there since the last report,
+/// from those that this VM has sent.
+fn sent_since(&self, hold: Duration, network_time: Duration) -> QueueState {
 let links = self.view.peers.iter().filter(|peer| peer.region == *self.region);
 let sent = links.map(|peer| peer.share(&self.job.service));
 let own = sent.fold(UpstreamShare::default(), |sum, share| UpstreamShare {
@@ -143,14 +145,14 @@
 ..sum
 });
 let RegionWait { upstreams, slots, .. } = self.wait;
-RemoteService { upstreams, slots, slot_time: hold, round_trip: way }
+RemoteService { upstreams, slots, slot_time: hold, round_trip: way: network_time }
 .queue(own, self.view.senders)
 }
 
-/// The tokens of the shared parts that would have to be read there.
+/// Returns the tokens of the shared segments that would have to be prefilled in the region.
 fn missing_tokens(&self, shared_tokens: u32) -> u32 {
-if shared_tokens < TOLD_TOKENS {
-return (f64::from(shared_tokens) * FAR_MISSING_SHARE) as u32;
+if shared_tokens < MIN_ANNOUNCED_TOKENS {
+return (f64::from(shared_tokens) * REMOTE_MISSING_SHARE) as u32;
 }
 let parts = self.job.shared_parts();
 let hints = self.shared.hints.lock();
@@ -163,15 +165,15 @@
 }
 }
 
-/// A VM of a region that was not tried yet: one in service there if there is one, and one to which a connection is
-/// open.
+/// Returns a random VM of a region that was not tried yet. VMs in service there and VMs with an
+/// open connection are preferred.
 fn pick_peer(
 view: &GatewayView,
 region: &RegionName,
-tried: &TriedPlaces,
+tried: &TriedDestinations,
 ) -> Option<Arc<PeerLink>> {
 let is_untried = |peer: &&Arc<PeerLink>| !tried.peers.contains(&peer.vm);
-let in_service = view.far_service.get(region).into_iter().flatten();
+let in_service = view.remote_in_service.get(region).into_iter().flatten();
 let mut open: Vec<&Arc<PeerLink>> = in_service.filter(is_untried).collect();
 if open.is_empty() {
 let there = view.peers.iter().filter(|peer| peer.region == *region);
--- a/crates/foldhaven-gateway/src/feed.rs
+++ b/crates/foldhaven-gateway/src/feed.rs
@@ -1,4 +1,4 @@
-//! The border to the platform: who tells this daemon of descriptions, upstreams and evacuations.
+//! The interface to the platform, which publishes descriptions, upstreams and evacuations.
 
 use std::borrow::Cow;
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,26 +16,26 @@
 use tokio::sync::watch::error::RecvError;
 
 use crate::clock::timeout;
-use crate::keeper::KeeperAddress;
+use crate::control::ControlAddress;
 use crate::told_change::ToldChange;
 
 /// Everything that the platform publishes, at one revision.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct FeedSnapshot {
-    /// The platform's count of changes.
+    /// The revision: the platform's count of changes.
     pub revision: u64,
-    /// The description; nothing while none is published.
+    /// The description. `None` if none is published.
     pub description: Option<RouteDescription>,
     /// The upstreams of all data centres.
     pub upstreams: Vec<UpstreamRecord>,
-    /// Upstreams whose records are of no form that names one.
+    /// The upstreams whose records are invalid.
     pub unusable: BTreeSet<UpstreamName>,
-    /// The data centres whose upstreams are to get nothing.
+    /// The data centres whose upstreams are to get no requests.
     pub evacuated: BTreeSet<DataCentreName>,
 }
 
 impl FeedSnapshot {
-    /// The same with the accounts of its description, which are told beside it.
+    /// Returns the snapshot with the accounts of its description, which are sent separately.
     pub fn with_accounts(mut self, accounts: Arc<AccountDescription>) -> Self {
         if let Some(description) = &mut self.description {
             description.accounts = Some(accounts);
@@ -44,27 +44,28 @@
     }
 }
 
-/// One change.
+/// A change of the platform.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(from = "ToldChange", into = "ToldChange")]
 pub enum FeedChange {
     /// A description was published.
     Description(Box<RouteDescription>),
-    /// The same, as VMs tell each other of it: what differs from the description before.
+    /// A description was published, given as the delta to the one before. VMs send descriptions to
+    /// each other in this form.
     DescriptionDelta(Box<RouteDelta>),
     /// An upstream wrote its record.
     UpstreamWritten(UpstreamRecord),
     /// The record of an upstream was removed.
     UpstreamRemoved(UpstreamName),
-    /// The record of an upstream was written in a form that names none, whatever it was before.
+    /// The record of an upstream was replaced by an invalid one.
     UpstreamUnusable(UpstreamName),
-    /// A data centre is to be evacuated.
+    /// The evacuation of a data centre was started.
     EvacuationStarted(DataCentreName),
-    /// The evacuation of a data centre was withdrawn.
+    /// The evacuation of a data centre was ended.
     EvacuationEnded(DataCentreName),
 }
 
-/// What a change is about. Of two changes about the same, the later one is all that counts.
+/// What a change is about. Of several changes of one subject, only the last one matters.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ChangeSubject<'a> {
     /// The description.
@@ -76,7 +77,7 @@
 }
 
 impl FeedChange {
-    /// What it is about.
+    /// Returns the subject of the change.
     pub fn subject(&self) -> ChangeSubject<'_> {
         match self {
             Self::Description(_) | Self::DescriptionDelta(_) => ChangeSubject::Description,
@@ -90,7 +91,7 @@
         }
     }
 
-    /// One change in place of this one and a later one about the same.
+    /// Combines this change and a later one of the same subject into one.
     fn followed_by(&self, next: &Self) -> Result<Self, DeltaError> {
         match (self, next) {
             (Self::Description(held), Self::DescriptionDelta(delta)) => {
@@ -103,7 +104,8 @@
         }
     }
 
-    /// Whether requests may be sent wrongly until it is in force. An upstream more can wait a little.
+    /// Returns whether requests may be sent to wrong destinations until the change is applied. A
+    /// new upstream can wait a little.
     pub fn is_urgent(&self) -> bool {
         match self {
             Self::UpstreamWritten(record) => record.leaving || !record.cold_for.is_zero(),
@@ -112,89 +114,90 @@
     }
 }
 
-/// A change with the platform's count of changes when it was made.
+/// A change with its revision.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct CountedChange {
-    /// The count.
+pub struct NumberedChange {
+    /// The revision.
     pub revision: u64,
     /// The change.
     pub change: FeedChange,
 }
 
-/// Drops what later changes supersede, so that what is told is bounded by how much there is to know, and
-/// not by how often it changed.
+/// Drops changes that are superseded by later ones. The result is thus bounded by the size of the
+/// state, and not by the number of changes.
 ///
 /// # Errors
 ///
-/// When a version between two descriptions is missing.
+/// If a version between two descriptions is missing.
 pub fn drop_superseded<'a>(
-    changes: impl IntoIterator<Item = &'a CountedChange>,
-) -> Result<Vec<CountedChange>, DeltaError> {
-    let mut last: BTreeMap<ChangeSubject<'a>, Cow<'a, CountedChange>> = BTreeMap::new();
-    for counted in changes {
-        let subject = counted.change.subject();
+    changes: impl IntoIterator<Item = &'a NumberedChange>,
+) -> Result<Vec<NumberedChange>, DeltaError> {
+    let mut last: BTreeMap<ChangeSubject<'a>, Cow<'a, NumberedChange>> = BTreeMap::new();
+    for numbered in changes {
+        let subject = numbered.change.subject();
         let kept = match last.get(&subject) {
             Some(held) => {
-                let change = held.change.followed_by(&counted.change)?;
-                Cow::Owned(CountedChange { revision: counted.revision, change })
+                let change = held.change.followed_by(&numbered.change)?;
+                Cow::Owned(NumberedChange { revision: numbered.revision, change })
             }
-            None => Cow::Borrowed(counted),
+            None => Cow::Borrowed(numbered),
         };
         last.insert(subject, kept);
     }
-    let mut kept: Vec<CountedChange> = last.into_values().map(Cow::into_owned).collect();
-    kept.sort_by_key(|counted| counted.revision);
+    let mut kept: Vec<NumberedChange> = last.into_values().map(Cow::into_owned).collect();
+    kept.sort_by_key(|numbered| numbered.revision);
     Ok(kept)
 }
 
 /// All changes after one revision up to another.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ChangeSet {
-    /// The revision after which they were made.
+    /// The revision after which the changes were made.
     pub after: u64,
-    /// The revision up to which there are no others.
+    /// The revision up to which the set is complete.
     pub revision: u64,
-    /// The changes in their order; of several about the same only the last.
-    pub changes: Vec<CountedChange>,
+    /// The changes in order. Only the last one of each subject is included.
+    pub changes: Vec<NumberedChange>,
 }
 
 impl ChangeSet {
-    /// The versions that its difference between descriptions was put together over.
-    pub fn through(&self) -> Vec<RouteVersion> {
-        let deltas = self.changes.iter().filter_map(|counted| match &counted.change {
+    /// Returns the versions that the description deltas of the set span.
+    pub fn spanned_versions(&self) -> Vec<RouteVersion> {
+        let deltas = self.changes.iter().filter_map(|numbered| match &numbered.change {
             FeedChange::DescriptionDelta(delta) => Some(delta.through()),
             _ => None,
         });
         deltas.flatten().copied().collect()
     }
 
-    /// The same changes, whose difference between descriptions is told to be put together over these versions.
-    pub fn told_through(mut self, through: &[RouteVersion]) -> Self {
-        for counted in &mut self.changes {
-            if let FeedChange::DescriptionDelta(delta) = &mut counted.change {
-                **delta = (**delta).clone().told_through(through.to_vec());
+    /// Returns the same changes, with the description delta marked as spanning these versions.
+    pub fn with_spanned_versions(mut self, versions: &[RouteVersion]) -> Self {
+        for numbered in &mut self.changes {
+            if let FeedChange::DescriptionDelta(delta) = &mut numbered.change {
+                **delta = (**delta).clone().told_through(versions.to_vec());
             }
         }
         self
     }
 }
 
-/// What one VM tells another of the platform.
+/// The platform state that one VM sends to another.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum PeerState {
-    /// All that is published.
+    /// The whole state.
     Snapshot(FeedSnapshot),
-    /// What changed after the revision that the asker knows.
+    /// The changes after the revision that the requesting VM knows.
     Changes(ChangeSet),
-    /// The same, with a difference between descriptions that was put together over these versions. Only VMs that say that they
-    /// understand it are told so.
+    /// The same, with a description delta that spans these versions. Sent only to VMs that announce
+    /// that they understand it.
     SpanningChanges(ChangeSet, Vec<RouteVersion>),
-    /// All that is published, with the accounts of its description.
+    /// The whole state, with the accounts of its description.
     KeyedSnapshot(FeedSnapshot, Arc<AccountDescription>),
 }
 
 impl PeerState {
-    /// All that is published, in the form that daemons without accounts read where it has none.
+    /// Returns the whole state. Without accounts, it has the form that daemons without account
+    /// support can read.
     pub fn of_snapshot(snapshot: FeedSnapshot) -> Self {
         let accounts = snapshot.description.as_ref().and_then(|it| it.accounts.clone());
         match accounts {
@@ -204,62 +207,71 @@
     }
 }
 
-/// Whether this daemon is to read the platform now, and what it knows already.
+/// Whether this daemon reads the platform now, and the revision that it already knows.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct FeedTurn {
-    /// Whether it is to read.
-    pub reads: bool,
-    /// The revision that it knows, from its own reading or from other VMs; nothing yet when absent.
-    pub known: Option<u64>,
-    /// Whether others know more, and did a moment ago: a call that waits for changes would have been answered.
-    pub is_overtaken: bool,
+pub struct ReadAssignment {
+    /// Whether it reads the platform.
+    pub is_reader: bool,
+    /// The revision known from the platform or from other VMs. `None` before the first snapshot.
+    pub known_revision: Option<u64>,
+    /// Whether other VMs have known a newer revision for a short time, so that a pending call for
+    /// changes should already have been answered.
+    pub is_superseded: bool,
 }
 
-/// What a feed tells.
+/// An update from a feed.
 #[derive(Debug, Clone)]
-pub enum FeedNews {
-    /// All that is published.
+pub enum FeedUpdate {
+    /// The whole state.
     Snapshot(FeedSnapshot),
-    /// What changed up to a revision.
+    /// The changes up to a revision.
     Changes(ChangeSet),
-    /// Nothing could be read.
-    Disturbed {
-        /// What was tried and what went wrong.
+    /// The platform could not be read.
+    Failed {
+        /// The failed operation and its error.
         cause: String,
     },
 }
 
-/// Where a feed puts its news, and learns when it is to read.
+/// Receives the updates of a feed, and tells the feed when to read.
 #[derive(Clone)]
 pub struct FeedSink {
-    keeper: KeeperAddress,
-    turn: watch::Receiver<FeedTurn>,
+    control: ControlAddress,
+    assignment: watch::Receiver<ReadAssignment>,
 }
 
 impl FeedSink {
-    pub(crate) fn new(keeper: KeeperAddress, turn: watch::Receiver<FeedTurn>) -> Self {
-        Self { keeper, turn }
+    pub(crate) fn new(
+        control: ControlAddress,
+        assignment: watch::Receiver<ReadAssignment>,
+    ) -> Self {
+        Self { control, assignment }
     }
 
-    /// Tells news. Returns whether anybody still listens.
-    pub async fn tell(&self, news: FeedNews) -> bool {
-        self.keeper.send(news).await.is_ok()
+    /// Sends an update. Returns `false` if the control actor has stopped.
+    pub async fn send(&self, update: FeedUpdate) -> bool {
+        self.control.send(update).await.is_ok()
     }
 
-    /// Waits until this daemon is to read, and gives the revision from which to go on; nothing when
-    /// everything is to be read. Returns an error when nobody listens any more.
-    pub async fn await_turn(&mut self) -> Result<Option<u64>, RecvError> {
-        self.turn.wait_for(|turn| turn.reads).await.map(|turn| turn.known)
+    /// Waits until this daemon has to read the platform. Returns the revision from which to
+    /// continue, or `None` if the whole state has to be read. Fails if the control actor has
+    /// stopped.
+    pub async fn await_assignment(&mut self) -> Result<Option<u64>, RecvError> {
+        self.assignment
+            .wait_for(|assignment| assignment.is_reader)
+            .await
+            .map(|assignment| assignment.known_revision)
     }
 
-    /// Waits until others have known more for a while, so that a call without an answer will get none.
-    pub async fn await_overtaken(&self, lasting: Duration) {
-        let mut turn = self.turn.clone();
+    /// Waits until other VMs have known a newer revision for the duration `lasting`, so that a call
+    /// without an answer by then will not get one.
+    pub async fn await_superseded(&self, lasting: Duration) {
+        let mut assignment = self.assignment.clone();
         loop {
-            if turn.wait_for(|turn| turn.is_overtaken).await.is_err() {
+            if assignment.wait_for(|assignment| assignment.is_superseded).await.is_err() {
                 return std::future::pending().await;
             }
-            let caught_up = turn.wait_for(|turn| !turn.is_overtaken);
+            let caught_up = assignment.wait_for(|assignment| !assignment.is_superseded);
             if timeout(lasting, caught_up).await.is_err() {
                 return;
             }
@@ -267,9 +279,9 @@
     }
 }
 
-/// Reads what the platform publishes. Nothing is ever written.
+/// Reads what the platform publishes. A feed never writes to the platform.
 #[async_trait]
 pub trait PlatformFeed: Send + Sync {
-    /// Tells news until nobody listens any more.
+    /// Sends updates until the control actor has stopped.
     async fn run(&self, sink: FeedSink);
 }
--- a/crates/foldhaven-gateway/src/known/takes.rs
+++ b/crates/foldhaven-gateway/src/platform_state/updates.rs
@@ -1,4 +1,4 @@
-//! Takes in what the platform publishes, by whichever way it came.
+//! Applies updates of the platform state, whatever their source.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -10,31 +10,32 @@
 use foldhaven_core::time::MonoTime;
 
 use super::description_digest::description_digest;
-use super::{EarlyChanges, PlatformKnowledge, TakeMoment, TakenChanges};
-use crate::feed::{ChangeSet, ChangeSubject, CountedChange, FeedChange, FeedSnapshot};
+use super::{AppliedChanges, ApplyContext, EarlyChanges, PlatformState};
+use crate::feed::{ChangeSet, ChangeSubject, FeedChange, FeedSnapshot, NumberedChange};
 
-impl PlatformKnowledge {
-    /// Replaces what is known by a snapshot, unless the snapshot is older. Returns what of it may be in force at
-    /// others before they know all of it.
-    pub fn take_snapshot(
+impl PlatformState {
+    /// Replaces the state by a snapshot, unless the snapshot is older. Returns the changes that
+    /// other VMs may apply early.
+    pub fn apply_snapshot(
         &mut self,
         snapshot: FeedSnapshot,
-        moment: TakeMoment,
+        context: ApplyContext,
     ) -> Option<ChangeSet> {
         let FeedSnapshot { revision, description, upstreams, unusable, evacuated } = snapshot;
         if revision < self.revision {
-            tracing::warn!(held = self.revision, offered = revision, "older state ignored");
+            tracing::warn!(held = self.revision, offered = revision, "older snapshot ignored");
             return None;
         }
         self.revision = revision;
-        // What came and went since is in no difference: whoever knows less is told everything.
+        // Changes that came and went in between are in no delta, so VMs that know less get the
+        // whole state.
         self.log.reset(revision);
-        let replaces = std::mem::replace(&mut self.needs_all, false);
+        let is_replacement = std::mem::replace(&mut self.needs_snapshot, false);
         for name in &unusable {
             self.withdraw(name);
         }
-        let difference = self.table.replace(upstreams, moment.now);
-        let mut changes = self.change_evacuations(evacuated);
+        let difference = self.table.replace(upstreams, context.now);
+        let mut changes = self.replace_evacuated(evacuated);
         let upstreams = difference.listed.len();
         changes.extend(difference.listed.into_iter().map(FeedChange::UpstreamWritten));
         changes.extend(difference.unlisted.into_iter().map(FeedChange::UpstreamRemoved));
@@ -44,81 +45,87 @@
         }
         let offered = description.as_ref().map(|description| description.version);
         let held = self.routes.as_deref().map(RouteTable::version);
-        // When differences do not lead on, the description that is held may be another one of its version.
-        let is_newer = offered > held || replaces && offered == held;
+        // After deltas failed to apply, the known description may differ from the platform's of the
+        // same version.
+        let is_newer = offered > held || is_replacement && offered == held;
         match description.filter(|_| is_newer) {
-            Some(description) => drop(self.adopt(description, moment)),
-            None => offered.into_iter().for_each(|offered| self.note_older(offered)),
+            Some(description) => drop(self.install_description(description, context)),
+            None => offered.into_iter().for_each(|offered| self.warn_older_description(offered)),
         }
-        self.renew_early(moment.now);
-        changes.retain(EarlyChanges::may_precede);
-        let counted = changes.into_iter().map(|change| CountedChange { revision, change });
-        // They follow on nothing before this revision.
-        Some(ChangeSet { after: revision, revision, changes: counted.collect() })
+        self.reapply_early_changes(context.now);
+        changes.retain(EarlyChanges::may_apply_early);
+        let numbered = changes.into_iter().map(|change| NumberedChange { revision, change });
+        // The set builds on no earlier revision.
+        Some(ChangeSet { after: revision, revision, changes: numbered.collect() })
     }
 
-    /// Whether nothing is missing between what is known and these changes.
-    pub fn follows(&self, set: &ChangeSet) -> bool {
+    /// Returns whether no changes are missing between the known state and a change set.
+    pub fn can_apply(&self, set: &ChangeSet) -> bool {
         self.has_state && set.after <= self.revision
     }
 
-    /// Takes in changes. Returns what of them is new, as others are to be told of it; nothing when some
+    /// Applies changes. Returns the new ones, to be forwarded to other VMs, or `None` if changes
     /// before them are missing.
-    pub fn take_changes(&mut self, set: ChangeSet, moment: TakeMoment) -> Option<TakenChanges> {
-        if !self.follows(&set) {
+    pub fn apply_changes(
+        &mut self,
+        set: ChangeSet,
+        context: ApplyContext,
+    ) -> Option<AppliedChanges> {
+        if !self.can_apply(&set) {
             return None;
         }
         let (known, after) = (self.revision, self.log.last_revision());
-        let news: Vec<CountedChange> =
-            set.changes.into_iter().filter(|counted| counted.revision > known).collect();
-        let description = match self.newer_description(&news) {
+        let new_changes: Vec<NumberedChange> =
+            set.changes.into_iter().filter(|numbered| numbered.revision > known).collect();
+        let description = match self.newer_description(&new_changes) {
             Ok(description) => description,
             Err(error) => {
-                tracing::warn!(revision = known, error = %error, "everything is asked for");
-                self.needs_all = true;
+                tracing::warn!(revision = known, error = %error, "changes cannot be applied, requesting a snapshot");
+                self.needs_snapshot = true;
                 return None;
             }
         };
         self.revision = known.max(set.revision);
-        self.needs_all = false;
-        let is_urgent = news.iter().any(|counted| counted.change.is_urgent());
-        let mut taken: Vec<CountedChange> = Vec::new();
+        self.needs_snapshot = false;
+        let is_urgent = new_changes.iter().any(|numbered| numbered.change.is_urgent());
+        let mut applied: Vec<NumberedChange> = Vec::new();
         let mut described = None;
-        for counted in news {
-            if counted.change.subject() == ChangeSubject::Description {
-                described = Some(counted.revision);
+        for numbered in new_changes {
+            if numbered.change.subject() == ChangeSubject::Description {
+                described = Some(numbered.revision);
                 continue;
             }
-            self.log_change(&counted.change);
-            self.apply_change(counted.change.clone(), moment.now);
-            taken.push(counted);
+            self.log_change(&numbered.change);
+            self.apply_change(numbered.change.clone(), context.now);
+            applied.push(numbered);
         }
         let change = match description {
-            Some(description) => Some(self.adopt(description, moment)),
-            // It came some other way before its turn. Others that follow what is passed on may not have it.
+            Some(description) => Some(self.install_description(description, context)),
+            // The description arrived earlier by another way. VMs that get the forwarded changes
+            // may not have it.
             None => self.held_description().map(FeedChange::Description),
         };
         let described = described.zip(change);
-        taken.extend(described.map(|(revision, change)| CountedChange { revision, change }));
-        taken.sort_by_key(|counted| counted.revision);
-        taken.iter().for_each(|counted| self.log.push(counted.clone()));
-        self.renew_early(moment.now);
-        let changes = ChangeSet { after, revision: self.revision, changes: taken };
-        Some(TakenChanges { changes, is_urgent })
+        applied.extend(described.map(|(revision, change)| NumberedChange { revision, change }));
+        applied.sort_by_key(|numbered| numbered.revision);
+        applied.iter().for_each(|numbered| self.log.push(numbered.clone()));
+        self.reapply_early_changes(context.now);
+        let changes = ChangeSet { after, revision: self.revision, changes: applied };
+        Some(AppliedChanges { changes, is_urgent })
     }
 
-    /// Puts changes in force of which some before them are missing, as far as requests could go wrong until
-    /// these are known. Returns whether there are such.
-    pub fn take_early(&mut self, changes: Vec<CountedChange>, now: MonoTime) -> bool {
+    /// Applies changes although their predecessors are missing, if requests could be sent to wrong
+    /// destinations without them. Returns whether there were any.
+    pub fn apply_early_changes(&mut self, changes: Vec<NumberedChange>, now: MonoTime) -> bool {
         if !self.has_state {
             return false;
         }
         let known = self.revision;
         let mut is_news = false;
-        for counted in changes {
-            let revision = counted.revision;
-            let Some(change) = self.early.hold(counted, known) else { continue };
-            tracing::info!(revision, known, "a change is put in force before its turn");
+        for numbered in changes {
+            let revision = numbered.revision;
+            let Some(change) = self.early.insert(numbered, known) else { continue };
+            tracing::info!(revision, known, "change applied before its predecessors");
             self.log_change(&change);
             self.apply_change(change, now);
             is_news = true;
@@ -126,15 +133,20 @@
         is_news
     }
 
-    /// Puts in force again what is still ahead of what is known.
-    fn renew_early(&mut self, now: MonoTime) {
-        for change in self.early.drop_until(self.revision) {
+    /// Applies the remaining early changes again.
+    fn reapply_early_changes(&mut self, now: MonoTime) {
+        for change in self.early.drop_through(self.revision) {
             self.apply_change(change, now);
         }
     }
 
-    /// Puts a description in force that is newer than the one held. Returns what it changes.
-    fn adopt(&mut self, description: RouteDescription, moment: TakeMoment) -> FeedChange {
+    /// Installs a description that is newer than the known one. Returns the change, as a delta to
+    /// the known one where possible.
+    fn install_description(
+        &mut self,
+        description: RouteDescription,
+        context: ApplyContext,
+    ) -> FeedChange {
         let (held, offered) = (self.version(), description.version);
         let routes = description.routes.len();
         let known = self.routes.as_deref().map(RouteTable::description);
@@ -145,7 +157,7 @@
             None => FeedChange::Description(Box::new(description.clone())),
         };
         let digest = description_digest(&description).unwrap_or_else(|error| {
-            tracing::error!(error = %error, "writing a description failed");
+            tracing::error!(error = %error, "serializing a description failed");
             0
         });
         self.digest = digest;
@@ -157,26 +169,27 @@
             routes,
             touched,
             revision = self.revision,
-            behind_ms = moment.behind.as_millis() as u64,
+            behind_ms = context.lag.as_millis() as u64,
             "description adopted"
         );
         change
     }
 
-    /// The description that changes lead to; nothing when they hold none that is newer than the one held.
+    /// Returns the description that results from the changes, or `None` if they contain no newer
+    /// one.
     fn newer_description(
         &self,
-        changes: &[CountedChange],
+        changes: &[NumberedChange],
     ) -> Result<Option<RouteDescription>, DeltaError> {
         let mut newer: Option<RouteDescription> = None;
-        for counted in changes {
+        for numbered in changes {
             let known = self.routes.as_deref().map(RouteTable::description);
             let known = newer.as_ref().or(known);
             let held = known.map(|known| known.version);
-            newer = match (&counted.change, known) {
+            newer = match (&numbered.change, known) {
                 (FeedChange::Description(it), _) if held < Some(it.version) => Some((**it).clone()),
                 (FeedChange::Description(it), _) => {
-                    self.note_older(it.version);
+                    self.warn_older_description(it.version);
                     continue;
                 }
                 (FeedChange::DescriptionDelta(it), Some(known)) if it.version() > known.version => {
@@ -192,7 +205,7 @@
         Ok(newer)
     }
 
-    fn note_older(&self, offered: RouteVersion) {
+    fn warn_older_description(&self, offered: RouteVersion) {
         let held = self.version();
         if offered < held {
             tracing::warn!(held = held.0, offered = offered.0, "older description ignored");
@@ -215,7 +228,7 @@
         }
     }
 
-    /// Puts a change in force that is not about the description.
+    /// Applies a change that is not about the description.
     fn apply_change(&mut self, change: FeedChange, now: MonoTime) {
         match change {
             FeedChange::Description(_) | FeedChange::DescriptionDelta(_) => {}
@@ -223,22 +236,22 @@
             FeedChange::UpstreamRemoved(name) => self.table.remove(&name, now),
             FeedChange::UpstreamUnusable(name) => self.withdraw(&name),
             FeedChange::EvacuationStarted(centre) => {
-                self.change_evacuated(|evacuated| evacuated.insert(centre));
+                self.update_evacuated(|evacuated| evacuated.insert(centre));
             }
             FeedChange::EvacuationEnded(centre) => {
-                self.change_evacuated(|evacuated| evacuated.remove(&centre));
+                self.update_evacuated(|evacuated| evacuated.remove(&centre));
             }
         }
     }
 
-    /// Drops an upstream whose record names none any more.
+    /// Removes an upstream whose record has become invalid.
     fn withdraw(&mut self, name: &UpstreamName) {
-        self.unusable_seen += 1;
+        self.unusable_count += 1;
         self.table.withdraw(name);
     }
 
     /// Replaces the evacuated data centres. Returns the changes.
-    fn change_evacuations(&mut self, evacuated: BTreeSet<DataCentreName>) -> Vec<FeedChange> {
+    fn replace_evacuated(&mut self, evacuated: BTreeSet<DataCentreName>) -> Vec<FeedChange> {
         let held = self.table.evacuated();
         let started = evacuated.difference(held).cloned().map(FeedChange::EvacuationStarted);
         let ended = held.difference(&evacuated).cloned().map(FeedChange::EvacuationEnded);
@@ -247,7 +260,7 @@
         changes
     }
 
-    fn change_evacuated(&mut self, change: impl FnOnce(&mut BTreeSet<DataCentreName>) -> bool) {
+    fn update_evacuated(&mut self, change: impl FnOnce(&mut BTreeSet<DataCentreName>) -> bool) {
         let mut evacuated = self.table.evacuated().clone();
         change(&mut evacuated);
         self.table.set_evacuated(evacuated);
--- a/crates/foldhaven-gateway/tests/testsuite/peer_messages.rs
+++ b/crates/foldhaven-gateway/tests/testsuite/peer_messages.rs
@@ -1,7 +1,7 @@
-//! Messages between VMs as they were recorded are still understood, and are still written in the same way.
+//! Recorded messages between VMs can still be read, and are still written in the same way.
 //!
-//! While daemons are replaced one by one, two versions of them tell each other. A kind or a field that changes its place would
-//! be read as another one, or not at all: VMs would take each other for dead.
+//! During a rolling upgrade, two versions of the daemon exchange messages. If a message kind or
+//! field moved, messages would be misread or rejected, and VMs would consider each other dead.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,7 +21,7 @@
 use foldhaven_core::opaque::sender_agreement::{AgreementNotice, AgreementRound, ListDigest};
 use foldhaven_core::opaque::upstream_signals::{LeavingNotice, LimitNotice};
 use foldhaven_core::units::CoreShare;
-use foldhaven_gateway::feed::{ChangeSet, CountedChange, FeedChange};
+use foldhaven_gateway::feed::{ChangeSet, FeedChange, NumberedChange};
 use foldhaven_gateway::peer_message::{PeerMessage, SuspectTelling};
 use rstest::rstest;
 
@@ -118,16 +118,17 @@
 }
 
 fn limits() -> PeerMessage {
-let told = |upstream, per_s| LimitNotice { upstream: UpstreamTag(upstream), per_s, age_ms: 3 };
-PeerMessage::Limits(vec![told(1, Some(2.5)), told(2, None)])
+let notice =
+|upstream, per_s| LimitNotice { upstream: UpstreamTag(upstream), per_s, age_ms: 3 };
+PeerMessage::Limits(vec![notice(1, Some(2.5)), notice(2, None)])
 }
 
 fn leavers() -> PeerMessage {
-let told = |upstream| LeavingNotice { upstream: UpstreamTag(upstream), age_ms: 3 };
-PeerMessage::Leavers(vec![told(1), told(300)])
+let notice = |upstream| LeavingNotice { upstream: UpstreamTag(upstream), age_ms: 3 };
+PeerMessage::Leavers(vec![notice(1), notice(300)])
 }
 
-/// A description with an account, and what changes when it goes.
+/// Returns a description with an account, and the delta that removes the account.
 fn keyed_changes() -> PeerMessage {
 let account = ClientAccount {
 name: "one".parse().unwrap(),
@@ -157,11 +158,11 @@
 let delta = RouteDelta::between(&before, &after).unwrap();
 let changes =
 [FeedChange::Description(Box::new(before)), FeedChange::DescriptionDelta(Box::new(delta))];
-let counted = changes.into_iter().map(|change| CountedChange { revision: 5, change });
-PeerMessage::Changes(ChangeSet { after: 4, revision: 5, changes: counted.collect() })
+let numbered = changes.into_iter().map(|change| NumberedChange { revision: 5, change });
+PeerMessage::Changes(ChangeSet { after: 4, revision: 5, changes: numbered.collect() })
 }
 
-/// The bytes of each kind as this version writes them.
+/// The bytes of each message kind as this version writes them.
 #[rstest]
 #[case::beat(
 beat(),
@@ -195,9 +196,10 @@
 bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// What a later version adds is of a kind that is not known here, and is no message; so is what is cut, or too long.
+/// Unknown kinds from later versions, truncated messages and messages with trailing bytes are
+/// rejected.
 #[test]
-fn messages_of_another_form_are_dropped() {
+fn malformed_messages_are_rejected() {
 for kind in 10..=250u8 {
 assert!(PeerMessage::read(&[kind, 1, 2, 3, 4, 5, 6, 7, 8]).is_err(), "kind {kind}");
 }
--- a/crates/foldhaven-gateway/tests/testsuite/known.rs
+++ b/crates/foldhaven-gateway/tests/testsuite/platform_state.rs
@@ -1,11 +1,13 @@
-//! What is known of the platform, whatever the order in which it comes.
+//! The platform state is correct in whatever order changes arrive.
 //!
-//! VMs named the newest revision and version as theirs and decided by an older description. A VM that holds the newest
-//! revision asks nobody, so that its revision must never pass what it has taken in. Here a platform publishes, and three VMs
-//! read it at their own pace, page by page and by differences, tell each other by messages that are late, lost, doubled and
-//! in any order, and ask each other; each of the ways by which a revision rises is among it.
+//! Guards against VMs that announce the newest revision and version but decide by an older
+//! description. A VM that holds the newest revision does not ask for changes, so its revision must
+//! never exceed the changes that it has applied. A simulated platform publishes changes. Three VMs
+//! read it at different times, page by page and as changes, forward changes by messages that are
+//! delayed, lost, duplicated and reordered, and request state from each other. All ways in which a
+//! revision increases are covered.
 //!
-//! `KNOWN_ORDERS=10000` plays so many drawn orders in place of the few of CI.
+//! `KNOWN_ORDERS=10000` runs that many random orders instead of the few of CI.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,28 +22,28 @@
 use foldhaven_core::opaque::upstream_table::UpstreamRecord;
 use foldhaven_core::time::MonoTime;
 use foldhaven_gateway::feed::{
-ChangeSet, ChangeSubject, CountedChange, FeedChange, FeedSnapshot, PeerState,
+ChangeSet, ChangeSubject, FeedChange, FeedSnapshot, NumberedChange, PeerState,
 };
-use foldhaven_gateway::known::{EarlyChanges, PlatformKnowledge, StateOffer, TakeMoment};
+use foldhaven_gateway::platform_state::{ApplyContext, EarlyChanges, PlatformState, StateOffer};
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-const USUAL_ORDERS: u64 = 300;
-/// How much happens in one order.
+const DEFAULT_SEEDS: u64 = 300;
+/// Events in one order.
 const EVENTS: usize = 400;
 const VMS: usize = 3;
 const NAMES: [&str; 4] = ["a", "b", "c", "d"];
 
-fn orders() -> u64 {
+fn seed_count() -> u64 {
 let named = std::env::var("KNOWN_ORDERS").ok().and_then(|text| text.parse().ok());
-named.unwrap_or(USUAL_ORDERS)
+named.unwrap_or(DEFAULT_SEEDS)
 }
 
-fn moment() -> TakeMoment {
-TakeMoment { now: MonoTime::from_millis(1_000_000), behind: Duration::ZERO }
+fn context() -> ApplyContext {
+ApplyContext { now: MonoTime::from_millis(1_000_000), lag: Duration::ZERO }
 }
 
 fn route(name: &str, seconds: u64) -> OpaqueRoute {
@@ -61,7 +63,7 @@
 }
 }
 
-/// Some accounts with keys, and whether the first route is open.
+/// Returns random accounts with keys. The first route may be open.
 fn accounts(random: &mut StdRng) -> AccountDescription {
 let chosen = NAMES.iter().filter(|_| random.random_bool(0.5)).copied();
 let chosen: Vec<&str> = chosen.collect();
@@ -80,13 +82,13 @@
 AccountDescription { accounts, open_routes: open.into_iter().collect() }
 }
 
-/// The platform, with all that it ever published.
+/// The simulated platform with its complete history.
 #[derive(Default)]
 struct Platform {
-history: Vec<CountedChange>,
+history: Vec<NumberedChange>,
 version: u64,
-/// Up to which revision the history is gone.
-forgotten: u64,
+/// The revision up to which the history was compacted.
+compacted_revision: u64,
 }
 
 impl Platform {
@@ -96,10 +98,10 @@
 
 fn publish(&mut self, change: FeedChange) {
 let revision = self.revision() + 1;
-self.history.push(CountedChange { revision, change });
+self.history.push(NumberedChange { revision, change });
 }
 
-/// A description with some routes, of which each may be as an earlier version had it.
+/// Publishes a description with random routes, each of which may be as in an earlier version.
 fn publish_description(&mut self, random: &mut StdRng) {
 self.version += random.random_range(1..4);
 let chosen = NAMES.iter().filter(|_| random.random_bool(0.5)).copied();
@@ -138,18 +140,19 @@
 }
 }
 
-/// The last change about each subject up to a revision, as the platform lists them.
-fn items_at(&self, revision: u64) -> Vec<CountedChange> {
-let mut last: BTreeMap<ChangeSubject<'_>, &CountedChange> = BTreeMap::new();
-for counted in self.history.iter().filter(|counted| counted.revision <= revision) {
-last.insert(counted.change.subject(), counted);
+/// Returns the last change of each subject up to a revision, as the platform lists them.
+fn items_at(&self, revision: u64) -> Vec<NumberedChange> {
+let mut last: BTreeMap<ChangeSubject<'_>, &NumberedChange> = BTreeMap::new();
+for numbered in self.history.iter().filter(|numbered| numbered.revision <= revision) {
+last.insert(numbered.change.subject(), numbered);
 }
 last.into_values().cloned().collect()
 }
 
-/// A list of which some items are as of an earlier revision, which it names, and others as of now: pages are no snapshot.
-fn list(&self, random: &mut StdRng, since: u64) -> FeedSnapshot {
-let mut items: BTreeMap<String, CountedChange> = BTreeMap::new();
+/// Returns a list that names an earlier revision, but in which some items are as of now: the
+/// pages of a list are not read at one revision.
+fn paged_list(&self, random: &mut StdRng, since: u64) -> FeedSnapshot {
+let mut items: BTreeMap<String, NumberedChange> = BTreeMap::new();
 for revision in [since, self.revision()] {
 for item in self.items_at(revision) {
 let subject = format!("{:?}", item.change.subject());
@@ -177,51 +180,52 @@
 snapshot
 }
 
-/// The changes after a revision; of several about the same only the last.
+/// Returns the changes after a revision. Only the last one of each subject is included.
 fn changes(&self, after: u64) -> ChangeSet {
 let revision = self.revision();
-let mut last: BTreeMap<ChangeSubject<'_>, &CountedChange> = BTreeMap::new();
-for counted in self.history.iter().filter(|counted| counted.revision > after) {
-last.insert(counted.change.subject(), counted);
+let mut last: BTreeMap<ChangeSubject<'_>, &NumberedChange> = BTreeMap::new();
+for numbered in self.history.iter().filter(|numbered| numbered.revision > after) {
+last.insert(numbered.change.subject(), numbered);
 }
-let mut changes: Vec<CountedChange> = last.into_values().cloned().collect();
-changes.sort_by_key(|counted| counted.revision);
+let mut changes: Vec<NumberedChange> = last.into_values().cloned().collect();
+changes.sort_by_key(|numbered| numbered.revision);
 ChangeSet { after, revision: revision.max(after), changes }
 }
 
-/// What a subject was from a revision on: at it, and after each later change.
+/// Returns the states of a subject from a revision on: at the revision, and after each later
+/// change.
 fn states_since<'a>(
 &'a self,
 subject: ChangeSubject<'a>,
 revision: u64,
 ) -> Vec<Option<&'a FeedChange>> {
-let about = |counted: &&CountedChange| counted.change.subject() == subject;
-let of = |counted: &'a CountedChange| Some(&counted.change);
-let (before, after): (Vec<&CountedChange>, Vec<&CountedChange>) =
-self.history.iter().filter(about).partition(|counted| counted.revision <= revision);
+let about = |numbered: &&NumberedChange| numbered.change.subject() == subject;
+let of = |numbered: &'a NumberedChange| Some(&numbered.change);
+let (before, after): (Vec<&NumberedChange>, Vec<&NumberedChange>) =
+self.history.iter().filter(about).partition(|numbered| numbered.revision <= revision);
 let first = before.last().copied().and_then(of);
 std::iter::once(first).chain(after.into_iter().map(of)).collect()
 }
 }
 
-/// A message on its way to a VM.
+/// A message in transit to a VM.
 #[derive(Clone)]
 enum Message {
-Told(ChangeSet),
+Announced(ChangeSet),
 Answer(PeerState),
 }
 
 impl Message {
-/// As it arrives at another process.
-fn written_and_read(self) -> Self {
+/// Returns the message as another process receives it.
+fn serialized(self) -> Self {
 match self {
-Self::Told(changes) => Self::Told(reread(&changes)),
-Self::Answer(state) => Self::Answer(reread(&state)),
+Self::Announced(changes) => Self::Announced(serialize_round_trip(&changes)),
+Self::Answer(state) => Self::Answer(serialize_round_trip(&state)),
 }
 }
 }
 
-fn reread<T: Serialize + DeserializeOwned>(value: &T) -> T {
+fn serialize_round_trip<T: Serialize + DeserializeOwned>(value: &T) -> T {
 let codec = bincode::DefaultOptions::new();
 let bytes = codec.serialize(value).unwrap();
 bincode::DefaultOptions::new().deserialize(&bytes).unwrap()
@@ -229,25 +233,25 @@
 
 struct World {
 platform: Platform,
-vms: Vec<PlatformKnowledge>,
-/// What others may take over from each VM, as it was shown last.
+vms: Vec<PlatformState>,
+/// The state that other VMs can fetch from each VM, as last published.
 offers: Vec<Option<Arc<StateOffer>>>,
 /// Lists that are being read, by the revision of their first page.
-lists: Vec<Option<u64>>,
+pending_lists: Vec<Option<u64>>,
 messages: Vec<(usize, Message)>,
-/// The revision and the version that each VM had last; no life of a VM goes back.
-had: Vec<(u64, RouteVersion)>,
+/// The last revision and version of each VM. They must not decrease until the VM restarts.
+previous: Vec<(u64, RouteVersion)>,
 }
 
 impl World {
 fn new() -> Self {
 Self {
 platform: Platform::default(),
-vms: (0..VMS).map(|_| PlatformKnowledge::default()).collect(),
+vms: (0..VMS).map(|_| PlatformState::default()).collect(),
 offers: vec![None; VMS],
-lists: vec![None; VMS],
+pending_lists: vec![None; VMS],
 messages: Vec::new(),
-had: vec![Default::default(); VMS],
+previous: vec![Default::default(); VMS],
 }
 }
 
@@ -256,53 +260,55 @@
 match random.random_range(0..12) {
 0..3 => self.platform.publish_any(random),
 3..5 => self.read(vm, random),
-5 => self.offers[vm] = self.vms[vm].offer(moment().now).map(Arc::new),
-6 => self.ask(vm, random),
-7 if random.random_bool(0.1) => self.platform.forgotten = self.platform.revision(),
+5 => self.offers[vm] = self.vms[vm].offer(context().now).map(Arc::new),
+6 => self.request_state(vm, random),
+7 if random.random_bool(0.1) => {
+self.platform.compacted_revision = self.platform.revision()
+}
 7 if random.random_bool(0.05) => self.restart(vm),
 _ => self.deliver(random),
 }
 }
 
 fn restart(&mut self, vm: usize) {
-self.vms[vm] = PlatformKnowledge::default();
+self.vms[vm] = PlatformState::default();
 self.offers[vm] = None;
-self.lists[vm] = None;
-self.had[vm] = Default::default();
+self.pending_lists[vm] = None;
+self.previous[vm] = Default::default();
 self.messages.retain(|(to, _)| *to != vm);
 }
 
-/// Reads what changed, or goes on with a list.
+/// Reads the changes, or completes a list.
 fn read(&mut self, vm: usize, random: &mut StdRng) {
 let revision = self.platform.revision();
-if let Some(since) = self.lists[vm].take() {
-let list = self.platform.list(random, since);
-let taken = self.vms[vm].take_snapshot(list, moment());
-return self.tell(vm, taken);
+if let Some(since) = self.pending_lists[vm].take() {
+let list = self.platform.paged_list(random, since);
+let applied = self.vms[vm].apply_snapshot(list, context());
+return self.announce(vm, applied);
 }
 let known = self.vms[vm].revision();
-if !self.vms[vm].has_state() || known < self.platform.forgotten {
-self.lists[vm] = Some(revision);
+if !self.vms[vm].has_state() || known < self.platform.compacted_revision {
+self.pending_lists[vm] = Some(revision);
 return;
 }
-let taken = self.vms[vm].take_changes(self.platform.changes(known), moment());
-self.tell(vm, taken.map(|taken| taken.changes));
+let applied = self.vms[vm].apply_changes(self.platform.changes(known), context());
+self.announce(vm, applied.map(|applied| applied.changes));
 }
 
-fn tell(&mut self, vm: usize, taken: Option<ChangeSet>) {
-let Some(changes) = taken.filter(|taken| !taken.changes.is_empty()) else { return };
+fn announce(&mut self, vm: usize, applied: Option<ChangeSet>) {
+let Some(changes) = applied.filter(|applied| !applied.changes.is_empty()) else { return };
 let others = (0..VMS).filter(|other| *other != vm);
-self.messages.extend(others.map(|other| (other, Message::Told(changes.clone()))));
+self.messages.extend(others.map(|other| (other, Message::Announced(changes.clone()))));
 }
 
-fn ask(&mut self, vm: usize, random: &mut StdRng) {
+fn request_state(&mut self, vm: usize, random: &mut StdRng) {
 let other = random.random_range(0..VMS);
 let Some(offer) = self.offers[other].clone().filter(|_| other != vm) else { return };
-let answer = offer.state_after(self.vms[vm].known(), random.random_bool(0.7));
+let answer = offer.state_after(self.vms[vm].base_revision(), random.random_bool(0.7));
 self.messages.push((vm, Message::Answer(answer)));
 }
 
-/// Any message comes next; it may come again, or never come.
+/// Delivers a random message. It may be delivered again later, or be lost.
 fn deliver(&mut self, random: &mut StdRng) {
 if self.messages.is_empty() {
 return;
@@ -313,58 +319,58 @@
 false => self.messages.swap_remove(at),
 };
 if !random.random_bool(0.2) {
-self.take(vm, message.written_and_read());
+self.apply(vm, message.serialized());
 }
 }
 
-fn hand_over(&mut self, at: usize) {
+fn deliver_at(&mut self, at: usize) {
 let (vm, message) = self.messages.swap_remove(at);
-self.take(vm, message);
+self.apply(vm, message);
 }
 
-fn take(&mut self, vm: usize, message: Message) {
+fn apply(&mut self, vm: usize, message: Message) {
 let known = &mut self.vms[vm];
 let before = known.revision();
 match message {
-Message::Told(changes) if known.follows(&changes) => {
-known.take_changes(changes, moment());
+Message::Announced(changes) if known.can_apply(&changes) => {
+known.apply_changes(changes, context());
 }
-Message::Told(changes) => {
+Message::Announced(changes) => {
 let early = changes.changes.into_iter();
-let early = early.filter(|it| EarlyChanges::may_precede(&it.change)).collect();
-known.take_early(early, moment().now);
+let early = early.filter(|it| EarlyChanges::may_apply_early(&it.change)).collect();
+known.apply_early_changes(early, context().now);
 }
 Message::Answer(PeerState::KeyedSnapshot(snapshot, accounts)) => {
 let answer = PeerState::Snapshot(snapshot.with_accounts(accounts));
-self.take(vm, Message::Answer(answer));
+self.apply(vm, Message::Answer(answer));
 }
 Message::Answer(PeerState::Snapshot(snapshot)) => {
-let is_news = snapshot.revision > before;
-if is_news || known.needs_all() && snapshot.revision == before {
-known.take_snapshot(snapshot, moment());
+let is_newer = snapshot.revision > before;
+if is_newer || known.needs_snapshot() && snapshot.revision == before {
+known.apply_snapshot(snapshot, context());
 }
 }
 Message::Answer(PeerState::Changes(changes)) => {
 if changes.revision > before {
-known.take_changes(changes, moment());
+known.apply_changes(changes, context());
 }
 }
 Message::Answer(PeerState::SpanningChanges(changes, through)) => {
 if changes.revision > before {
-known.take_changes(changes.told_through(&through), moment());
+known.apply_changes(changes.with_spanned_versions(&through), context());
 }
 }
 }
 }
 
-/// What a VM holds must be as the platform had it at its revision or later.
+/// Checks that each VM holds what the platform had at the VM's revision or later.
 fn check(&mut self) -> Result<(), String> {
 for (vm, known) in self.vms.iter().enumerate() {
-let (has, had) = ((known.revision(), known.version()), self.had[vm]);
-if has.0 < had.0 || has.1 < had.1 {
-return Err(format!("VM {vm} goes back from {had:?} to {has:?}"));
+let (current, previous) = ((known.revision(), known.version()), self.previous[vm]);
+if current.0 < previous.0 || current.1 < previous.1 {
+return Err(format!("VM {vm} goes back from {previous:?} to {current:?}"));
 }
-self.had[vm] = has;
+self.previous[vm] = current;
 }
 for (vm, known) in self.vms.iter().enumerate().filter(|(_, known)| known.has_state()) {
 self.check_description(known).map_err(|wrong| format!("VM {vm}: {wrong}"))?;
@@ -373,7 +379,7 @@
 Ok(())
 }
 
-fn check_description(&self, known: &PlatformKnowledge) -> Result<(), String> {
+fn check_description(&self, known: &PlatformState) -> Result<(), String> {
 let revision = known.revision();
 let held = known.routes().map(|routes| sorted(routes.description().clone()));
 let states = self.platform.states_since(ChangeSubject::Description, revision);
@@ -387,9 +393,9 @@
 }
 }
 
-fn check_others(&self, known: &PlatformKnowledge) -> Result<(), String> {
+fn check_others(&self, known: &PlatformState) -> Result<(), String> {
 let revision = known.revision();
-let records = known.table.records(moment().now);
+let records = known.table.records(context().now);
 for name in NAMES {
 let upstream = name.parse().unwrap();
 let held = records.iter().find(|record| record.name == upstream);
@@ -416,19 +422,20 @@
 }
 
 impl World {
-/// In calm whoever asks one that knows all soon knows all.
+/// Brings all VMs up to date while no more changes are published: the first one reads the
+/// platform, and the others ask it.
 fn settle(&mut self, random: &mut StdRng) {
 self.messages.clear();
 while self.vms[0].revision() < self.platform.revision() {
 self.read(0, random);
 }
-self.offers[0] = self.vms[0].offer(moment().now).map(Arc::new);
+self.offers[0] = self.vms[0].offer(context().now).map(Arc::new);
 for _ in 0..2 {
 for vm in 1..VMS {
 let Some(offer) = &self.offers[0] else { continue };
-let answer = offer.state_after(self.vms[vm].known(), true);
+let answer = offer.state_after(self.vms[vm].base_revision(), true);
 self.messages = vec![(vm, Message::Answer(answer))];
-self.hand_over(0);
+self.deliver_at(0);
 }
 }
 }
@@ -445,8 +452,8 @@
 }
 
 #[test]
-fn a_revision_never_passes_what_was_taken_in() {
-for seed in 0..orders() {
+fn revision_never_exceeds_applied_changes() {
+for seed in 0..seed_count() {
 let mut random = StdRng::seed_from_u64(seed);
 let mut world = World::new();
 world.platform.publish_description(&mut random);
