--- a/crates/foldhaven-core/src/opaque/affinity.rs
+++ b/crates/foldhaven-core/src/opaque/affinity.rs
@@ -19,47 +19,47 @@
 /// A segment of a prompt that other prompts may share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PromptSegment {
-/// The hash of this segment and all before it. It is equal for prompts that share all of them.
-pub key: u64,
-/// The number of tokens in the segment.
-pub tokens: u32,
+    /// The hash of this segment and all before it. It is equal for prompts that share all of them.
+    pub key: u64,
+    /// The number of tokens in the segment.
+    pub tokens: u32,
 }
 
 /// The structure of a request's prompt, as announced by the caller.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PromptOutline {
-/// The segments that other prompts may share, in order.
-pub shared: Vec<PromptSegment>,
-/// The number of tokens in the segment that belongs to this request alone.
-pub own_tokens: u32,
+    /// The segments that other prompts may share, in order.
+    pub shared: Vec<PromptSegment>,
+    /// The number of tokens in the segment that belongs to this request alone.
+    pub own_tokens: u32,
 }
 
 impl PromptOutline {
-/// Parses comma-separated segments `ID:TOKENS` in order; the last one is the request's own.
-///
-/// Returns `None` if there are no segments or one has no valid number of tokens.
-pub fn parse(text: &str) -> Option<Self> {
-let mut outline = Self::default();
-let mut prefix_hash = 0;
-for segment in text.split(',') {
-let (id, tokens) = segment.trim().rsplit_once(':')?;
-prefix_hash = xxh3_64_with_seed(id.as_bytes(), prefix_hash);
-outline.shared.push(PromptSegment { key: prefix_hash, tokens: tokens.parse().ok()? });
-}
-outline.own_tokens = outline.shared.pop()?.tokens;
-Some(outline)
-}
-
-/// Returns the number of tokens in the shared segments.
-pub fn shared_tokens(&self) -> u32 {
-self.shared.iter().map(|segment| segment.tokens).sum()
-}
-
-/// Returns the key that prompts with the same shared segments have in common; `None` without
-/// shared segments.
-pub fn affinity_key(&self) -> Option<u64> {
-self.shared.last().map(|segment| segment.key)
-}
+    /// Parses comma-separated segments `ID:TOKENS` in order; the last one is the request's own.
+    ///
+    /// Returns `None` if there are no segments or one has no valid number of tokens.
+    pub fn parse(text: &str) -> Option<Self> {
+        let mut outline = Self::default();
+        let mut prefix_hash = 0;
+        for segment in text.split(',') {
+            let (id, tokens) = segment.trim().rsplit_once(':')?;
+            prefix_hash = xxh3_64_with_seed(id.as_bytes(), prefix_hash);
+            outline.shared.push(PromptSegment { key: prefix_hash, tokens: tokens.parse().ok()? });
+        }
+        outline.own_tokens = outline.shared.pop()?.tokens;
+        Some(outline)
+    }
+
+    /// Returns the number of tokens in the shared segments.
+    pub fn shared_tokens(&self) -> u32 {
+        self.shared.iter().map(|segment| segment.tokens).sum()
+    }
+
+    /// Returns the key that prompts with the same shared segments have in common; `None` without
+    /// shared segments.
+    pub fn affinity_key(&self) -> Option<u64> {
+        self.shared.last().map(|segment| segment.key)
+    }
 }
 
 /// Identifies one incarnation of an upstream in messages between VMs, by a hash of its name and
@@ -70,21 +70,21 @@
 pub struct UpstreamTag(pub u32);
 
 impl UpstreamTag {
-/// Returns the tag of the incarnation of an upstream that started at `birth`.
-pub fn of(name: &UpstreamName, birth: UpstreamStartTime) -> Self {
-Self(xxh3_64_with_seed(name.as_str().as_bytes(), birth.0) as u32)
-}
+    /// Returns the tag of the incarnation of an upstream that started at `birth`.
+    pub fn of(name: &UpstreamName, birth: UpstreamStartTime) -> Self {
+        Self(xxh3_64_with_seed(name.as_str().as_bytes(), birth.0) as u32)
+    }
 }
 
 /// A prompt that was sent to an upstream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PromptPlacement {
-/// The upstream.
-pub upstream: UpstreamTag,
-/// The shared segments of the prompt.
-pub shared: Vec<PromptSegment>,
-/// The number of tokens in the request's own segment and in the longest answer.
-pub own_tokens: u32,
+    /// The upstream.
+    pub upstream: UpstreamTag,
+    /// The shared segments of the prompt.
+    pub shared: Vec<PromptSegment>,
+    /// The number of tokens in the request's own segment and in the longest answer.
+    pub own_tokens: u32,
 }
 
 /// Estimates which upstreams have which shared segments cached. Errors cost speed, not correctness.
@@ -93,50 +93,50 @@
 /// therefore assumed to be cached until enough other tokens to fill the cache were sent to the
 /// upstream.
 pub struct PrefixCacheIndex {
-/// By segment key: the value of `written` for each upstream when the segment was last sent
-/// there.
-segments: LruCache<u64, HashMap<UpstreamTag, u64>>,
-/// The number of tokens that each upstream had to cache since its first recorded placement.
-written: HashMap<UpstreamTag, u64>,
+    /// By segment key: the value of `written` for each upstream when the segment was last sent
+    /// there.
+    segments: LruCache<u64, HashMap<UpstreamTag, u64>>,
+    /// The number of tokens that each upstream had to cache since its first recorded placement.
+    written: HashMap<UpstreamTag, u64>,
 }
 
 impl Default for PrefixCacheIndex {
-fn default() -> Self {
-Self { segments: LruCache::new(MAX_SEGMENTS), written: HashMap::new() }
-}
+    fn default() -> Self {
+        Self { segments: LruCache::new(MAX_SEGMENTS), written: HashMap::new() }
+    }
 }
 
 impl PrefixCacheIndex {
-/// Records that a prompt was sent to an upstream.
-pub fn record(&mut self, placement: &PromptPlacement) {
-let tag = placement.upstream;
-let mut written = self.written.get(&tag).copied().unwrap_or_default();
-for segment in &placement.shared {
-let holders = self.segments.get_or_insert_mut(segment.key, HashMap::new);
-let is_new = holders.insert(tag, written).is_none();
-written += if is_new { u64::from(segment.tokens) } else { 0 };
-}
-written += u64::from(placement.own_tokens);
-self.written.insert(tag, written);
-}
-
-/// Returns the number of leading tokens of the shared segments that an upstream probably has
-/// cached. `capacity` is the size of its prompt cache in tokens.
-pub fn cached_tokens(&self, tag: UpstreamTag, shared: &[PromptSegment], capacity: u64) -> u32 {
-let written = self.written.get(&tag).copied().unwrap_or_default();
-let limit = (capacity as f64 * USABLE_CACHE) as u64;
-let is_cached = |segment: &&PromptSegment| {
-let sent_at = self.segments.peek(&segment.key).and_then(|holders| holders.get(&tag));
-sent_at.is_some_and(|sent_at| written - sent_at < limit)
-};
-shared.iter().take_while(is_cached).map(|segment| segment.tokens).sum()
-}
-
-/// Removes an upstream that has exited.
-pub fn remove(&mut self, tag: UpstreamTag) {
-self.written.remove(&tag);
-for (_, holders) in self.segments.iter_mut() {
-holders.remove(&tag);
-}
-}
+    /// Records that a prompt was sent to an upstream.
+    pub fn record(&mut self, placement: &PromptPlacement) {
+        let tag = placement.upstream;
+        let mut written = self.written.get(&tag).copied().unwrap_or_default();
+        for segment in &placement.shared {
+            let holders = self.segments.get_or_insert_mut(segment.key, HashMap::new);
+            let is_new = holders.insert(tag, written).is_none();
+            written += if is_new { u64::from(segment.tokens) } else { 0 };
+        }
+        written += u64::from(placement.own_tokens);
+        self.written.insert(tag, written);
+    }
+
+    /// Returns the number of leading tokens of the shared segments that an upstream probably has
+    /// cached. `capacity` is the size of its prompt cache in tokens.
+    pub fn cached_tokens(&self, tag: UpstreamTag, shared: &[PromptSegment], capacity: u64) -> u32 {
+        let written = self.written.get(&tag).copied().unwrap_or_default();
+        let limit = (capacity as f64 * USABLE_CACHE) as u64;
+        let is_cached = |segment: &&PromptSegment| {
+            let sent_at = self.segments.peek(&segment.key).and_then(|holders| holders.get(&tag));
+            sent_at.is_some_and(|sent_at| written - sent_at < limit)
+        };
+        shared.iter().take_while(is_cached).map(|segment| segment.tokens).sum()
+    }
+
+    /// Removes an upstream that has exited.
+    pub fn remove(&mut self, tag: UpstreamTag) {
+        self.written.remove(&tag);
+        for (_, holders) in self.segments.iter_mut() {
+            holders.remove(&tag);
+        }
+    }
 }
--- a/crates/foldhaven-core/src/opaque/cpu_demand.rs
+++ b/crates/foldhaven-core/src/opaque/cpu_demand.rs
@@ -12,16 +12,16 @@
 /// The highest recent CPU demand, with exponential decay.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct PeakCpuDemand {
-peak: f64,
-recorded: MonoTime,
+    peak: f64,
+    recorded: MonoTime,
 }
 
 impl PeakCpuDemand {
-/// Records the current demand. Returns the highest recent demand after decay.
-pub fn record(&mut self, demand: CoreShare, now: MonoTime) -> CoreShare {
-let passed = now.since(self.recorded).div_duration_f64(DECAY_TIME);
-self.peak = (self.peak * (-passed).exp()).max(demand.as_cores());
-self.recorded = now;
-CoreShare::from_cores(self.peak)
-}
+    /// Records the current demand. Returns the highest recent demand after decay.
+    pub fn record(&mut self, demand: CoreShare, now: MonoTime) -> CoreShare {
+        let passed = now.since(self.recorded).div_duration_f64(DECAY_TIME);
+        self.peak = (self.peak * (-passed).exp()).max(demand.as_cores());
+        self.recorded = now;
+        CoreShare::from_cores(self.peak)
+    }
 }
--- a/crates/foldhaven-core/src/opaque/service_order.rs
+++ b/crates/foldhaven-core/src/opaque/service_order.rs
@@ -32,19 +32,19 @@
 /// A VM that serves, as far as the order of service looks at it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServiceCandidate<'a> {
-/// Its name.
-pub vm: &'a VmName,
-/// The data centre that it stands in.
-pub data_centre: &'a DataCentreName,
-/// The processor that it has.
-pub cores: CoreShare,
+    /// Its name.
+    pub vm: &'a VmName,
+    /// The data centre that it stands in.
+    pub data_centre: &'a DataCentreName,
+    /// The processor that it has.
+    pub cores: CoreShare,
 }
 
 impl<'a> ServiceCandidate<'a> {
-/// The VM of a heartbeat.
-pub fn of(beat: &'a PeerHeartbeat) -> Self {
-Self { vm: &beat.vm, data_centre: &beat.data_centre, cores: beat.cores }
-}
+    /// The VM of a heartbeat.
+    pub fn of(beat: &'a PeerHeartbeat) -> Self {
+        Self { vm: &beat.vm, data_centre: &beat.data_centre, cores: beat.cores }
+    }
 }
 
 /// The VMs that serve in one region, in the order in which they are put to use: large ones first, those of one
@@ -54,58 +54,58 @@
 pub struct ServiceOrder<'a>(Vec<ServiceCandidate<'a>>);
 
 impl<'a> ServiceOrder<'a> {
-/// Orders the VMs of one region.
-pub fn of(candidates: impl IntoIterator<Item = ServiceCandidate<'a>>) -> Self {
-let mut ranked: Vec<(ServiceCandidate<'a>, u64)> = candidates
-.into_iter()
-.map(|candidate| (candidate, rank_hash(&[ORDER_KEY, candidate.vm.as_str()])))
-.collect();
-ranked.sort_by_key(|(candidate, rank)| (Reverse(candidate.cores), *rank));
-let mut taken: BTreeMap<(CoreShare, &DataCentreName), usize> = BTreeMap::new();
-let mut turned: Vec<(usize, ServiceCandidate<'a>)> = ranked
-.into_iter()
-.map(|(candidate, _)| {
-let turn = taken.entry((candidate.cores, candidate.data_centre)).or_default();
-*turn += 1;
-(*turn, candidate)
-})
-.collect();
-turned.sort_by_key(|(turn, candidate)| (Reverse(candidate.cores), *turn));
-Self(turned.into_iter().map(|(_, candidate)| candidate).collect())
-}
+    /// Orders the VMs of one region.
+    pub fn of(candidates: impl IntoIterator<Item = ServiceCandidate<'a>>) -> Self {
+        let mut ranked: Vec<(ServiceCandidate<'a>, u64)> = candidates
+            .into_iter()
+            .map(|candidate| (candidate, rank_hash(&[ORDER_KEY, candidate.vm.as_str()])))
+            .collect();
+        ranked.sort_by_key(|(candidate, rank)| (Reverse(candidate.cores), *rank));
+        let mut taken: BTreeMap<(CoreShare, &DataCentreName), usize> = BTreeMap::new();
+        let mut turned: Vec<(usize, ServiceCandidate<'a>)> = ranked
+            .into_iter()
+            .map(|(candidate, _)| {
+                let turn = taken.entry((candidate.cores, candidate.data_centre)).or_default();
+                *turn += 1;
+                (*turn, candidate)
+            })
+            .collect();
+        turned.sort_by_key(|(turn, candidate)| (Reverse(candidate.cores), *turn));
+        Self(turned.into_iter().map(|(_, candidate)| candidate).collect())
+    }
 
-/// How many VMs there are.
-pub fn len(&self) -> usize {
-self.0.len()
-}
+    /// How many VMs there are.
+    pub fn len(&self) -> usize {
+        self.0.len()
+    }
 
-/// Whether there is none.
-pub fn is_empty(&self) -> bool {
-self.0.is_empty()
-}
+    /// Whether there is none.
+    pub fn is_empty(&self) -> bool {
+        self.0.is_empty()
+    }
 
-/// Those that take requests at any load. What only a few VMs are to do falls to them.
-pub fn standing(&self) -> &[ServiceCandidate<'a>] {
-let all: f64 = self.0.iter().map(|candidate| candidate.cores.as_cores()).sum();
-let found = self.first_with(all * STANDING_SHARE);
-&found[..found.len().min(MOST_STANDING)]
-}
+    /// Those that take requests at any load. What only a few VMs are to do falls to them.
+    pub fn standing(&self) -> &[ServiceCandidate<'a>] {
+        let all: f64 = self.0.iter().map(|candidate| candidate.cores.as_cores()).sum();
+        let found = self.first_with(all * STANDING_SHARE);
+        &found[..found.len().min(MOST_STANDING)]
+    }
 
-/// Those that take requests while all of them together use so much processor time for them.
-pub fn for_demand(&self, demand: CoreShare) -> &[ServiceCandidate<'a>] {
-let by_demand = self.first_with(demand.as_cores() * DEMAND_ROOM);
-let standing = self.standing();
-if by_demand.len() > standing.len() { by_demand } else { standing }
-}
+    /// Those that take requests while all of them together use so much processor time for them.
+    pub fn for_demand(&self, demand: CoreShare) -> &[ServiceCandidate<'a>] {
+        let by_demand = self.first_with(demand.as_cores() * DEMAND_ROOM);
+        let standing = self.standing();
+        if by_demand.len() > standing.len() { by_demand } else { standing }
+    }
 
-/// The first ones that have so many cores, and [`LEAST_MEMBERS`] at least.
-fn first_with(&self, cores: f64) -> &[ServiceCandidate<'a>] {
-let mut found = 0.0;
-let enough = self.0.iter().position(|candidate| {
-found += candidate.cores.as_cores();
-found >= cores
-});
-let count = enough.map_or(self.0.len(), |at| at + 1);
-&self.0[..count.max(LEAST_MEMBERS).min(self.0.len())]
-}
+    /// The first ones that have so many cores, and [`LEAST_MEMBERS`] at least.
+    fn first_with(&self, cores: f64) -> &[ServiceCandidate<'a>] {
+        let mut found = 0.0;
+        let enough = self.0.iter().position(|candidate| {
+            found += candidate.cores.as_cores();
+            found >= cores
+        });
+        let count = enough.map_or(self.0.len(), |at| at + 1);
+        &self.0[..count.max(LEAST_MEMBERS).min(self.0.len())]
+    }
 }
--- a/crates/foldhaven-core/tests/testsuite/opaque_upstreams.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_upstreams.rs
@@ -9,31 +9,31 @@
 use crate::opaque_support::at;
 
 fn record(name: &str, leaving: bool, cold_ms: u64) -> UpstreamRecord {
-UpstreamRecord {
-name: name.parse().unwrap(),
-birth: UpstreamStartTime(1),
-service: "desk".parse().unwrap(),
-address: "127.0.0.1:8080".parse().unwrap(),
-data_centre: "hall".parse().unwrap(),
-slots: 4,
-leaving,
-cold_for: Duration::from_millis(cold_ms),
-}
+    UpstreamRecord {
+        name: name.parse().unwrap(),
+        birth: UpstreamStartTime(1),
+        service: "desk".parse().unwrap(),
+        address: "127.0.0.1:8080".parse().unwrap(),
+        data_centre: "hall".parse().unwrap(),
+        slots: 4,
+        leaving,
+        cold_for: Duration::from_millis(cold_ms),
+    }
 }
 
 fn usable(table: &UpstreamTable) -> Vec<String> {
-table.usable().map(|entry| entry.record.name.to_string()).collect()
+    table.usable().map(|entry| entry.record.name.to_string()).collect()
 }
 
 #[test]
 fn unlisted_leaving_and_evacuated_upstreams_get_no_requests() {
-let mut table = UpstreamTable::default();
-table.replace(vec![record("a", false, 0), record("b", true, 0), record("c", false, 0)], at(0));
-assert_eq!(usable(&table), ["a", "c"]);
-table.remove(&"a".parse().unwrap(), at(10));
-assert_eq!(usable(&table), ["c"]);
-table.set_evacuated(["hall".parse().unwrap()].into());
-assert!(usable(&table).is_empty());
+    let mut table = UpstreamTable::default();
+    table.replace(vec![record("a", false, 0), record("b", true, 0), record("c", false, 0)], at(0));
+    assert_eq!(usable(&table), ["a", "c"]);
+    table.remove(&"a".parse().unwrap(), at(10));
+    assert_eq!(usable(&table), ["c"]);
+    table.set_evacuated(["hall".parse().unwrap()].into());
+    assert!(usable(&table).is_empty());
 }
 
 /// An upstream that disappears from the list right after the list service was unavailable may only
@@ -44,37 +44,37 @@
 #[case::while_leaving(true, true, 100, false)]
 #[case::without_a_list_failure(false, false, 0, false)]
 fn a_lapsed_entry_is_used_for_a_grace_period(
-#[case] has_list_failed: bool,
-#[case] leaving: bool,
-#[case] later_ms: u64,
-#[case] is_used: bool,
+    #[case] has_list_failed: bool,
+    #[case] leaving: bool,
+    #[case] later_ms: u64,
+    #[case] is_used: bool,
 ) {
-let mut table = UpstreamTable::default();
-table.put(record("a", leaving, 0), at(0));
-if has_list_failed {
-table.record_list_failure(at(900));
-}
-table.replace(Vec::new(), at(1_000));
-table.expire(at(1_000 + later_ms));
-assert_eq!(!usable(&table).is_empty(), is_used);
+    let mut table = UpstreamTable::default();
+    table.put(record("a", leaving, 0), at(0));
+    if has_list_failed {
+        table.record_list_failure(at(900));
+    }
+    table.replace(Vec::new(), at(1_000));
+    table.expire(at(1_000 + later_ms));
+    assert_eq!(!usable(&table).is_empty(), is_used);
 }
 
 #[test]
 fn a_complete_list_returns_what_it_changes() {
-let mut table = UpstreamTable::default();
-table.replace(vec![record("a", false, 0), record("b", false, 0)], at(0));
-let leaving = record("b", true, 0);
-let difference = table.replace(vec![leaving.clone(), record("c", false, 0)], at(10));
-assert_eq!(difference.listed, [leaving.clone(), record("c", false, 0)]);
-assert_eq!(difference.unlisted, ["a".parse().unwrap()]);
-let same = table.replace(vec![leaving, record("c", false, 0)], at(20));
-assert!(same.listed.is_empty() && same.unlisted.is_empty());
+    let mut table = UpstreamTable::default();
+    table.replace(vec![record("a", false, 0), record("b", false, 0)], at(0));
+    let leaving = record("b", true, 0);
+    let difference = table.replace(vec![leaving.clone(), record("c", false, 0)], at(10));
+    assert_eq!(difference.listed, [leaving.clone(), record("c", false, 0)]);
+    assert_eq!(difference.unlisted, ["a".parse().unwrap()]);
+    let same = table.replace(vec![leaving, record("c", false, 0)], at(20));
+    assert!(same.listed.is_empty() && same.unlisted.is_empty());
 }
 
 #[test]
 fn records_for_peers_have_the_remaining_cold_time() {
-let mut table = UpstreamTable::default();
-table.put(record("a", false, 3_000), at(0));
-assert_eq!(table.records(at(1_000))[0].cold_for, Duration::from_millis(2_000));
-assert_eq!(table.records(at(9_000))[0].cold_for, Duration::ZERO);
+    let mut table = UpstreamTable::default();
+    table.put(record("a", false, 3_000), at(0));
+    assert_eq!(table.records(at(1_000))[0].cold_for, Duration::from_millis(2_000));
+    assert_eq!(table.records(at(9_000))[0].cold_for, Duration::ZERO);
 }
--- a/crates/foldhaven-gateway/tests/testsuite/peer_messages.rs
+++ b/crates/foldhaven-gateway/tests/testsuite/peer_messages.rs
@@ -9,12 +9,12 @@
 use foldhaven_core::ids::IncarnationId;
 use foldhaven_core::opaque::account_demand::{AccountTag, LocalDemand, RegionDemand, VmDemand};
 use foldhaven_core::opaque::account_table::{
-AccountDescription, AccountLimit, ClientAccount, KeyFingerprint, LimitUnit,
+    AccountDescription, AccountLimit, ClientAccount, KeyFingerprint, LimitUnit,
 };
 use foldhaven_core::opaque::affinity::UpstreamTag;
 use foldhaven_core::opaque::peer_table::{
-HeartbeatMessage, KnownCounts, LivenessUpdate, PeerHeartbeat, PeerPhase, RegionTag,
-RequestedHeartbeats, RevisionAnnouncement, ViewDigest, ViewList, VmIncarnation, VmTag,
+    HeartbeatMessage, KnownCounts, LivenessUpdate, PeerHeartbeat, PeerPhase, RegionTag,
+    RequestedHeartbeats, RevisionAnnouncement, ViewDigest, ViewList, VmIncarnation, VmTag,
 };
 use foldhaven_core::opaque::route_delta::RouteDelta;
 use foldhaven_core::opaque::route_table::{CallerLimits, RouteDescription, RouteVersion};
@@ -26,147 +26,147 @@
 use rstest::rstest;
 
 fn beat() -> PeerMessage {
-let own = PeerHeartbeat {
-vm: "vm-1".parse().unwrap(),
-incarnation: IncarnationId(1_700_000_000_000),
-sequence: 300,
-data_centre: "hall-a".parse().unwrap(),
-region: "north".parse().unwrap(),
-cores: CoreShare::ONE,
-caller: "127.0.0.1:8144".parse().unwrap(),
-peer: "127.0.0.1:7660".parse().unwrap(),
-phase: PeerPhase::Serving,
-version: RouteVersion(7),
-revision: 9,
-is_turned_away: false,
-};
-let pulse = LivenessUpdate {
-vm: VmTag(5),
-incarnation: IncarnationId(6),
-sequence: 7,
-phase: PeerPhase::Leaving,
-revision: 8,
-is_turned_away: true,
-};
-let requests = RequestedHeartbeats::Of(vec![VmTag(3)]);
-PeerMessage::Beat(HeartbeatMessage { own, liveness: vec![pulse], others: Vec::new(), requests })
+    let own = PeerHeartbeat {
+        vm: "vm-1".parse().unwrap(),
+        incarnation: IncarnationId(1_700_000_000_000),
+        sequence: 300,
+        data_centre: "hall-a".parse().unwrap(),
+        region: "north".parse().unwrap(),
+        cores: CoreShare::ONE,
+        caller: "127.0.0.1:8144".parse().unwrap(),
+        peer: "127.0.0.1:7660".parse().unwrap(),
+        phase: PeerPhase::Serving,
+        version: RouteVersion(7),
+        revision: 9,
+        is_turned_away: false,
+    };
+    let pulse = LivenessUpdate {
+        vm: VmTag(5),
+        incarnation: IncarnationId(6),
+        sequence: 7,
+        phase: PeerPhase::Leaving,
+        revision: 8,
+        is_turned_away: true,
+    };
+    let requests = RequestedHeartbeats::Of(vec![VmTag(3)]);
+    PeerMessage::Beat(HeartbeatMessage { own, liveness: vec![pulse], others: Vec::new(), requests })
 }
 
 fn changes() -> PeerMessage {
-PeerMessage::Changes(ChangeSet { after: 4, revision: 5, changes: Vec::new() })
+    PeerMessage::Changes(ChangeSet { after: 4, revision: 5, changes: Vec::new() })
 }
 
 fn suspects() -> PeerMessage {
-let region = "north".parse().unwrap();
-PeerMessage::Suspects(SuspectTelling { region, records: Vec::new() })
+    let region = "north".parse().unwrap();
+    PeerMessage::Suspects(SuspectTelling { region, records: Vec::new() })
 }
 
 fn view() -> PeerMessage {
-PeerMessage::View(ViewDigest {
-vm: VmTag(1),
-incarnation: IncarnationId(2),
-region: RegionTag(3),
-digest: 4,
-known: KnownCounts { local: 5, all: 6 },
-})
+    PeerMessage::View(ViewDigest {
+        vm: VmTag(1),
+        incarnation: IncarnationId(2),
+        region: RegionTag(3),
+        digest: 4,
+        known: KnownCounts { local: 5, all: 6 },
+    })
 }
 
 fn list() -> PeerMessage {
-let lives = vec![
-VmIncarnation { vm: VmTag(3), incarnation_bits: 4 },
-VmIncarnation { vm: VmTag(70_000), incarnation_bits: 300 },
-];
-PeerMessage::ViewList(ViewList { vm: VmTag(1), region: RegionTag(2), incarnations: lives })
+    let lives = vec![
+        VmIncarnation { vm: VmTag(3), incarnation_bits: 4 },
+        VmIncarnation { vm: VmTag(70_000), incarnation_bits: 300 },
+    ];
+    PeerMessage::ViewList(ViewList { vm: VmTag(1), region: RegionTag(2), incarnations: lives })
 }
 
 fn pact() -> PeerMessage {
-let round = |number| AgreementRound { incarnation: IncarnationId(2), number };
-PeerMessage::Pact(AgreementNotice {
-vm: VmTag(1),
-round: round(3),
-list: Some(ListDigest(4)),
-answers: Some(round(5)),
-requests_reply: true,
-})
+    let round = |number| AgreementRound { incarnation: IncarnationId(2), number };
+    PeerMessage::Pact(AgreementNotice {
+        vm: VmTag(1),
+        round: round(3),
+        list: Some(ListDigest(4)),
+        answers: Some(round(5)),
+        requests_reply: true,
+    })
 }
 
 fn news() -> PeerMessage {
-PeerMessage::News(RevisionAnnouncement {
-vm: VmTag(1),
-incarnation: IncarnationId(2),
-revision: 3,
-age_ms: Some(4),
-is_offer: true,
-})
+    PeerMessage::News(RevisionAnnouncement {
+        vm: VmTag(1),
+        incarnation: IncarnationId(2),
+        revision: 3,
+        age_ms: Some(4),
+        is_offer: true,
+    })
 }
 
 fn region_demand() -> RegionDemand {
-RegionDemand {
-region: RegionTag(1),
-delegate: VmTag(2),
-incarnation: IncarnationId(3),
-sequence: 4,
-heard_regions: vec![RegionTag(5)],
-demands: vec![(AccountTag(6), 7.5)],
-}
+    RegionDemand {
+        region: RegionTag(1),
+        delegate: VmTag(2),
+        incarnation: IncarnationId(3),
+        sequence: 4,
+        heard_regions: vec![RegionTag(5)],
+        demands: vec![(AccountTag(6), 7.5)],
+    }
 }
 
 fn demand() -> PeerMessage {
-let demands = vec![(AccountTag(6), 7.5)];
-let own = VmDemand { vm: VmTag(2), incarnation: IncarnationId(3), sequence: 4, demands };
-PeerMessage::Demand(LocalDemand { own: Some(own), regions: vec![region_demand()] })
+    let demands = vec![(AccountTag(6), 7.5)];
+    let own = VmDemand { vm: VmTag(2), incarnation: IncarnationId(3), sequence: 4, demands };
+    PeerMessage::Demand(LocalDemand { own: Some(own), regions: vec![region_demand()] })
 }
 
 fn limits() -> PeerMessage {
-let notice =
-|upstream, per_s| LimitNotice { upstream: UpstreamTag(upstream), per_s, age_ms: 3 };
-PeerMessage::Limits(vec![notice(1, Some(2.5)), notice(2, None)])
+    let notice =
+        |upstream, per_s| LimitNotice { upstream: UpstreamTag(upstream), per_s, age_ms: 3 };
+    PeerMessage::Limits(vec![notice(1, Some(2.5)), notice(2, None)])
 }
 
 fn leavers() -> PeerMessage {
-let notice = |upstream| LeavingNotice { upstream: UpstreamTag(upstream), age_ms: 3 };
-PeerMessage::Leavers(vec![notice(1), notice(300)])
+    let notice = |upstream| LeavingNotice { upstream: UpstreamTag(upstream), age_ms: 3 };
+    PeerMessage::Leavers(vec![notice(1), notice(300)])
 }
 
 /// Returns a description with an account, and the delta that removes the account.
 fn keyed_changes() -> PeerMessage {
-let account = ClientAccount {
-name: "one".parse().unwrap(),
-keys: [KeyFingerprint::of(b"key")].into(),
-priority: Some(1),
-homes: vec!["north".parse().unwrap()],
-limit: Some(AccountLimit { unit: LimitUnit::Requests, per_s: 2.0, burst: 3.0 }),
-};
-let described = AccountDescription {
-accounts: [(account.name.clone(), Arc::new(account))].into(),
-open_routes: ["open".parse().unwrap()].into(),
-};
-let limits = CallerLimits {
-header_bytes: 1,
-body_bytes: 1,
-header_time: Duration::ZERO,
-idle_time: Duration::ZERO,
-};
-let before = RouteDescription {
-version: RouteVersion(1),
-routes: Vec::new(),
-services: Vec::new(),
-limits,
-accounts: Some(Arc::new(described)),
-};
-let after = RouteDescription { version: RouteVersion(2), accounts: None, ..before.clone() };
-let delta = RouteDelta::between(&before, &after).unwrap();
-let changes =
-[FeedChange::Description(Box::new(before)), FeedChange::DescriptionDelta(Box::new(delta))];
-let numbered = changes.into_iter().map(|change| NumberedChange { revision: 5, change });
-PeerMessage::Changes(ChangeSet { after: 4, revision: 5, changes: numbered.collect() })
+    let account = ClientAccount {
+        name: "one".parse().unwrap(),
+        keys: [KeyFingerprint::of(b"key")].into(),
+        priority: Some(1),
+        homes: vec!["north".parse().unwrap()],
+        limit: Some(AccountLimit { unit: LimitUnit::Requests, per_s: 2.0, burst: 3.0 }),
+    };
+    let described = AccountDescription {
+        accounts: [(account.name.clone(), Arc::new(account))].into(),
+        open_routes: ["open".parse().unwrap()].into(),
+    };
+    let limits = CallerLimits {
+        header_bytes: 1,
+        body_bytes: 1,
+        header_time: Duration::ZERO,
+        idle_time: Duration::ZERO,
+    };
+    let before = RouteDescription {
+        version: RouteVersion(1),
+        routes: Vec::new(),
+        services: Vec::new(),
+        limits,
+        accounts: Some(Arc::new(described)),
+    };
+    let after = RouteDescription { version: RouteVersion(2), accounts: None, ..before.clone() };
+    let delta = RouteDelta::between(&before, &after).unwrap();
+    let changes =
+        [FeedChange::Description(Box::new(before)), FeedChange::DescriptionDelta(Box::new(delta))];
+    let numbered = changes.into_iter().map(|change| NumberedChange { revision: 5, change });
+    PeerMessage::Changes(ChangeSet { after: 4, revision: 5, changes: numbered.collect() })
 }
 
 /// The bytes of each message kind as this version writes them.
 #[rstest]
 #[case::beat(
-beat(),
-"0004766d2d31fd0068e5cf8b010000fb2c010668616c6c2d61056e6f727468000000000000f03f007f000001fbd01f007f000001fbec1d010709000105060702080100000103"
+    beat(),
+    "0004766d2d31fd0068e5cf8b010000fb2c010668616c6c2d61056e6f727468000000000000f03f007f000001fbd01f007f000001fbec1d010709000105060702080100000103"
 )]
 #[case::changes(changes(), "03040500")]
 #[case::suspects(suspects(), "06056e6f72746800")]
@@ -179,58 +179,58 @@
 #[case::limits(limits(), "0d020101000000000000044003020003")]
 #[case::leavers(leavers(), "0e020103fb2c0103")]
 #[case::keyed_changes(
-keyed_changes(),
-"03040502050701000001010000000001036f6e65036f6e65019584d52f48e0eb0e4eac57c18668befb010101056e6f72746801000000000000000040000000000000084001046f70656e05080102000000000001"
+    keyed_changes(),
+    "03040502050701000001010000000001036f6e65036f6e65019584d52f48e0eb0e4eac57c18668befb010101056e6f72746801000000000000000040000000000000084001046f70656e05080102000000000001"
 )]
 fn recorded_messages_are_read_and_written_as_before(
-#[case] message: PeerMessage,
-#[case] hex: &str,
+    #[case] message: PeerMessage,
+    #[case] hex: &str,
 ) {
-let bytes = message.bytes().unwrap();
-assert_eq!(hex_of(&bytes), hex);
-let read = PeerMessage::read(&bytes).unwrap();
-assert_eq!(read.bytes().unwrap(), bytes);
+    let bytes = message.bytes().unwrap();
+    assert_eq!(hex_of(&bytes), hex);
+    let read = PeerMessage::read(&bytes).unwrap();
+    assert_eq!(read.bytes().unwrap(), bytes);
 }
 
 fn hex_of(bytes: &[u8]) -> String {
-bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
 /// Unknown kinds from later versions, truncated messages and messages with trailing bytes are
 /// rejected.
 #[test]
 fn malformed_messages_are_rejected() {
-for kind in 10..=250u8 {
-assert!(PeerMessage::read(&[kind, 1, 2, 3, 4, 5, 6, 7, 8]).is_err(), "kind {kind}");
-}
-let messages = [
-beat(),
-changes(),
-suspects(),
-view(),
-list(),
-pact(),
-demand(),
-PeerMessage::RegionDemand(region_demand()),
-limits(),
-leavers(),
-keyed_changes(),
-];
-for message in messages {
-let bytes = message.bytes().unwrap();
-for length in 0..bytes.len() {
-assert!(PeerMessage::read(&bytes[..length]).is_err(), "{message:?} cut to {length}");
-}
-let longer = [bytes.as_slice(), &[0]].concat();
-assert!(PeerMessage::read(&longer).is_err(), "{message:?} with more");
-}
-let long = ViewList {
-vm: VmTag(1),
-region: RegionTag(2),
-incarnations: vec![
-VmIncarnation { vm: VmTag(u32::MAX), incarnation_bits: u16::MAX };
-3_000
-],
-};
-assert!(PeerMessage::ViewList(long).bytes().is_err(), "it fits no datagram");
+    for kind in 10..=250u8 {
+        assert!(PeerMessage::read(&[kind, 1, 2, 3, 4, 5, 6, 7, 8]).is_err(), "kind {kind}");
+    }
+    let messages = [
+        beat(),
+        changes(),
+        suspects(),
+        view(),
+        list(),
+        pact(),
+        demand(),
+        PeerMessage::RegionDemand(region_demand()),
+        limits(),
+        leavers(),
+        keyed_changes(),
+    ];
+    for message in messages {
+        let bytes = message.bytes().unwrap();
+        for length in 0..bytes.len() {
+            assert!(PeerMessage::read(&bytes[..length]).is_err(), "{message:?} cut to {length}");
+        }
+        let longer = [bytes.as_slice(), &[0]].concat();
+        assert!(PeerMessage::read(&longer).is_err(), "{message:?} with more");
+    }
+    let long = ViewList {
+        vm: VmTag(1),
+        region: RegionTag(2),
+        incarnations: vec![
+            VmIncarnation { vm: VmTag(u32::MAX), incarnation_bits: u16::MAX };
+            3_000
+        ],
+    };
+    assert!(PeerMessage::ViewList(long).bytes().is_err(), "it fits no datagram");
 }
