--- a/crates/foldhaven-core/tests/testsuite/opaque_remote.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_remote.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use foldhaven_core::opaque::load_share::UpstreamShare;
+use foldhaven_core::opaque::load_reports::UpstreamShare;
 use foldhaven_core::opaque::queue_rank::PrefillBacklog;
 use foldhaven_core::opaque::remote_queue::RemoteService;
 use rstest::rstest;
--- a/crates/foldhaven-gateway/src/attempts/requests.rs
+++ b/crates/foldhaven-gateway/src/attempts/requests.rs
@@ -26,146 +26,146 @@
 const PATIENCE: u32 = 2;
 
 impl RequestDriver {
-/// Sends the request to a place and waits for the head of the answer.
-pub(super) async fn call(
-&mut self,
-chosen: DestinationChoice,
-resume_after: Option<&str>,
-) -> Result<PlacedAnswer, CallFault> {
-let DestinationChoice {
-destination: place,
-time_to_first: first,
-prefill_tokens: read_tokens,
-queue,
-rank,
-prefill_before_answer,
-fetch_from,
-} = chosen;
-let mut request = self.make_request(&place, resume_after, rank);
-if let Some(holder) = fetch_from {
-let name = self.shared.names.fetch_from.clone();
-request.headers_mut().insert(name, text_value(&holder.to_string()));
-}
-let seat = place.enter(&self.job.service, read_tokens, rank);
-let mut guest = self.admit(&place);
-self.note_placement(&place);
-let listener = self.listener(&place);
-let target = place.call_target(listener.as_ref());
-self.arrivals += 1;
-// Noted before it leaves: its caller may leave at any moment from then on.
-self.is_trial_sent = self.is_trial;
-let sent = BootInstant::now();
-let opening = open_call(&target, request, &self.shared.names, self.job.deadline);
-let opened = match &place {
-RequestDestination::Upstream(upstream) => {
-let answered = self.watch(upstream, first, opening);
-self.unless_called_back(answered).await
-}
-RequestDestination::Peer(_) => opening.await,
-};
-if opened.as_ref().is_err_and(CallFault::is_unmet) {
-self.arrivals -= 1;
-}
-if let RequestDestination::Upstream(upstream) = &place {
-self.note_room(upstream, queue, &opened);
-}
-if opened.as_ref().is_err_and(|fault| !fault.may_have_run()) {
-self.is_trial_sent = false;
-guest.iter_mut().for_each(GuestSeat::note_harmless);
-}
-let answer = opened?;
-let expected = ExpectedFirst { time: first, rank, prefill_before_answer };
-Ok(PlacedAnswer { answer, place, seat, guest, expected, sent })
-}
+    /// Sends the request to a place and waits for the head of the answer.
+    pub(super) async fn call(
+        &mut self,
+        chosen: DestinationChoice,
+        resume_after: Option<&str>,
+    ) -> Result<PlacedAnswer, CallFault> {
+        let DestinationChoice {
+            destination: place,
+            time_to_first: first,
+            prefill_tokens: read_tokens,
+            queue,
+            rank,
+            prefill_before_answer,
+            fetch_from,
+        } = chosen;
+        let mut request = self.make_request(&place, resume_after, rank);
+        if let Some(holder) = fetch_from {
+            let name = self.shared.names.fetch_from.clone();
+            request.headers_mut().insert(name, text_value(&holder.to_string()));
+        }
+        let seat = place.enter(&self.job.service, read_tokens, rank);
+        let mut guest = self.admit(&place);
+        self.note_placement(&place);
+        let listener = self.listener(&place);
+        let target = place.call_target(listener.as_ref());
+        self.arrivals += 1;
+        // Noted before it leaves: its caller may leave at any moment from then on.
+        self.is_trial_sent = self.is_trial;
+        let sent = BootInstant::now();
+        let opening = open_call(&target, request, &self.shared.names, self.job.deadline);
+        let opened = match &place {
+            RequestDestination::Upstream(upstream) => {
+                let answered = self.watch(upstream, first, opening);
+                self.unless_called_back(answered).await
+            }
+            RequestDestination::Peer(_) => opening.await,
+        };
+        if opened.as_ref().is_err_and(CallFault::is_unmet) {
+            self.arrivals -= 1;
+        }
+        if let RequestDestination::Upstream(upstream) = &place {
+            self.note_room(upstream, queue, &opened);
+        }
+        if opened.as_ref().is_err_and(|fault| !fault.may_have_run()) {
+            self.is_trial_sent = false;
+            guest.iter_mut().for_each(GuestSeat::note_harmless);
+        }
+        let answer = opened?;
+        let expected = ExpectedFirst { time: first, rank, prefill_before_answer };
+        Ok(PlacedAnswer { answer, place, seat, guest, expected, sent })
+    }
 
-/// Hears what the place says in its answer. Another VM passes on what an upstream of its region says, which that VM
-/// hears itself.
-fn listener(&self, place: &RequestDestination) -> Box<dyn HeadListener> {
-match place {
-RequestDestination::Upstream(upstream) => {
-Box::new(UpstreamListener::new(self.shared.clone(), upstream.clone()))
-}
-RequestDestination::Peer(_) => Box::new(DeafListener),
-}
-}
+    /// Hears what the place says in its answer. Another VM passes on what an upstream of its region says, which that VM
+    /// hears itself.
+    fn listener(&self, place: &RequestDestination) -> Box<dyn HeadListener> {
+        match place {
+            RequestDestination::Upstream(upstream) => {
+                Box::new(UpstreamListener::new(self.shared.clone(), upstream.clone()))
+            }
+            RequestDestination::Peer(_) => Box::new(DeafListener),
+        }
+    }
 
-/// The request with the headers that are set for each try.
-fn make_request(
-&self,
-place: &RequestDestination,
-resume_after: Option<&str>,
-rank: QueueRank,
-) -> Request<Full<Bytes>> {
-let job = &self.job;
-let names = &self.shared.names;
-let mut request: Builder = Request::builder().method(&job.method).uri(&job.target);
-let map = request.headers_mut().expect("the parts were read from a request");
-*map = job.headers.clone();
-map.insert(&names.remaining_ms, job.remaining_ms());
-if let Some(event) = resume_after.and_then(|event| HeaderValue::from_str(event).ok()) {
-map.insert(&names.last_event, event);
-}
-match place {
-RequestDestination::Upstream(upstream) => {
-if let Some(value) = HeaderNames::rank_value(rank) {
-map.insert(&names.rank, HeaderValue::from(value));
-}
-map.insert(&names.expected_upstream, text_value(upstream.name().as_str()));
-}
-RequestDestination::Peer(_) => {
-let centre: &DataCentreName = &self.shared.settings.data_centre;
-map.insert(headers::VISITED, text_value(centre.as_str()));
-map.insert(headers::SERVICE, text_value(job.service.as_str()));
-if let Some(account) = &job.account {
-map.insert(headers::KEY_FINGERPRINT, print_value(&account.key));
-}
-if job.is_begun {
-map.insert(headers::BEGUN, HeaderValue::from_static("1"));
-}
-let waited = job.waited().as_millis();
-map.insert(headers::WAITED_MS, HeaderValue::from(waited as u64));
-}
-}
-request.body(Full::new(job.body.clone())).expect("the parts were read from a request")
-}
+    /// The request with the headers that are set for each try.
+    fn make_request(
+        &self,
+        place: &RequestDestination,
+        resume_after: Option<&str>,
+        rank: QueueRank,
+    ) -> Request<Full<Bytes>> {
+        let job = &self.job;
+        let names = &self.shared.names;
+        let mut request: Builder = Request::builder().method(&job.method).uri(&job.target);
+        let map = request.headers_mut().expect("the parts were read from a request");
+        *map = job.headers.clone();
+        map.insert(&names.remaining_ms, job.remaining_ms());
+        if let Some(event) = resume_after.and_then(|event| HeaderValue::from_str(event).ok()) {
+            map.insert(&names.last_event, event);
+        }
+        match place {
+            RequestDestination::Upstream(upstream) => {
+                if let Some(value) = HeaderNames::rank_value(rank) {
+                    map.insert(&names.rank, HeaderValue::from(value));
+                }
+                map.insert(&names.expected_upstream, text_value(upstream.name().as_str()));
+            }
+            RequestDestination::Peer(_) => {
+                let centre: &DataCentreName = &self.shared.settings.data_centre;
+                map.insert(headers::VISITED, text_value(centre.as_str()));
+                map.insert(headers::SERVICE, text_value(job.service.as_str()));
+                if let Some(account) = &job.account {
+                    map.insert(headers::KEY_FINGERPRINT, print_value(&account.key));
+                }
+                if job.is_begun {
+                    map.insert(headers::BEGUN, HeaderValue::from_static("1"));
+                }
+                let waited = job.waited().as_millis();
+                map.insert(headers::WAITED_MS, HeaderValue::from(waited as u64));
+            }
+        }
+        request.body(Full::new(job.body.clone())).expect("the parts were read from a request")
+    }
 
-/// Waits for the head of an answer, and doubts an upstream of which nothing at all is heard: one
-/// that lost its power or was cut off says nothing. A long queue is no reason for doubt, as the
-/// answers to earlier requests go on.
-async fn watch(
-&self,
-upstream: &Upstream,
-expected: Duration,
-opening: impl Future<Output = Result<OpenAnswer, CallFault>>,
-) -> Result<OpenAnswer, CallFault> {
-let shared = &self.shared;
-let sent = shared.now();
-let mut opening = std::pin::pin!(opening);
-let patience = LEAST_PATIENCE.max(expected * PATIENCE);
-if let Ok(opened) = timeout(patience, opening.as_mut()).await {
-self.note_heard(upstream, &opened);
-return opened;
-}
-if upstream.is_silent_since(sent) {
-upstream.note_unreachable(shared.now());
-shared.metrics.count_event("upstream_silent");
-if self.job.route.repeat.is_repeatable() {
-return Err(CallFault::Silent);
-}
-}
-let opened = opening.await;
-self.note_heard(upstream, &opened);
-opened
-}
+    /// Waits for the head of an answer, and doubts an upstream of which nothing at all is heard: one
+    /// that lost its power or was cut off says nothing. A long queue is no reason for doubt, as the
+    /// answers to earlier requests go on.
+    async fn watch(
+        &self,
+        upstream: &Upstream,
+        expected: Duration,
+        opening: impl Future<Output = Result<OpenAnswer, CallFault>>,
+    ) -> Result<OpenAnswer, CallFault> {
+        let shared = &self.shared;
+        let sent = shared.now();
+        let mut opening = std::pin::pin!(opening);
+        let patience = LEAST_PATIENCE.max(expected * PATIENCE);
+        if let Ok(opened) = timeout(patience, opening.as_mut()).await {
+            self.note_heard(upstream, &opened);
+            return opened;
+        }
+        if upstream.is_silent_since(sent) {
+            upstream.note_unreachable(shared.now());
+            shared.metrics.count_event("upstream_silent");
+            if self.job.route.repeat.is_repeatable() {
+                return Err(CallFault::Silent);
+            }
+        }
+        let opened = opening.await;
+        self.note_heard(upstream, &opened);
+        opened
+    }
 
-/// Notes that an upstream has answered. The end of a connection is no answer.
-fn note_heard(&self, upstream: &Upstream, opened: &Result<OpenAnswer, CallFault>) {
-if matches!(opened, Ok(_) | Err(CallFault::Declined { .. })) {
-upstream.note_heard(self.shared.now());
-}
-}
+    /// Notes that an upstream has answered. The end of a connection is no answer.
+    fn note_heard(&self, upstream: &Upstream, opened: &Result<OpenAnswer, CallFault>) {
+        if matches!(opened, Ok(_) | Err(CallFault::Declined { .. })) {
+            upstream.note_heard(self.shared.now());
+        }
+    }
 }
 
 fn text_value(text: &str) -> HeaderValue {
-HeaderValue::from_str(text).expect("names are plain text")
+    HeaderValue::from_str(text).expect("names are plain text")
 }
--- a/crates/foldhaven-gateway/src/control/suspect_targets.rs
+++ b/crates/foldhaven-gateway/src/control/suspect_targets.rs
@@ -13,41 +13,41 @@
 /// Why a message is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendReason {
-/// Something has changed.
-Change,
-/// An earlier message may have been lost.
-Repeat,
+    /// Something has changed.
+    Change,
+    /// An earlier message may have been lost.
+    Repeat,
 }
 
 /// Requests the targets of a message.
 pub struct PlanSuspectTargets {
-pub reason: SendReason,
+    pub reason: SendReason,
 }
 
 /// The targets of a message.
 #[derive(Debug, Default)]
 pub struct SuspectTargets {
-/// VMs of this region.
-pub local: Vec<SocketAddr>,
-/// VMs of other regions.
-pub remote: Vec<SocketAddr>,
+    /// VMs of this region.
+    pub local: Vec<SocketAddr>,
+    /// VMs of other regions.
+    pub remote: Vec<SocketAddr>,
 }
 
 impl Handler<PlanSuspectTargets> for ControlActor {
-type Return = SuspectTargets;
-
-async fn handle(&mut self, plan: PlanSuspectTargets, _: &mut Context<Self>) -> SuspectTargets {
-let now = self.now();
-if plan.reason == SendReason::Repeat {
-let HeartbeatTargets { local: near: local, remote: far: remote } = self.peers.next_resend_targets(now);
-return SuspectTargets { local, remote };
-}
-let mut remote = Vec::new();
-for _ in 0..TARGETS_PER_REGION {
-remote.extend(self.peers.one_serving_per_remote_region(now));
-}
-remote.sort_unstable();
-remote.dedup();
-SuspectTargets { local: self.local_peers(), remote }
-}
+    type Return = SuspectTargets;
+
+    async fn handle(&mut self, plan: PlanSuspectTargets, _: &mut Context<Self>) -> SuspectTargets {
+        let now = self.now();
+        if plan.reason == SendReason::Repeat {
+            let HeartbeatTargets { local, remote } = self.peers.next_resend_targets(now);
+            return SuspectTargets { local, remote };
+        }
+        let mut remote = Vec::new();
+        for _ in 0..TARGETS_PER_REGION {
+            remote.extend(self.peers.one_serving_per_remote_region(now));
+        }
+        remote.sort_unstable();
+        remote.dedup();
+        SuspectTargets { local: self.local_peers(), remote }
+    }
 }
--- a/crates/foldhaven-gateway/src/control/upstream_signals.rs
+++ b/crates/foldhaven-gateway/src/control/upstream_signals.rs
@@ -12,76 +12,76 @@
 
 /// Upstream limits received from another VM of the region.
 pub struct ReceiveLimits {
-pub limits: Vec<LimitNotice>,
+    pub limits: Vec<LimitNotice>,
 }
 
 impl Handler<ReceiveLimits> for ControlActor {
-type Return = ();
+    type Return = ();
 
-async fn handle(&mut self, message: ReceiveLimits, _: &mut Context<Self>) {
-let now = self.now();
-let mut has_changed = false;
-for notice in &message.limits {
-let Some(change) = self.shared.limits.hear(notice, now) else { continue };
-// The limit of an upstream that is not listed yet is applied once it is.
-let Some(upstream) = self.by_tag.get(&notice.upstream) else { continue };
-self.shared.limits.apply(upstream);
-note_change(&self.shared, upstream, &change, "peer");
-has_changed = true;
-}
-if has_changed {
-self.update_rate_shares(now);
-}
-}
+    async fn handle(&mut self, message: ReceiveLimits, _: &mut Context<Self>) {
+        let now = self.now();
+        let mut has_changed = false;
+        for notice in &message.limits {
+            let Some(change) = self.shared.limits.hear(notice, now) else { continue };
+            // The limit of an upstream that is not listed yet is applied once it is.
+            let Some(upstream) = self.by_tag.get(&notice.upstream) else { continue };
+            self.shared.limits.apply(upstream);
+            note_change(&self.shared, upstream, &change, "peer");
+            has_changed = true;
+        }
+        if has_changed {
+            self.update_rate_shares(now);
+        }
+    }
 }
 
 /// Notices of leaving upstreams received from another VM of the region.
 pub struct ReceiveLeavingNotices {
-pub leavers: Vec<LeavingNotice>,
+    pub leavers: Vec<LeavingNotice>,
 }
 
 impl Handler<ReceiveLeavingNotices> for ControlActor {
-type Return = ();
+    type Return = ();
 
-async fn handle(&mut self, message: ReceiveLeavingNotices, _: &mut Context<Self>) {
-let now = self.now();
-for notice in &message.leavers {
-if !self.shared.leavers.hear(notice, now) {
-continue;
-}
-let Some(upstream) = self.by_tag.get(&notice.upstream) else { continue };
-self.shared.leavers.apply(upstream);
-note_leaving(&self.shared, upstream, "peer");
-}
-}
+    async fn handle(&mut self, message: ReceiveLeavingNotices, _: &mut Context<Self>) {
+        let now = self.now();
+        for notice in &message.leavers {
+            if !self.shared.leavers.hear(notice, now) {
+                continue;
+            }
+            let Some(upstream) = self.by_tag.get(&notice.upstream) else { continue };
+            self.shared.leavers.apply(upstream);
+            note_leaving(&self.shared, upstream, "peer");
+        }
+    }
 }
 
 /// Applies the signals that this VM has received from upstreams, and requests the VMs to relay them
 /// to.
 pub struct PlanSignalTargets {
-pub reason: SendReason,
+    pub reason: SendReason,
 }
 
 impl Handler<PlanSignalTargets> for ControlActor {
-type Return = Vec<SocketAddr>;
+    type Return = Vec<SocketAddr>;
 
-async fn handle(&mut self, plan: PlanSignalTargets, _: &mut Context<Self>) -> Vec<SocketAddr> {
-let now = self.now();
-match plan.reason {
-SendReason::Change => {
-self.update_rate_shares(now);
-self.local_peers()
-}
-SendReason::Repeat => self.peers.next_resend_targets(now).local,
-}
-}
+    async fn handle(&mut self, plan: PlanSignalTargets, _: &mut Context<Self>) -> Vec<SocketAddr> {
+        let now = self.now();
+        match plan.reason {
+            SendReason::Change => {
+                self.update_rate_shares(now);
+                self.local_peers()
+            }
+            SendReason::Repeat => self.peers.next_resend_targets(now).local,
+        }
+    }
 }
 
 impl ControlActor {
-/// Removes the signals of upstreams that are no longer listed.
-pub(super) fn forget_signals(&self) {
-let is_listed = |tag| self.by_tag.contains_key(&tag);
-self.shared.limits.forget(is_listed, &self.shared);
-self.shared.leavers.forget(is_listed, &self.shared);
-}
+    /// Removes the signals of upstreams that are no longer listed.
+    pub(super) fn forget_signals(&self) {
+        let is_listed = |tag| self.by_tag.contains_key(&tag);
+        self.shared.limits.forget(is_listed, &self.shared);
+        self.shared.leavers.forget(is_listed, &self.shared);
+    }
 }
--- a/crates/foldhaven-gateway/src/demand_meter.rs
+++ b/crates/foldhaven-gateway/src/demand_meter.rs
@@ -19,49 +19,49 @@
 /// Measures the processor time needed by the requests of the last complete span.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct DemandMeter {
-span_start: BootInstant,
-/// The number of requests accepted before the span.
-accepted: u64,
-/// The longest timer delay in the span.
-max_timer_delay: Duration,
-busy: CoreShare,
+    span_start: BootInstant,
+    /// The number of requests accepted before the span.
+    accepted: u64,
+    /// The longest timer delay in the span.
+    max_timer_delay: Duration,
+    busy: CoreShare,
 }
 
 impl Default for DemandMeter {
-fn default() -> Self {
-Self {
-span_start: BootInstant::now(),
-accepted: 0,
-max_timer_delay: Duration::ZERO,
-busy: CoreShare::default(),
-}
-}
+    fn default() -> Self {
+        Self {
+            span_start: BootInstant::now(),
+            accepted: 0,
+            max_timer_delay: Duration::ZERO,
+            busy: CoreShare::default(),
+        }
+    }
 }
 
 impl DemandMeter {
-/// Records how late a timer fired.
-pub(crate) fn record_timer_delay(&mut self, delay: Duration) {
-self.max_timer_delay = self.max_timer_delay.max(delay);
-}
+    /// Records how late a timer fired.
+    pub(crate) fn record_timer_delay(&mut self, delay: Duration) {
+        self.max_timer_delay = self.max_timer_delay.max(delay);
+    }
 
-/// Returns the processor time, in cores, that the requests of the last span needed. `accepted`
-/// is the number of requests accepted since the start, and `cores` the capacity of this VM.
-pub(crate) fn busy(&mut self, accepted: u64, cores: CoreShare) -> CoreShare {
-let span = self.span_start.elapsed();
-if span < SPAN {
-return self.busy;
-}
-let requests = accepted.saturating_sub(self.accepted);
-let needed = REQUEST_TIME.as_secs_f64() * requests as f64 / span.as_secs_f64();
-let needed = CoreShare::from_cores(needed);
-let is_overloaded = requests > 0 && self.max_timer_delay >= LATE_TIMER;
-let busy = if is_overloaded { needed.max(cores) } else { needed };
-*self = Self {
-span_start: BootInstant::now(),
-accepted,
-max_timer_delay: Duration::ZERO,
-busy,
-};
-busy
-}
+    /// Returns the processor time, in cores, that the requests of the last span needed. `accepted`
+    /// is the number of requests accepted since the start, and `cores` the capacity of this VM.
+    pub(crate) fn busy(&mut self, accepted: u64, cores: CoreShare) -> CoreShare {
+        let span = self.span_start.elapsed();
+        if span < SPAN {
+            return self.busy;
+        }
+        let requests = accepted.saturating_sub(self.accepted);
+        let needed = REQUEST_TIME.as_secs_f64() * requests as f64 / span.as_secs_f64();
+        let needed = CoreShare::from_cores(needed);
+        let is_overloaded = requests > 0 && self.max_timer_delay >= LATE_TIMER;
+        let busy = if is_overloaded { needed.max(cores) } else { needed };
+        *self = Self {
+            span_start: BootInstant::now(),
+            accepted,
+            max_timer_delay: Duration::ZERO,
+            busy,
+        };
+        busy
+    }
 }
--- a/crates/foldhaven-gateway/src/destinations/overview.rs
+++ b/crates/foldhaven-gateway/src/destinations/overview.rs
@@ -15,48 +15,48 @@
 
 /// Prices all possible destinations of a request.
 pub fn price_destinations(
-shared: &GatewayShared,
-view: &GatewayView,
-job: &GatewayJob,
+    shared: &GatewayShared,
+    view: &GatewayView,
+    job: &GatewayJob,
 ) -> Vec<PlacePrice> {
-let is_here = job.permits(shared.settings.region());
-let local = if is_here { price_local(shared, view, job) } else { Vec::new() };
-let local = local.into_iter().map(|(upstream, choice)| PlacePrice {
-name: upstream.name().to_string(),
-is_far: false,
-first_ms: choice.time_to_first.as_millis() as u64,
-read_tokens: choice.prefill_tokens,
-parts: choice.breakdown,
-});
-let remote = price_remote(shared, view, job, &TriedDestinations::default());
-let remote = remote.into_iter().map(|remote| PlacePrice {
-name: remote.region.to_string(),
-is_far: true,
-first_ms: remote.choice.time_to_first.as_millis() as u64,
-read_tokens: remote.choice.prefill_tokens,
-parts: remote.parts,
-});
-local.chain(remote).collect()
+    let is_here = job.permits(shared.settings.region());
+    let local = if is_here { price_local(shared, view, job) } else { Vec::new() };
+    let local = local.into_iter().map(|(upstream, choice)| PlacePrice {
+        name: upstream.name().to_string(),
+        is_far: false,
+        first_ms: choice.time_to_first.as_millis() as u64,
+        read_tokens: choice.prefill_tokens,
+        parts: choice.breakdown,
+    });
+    let remote = price_remote(shared, view, job, &TriedDestinations::default());
+    let remote = remote.into_iter().map(|remote| PlacePrice {
+        name: remote.region.to_string(),
+        is_far: true,
+        first_ms: remote.choice.time_to_first.as_millis() as u64,
+        read_tokens: remote.choice.prefill_tokens,
+        parts: remote.parts,
+    });
+    local.chain(remote).collect()
 }
 
 /// Describes the regions and upstreams of a request that found no destination, for the log.
 pub fn describe_candidates(shared: &GatewayShared, view: &GatewayView, job: &GatewayJob) -> String {
-let own_region = shared.settings.region();
-let mut text = String::new();
-let listed = view.upstreams_of(&job.service).iter();
-let mut by_region: BTreeMap<&RegionName, usize> = BTreeMap::new();
-for upstream in listed {
-*by_region.entry(&upstream.identity.region).or_default() += 1;
-}
-for (region, upstreams) in by_region {
-let vms = view.peers.iter().filter(|peer| peer.region == *region).count();
-let is_own = region == own_region;
-let permitted = job.permits(region);
-// Writing to a string cannot fail.
-let _ = write!(
-text,
-"{region}: {upstreams} upstreams, {vms} other VMs, own {is_own}, permitted {permitted}; "
-);
-}
-text
+    let own_region = shared.settings.region();
+    let mut text = String::new();
+    let listed = view.upstreams_of(&job.service).iter();
+    let mut by_region: BTreeMap<&RegionName, usize> = BTreeMap::new();
+    for upstream in listed {
+        *by_region.entry(&upstream.identity.region).or_default() += 1;
+    }
+    for (region, upstreams) in by_region {
+        let vms = view.peers.iter().filter(|peer| peer.region == *region).count();
+        let is_own = region == own_region;
+        let permitted = job.permits(region);
+        // Writing to a string cannot fail.
+        let _ = write!(
+            text,
+            "{region}: {upstreams} upstreams, {vms} other VMs, own {is_own}, permitted {permitted}; "
+        );
+    }
+    text
 }
--- a/crates/foldhaven-gateway/src/explain.rs
+++ b/crates/foldhaven-gateway/src/explain.rs
@@ -19,31 +19,31 @@
 
 /// What operators ask about.
 struct ExplainQuery<'a> {
-host: &'a str,
-path: &'a str,
-/// The parts of a prompt, as callers outline them.
-prompt: Option<&'a str>,
-output_tokens: u32,
-body_bytes: usize,
+    host: &'a str,
+    path: &'a str,
+    /// The parts of a prompt, as callers outline them.
+    prompt: Option<&'a str>,
+    output_tokens: u32,
+    body_bytes: usize,
 }
 
 impl<'a> ExplainQuery<'a> {
-/// Reads the query of a question. Values are taken as they stand: hosts, paths and outlines need no
-/// escapes.
-fn read(query: &'a str) -> Option<Self> {
-let field = |name: &str| {
-let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
-pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
-};
-let number = |name: &str| field(name).map(str::parse::<u32>).transpose().ok();
-Some(Self {
-host: field("host")?,
-path: field("path")?,
-prompt: field("prompt"),
-output_tokens: number("output_tokens")?.unwrap_or_default(),
-body_bytes: number("body_bytes")?.map_or(USUAL_BODY, |bytes| bytes as usize),
-})
-}
+    /// Reads the query of a question. Values are taken as they stand: hosts, paths and outlines need no
+    /// escapes.
+    fn read(query: &'a str) -> Option<Self> {
+        let field = |name: &str| {
+            let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
+            pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
+        };
+        let number = |name: &str| field(name).map(str::parse::<u32>).transpose().ok();
+        Some(Self {
+            host: field("host")?,
+            path: field("path")?,
+            prompt: field("prompt"),
+            output_tokens: number("output_tokens")?.unwrap_or_default(),
+            body_bytes: number("body_bytes")?.map_or(USUAL_BODY, |bytes| bytes as usize),
+        })
+    }
 }
 
 /// Explains a request that is described by the query of a question.
@@ -52,44 +52,44 @@
 ///
 /// When the query cannot be read, nothing is in force here, or no route is found.
 pub fn explain(shared: &GatewayShared, query: &str) -> Result<RouteExplanation, Refusal> {
-let query = ExplainQuery::read(query).ok_or(Refusal::Malformed)?;
-let view = shared.view().ok_or(Refusal::NoDescription)?;
-let route = view.routes.find(query.host, query.path).ok_or(Refusal::NoRoute)?.clone();
-let service = route.pick_service(0.0).ok_or(Refusal::NoRoute)?.clone();
-let job = GatewayJob {
-attempt: HeaderValue::from_static("explain"),
-print: RequestFingerprint::of(&FingerprintParts {
-host: query.host,
-method: "GET",
-target: query.path,
-body: &[],
-}),
-outline: query.prompt.filter(|_| route.affinity).and_then(PromptOutline::parse),
-output_tokens: query.output_tokens,
-service,
-method: Method::GET,
-target: query.path.parse::<Uri>().map_err(|_| Refusal::Malformed)?,
-headers: HeaderMap::new(),
-body: Bytes::from(vec![0; query.body_bytes]),
-started: BootInstant::now(),
-waited_before: Duration::ZERO,
-first_after: None,
-is_begun: false,
-deadline: BootInstant::now() + route.timeout,
-is_forwarded: false,
-account: None,
-route,
-};
-let mut places: Vec<PlacePrice> = price_destinations(shared, &view, &job);
-places.sort_by(|left, right| left.parts.total().0.total_cmp(&right.parts.total().0));
-Ok(RouteExplanation {
-vm: shared.settings.vm.clone(),
-data_centre: shared.settings.data_centre.clone(),
-version: view.routes.version().0,
-route: job.route.name.to_string(),
-service: job.service.to_string(),
-homes: job.route.homes.iter().map(ToString::to_string).collect(),
-places,
-region_margin: REGION_MARGIN.0,
-})
+    let query = ExplainQuery::read(query).ok_or(Refusal::Malformed)?;
+    let view = shared.view().ok_or(Refusal::NoDescription)?;
+    let route = view.routes.find(query.host, query.path).ok_or(Refusal::NoRoute)?.clone();
+    let service = route.pick_service(0.0).ok_or(Refusal::NoRoute)?.clone();
+    let job = GatewayJob {
+        attempt: HeaderValue::from_static("explain"),
+        print: RequestFingerprint::of(&FingerprintParts {
+            host: query.host,
+            method: "GET",
+            target: query.path,
+            body: &[],
+        }),
+        outline: query.prompt.filter(|_| route.affinity).and_then(PromptOutline::parse),
+        output_tokens: query.output_tokens,
+        service,
+        method: Method::GET,
+        target: query.path.parse::<Uri>().map_err(|_| Refusal::Malformed)?,
+        headers: HeaderMap::new(),
+        body: Bytes::from(vec![0; query.body_bytes]),
+        started: BootInstant::now(),
+        waited_before: Duration::ZERO,
+        first_after: None,
+        is_begun: false,
+        deadline: BootInstant::now() + route.timeout,
+        is_forwarded: false,
+        account: None,
+        route,
+    };
+    let mut places: Vec<PlacePrice> = price_destinations(shared, &view, &job);
+    places.sort_by(|left, right| left.parts.total().0.total_cmp(&right.parts.total().0));
+    Ok(RouteExplanation {
+        vm: shared.settings.vm.clone(),
+        data_centre: shared.settings.data_centre.clone(),
+        version: view.routes.version().0,
+        route: job.route.name.to_string(),
+        service: job.service.to_string(),
+        homes: job.route.homes.iter().map(ToString::to_string).collect(),
+        places,
+        region_margin: REGION_MARGIN.0,
+    })
 }
--- a/crates/foldhaven-gateway/src/job.rs
+++ b/crates/foldhaven-gateway/src/job.rs
@@ -10,8 +10,8 @@
 use foldhaven_core::opaque::request_fingerprint::{FingerprintParts, RequestFingerprint};
 use foldhaven_core::opaque::route_table::{CallerLimits, OpaqueRoute};
 use http::header::{
-CONNECTION, CONTENT_LENGTH, EXPECT, HOST, PROXY_AUTHENTICATE, PROXY_AUTHORIZATION, TE, TRAILER,
-TRANSFER_ENCODING, UPGRADE,
+    CONNECTION, CONTENT_LENGTH, EXPECT, HOST, PROXY_AUTHENTICATE, PROXY_AUTHORIZATION, TE, TRAILER,
+    TRANSFER_ENCODING, UPGRADE,
 };
 use http::request::Parts;
 use http::{HeaderMap, HeaderName, HeaderValue, Method, Uri};
@@ -33,279 +33,279 @@
 /// A request that is to be run.
 #[derive(Clone)]
 pub struct GatewayJob {
-/// The id by which the caller tells its tries apart; upstreams repeat it.
-pub attempt: HeaderValue,
-/// What it has in common with every other sending of the same request.
-pub print: RequestFingerprint,
-pub route: Arc<OpaqueRoute>,
-/// The account that it came under; none where its route needs none.
-pub account: Option<JobAccount>,
-pub service: ServiceName,
-pub method: Method,
-pub target: Uri,
-/// The headers that upstreams get, without those that are set for each try.
-pub headers: HeaderMap,
-pub body: Bytes,
-pub started: BootInstant,
-/// How long the caller had waited before, as far as the time that it still gives shows.
-pub waited_before: Duration,
-/// How long the caller had waited when it got the answer, or its first event; from then on no
-/// target is missed by waiting.
-pub first_after: Option<Duration>,
-/// Whether the caller has got the beginning of an answer. It is then gone on with at any price: nothing
-/// else would keep the answer whole.
-pub is_begun: bool,
-/// When the caller gives up, or the operators want it given up.
-pub deadline: BootInstant,
-/// The parts of the prompt, where the caller names them and the route uses them.
-pub outline: Option<PromptOutline>,
-/// The longest answer in tokens, where the caller names it.
-pub output_tokens: u32,
-/// Whether another VM sent it here; then it runs here or not at all.
-pub is_forwarded: bool,
+    /// The id by which the caller tells its tries apart; upstreams repeat it.
+    pub attempt: HeaderValue,
+    /// What it has in common with every other sending of the same request.
+    pub print: RequestFingerprint,
+    pub route: Arc<OpaqueRoute>,
+    /// The account that it came under; none where its route needs none.
+    pub account: Option<JobAccount>,
+    pub service: ServiceName,
+    pub method: Method,
+    pub target: Uri,
+    /// The headers that upstreams get, without those that are set for each try.
+    pub headers: HeaderMap,
+    pub body: Bytes,
+    pub started: BootInstant,
+    /// How long the caller had waited before, as far as the time that it still gives shows.
+    pub waited_before: Duration,
+    /// How long the caller had waited when it got the answer, or its first event; from then on no
+    /// target is missed by waiting.
+    pub first_after: Option<Duration>,
+    /// Whether the caller has got the beginning of an answer. It is then gone on with at any price: nothing
+    /// else would keep the answer whole.
+    pub is_begun: bool,
+    /// When the caller gives up, or the operators want it given up.
+    pub deadline: BootInstant,
+    /// The parts of the prompt, where the caller names them and the route uses them.
+    pub outline: Option<PromptOutline>,
+    /// The longest answer in tokens, where the caller names it.
+    pub output_tokens: u32,
+    /// Whether another VM sent it here; then it runs here or not at all.
+    pub is_forwarded: bool,
 }
 
 impl GatewayJob {
-/// The time left, as upstreams are told.
-pub fn remaining_ms(&self) -> HeaderValue {
-let left = self.deadline.saturating_duration_since(BootInstant::now()).as_millis();
-let left = u64::try_from(left.max(LEAST_REMAINING_MS)).unwrap_or(u64::MAX);
-HeaderValue::from(left)
-}
+    /// The time left, as upstreams are told.
+    pub fn remaining_ms(&self) -> HeaderValue {
+        let left = self.deadline.saturating_duration_since(BootInstant::now()).as_millis();
+        let left = u64::try_from(left.max(LEAST_REMAINING_MS)).unwrap_or(u64::MAX);
+        HeaderValue::from(left)
+    }
 
-/// How long the caller has waited for a first answer.
-pub fn waited(&self) -> Duration {
-match self.first_after {
-Some(_) => Duration::ZERO,
-None => self.waited_before + self.started.elapsed(),
-}
-}
+    /// How long the caller has waited for a first answer.
+    pub fn waited(&self) -> Duration {
+        match self.first_after {
+            Some(_) => Duration::ZERO,
+            None => self.waited_before + self.started.elapsed(),
+        }
+    }
 
-/// Notes that the caller gets the answer, or its first event, now. Returns how long this VM took.
-pub fn note_first(&mut self) -> Duration {
-let took = self.started.elapsed();
-self.first_after = Some(self.waited_before + took);
-took
-}
+    /// Notes that the caller gets the answer, or its first event, now. Returns how long this VM took.
+    pub fn note_first(&mut self) -> Duration {
+        let took = self.started.elapsed();
+        self.first_after = Some(self.waited_before + took);
+        took
+    }
 
-/// The parts of the prompt that other requests may share.
-pub fn shared_parts(&self) -> &[PromptSegment] {
-self.outline.as_ref().map_or(&[], |outline| &outline.shared)
-}
+    /// The parts of the prompt that other requests may share.
+    pub fn shared_parts(&self) -> &[PromptSegment] {
+        self.outline.as_ref().map_or(&[], |outline| &outline.shared)
+    }
 
-/// Its work in tokens, to which what it is worth is in proportion.
-pub fn size(&self) -> u32 {
-let Some(outline) = &self.outline else { return DEFAULT_SIZE };
-let prompt = outline.shared_tokens() + outline.own_tokens;
-prompt.saturating_add(self.output_tokens.saturating_mul(OUTPUT_WEIGHT)).max(1)
-}
+    /// Its work in tokens, to which what it is worth is in proportion.
+    pub fn size(&self) -> u32 {
+        let Some(outline) = &self.outline else { return DEFAULT_SIZE };
+        let prompt = outline.shared_tokens() + outline.own_tokens;
+        prompt.saturating_add(self.output_tokens.saturating_mul(OUTPUT_WEIGHT)).max(1)
+    }
 
-/// Whether it may run in a region, by the homes of its route and of its account.
-pub fn permits(&self, region: &RegionName) -> bool {
-let by_account = self.account.as_ref().is_none_or(|account| account.permits(region));
-by_account && self.route.permits(region)
-}
+    /// Whether it may run in a region, by the homes of its route and of its account.
+    pub fn permits(&self, region: &RegionName) -> bool {
+        let by_account = self.account.as_ref().is_none_or(|account| account.permits(region));
+        by_account && self.route.permits(region)
+    }
 
-/// Its rank against others of its service; 0 goes first.
-pub fn priority(&self) -> u8 {
-let by_account = self.account.as_ref().and_then(|it| it.account.priority);
-by_account.unwrap_or(self.route.priority)
-}
+    /// Its rank against others of its service; 0 goes first.
+    pub fn priority(&self) -> u8 {
+        let by_account = self.account.as_ref().and_then(|it| it.account.priority);
+        by_account.unwrap_or(self.route.priority)
+    }
 
-/// The account in logs.
-pub fn account_label(&self) -> &str {
-self.account.as_ref().map_or("-", |it| it.account.name.as_str())
-}
+    /// The account in logs.
+    pub fn account_label(&self) -> &str {
+        self.account.as_ref().map_or("-", |it| it.account.name.as_str())
+    }
 
-/// The id in logs.
-pub fn id(&self) -> &str {
-self.attempt.to_str().unwrap_or("unreadable")
-}
+    /// The id in logs.
+    pub fn id(&self) -> &str {
+        self.attempt.to_str().unwrap_or("unreadable")
+    }
 }
 
 /// What a request was matched to.
 pub struct RoutedPlace {
-pub route: Arc<OpaqueRoute>,
-pub service: ServiceName,
-pub account: Option<JobAccount>,
+    pub route: Arc<OpaqueRoute>,
+    pub service: ServiceName,
+    pub account: Option<JobAccount>,
 }
 
 /// A request whose body was read to its end.
 pub struct ReadRequest {
-pub head: Parts,
-pub body: Bytes,
-pub started: BootInstant,
+    pub head: Parts,
+    pub body: Bytes,
+    pub started: BootInstant,
 }
 
 impl ReadRequest {
-/// Makes the job of a request that came from a caller.
-pub fn into_job(
-self,
-place: RoutedPlace,
-terms: CallerTerms,
-names: &HeaderNames,
-) -> GatewayJob {
-let Self { head, body, started } = self;
-let RoutedPlace { route, service, account } = place;
-GatewayJob {
-attempt: terms.attempt,
-print: print_of(&head, &body),
-outline: read_outline(&head, &route, names),
-output_tokens: read_output_tokens(&head, names),
-route,
-service,
-method: head.method,
-target: head.uri,
-headers: forwarded_headers(head.headers, account.as_ref(), names),
-account,
-body,
-started,
-waited_before: terms.waited,
-first_after: None,
-is_begun: false,
-deadline: started + terms.remaining,
-is_forwarded: false,
-}
-}
+    /// Makes the job of a request that came from a caller.
+    pub fn into_job(
+        self,
+        place: RoutedPlace,
+        terms: CallerTerms,
+        names: &HeaderNames,
+    ) -> GatewayJob {
+        let Self { head, body, started } = self;
+        let RoutedPlace { route, service, account } = place;
+        GatewayJob {
+            attempt: terms.attempt,
+            print: print_of(&head, &body),
+            outline: read_outline(&head, &route, names),
+            output_tokens: read_output_tokens(&head, names),
+            route,
+            service,
+            method: head.method,
+            target: head.uri,
+            headers: forwarded_headers(head.headers, account.as_ref(), names),
+            account,
+            body,
+            started,
+            waited_before: terms.waited,
+            first_after: None,
+            is_begun: false,
+            deadline: started + terms.remaining,
+            is_forwarded: false,
+        }
+    }
 }
 
 /// The fingerprint of a request.
 fn print_of(head: &Parts, body: &[u8]) -> RequestFingerprint {
-RequestFingerprint::of(&FingerprintParts {
-host: host_of(head).unwrap_or_default(),
-method: head.method.as_str(),
-target: head.uri.path_and_query().map_or("/", |target| target.as_str()),
-body,
-})
+    RequestFingerprint::of(&FingerprintParts {
+        host: host_of(head).unwrap_or_default(),
+        method: head.method.as_str(),
+        target: head.uri.path_and_query().map_or("/", |target| target.as_str()),
+        body,
+    })
 }
 
 /// The host that a request names.
 pub fn host_of(head: &Parts) -> Option<&str> {
-if let Some(host) = head.uri.host() {
-return Some(host);
-}
-head.headers.get(HOST)?.to_str().ok()
+    if let Some(host) = head.uri.host() {
+        return Some(host);
+    }
+    head.headers.get(HOST)?.to_str().ok()
 }
 
 /// Checks what can be checked before the body is read.
 pub fn check_head(head: &Parts, limits: &CallerLimits) -> Result<(), Refusal> {
-let size: usize =
-head.headers.iter().map(|(name, value)| name.as_str().len() + value.len() + 4).sum();
-if size > limits.header_bytes {
-return Err(Refusal::HeadTooLarge);
-}
-if head.headers.get_all(HOST).iter().count() > 1 {
-return Err(Refusal::Malformed);
-}
-let length = head.headers.get(CONTENT_LENGTH).and_then(|value| value.to_str().ok());
-match length.and_then(|text| text.parse::<usize>().ok()) {
-Some(length) if length > limits.body_bytes => Err(Refusal::BodyTooLarge),
-_ => Ok(()),
-}
+    let size: usize =
+        head.headers.iter().map(|(name, value)| name.as_str().len() + value.len() + 4).sum();
+    if size > limits.header_bytes {
+        return Err(Refusal::HeadTooLarge);
+    }
+    if head.headers.get_all(HOST).iter().count() > 1 {
+        return Err(Refusal::Malformed);
+    }
+    let length = head.headers.get(CONTENT_LENGTH).and_then(|value| value.to_str().ok());
+    match length.and_then(|text| text.parse::<usize>().ok()) {
+        Some(length) if length > limits.body_bytes => Err(Refusal::BodyTooLarge),
+        _ => Ok(()),
+    }
 }
 
 /// Reads the body to its end.
 pub async fn read_body(body: Incoming, limits: &CallerLimits) -> Result<Bytes, Refusal> {
-match Limited::new(body, limits.body_bytes).collect().await {
-Ok(collected) => Ok(collected.to_bytes()),
-Err(error) if error.is::<LengthLimitError>() => Err(Refusal::BodyTooLarge),
-Err(_) => Err(Refusal::Malformed),
-}
+    match Limited::new(body, limits.body_bytes).collect().await {
+        Ok(collected) => Ok(collected.to_bytes()),
+        Err(error) if error.is::<LengthLimitError>() => Err(Refusal::BodyTooLarge),
+        Err(_) => Err(Refusal::Malformed),
+    }
 }
 
 /// The id of a request and how long its caller waits.
 pub struct CallerTerms {
-pub attempt: HeaderValue,
-pub remaining: Duration,
-/// How long it has waited already.
-pub waited: Duration,
+    pub attempt: HeaderValue,
+    pub remaining: Duration,
+    /// How long it has waited already.
+    pub waited: Duration,
 }
 
 /// Reads the terms of a request.
 pub fn read_terms(head: &Parts, names: &HeaderNames) -> Result<CallerTerms, Refusal> {
-let attempt = head.headers.get(&names.attempt).ok_or(Refusal::Malformed)?.clone();
-let remaining = match head.headers.get(&names.remaining_ms) {
-None => DEFAULT_REMAINING,
-Some(value) => {
-let millis = value.to_str().ok().and_then(|text| text.trim().parse().ok());
-Duration::from_millis(millis.ok_or(Refusal::Malformed)?)
-}
-};
-let waited = Duration::ZERO;
-Ok(CallerTerms { attempt, remaining: remaining.min(LONGEST_REMAINING), waited })
+    let attempt = head.headers.get(&names.attempt).ok_or(Refusal::Malformed)?.clone();
+    let remaining = match head.headers.get(&names.remaining_ms) {
+        None => DEFAULT_REMAINING,
+        Some(value) => {
+            let millis = value.to_str().ok().and_then(|text| text.trim().parse().ok());
+            Duration::from_millis(millis.ok_or(Refusal::Malformed)?)
+        }
+    };
+    let waited = Duration::ZERO;
+    Ok(CallerTerms { attempt, remaining: remaining.min(LONGEST_REMAINING), waited })
 }
 
 /// Reads the outline of the prompt, if the route wants requests that share one to meet.
 fn read_outline(head: &Parts, route: &OpaqueRoute, names: &HeaderNames) -> Option<PromptOutline> {
-if !route.affinity {
-return None;
-}
-PromptOutline::parse(head.headers.get(&names.prompt_outline)?.to_str().ok()?)
+    if !route.affinity {
+        return None;
+    }
+    PromptOutline::parse(head.headers.get(&names.prompt_outline)?.to_str().ok()?)
 }
 
 /// All tokens that a caller names: those of the prompt and those of the longest answer; nothing where it names none.
 pub fn read_token_sum(head: &Parts, names: &HeaderNames) -> Option<u64> {
-let named = head.headers.get(&names.token_counts)?.to_str().ok()?;
-let (prompt, output) = named.split_once(',')?;
-let prompt: u32 = prompt.trim().parse().ok()?;
-let output: u32 = output.trim().parse().ok()?;
-Some(u64::from(prompt) + u64::from(output))
+    let named = head.headers.get(&names.token_counts)?.to_str().ok()?;
+    let (prompt, output) = named.split_once(',')?;
+    let prompt: u32 = prompt.trim().parse().ok()?;
+    let output: u32 = output.trim().parse().ok()?;
+    Some(u64::from(prompt) + u64::from(output))
 }
 
 /// Reads the longest answer from the numbers of tokens that a caller names: those of the prompt, and
 /// those of the longest answer. Nothing depends on it but the choice of a place.
 fn read_output_tokens(head: &Parts, names: &HeaderNames) -> u32 {
-let named = head.headers.get(&names.token_counts).and_then(|value| value.to_str().ok());
-let output = named.and_then(|text| text.split_once(',')).map(|(_, output)| output.trim());
-output.and_then(|output| output.parse().ok()).unwrap_or_default()
+    let named = head.headers.get(&names.token_counts).and_then(|value| value.to_str().ok());
+    let output = named.and_then(|text| text.split_once(',')).map(|(_, output)| output.trim());
+    output.and_then(|output| output.parse().ok()).unwrap_or_default()
 }
 
 /// The headers that go on to an upstream: all but those of the connection and reserved ones.
 fn forwarded_headers(
-mut headers: HeaderMap,
-account: Option<&JobAccount>,
-names: &HeaderNames,
+    mut headers: HeaderMap,
+    account: Option<&JobAccount>,
+    names: &HeaderNames,
 ) -> HeaderMap {
-remove_connection_headers(&mut headers);
-headers.remove(CONTENT_LENGTH);
-headers.remove(EXPECT);
-headers.remove(&names.remaining_ms);
-headers.remove(&names.expected_upstream);
-for name in &names.reserved {
-headers.remove(name);
-}
-headers.remove(&names.account);
-if let Some(account) = account {
-let name = HeaderValue::from_str(account.account.name.as_str());
-headers.insert(&names.account, name.expect("names are plain text"));
-}
-headers
+    remove_connection_headers(&mut headers);
+    headers.remove(CONTENT_LENGTH);
+    headers.remove(EXPECT);
+    headers.remove(&names.remaining_ms);
+    headers.remove(&names.expected_upstream);
+    for name in &names.reserved {
+        headers.remove(name);
+    }
+    headers.remove(&names.account);
+    if let Some(account) = account {
+        let name = HeaderValue::from_str(account.account.name.as_str());
+        headers.insert(&names.account, name.expect("names are plain text"));
+    }
+    headers
 }
 
 /// Takes out the headers that belong to one connection.
 pub fn remove_connection_headers(headers: &mut HeaderMap) {
-let named: Vec<HeaderName> = headers
-.get_all(CONNECTION)
-.iter()
-.filter_map(|value| value.to_str().ok())
-.flat_map(|text| text.split(','))
-.filter_map(|name| name.trim().parse().ok())
-.collect();
-for name in named {
-headers.remove(name);
-}
-const OF_CONNECTION: [HeaderName; 7] = [
-CONNECTION,
-PROXY_AUTHENTICATE,
-PROXY_AUTHORIZATION,
-TE,
-TRAILER,
-TRANSFER_ENCODING,
-UPGRADE,
-];
-for name in OF_CONNECTION {
-headers.remove(name);
-}
-headers.remove("keep-alive");
-headers.remove("proxy-connection");
+    let named: Vec<HeaderName> = headers
+        .get_all(CONNECTION)
+        .iter()
+        .filter_map(|value| value.to_str().ok())
+        .flat_map(|text| text.split(','))
+        .filter_map(|name| name.trim().parse().ok())
+        .collect();
+    for name in named {
+        headers.remove(name);
+    }
+    const OF_CONNECTION: [HeaderName; 7] = [
+        CONNECTION,
+        PROXY_AUTHENTICATE,
+        PROXY_AUTHORIZATION,
+        TE,
+        TRAILER,
+        TRANSFER_ENCODING,
+        UPGRADE,
+    ];
+    for name in OF_CONNECTION {
+        headers.remove(name);
+    }
+    headers.remove("keep-alive");
+    headers.remove("proxy-connection");
 }
