--- a/crates/foldhaven-core/src/opaque/peer_table/announcements.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/announcements.rs
@@ -102,8 +102,8 @@
     /// Returns the peer addresses of the other VMs of this region that take requests at any load.
     pub fn baseline_addresses(&self, now: MonoTime) -> Vec<SocketAddr> {
         let order = self.local_service_order(now);
-        let standing: BTreeSet<_> = order.standing().iter().map(|it| it.vm).collect();
-        let local = self.live_local(now).filter(|heartbeat| standing.contains(&heartbeat.vm));
+        let baseline: BTreeSet<_> = order.standing().iter().map(|it| it.vm).collect();
+        let local = self.live_local(now).filter(|heartbeat| baseline.contains(&heartbeat.vm));
         local.map(|heartbeat| heartbeat.peer).collect()
     }
 
--- a/crates/foldhaven-core/src/opaque/peer_table/mod.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/mod.rs
@@ -215,9 +215,9 @@
     /// Adopts an incarnation after one that other VMs still know for this VM. Incarnations are
     /// numbered by the wall clock, which may have been set back between two starts, and other VMs
     /// ignore an earlier incarnation.
-    fn supersede_incarnation(&mut self, held: IncarnationId) {
-        if held > self.incarnation {
-            self.incarnation = IncarnationId(held.0 + 1);
+    fn supersede_incarnation(&mut self, known: IncarnationId) {
+        if known > self.incarnation {
+            self.incarnation = IncarnationId(known.0 + 1);
         }
     }
 
@@ -228,8 +228,8 @@
         vm: &VmName,
         incarnation: IncarnationId,
     ) -> Option<&PeerHeartbeat> {
-        let held = &self.peers.get(vm)?.heartbeat;
-        (held.incarnation > incarnation).then_some(held)
+        let known = &self.peers.get(vm)?.heartbeat;
+        (known.incarnation > incarnation).then_some(known)
     }
 
     /// Records a load report of a VM of this region as a sign of life.
--- a/crates/foldhaven-core/src/opaque/peer_table/requests.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/requests.rs
@@ -29,8 +29,8 @@
         match requested {
             RequestedHeartbeats::All => self.live(now).cloned().collect(),
             RequestedHeartbeats::Of(tags) => {
-                let held = tags.iter().filter_map(|tag| self.entry_of(*tag));
-                let live = held.filter(|entry| self.is_live(entry, now));
+                let known = tags.iter().filter_map(|tag| self.entry_of(*tag));
+                let live = known.filter(|entry| self.is_live(entry, now));
                 live.map(|entry| entry.heartbeat.clone()).collect()
             }
         }
--- a/crates/foldhaven-core/src/opaque/peer_table/targets.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/targets.rs
@@ -105,8 +105,8 @@
             let order = ServiceOrder::of(
                 heartbeats.iter().map(|heartbeat| ServiceCandidate::of(heartbeat)),
             );
-            let standing = order.standing();
-            let chosen = standing.get(cursor % standing.len().max(1))?;
+            let baseline = order.standing();
+            let chosen = baseline.get(cursor % baseline.len().max(1))?;
             heartbeats
                 .iter()
                 .find(|heartbeat| heartbeat.vm == *chosen.vm)
--- a/crates/foldhaven-core/src/opaque/suspects/record.rs
+++ b/crates/foldhaven-core/src/opaque/suspects/record.rs
@@ -47,7 +47,7 @@
     #[serde(rename = "trials")]
     pub probes: u8,
     /// Number of exits that complete answers have cleared the request of, in total. It is high for
-    /// a request that some upstreams answer and others exit under.
+    /// a request that some upstreams answer and that crashes others.
     #[serde(rename = "cleared")]
     pub cleared_exits: u8,
 }
--- a/crates/foldhaven-core/src/opaque/suspects/table.rs
+++ b/crates/foldhaven-core/src/opaque/suspects/table.rs
@@ -178,7 +178,7 @@
     }
 
     /// Returns whether complete answers alone no longer exonerate the request, because it was
-    /// cleared of so many exits that some upstreams answer it and others exit under it.
+    /// cleared of so many exits that it seems to crash some upstreams and not others.
     fn is_inconclusive(&self) -> bool {
         self.record.cleared_exits >= INCONCLUSIVE_CLEARED_EXITS
     }
@@ -239,8 +239,8 @@
         }
     }
 
-    /// Returns the number of upstreams known to have exited under a request since it was last
-    /// exonerated.
+    /// Returns the number of upstreams known to have exited with a request in flight since its last
+    /// exoneration.
     pub fn exit_count(&self, fingerprint: &RequestFingerprint) -> usize {
         self.entries.get(fingerprint).map_or(0, |entry| entry.record.exits.len())
     }
@@ -292,7 +292,8 @@
         }
     }
 
-    /// Records that an upstream exited under a request of this VM. Returns the change, if any.
+    /// Records that an upstream exited with a request of this VM in flight. Returns the change, if
+    /// any.
     pub fn record_exit(
         &mut self,
         fingerprint: RequestFingerprint,
--- a/crates/foldhaven-core/tests/testsuite/opaque_news.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_news.rs
@@ -84,28 +84,32 @@
         match random.random_range(0..10) {
             0 => drop(published.insert(now, newest + 1)),
             1 => {
-                let (staleness, held) = &mut vms[own];
-                *held = newest;
+                let (staleness, known) = &mut vms[own];
+                *known = newest;
                 staleness.hear(RevisionProof { revision: newest, at: now }, newest);
             }
             2 | 3 => {
                 // A VM copies the state of another one without learning its age.
-                let held = vms[own].1.max(vms[other].1);
-                vms[own].1 = held;
-                vms[own].0.note_held(held);
+                let known = vms[own].1.max(vms[other].1);
+                vms[own].1 = known;
+                vms[own].0.note_held(known);
             }
             _ => {
                 let (reported, revision) = vms[other];
-                let (staleness, held) = &mut vms[own];
+                let (staleness, known) = &mut vms[own];
                 if let Some(age) = reported.age(now) {
-                    staleness.hear(RevisionProof { revision, at: now - age }, *held);
+                    staleness.hear(RevisionProof { revision, at: now - age }, *known);
                 }
             }
         }
-        for (staleness, held) in &vms {
-            let Some(proven) = staleness.proven() else { continue };
-            let then = published.range(..proven).next_back().map_or(0, |(_, revision)| *revision);
-            assert!(then <= *held, "seed {seed} at {now}: {then} was published, {held} is known");
+        for (staleness, known) in &vms {
+            let Some(confirmed_at) = staleness.proven() else { continue };
+            let published_then =
+                published.range(..confirmed_at).next_back().map_or(0, |(_, revision)| *revision);
+            assert!(
+                published_then <= *known,
+                "seed {seed} at {now}: {published_then} was published, {known} is known"
+            );
         }
     }
 }
--- a/crates/foldhaven-core/tests/testsuite/opaque_suspect_orders.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_suspect_orders.rs
@@ -158,7 +158,7 @@
         let mut updates = self.tables[vm].take_updates();
         updates.extend(self.tables[vm].take_shared_updates());
         if self.sends_updates {
-            updates.into_iter().for_each(|updates| self.send_record(vm, updates.record));
+            updates.into_iter().for_each(|update| self.send_record(vm, update.record));
         }
     }
 
@@ -265,7 +265,7 @@
         prop_assert!(model.late_sends <= 3, "{} late sends, exits {:?}", model.late_sends, model.exits);
     }
 
-    /// A request under which no upstream exits is never held back.
+    /// A request that crashes no upstream is never held back.
     #[test]
     fn nothing_is_quarantined_without_an_exit(steps in steps()) {
         let model = run(&steps, false, true);
--- a/crates/foldhaven-core/tests/testsuite/opaque_suspects.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_suspects.rs
@@ -245,7 +245,7 @@
     assert!(table.take_updates().is_empty(), "it is passed on only once");
 }
 
-/// Guards against a request that some upstreams answer and others exit under: if each answer
+/// Guards against a request that some upstreams answer and that crashes others: if each answer
 /// exonerates it, it is forwarded without end.
 #[test]
 fn a_request_that_crashes_only_some_upstreams_is_held_back() {
