--- a/crates/foldhaven-core/src/opaque/peer_table/delegates.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/delegates.rs
@@ -52,7 +52,7 @@
     }
 
     /// Returns the serving VMs of this region that a message was received from within
-    /// [`CONTACT_WINDOW`], without this VM.
+    /// `CONTACT_WINDOW`, without this VM.
     pub fn directly_seen_incarnations(&self, now: MonoTime) -> Vec<VmIncarnation> {
         let local = self.peers.values().filter(|entry| entry.heartbeat.region == self.region);
         let in_contact = local.filter(|entry| {
--- a/crates/foldhaven-core/src/opaque/peer_table/mod.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/mod.rs
@@ -249,7 +249,7 @@
         }
     }
 
-    /// Removes VMs that were last seen longer than [`EXPIRE_AFTER`] ago.
+    /// Removes VMs that were last seen longer than `EXPIRE_AFTER` ago.
     pub fn forget(&mut self, now: MonoTime) {
         self.peers.retain(|_, entry| now.since(entry.last_seen) < EXPIRE_AFTER);
         let peers = &self.peers;
@@ -353,14 +353,14 @@
         ServiceOrder::of(others.chain([self.own_candidate()]))
     }
 
-    /// Returns the other VMs of this region that were seen within [`UNRESPONSIVE_AFTER`].
+    /// Returns the other VMs of this region that were seen within `UNRESPONSIVE_AFTER`.
     pub fn responsive_local_vms(&self, now: MonoTime) -> BTreeSet<VmTag> {
         let local = self.peers.values().filter(|entry| entry.heartbeat.region == self.region);
         let responsive = local.filter(|entry| now.since(entry.last_seen) <= UNRESPONSIVE_AFTER);
         responsive.map(|entry| VmTag::of(&entry.heartbeat.vm)).collect()
     }
 
-    /// Returns the VMs of this region that weren't seen within [`UNRESPONSIVE_AFTER`], though they
+    /// Returns the VMs of this region that weren't seen within `UNRESPONSIVE_AFTER`, though they
     /// may still be live.
     pub fn unresponsive_local_vms(&self, now: MonoTime) -> BTreeSet<VmName> {
         let local = self.peers.values().filter(|entry| entry.heartbeat.region == self.region);
--- a/crates/foldhaven-core/src/opaque/peer_table/targets.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/targets.rs
@@ -31,7 +31,7 @@
 impl PeerTable {
     /// Returns the receivers of the next round: a few VMs of this region in rotation and, if this
     /// VM is a delegate, one of each other region. A VM that isn't a delegate sends to another
-    /// region only in every [`REMOTE_ROUND_INTERVAL`]-th round. Stale VMs are included, so that
+    /// region only in every `REMOTE_ROUND_INTERVAL`-th round. Stale VMs are included, so that
     /// healed partitions are noticed.
     pub fn next_targets(&mut self, now: MonoTime) -> HeartbeatTargets {
         self.rounds += 1;
@@ -101,7 +101,7 @@
         for heartbeat in remote {
             regions.entry(&heartbeat.region).or_default().push(heartbeat);
         }
-        let in_turn = regions.into_values().filter_map(|heartbeats| {
+        let chosen_addresses = regions.into_values().filter_map(|heartbeats| {
             let order = ServiceOrder::of(
                 heartbeats.iter().map(|heartbeat| ServiceCandidate::of(heartbeat)),
             );
@@ -112,7 +112,7 @@
                 .find(|heartbeat| heartbeat.vm == *chosen.vm)
                 .map(|heartbeat| heartbeat.peer)
         });
-        in_turn.collect()
+        chosen_addresses.collect()
     }
 
     fn addresses_where(
@@ -120,8 +120,8 @@
         matches: impl Fn(&RegionName, &RegionName) -> bool,
     ) -> Vec<SocketAddr> {
         let entries = self.peers.values();
-        let meant = entries.filter(|entry| matches(&entry.heartbeat.region, &self.region));
-        meant.map(|entry| entry.heartbeat.peer).collect()
+        let matching = entries.filter(|entry| matches(&entry.heartbeat.region, &self.region));
+        matching.map(|entry| entry.heartbeat.peer).collect()
     }
 
     /// Returns the addresses of all VMs, for changes that don't wait for the rotation.
--- a/crates/foldhaven-core/src/opaque/peer_table/views.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/views.rs
@@ -37,8 +37,8 @@
 /// partitions of 4 VMs.
 const VIEW_DIFFERENCE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Maximum number of VMs of a region that shortens its rounds after a view difference: as many as
-/// three messages hold liveness updates.
+/// Maximum number of VMs of a region that shortens its rounds after a view difference: the number
+/// of liveness updates in three messages.
 const MAX_FAST_SYNC_VMS: usize = 3 * MAX_RELAYED;
 
 /// Identifies a region in messages between VMs by the hash of its name.
@@ -95,7 +95,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ViewAnswer {
     /// No reply: the views agree, the sender isn't known with this incarnation, or a list was sent
-    /// within [`MIN_LIST_INTERVAL`].
+    /// within `MIN_LIST_INTERVAL`.
     Nothing,
     /// The list of the incarnations that this VM knows, and its receiver.
     List(SocketAddr, ViewList),
@@ -122,7 +122,7 @@
 
     /// Applies the view digest of another VM and returns the reply.
     pub fn apply_view_digest(&mut self, view: &ViewDigest, now: MonoTime) -> ViewAnswer {
-        let own = digest_incarnations(self.incarnations_of(view.region, now).into_iter());
+        let own_digest = digest_incarnations(self.incarnations_of(view.region, now).into_iter());
         let Some(entry) = self.entry_of_mut(view.vm) else {
             self.missing_heartbeats.insert(view.vm);
             return ViewAnswer::Nothing;
@@ -132,7 +132,7 @@
         }
         entry.reported_counts = Some(view.known);
         let target = entry.heartbeat.peer;
-        if own == view.digest {
+        if own_digest == view.digest {
             return ViewAnswer::Nothing;
         }
         // Changes in other regions arrive late in any case, and shorter rounds wouldn't get them
@@ -200,8 +200,8 @@
     }
 
     /// Returns the receivers of this VM's view in a round. During the learning time, and for
-    /// [`VIEW_DIFFERENCE_PERIOD`] after a different view was received, these are all receivers of
-    /// its heartbeats; otherwise one VM of its region in rotation. Seeds get the view with each
+    /// `VIEW_DIFFERENCE_PERIOD` after a different view was received, these are all receivers of its
+    /// heartbeats; otherwise one VM of its region in rotation. Seeds get the view with each
     /// heartbeat, because a VM that no VM of its region knows is known to the seeds alone.
     pub fn view_targets(
         &mut self,
@@ -213,10 +213,10 @@
         let (local, remote): (Vec<SocketAddr>, Vec<SocketAddr>) =
             heartbeats.iter().map(|(target, _)| *target).partition(|target| local.contains(target));
         self.view_cursor += 1;
-        let in_turn = local.get(self.view_cursor % local.len().max(1)).copied();
+        let rotated = local.get(self.view_cursor % local.len().max(1)).copied();
         match is_learning || self.has_recent_view_difference(now) {
             true => local.into_iter().chain(remote).collect(),
-            false => in_turn.into_iter().chain(remote).collect(),
+            false => rotated.into_iter().chain(remote).collect(),
         }
     }
 
@@ -229,7 +229,7 @@
         }
     }
 
-    /// Returns whether a different view was received within [`VIEW_DIFFERENCE_PERIOD`] and shorter
+    /// Returns whether a different view was received within `VIEW_DIFFERENCE_PERIOD` and shorter
     /// rounds help. In a region with more VMs than relayed liveness updates can keep live at all
     /// VMs, views differ at any time. Shorter rounds there doubled the traffic of 300 VMs without
     /// load, from 5.1 to 10.4 KB/s.
@@ -257,9 +257,9 @@
     pub fn assumed_counts(&self, now: MonoTime) -> KnownCounts {
         let live = self.peers.values().filter(|entry| self.is_live(entry, now));
         let reported = live.filter_map(|entry| {
-            let is_near = entry.heartbeat.region == self.region;
+            let is_local = entry.heartbeat.region == self.region;
             let known = entry.reported_counts?;
-            Some(KnownCounts { local: if is_near { known.local } else { 0 }, all: known.all })
+            Some(KnownCounts { local: if is_local { known.local } else { 0 }, all: known.all })
         });
         reported.fold(self.known_counts(), |most, reported| KnownCounts {
             local: most.local.max(reported.local),
--- a/crates/foldhaven-core/src/opaque/suspects/table.rs
+++ b/crates/foldhaven-core/src/opaque/suspects/table.rs
@@ -135,7 +135,7 @@
 #[derive(Debug)]
 struct SuspectEntry {
     record: SuspectRecord,
-    /// When the record last changed.
+    /// When the record last changed, or a probe of this VM turned out to be unsent.
     changed_at: MonoTime,
     /// Whether updates about the request go to all regions.
     is_global: bool,
