--- a/crates/foldhaven-core/src/opaque/peer_table/mod.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/mod.rs
@@ -215,9 +215,9 @@
     /// Adopts an incarnation after one that other VMs still know for this VM. Incarnations are
     /// numbered by the wall clock, which may have been set back between two starts, and other VMs
     /// ignore an earlier incarnation.
-    fn supersede_incarnation(&mut self, held: IncarnationId) {
-        if held > self.incarnation {
-            self.incarnation = IncarnationId(held.0 + 1);
+    fn supersede_incarnation(&mut self, known: IncarnationId) {
+        if known > self.incarnation {
+            self.incarnation = IncarnationId(known.0 + 1);
         }
     }
 
@@ -228,8 +228,8 @@
         vm: &VmName,
         incarnation: IncarnationId,
     ) -> Option<&PeerHeartbeat> {
-        let held = &self.peers.get(vm)?.heartbeat;
-        (held.incarnation > incarnation).then_some(held)
+        let known = &self.peers.get(vm)?.heartbeat;
+        (known.incarnation > incarnation).then_some(known)
     }
 
     /// Records a load report of a VM of this region as a sign of life.
@@ -249,7 +249,7 @@
         }
     }
 
-    /// Removes VMs that were last seen longer than [`EXPIRE_AFTER`] ago.
+    /// Removes VMs that were last seen longer than `EXPIRE_AFTER` ago.
     pub fn forget(&mut self, now: MonoTime) {
         self.peers.retain(|_, entry| now.since(entry.last_seen) < EXPIRE_AFTER);
         let peers = &self.peers;
@@ -353,14 +353,14 @@
         ServiceOrder::of(others.chain([self.own_candidate()]))
     }
 
-    /// Returns the other VMs of this region that were seen within [`UNRESPONSIVE_AFTER`].
+    /// Returns the other VMs of this region that were seen within `UNRESPONSIVE_AFTER`.
     pub fn responsive_local_vms(&self, now: MonoTime) -> BTreeSet<VmTag> {
         let local = self.peers.values().filter(|entry| entry.heartbeat.region == self.region);
         let responsive = local.filter(|entry| now.since(entry.last_seen) <= UNRESPONSIVE_AFTER);
         responsive.map(|entry| VmTag::of(&entry.heartbeat.vm)).collect()
     }
 
-    /// Returns the VMs of this region that weren't seen within [`UNRESPONSIVE_AFTER`], though they
+    /// Returns the VMs of this region that weren't seen within `UNRESPONSIVE_AFTER`, though they
     /// may still be live.
     pub fn unresponsive_local_vms(&self, now: MonoTime) -> BTreeSet<VmName> {
         let local = self.peers.values().filter(|entry| entry.heartbeat.region == self.region);
