--- a/crates/foldhaven-core/src/opaque/directory.rs
+++ b/crates/foldhaven-core/src/opaque/directory.rs
@@ -10,21 +10,21 @@
 use crate::units::CoreShare;
 
 /// The most addresses that one answer names; callers use no more.
-pub const MAX_NAMED: usize = 64;
+pub const MAX_ADDRESSES: usize = 64;
 /// Silent VMs are left out while more than one in so many is heard of, as when one of two data centres is lost;
 /// when fewer are, the fault is rather one of hearing them.
-const LEAST_HEARD: usize = 3;
+const MIN_RESPONSIVE_RATIO: usize = 3;
 
 /// What the directory knows of its own region.
-pub struct NearService<'a> {
+pub struct LocalService<'a> {
     /// The VM that answers.
-    pub teller: &'a VmName,
+    pub responder: &'a VmName,
     /// Its region.
     pub region: &'a RegionName,
     /// The processor time that the requests of the region take.
     pub demand: CoreShare,
     /// VMs of the region of which nothing has come for a while.
-    pub doubted: &'a BTreeSet<VmName>,
+    pub unresponsive: &'a BTreeSet<VmName>,
 }
 
 /// The VMs for a caller of a region: those in service of its own region; when none of them serves, those of the
@@ -34,73 +34,77 @@
 ///
 /// `bound` tells how many routes of the host are bound to a region, `has_bound` whether any is bound at
 /// all.
-pub fn name_vms(
+pub fn select_vms(
     serving: &[PeerBeat],
     region: &RegionName,
-    near: &NearService<'_>,
+    local: &LocalService<'_>,
     bound: impl Fn(&RegionName) -> usize,
     has_bound: bool,
 ) -> Vec<SocketAddr> {
-    let own = select(serving, near, |beat| beat.region == *region);
+    let own = select(serving, local, |beat| beat.region == *region);
     if !own.is_empty() {
         return own;
     }
-    let open = serving.iter().filter(|beat| beat.phase == PeerPhase::Serving);
-    let most = open.map(|beat| bound(&beat.region)).max().unwrap_or_default();
+    let candidates = serving.iter().filter(|beat| beat.phase == PeerPhase::Serving);
+    let most = candidates.map(|beat| bound(&beat.region)).max().unwrap_or_default();
     if most == 0 && has_bound {
         return Vec::new();
     }
-    select(serving, near, |beat| bound(&beat.region) == most)
+    select(serving, local, |beat| bound(&beat.region) == most)
 }
 
 fn select(
     serving: &[PeerBeat],
-    near: &NearService<'_>,
+    local: &LocalService<'_>,
     passes: impl Fn(&PeerBeat) -> bool,
 ) -> Vec<SocketAddr> {
-    let open = serving.iter().filter(|beat| beat.phase == PeerPhase::Serving && passes(beat));
-    let open: Vec<&PeerBeat> = open.collect();
-    let regions: BTreeSet<&RegionName> = open.iter().map(|beat| &beat.region).collect();
+    let candidates = serving.iter().filter(|beat| beat.phase == PeerPhase::Serving && passes(beat));
+    let candidates: Vec<&PeerBeat> = candidates.collect();
+    let regions: BTreeSet<&RegionName> = candidates.iter().map(|beat| &beat.region).collect();
     let in_service = regions.into_iter().flat_map(|region| {
-        let there = open.iter().copied().filter(|beat| beat.region == *region).collect();
-        in_service(there, near, region)
+        let in_region = candidates.iter().copied().filter(|beat| beat.region == *region).collect();
+        in_service(in_region, local, region)
     });
-    draw(&in_service.collect::<Vec<_>>(), near.teller)
+    sample_by_size(&in_service.collect::<Vec<_>>(), local.responder)
 }
 
 /// Those that are to take the requests of one region.
 fn in_service<'a>(
-    open: Vec<&'a PeerBeat>,
-    near: &NearService<'_>,
+    candidates: Vec<&'a PeerBeat>,
+    local: &LocalService<'_>,
     region: &RegionName,
 ) -> Vec<&'a PeerBeat> {
-    let heard: Vec<&PeerBeat> =
-        open.iter().copied().filter(|beat| !near.doubted.contains(&beat.vm)).collect();
-    let open = if heard.len() * LEAST_HEARD > open.len() { heard } else { open };
-    let order = ServiceOrder::of(open.iter().map(|beat| ServiceCandidate::of(beat)));
-    let chosen = match region == near.region {
-        true => order.for_demand(near.demand),
-        false => order.standing(),
+    let responsive: Vec<&PeerBeat> =
+        candidates.iter().copied().filter(|beat| !local.unresponsive.contains(&beat.vm)).collect();
+    let candidates = if responsive.len() * MIN_RESPONSIVE_RATIO > candidates.len() {
+        responsive
+    } else {
+        candidates
     };
-    let names: BTreeSet<&VmName> = chosen.iter().map(|candidate| candidate.vm).collect();
-    open.into_iter().filter(|beat| names.contains(&beat.vm)).collect()
+    let order = ServiceOrder::of(candidates.iter().map(|beat| ServiceCandidate::of(beat)));
+    let selected = match region == local.region {
+        true => order.for_demand(local.demand),
+        false => order.baseline(),
+    };
+    let names: BTreeSet<&VmName> = selected.iter().map(|candidate| candidate.vm).collect();
+    candidates.into_iter().filter(|beat| names.contains(&beat.vm)).collect()
 }
 
 /// The VMs that one answer names. Callers take each of them as often as any other, so that a VM is left out of
 /// answers the more often the smaller it is; by a rank of the VM that answers, so that its callers are told of the
 /// same ones each time and keep their connections.
-fn draw(chosen: &[&PeerBeat], teller: &VmName) -> Vec<SocketAddr> {
-    let largest = chosen.iter().map(|beat| beat.cores.as_f64()).fold(0.0, f64::max);
-    let part = |beat: &PeerBeat| if largest > 0.0 { beat.cores.as_f64() / largest } else { 1.0 };
-    let parts: f64 = chosen.iter().map(|beat| part(beat)).sum();
-    let fitting = (MAX_NAMED as f64 / parts).min(1.0);
-    let lot = |beat: &PeerBeat| rank_hash(&[teller.as_str(), beat.vm.as_str()]);
-    let mut drawn: Vec<(f64, &PeerBeat)> = chosen
+fn sample_by_size(selected: &[&PeerBeat], responder: &VmName) -> Vec<SocketAddr> {
+    let largest = selected.iter().map(|beat| beat.cores.as_f64()).fold(0.0, f64::max);
+    let weight = |beat: &PeerBeat| if largest > 0.0 { beat.cores.as_f64() / largest } else { 1.0 };
+    let total_weight: f64 = selected.iter().map(|beat| weight(beat)).sum();
+    let fit = (MAX_ADDRESSES as f64 / total_weight).min(1.0);
+    let rank = |beat: &PeerBeat| rank_hash(&[responder.as_str(), beat.vm.as_str()]);
+    let mut ranked: Vec<(f64, &PeerBeat)> = selected
         .iter()
-        .map(|beat| (lot(beat) as f64 / u64::MAX as f64 / (part(beat) * fitting), *beat))
+        .map(|beat| (rank(beat) as f64 / u64::MAX as f64 / (weight(beat) * fit), *beat))
         .collect();
-    drawn.sort_by(|left, right| left.0.total_cmp(&right.0));
-    let count = drawn.iter().filter(|(lot, _)| *lot <= 1.0).count();
-    let named = drawn.iter().take(count.clamp(1, MAX_NAMED));
+    ranked.sort_by(|left, right| left.0.total_cmp(&right.0));
+    let count = ranked.iter().filter(|(rank, _)| *rank <= 1.0).count();
+    let named = ranked.iter().take(count.clamp(1, MAX_ADDRESSES));
     named.map(|(_, beat)| beat.caller).collect()
 }
--- a/crates/foldhaven-core/src/opaque/peer_table/mod.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/mod.rs
@@ -314,7 +314,7 @@
     /// largest VMs are among them.
     fn is_among_first(&self, count: usize, key: &str, open: Vec<ServiceCandidate<'_>>) -> bool {
         let order = ServiceOrder::of(open);
-        let names = order.standing().iter().map(|candidate| candidate.vm);
+        let names = order.baseline().iter().map(|candidate| candidate.vm);
         let ranked = rank_by(key, names, |name| name.as_str());
         ranked.into_iter().take(count).any(|name| *name == self.own)
     }
--- a/crates/foldhaven-core/src/opaque/peer_table/news.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/news.rs
@@ -96,7 +96,7 @@
     /// The other VMs of this region that take requests at any load, where they hear others.
     pub fn standing_addresses(&self, now: MonoTime) -> Vec<SocketAddr> {
         let order = self.near_order(now);
-        let standing: BTreeSet<_> = order.standing().iter().map(|it| it.vm).collect();
+        let standing: BTreeSet<_> = order.baseline().iter().map(|it| it.vm).collect();
         let near = self.near(now).filter(|beat| standing.contains(&beat.vm));
         near.map(|beat| beat.peer).collect()
     }
@@ -107,7 +107,7 @@
         let serving = self.near(now).filter(|beat| beat.phase == PeerPhase::Serving);
         let candidates = serving.map(ServiceCandidate::of).chain([self.own_candidate()]);
         let order = ServiceOrder::of(candidates);
-        let names = order.standing().iter().map(|candidate| candidate.vm);
+        let names = order.baseline().iter().map(|candidate| candidate.vm);
         let ranked = rank_by(READER_KEY, names, |name| name.as_str());
         ranked.into_iter().position(|name| *name == self.own)
     }
--- a/crates/foldhaven-core/src/opaque/peer_table/senders.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/senders.rs
@@ -54,7 +54,7 @@
     fn standing_of<'a>(&'a self, entries: impl Iterator<Item = &'a PeerEntry>) -> Vec<VmName> {
         let others = entries.map(|entry| ServiceCandidate::of(&entry.beat));
         let order = ServiceOrder::of(others.chain([self.own_candidate()]));
-        order.standing().iter().map(|candidate| candidate.vm.clone()).collect()
+        order.baseline().iter().map(|candidate| candidate.vm.clone()).collect()
     }
 }
 
--- a/crates/foldhaven-core/src/opaque/peer_table/targets.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/targets.rs
@@ -98,7 +98,7 @@
         }
         let in_turn = regions.into_values().filter_map(|beats| {
             let order = ServiceOrder::of(beats.iter().map(|beat| ServiceCandidate::of(beat)));
-            let standing = order.standing();
+            let standing = order.baseline();
             let chosen = standing.get(turn % standing.len().max(1))?;
             beats.iter().find(|beat| beat.vm == *chosen.vm).map(|beat| beat.peer)
         });
--- a/crates/foldhaven-core/src/opaque/service_order.rs
+++ b/crates/foldhaven-core/src/opaque/service_order.rs
@@ -17,15 +17,15 @@
 
 /// The fewest VMs that take requests, where a region has as many. The loss of any two then moves a third of the
 /// callers, and each of two data centres has three.
-const LEAST_MEMBERS: usize = 6;
+const MIN_MEMBERS: usize = 6;
 /// The part of a region's cores that takes requests at any load: what load will come is not known after a start.
-const STANDING_SHARE: f64 = 0.25;
+const BASELINE_SHARE: f64 = 0.25;
 /// The most VMs that do so: the more there are, the older is what they know of each other. Simulated before 42
 /// engines with a burst of three times the load, 33 VMs in place of 11 lose 0.012 of the worth.
-const MOST_STANDING: usize = 12;
+const MAX_BASELINE: usize = 12;
 /// How many times the processor time of the last seconds those in service have. Callers hold on to an answer of
 /// the directory for seconds, in which a burst doubles the load or one of two data centres is lost.
-const DEMAND_ROOM: f64 = 2.0;
+const DEMAND_HEADROOM: f64 = 2.0;
 /// The key by which VMs of one size are ranked.
 const ORDER_KEY: &str = "service-order";
 
@@ -61,17 +61,18 @@
             .map(|candidate| (candidate, rank_hash(&[ORDER_KEY, candidate.vm.as_str()])))
             .collect();
         ranked.sort_by_key(|(candidate, rank)| (Reverse(candidate.cores), *rank));
-        let mut taken: BTreeMap<(CoreShare, &DataCentreName), usize> = BTreeMap::new();
-        let mut turned: Vec<(usize, ServiceCandidate<'a>)> = ranked
+        let mut rotations: BTreeMap<(CoreShare, &DataCentreName), usize> = BTreeMap::new();
+        let mut interleaved: Vec<(usize, ServiceCandidate<'a>)> = ranked
             .into_iter()
             .map(|(candidate, _)| {
-                let turn = taken.entry((candidate.cores, candidate.data_centre)).or_default();
-                *turn += 1;
-                (*turn, candidate)
+                let position =
+                    rotations.entry((candidate.cores, candidate.data_centre)).or_default();
+                *position += 1;
+                (*position, candidate)
             })
             .collect();
-        turned.sort_by_key(|(turn, candidate)| (Reverse(candidate.cores), *turn));
-        Self(turned.into_iter().map(|(_, candidate)| candidate).collect())
+        interleaved.sort_by_key(|(position, candidate)| (Reverse(candidate.cores), *position));
+        Self(interleaved.into_iter().map(|(_, candidate)| candidate).collect())
     }
 
     /// How many VMs there are.
@@ -85,27 +86,27 @@
     }
 
     /// Those that take requests at any load. What only a few VMs are to do falls to them.
-    pub fn standing(&self) -> &[ServiceCandidate<'a>] {
+    pub fn baseline(&self) -> &[ServiceCandidate<'a>] {
         let all: f64 = self.0.iter().map(|candidate| candidate.cores.as_f64()).sum();
-        let found = self.first_with(all * STANDING_SHARE);
-        &found[..found.len().min(MOST_STANDING)]
+        let prefix = self.first_with_cores(all * BASELINE_SHARE);
+        &prefix[..prefix.len().min(MAX_BASELINE)]
     }
 
     /// Those that take requests while all of them together use so much processor time for them.
     pub fn for_demand(&self, demand: CoreShare) -> &[ServiceCandidate<'a>] {
-        let by_demand = self.first_with(demand.as_f64() * DEMAND_ROOM);
-        let standing = self.standing();
-        if by_demand.len() > standing.len() { by_demand } else { standing }
+        let by_demand = self.first_with_cores(demand.as_f64() * DEMAND_HEADROOM);
+        let baseline = self.baseline();
+        if by_demand.len() > baseline.len() { by_demand } else { baseline }
     }
 
     /// The first ones that have so many cores, and [`LEAST_MEMBERS`] at least.
-    fn first_with(&self, cores: f64) -> &[ServiceCandidate<'a>] {
-        let mut found = 0.0;
-        let enough = self.0.iter().position(|candidate| {
-            found += candidate.cores.as_f64();
-            found >= cores
+    fn first_with_cores(&self, cores: f64) -> &[ServiceCandidate<'a>] {
+        let mut total = 0.0;
+        let last_index = self.0.iter().position(|candidate| {
+            total += candidate.cores.as_f64();
+            total >= cores
         });
-        let count = enough.map_or(self.0.len(), |at| at + 1);
-        &self.0[..count.max(LEAST_MEMBERS).min(self.0.len())]
+        let count = last_index.map_or(self.0.len(), |at| at + 1);
+        &self.0[..count.max(MIN_MEMBERS).min(self.0.len())]
     }
 }
--- a/crates/foldhaven-core/src/opaque/belief_age.rs
+++ b/crates/foldhaven-core/src/opaque/view_staleness.rs
@@ -12,7 +12,7 @@
 
 /// That nothing after a revision was published by some time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RevisionProof {
+pub struct RevisionConfirmation {
     /// The revision.
     pub revision: u64,
     /// The time, by the clock of this process.
@@ -21,36 +21,36 @@
 
 /// The last proof that what is held was all there is.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct BeliefAge {
-    proven: Option<MonoTime>,
+pub struct ViewStaleness {
+    confirmed_at: Option<MonoTime>,
     /// The newest proof of a revision that is not held yet.
-    pending: Option<RevisionProof>,
+    pending: Option<RevisionConfirmation>,
 }
 
-impl BeliefAge {
+impl ViewStaleness {
     /// Takes in a proof, where `held` is the revision up to which all is known here.
-    pub fn hear(&mut self, proof: RevisionProof, held: u64) {
-        if proof.revision <= held {
-            self.proven = self.proven.max(Some(proof.at));
-        } else if self.pending.is_none_or(|pending| pending.at < proof.at) {
-            self.pending = Some(proof);
+    pub fn apply(&mut self, confirmation: RevisionConfirmation, held: u64) {
+        if confirmation.revision <= held {
+            self.confirmed_at = self.confirmed_at.max(Some(confirmation.at));
+        } else if self.pending.is_none_or(|pending| pending.at < confirmation.at) {
+            self.pending = Some(confirmation);
         }
     }
 
     /// Takes in that all is known here up to a revision.
-    pub fn note_held(&mut self, held: u64) {
-        if let Some(proof) = self.pending.take_if(|pending| pending.revision <= held) {
-            self.hear(proof, held);
+    pub fn advance_to(&mut self, held: u64) {
+        if let Some(confirmation) = self.pending.take_if(|pending| pending.revision <= held) {
+            self.apply(confirmation, held);
         }
     }
 
     /// When what is held was proven last; nothing before the first time.
-    pub fn proven(&self) -> Option<MonoTime> {
-        self.proven
+    pub fn confirmed_at(&self) -> Option<MonoTime> {
+        self.confirmed_at
     }
 
     /// For how long it has not been proven.
     pub fn age(&self, now: MonoTime) -> Option<Duration> {
-        self.proven.map(|proven| now.since(proven))
+        self.confirmed_at.map(|confirmed_at| now.since(confirmed_at))
     }
 }
--- a/crates/foldhaven-core/tests/testsuite/opaque_news.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_news.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use foldhaven_core::opaque::belief_age::{BeliefAge, RevisionProof};
 use foldhaven_core::opaque::peer_table::{NewsNotice, OfferedRevision, PeerTable, VmTag};
+use foldhaven_core::opaque::view_staleness::{RevisionConfirmation, ViewStaleness};
 use foldhaven_core::time::MonoTime;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -16,8 +16,8 @@
 
 const MILLIS: fn(u64) -> Duration = Duration::from_millis;
 
-fn proof(revision: u64, millis: u64) -> RevisionProof {
-    RevisionProof { revision, at: at(millis) }
+fn proof(revision: u64, millis: u64) -> RevisionConfirmation {
+    RevisionConfirmation { revision, at: at(millis) }
 }
 
 fn notice(vm: &str, revision: u64) -> NewsNotice {
@@ -42,17 +42,17 @@
 
 #[test]
 fn a_proof_counts_for_whoever_holds_its_revision() {
-    let mut belief = BeliefAge::default();
+    let mut belief = ViewStaleness::default();
     assert_eq!(belief.age(at(100)), None, "nothing was proven");
-    belief.hear(proof(7, 100), 7);
+    belief.apply(proof(7, 100), 7);
     assert_eq!(belief.age(at(300)), Some(MILLIS(200)));
-    belief.hear(proof(9, 400), 7);
+    belief.apply(proof(9, 400), 7);
     assert_eq!(belief.age(at(500)), Some(MILLIS(400)), "it is of what is not known here");
-    belief.note_held(8);
+    belief.advance_to(8);
     assert_eq!(belief.age(at(500)), Some(MILLIS(400)), "still not");
-    belief.note_held(9);
+    belief.advance_to(9);
     assert_eq!(belief.age(at(500)), Some(MILLIS(100)));
-    belief.hear(proof(9, 200), 9);
+    belief.apply(proof(9, 200), 9);
     assert_eq!(belief.age(at(500)), Some(MILLIS(100)), "an earlier proof takes nothing away");
 }
 
@@ -63,7 +63,7 @@
     const VMS: usize = 6;
     let mut random = StdRng::seed_from_u64(seed);
     let mut published: BTreeMap<MonoTime, u64> = BTreeMap::from([(at(0), 1)]);
-    let mut vms = vec![(BeliefAge::default(), 0_u64); VMS];
+    let mut vms = vec![(ViewStaleness::default(), 0_u64); VMS];
     for millis in (1..20_000).step_by(7) {
         let now = at(millis);
         let newest = *published.values().next_back().expect("there is a first one");
@@ -73,24 +73,24 @@
             1 => {
                 let (belief, held) = &mut vms[own];
                 *held = newest;
-                belief.hear(RevisionProof { revision: newest, at: now }, newest);
+                belief.apply(RevisionConfirmation { revision: newest, at: now }, newest);
             }
             2 | 3 => {
                 // One takes over what another one holds, without a word on its age.
                 let held = vms[own].1.max(vms[other].1);
                 vms[own].1 = held;
-                vms[own].0.note_held(held);
+                vms[own].0.advance_to(held);
             }
             _ => {
                 let (told, revision) = vms[other];
                 let (belief, held) = &mut vms[own];
                 if let Some(age) = told.age(now) {
-                    belief.hear(RevisionProof { revision, at: now - age }, *held);
+                    belief.apply(RevisionConfirmation { revision, at: now - age }, *held);
                 }
             }
         }
         for (belief, held) in &vms {
-            let Some(proven) = belief.proven() else { continue };
+            let Some(proven) = belief.confirmed_at() else { continue };
             let then = published.range(..proven).next_back().map_or(0, |(_, revision)| *revision);
             assert!(then <= *held, "seed {seed} at {now}: {then} was published, {held} is held");
         }
--- a/crates/foldhaven-core/tests/testsuite/opaque_routes.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_routes.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use foldhaven_core::ids::{RegionName, ServiceName};
-use foldhaven_core::opaque::directory::{NearService, name_vms};
+use foldhaven_core::opaque::directory::{LocalService, select_vms};
 use foldhaven_core::opaque::peer_table::{PeerBeat, PeerPhase};
 use foldhaven_core::opaque::route_table::{
     CallerLimits, OpaqueRoute, RepeatKind, RouteDescription, RouteTable, RouteVersion,
@@ -28,13 +28,13 @@
         event_gap: None,
         priority: 0,
         max_attempts: 1,
-        services: vec![part("one", 90.0), part("two", 10.0), part("none", 0.0)],
+        services: vec![weighted("one", 90.0), weighted("two", 10.0), weighted("none", 0.0)],
         homes: homes.iter().map(|home| home.parse().unwrap()).collect(),
         affinity: false,
     }
 }
 
-fn part(service: &str, weight: f64) -> WeightedService {
+fn weighted(service: &str, weight: f64) -> WeightedService {
     WeightedService { service: service.parse().unwrap(), weight }
 }
 
@@ -62,7 +62,7 @@
 #[case("a.example", "/x", None)]
 #[case("a.example", "/z/x/", None)]
 #[case("c.example", "/x/", None)]
-fn the_longest_prefix_of_the_host_wins(
+fn longest_prefix_of_the_host_wins(
     #[case] host: &str,
     #[case] path: &str,
     #[case] expected: Option<&str>,
@@ -86,14 +86,14 @@
 }
 
 #[test]
-fn a_route_without_weights_has_no_service() {
+fn route_without_weights_has_no_service() {
     let mut route = route("r", "a.example", "/", &[]);
-    route.services = vec![part("none", 0.0)];
+    route.services = vec![weighted("none", 0.0)];
     assert_eq!(route.pick_service(0.5), None);
 }
 
 #[test]
-fn homes_bind_and_are_counted_for_a_host() {
+fn home_regions_bind_routes_and_are_counted_per_host() {
     let table = table(vec![
         route("open", "a.example", "/o/", &[]),
         route("both", "a.example", "/b/", &["north", "south"]),
@@ -107,27 +107,27 @@
 }
 
 /// What a VM of the region `north` answers, where nothing has been asked for yet.
-fn named_by_first(
+fn select_for(
     beats: &[PeerBeat],
     region: &RegionName,
     bound: impl Fn(&RegionName) -> usize,
     has_bound: bool,
 ) -> Vec<SocketAddr> {
-    let (teller, own_region) = ("n1".parse().unwrap(), "north".parse().unwrap());
-    let near = NearService {
-        teller: &teller,
+    let (responder, own_region) = ("n1".parse().unwrap(), "north".parse().unwrap());
+    let local = LocalService {
+        responder: &responder,
         region: &own_region,
         demand: CoreShare::default(),
-        doubted: &BTreeSet::new(),
+        unresponsive: &BTreeSet::new(),
     };
-    name_vms(beats, region, &near, bound, has_bound)
+    select_vms(beats, region, &local, bound, has_bound)
 }
 
 #[rstest]
 #[case::own_region(&[("n1", "north"), ("s1", "south")], "north", &["n1"])]
-#[case::no_own_vm(&[("s1", "south"), ("e1", "east")], "north", &["s1"])]
-#[case::nobody(&[], "north", &[])]
-fn callers_are_named_near_vms_then_homes(
+#[case::no_vm_in_own_region(&[("s1", "south"), ("e1", "east")], "north", &["s1"])]
+#[case::no_vms(&[], "north", &[])]
+fn callers_get_local_vms_then_home_regions(
     #[case] vms: &[(&str, &str)],
     #[case] region: &str,
     #[case] expected: &[&str],
@@ -135,34 +135,34 @@
     let beats: Vec<PeerBeat> = vms.iter().map(|(vm, region)| beat(vm, region, 1)).collect();
     let region: RegionName = region.parse().unwrap();
     let bound = |region: &RegionName| usize::from(region.as_str() == "south");
-    let named = named_by_first(&beats, &region, bound, true);
-    let wanted: Vec<_> = beats
+    let named = select_for(&beats, &region, bound, true);
+    let expected_addresses: Vec<_> = beats
         .iter()
         .filter(|beat| expected.contains(&beat.vm.as_str()))
         .map(|it| it.caller)
         .collect();
-    assert_eq!(named, wanted);
+    assert_eq!(named, expected_addresses);
 }
 
 /// Found on a deployment of one VM a region: while two of the three restarted in turn, callers of bound
 /// routes were led to the third, which must not run them.
 #[rstest]
-#[case::nothing_is_bound(false, 1)]
+#[case::no_bound_route(false, 1)]
 #[case::bound_elsewhere(true, 0)]
-fn a_host_with_bound_routes_leads_nobody_outside_their_regions(
+fn host_with_bound_routes_never_directs_callers_to_other_regions(
     #[case] has_bound: bool,
     #[case] named: usize,
 ) {
     let leaving = PeerBeat { phase: PeerPhase::Leaving, ..beat("s1", "south", 1) };
     let beats = [leaving, beat("e1", "east", 1)];
     let bound = |region: &RegionName| usize::from(region.as_str() == "south");
-    let answer = named_by_first(&beats, &"north".parse().unwrap(), bound, has_bound);
+    let answer = select_for(&beats, &"north".parse().unwrap(), bound, has_bound);
     assert_eq!(answer.len(), named);
 }
 
 #[test]
-fn vms_that_start_or_leave_are_not_named() {
+fn starting_and_leaving_vms_are_not_selected() {
     let beats = [PeerPhase::Starting, PeerPhase::Leaving]
         .map(|phase| PeerBeat { phase, ..beat("n1", "north", 1) });
-    assert!(named_by_first(&beats, &"north".parse().unwrap(), |_| 0, false).is_empty());
+    assert!(select_for(&beats, &"north".parse().unwrap(), |_| 0, false).is_empty());
 }
--- a/crates/foldhaven-core/tests/testsuite/opaque_service.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_service.rs
@@ -6,7 +6,7 @@
 
 use foldhaven_core::ids::{DataCentreName, IncarnationId, RegionName, VmName};
 use foldhaven_core::opaque::cpu_demand::PeakCpuDemand;
-use foldhaven_core::opaque::directory::{MAX_NAMED, NearService, name_vms};
+use foldhaven_core::opaque::directory::{LocalService, MAX_ADDRESSES, select_vms};
 use foldhaven_core::opaque::load_reports::report_interval;
 use foldhaven_core::opaque::peer_table::{OwnVm, PeerBeat, PeerTable, VmTag};
 use foldhaven_core::opaque::region_reports::RegionReport;
@@ -53,11 +53,11 @@
 }
 
 #[rstest]
-#[case::nothing_asked_for(0.0, 11)]
-#[case::quiet(0.5, 11)]
-#[case::busy(2.25, 19)]
-#[case::more_than_there_is(9.0, 98)]
-fn as_many_vms_take_requests_as_the_load_needs(#[case] demand: f64, #[case] expected: usize) {
+#[case::no_demand(0.0, 11)]
+#[case::low_demand(0.5, 11)]
+#[case::high_demand(2.25, 19)]
+#[case::more_than_available(9.0, 98)]
+fn number_of_vms_in_service_follows_the_load(#[case] demand: f64, #[case] expected: usize) {
     let beats = region(3, 46);
     let order = order(&beats);
     let chosen = order.for_demand(cores(demand));
@@ -65,14 +65,14 @@
     let large = chosen.iter().filter(|candidate| candidate.cores == cores(0.5)).count();
     assert_eq!(large, 6, "large ones come first");
     let counts: Vec<usize> = per_centre(chosen).into_values().collect();
-    assert!(counts[0].abs_diff(counts[1]) <= 1, "one data centre bears the most: {counts:?}");
+    assert!(counts[0].abs_diff(counts[1]) <= 1, "one data centre has most of them: {counts:?}");
 }
 
 /// What VMs know of each other gets older with each that takes requests, so that a larger region has not more.
 #[test]
-fn a_large_region_has_no_more_vms_in_service_at_rest() {
+fn large_region_has_no_more_baseline_vms() {
     let beats = region(9, 141);
-    assert_eq!(order(&beats).standing().len(), 12);
+    assert_eq!(order(&beats).baseline().len(), 12);
     assert!(order(&beats).for_demand(cores(6.0)).len() > 12);
 }
 
@@ -80,23 +80,23 @@
 #[test]
 fn all_vms_of_a_small_region_take_requests() {
     let beats = region(0, 3);
-    assert_eq!(order(&beats).standing().len(), 6);
-    assert_eq!(order(&beats[..3]).standing().len(), 3);
+    assert_eq!(order(&beats).baseline().len(), 6);
+    assert_eq!(order(&beats[..3]).baseline().len(), 3);
 }
 
 #[test]
-fn the_loss_of_a_vm_moves_only_those_behind_it() {
+fn losing_a_vm_moves_only_the_vms_after_it() {
     let beats = region(3, 46);
     let all = order(&beats);
-    let lost = all.standing()[2].vm.clone();
+    let lost = all.baseline()[2].vm.clone();
     let left: Vec<PeerBeat> = beats.iter().filter(|beat| beat.vm != lost).cloned().collect();
-    let before: BTreeSet<VmName> = names(all.standing()).into_iter().collect();
-    let after: BTreeSet<VmName> = names(order(&left).standing()).into_iter().collect();
+    let before: BTreeSet<VmName> = names(all.baseline()).into_iter().collect();
+    let after: BTreeSet<VmName> = names(order(&left).baseline()).into_iter().collect();
     assert!(before.difference(&after).all(|vm| *vm == lost), "{before:?} {after:?}");
 }
 
 #[test]
-fn a_lost_data_centre_is_made_up_for_by_the_other_one() {
+fn lost_data_centre_is_replaced_by_the_other() {
     let beats = region(3, 46);
     let left: Vec<PeerBeat> =
         beats.iter().filter(|beat| beat.data_centre.as_str() == "hall-a").cloned().collect();
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_peak_counts_for_some_seconds() {
+fn peak_decays_over_seconds() {
     let mut peak = PeakCpuDemand::default();
     assert_eq!(peak.record(cores(2.0), at(0)), cores(2.0));
     let later = peak.record(cores(0.5), at(5_000));
@@ -116,58 +116,63 @@
 
 fn answer(
     beats: &[PeerBeat],
-    teller: &str,
+    responder: &str,
     demand: f64,
-    doubted: &BTreeSet<VmName>,
+    unresponsive: &BTreeSet<VmName>,
 ) -> Vec<SocketAddr> {
-    let (teller, region): (VmName, RegionName) =
-        (teller.parse().unwrap(), "north".parse().unwrap());
-    let near = NearService { teller: &teller, region: &region, demand: cores(demand), doubted };
-    name_vms(beats, &region, &near, |_| 0, false)
+    let (responder, region): (VmName, RegionName) =
+        (responder.parse().unwrap(), "north".parse().unwrap());
+    let near = LocalService {
+        responder: &responder,
+        region: &region,
+        demand: cores(demand),
+        unresponsive,
+    };
+    select_vms(beats, &region, &near, |_| 0, false)
 }
 
 /// Callers take each named VM as often as any other: by the answers of all VMs together a VM of a quarter of the
 /// size is to be taken a quarter as often.
 #[test]
-fn callers_are_spread_by_the_size_of_vms() {
+fn callers_are_distributed_by_vm_size() {
     let beats = region(3, 46);
-    let mut taken: BTreeMap<SocketAddr, f64> = BTreeMap::new();
-    for teller in &beats {
-        let named = answer(&beats, teller.vm.as_str(), 4.5, &BTreeSet::new());
-        assert!(named.len() <= MAX_NAMED);
+    let mut selections: BTreeMap<SocketAddr, f64> = BTreeMap::new();
+    for responder in &beats {
+        let named = answer(&beats, responder.vm.as_str(), 4.5, &BTreeSet::new());
+        assert!(named.len() <= MAX_ADDRESSES);
         for address in &named {
-            *taken.entry(*address).or_default() += 1.0 / named.len() as f64;
+            *selections.entry(*address).or_default() += 1.0 / named.len() as f64;
         }
     }
     let mean = |size: f64| {
         let of_size = beats.iter().filter(|beat| beat.cores == cores(size));
         let shares: Vec<f64> =
-            of_size.filter_map(|beat| taken.get(&beat.caller).copied()).collect();
+            of_size.filter_map(|beat| selections.get(&beat.caller).copied()).collect();
         shares.iter().sum::<f64>() / shares.len() as f64
     };
     let ratio = mean(0.5) / mean(0.12);
-    assert!((3.0..6.0).contains(&ratio), "a large VM is taken {ratio} times as often");
+    assert!((3.0..6.0).contains(&ratio), "a large VM is selected {ratio} times as often");
 }
 
 #[test]
-fn more_vms_than_one_answer_holds_are_named_in_different_answers() {
+fn different_answers_cover_all_vms() {
     let beats = region(0, 100);
-    let mut taken: BTreeMap<SocketAddr, usize> = BTreeMap::new();
-    for teller in &beats {
-        let named = answer(&beats, teller.vm.as_str(), 100.0, &BTreeSet::new());
-        assert!((32..=MAX_NAMED).contains(&named.len()), "{}", named.len());
-        named.into_iter().for_each(|address| *taken.entry(address).or_default() += 1);
+    let mut selections: BTreeMap<SocketAddr, usize> = BTreeMap::new();
+    for responder in &beats {
+        let named = answer(&beats, responder.vm.as_str(), 100.0, &BTreeSet::new());
+        assert!((32..=MAX_ADDRESSES).contains(&named.len()), "{}", named.len());
+        named.into_iter().for_each(|address| *selections.entry(address).or_default() += 1);
     }
     // Two names may share an address here.
     let addresses: BTreeSet<SocketAddr> = beats.iter().map(|beat| beat.caller).collect();
-    assert_eq!(taken.len(), addresses.len(), "each is named somewhere");
+    assert_eq!(selections.len(), addresses.len(), "each is in some answer");
 }
 
 #[test]
-fn a_silent_vm_is_not_named_unless_most_are_silent() {
+fn unresponsive_vm_is_left_out_unless_most_are() {
     let beats = region(3, 3);
-    let silent: BTreeSet<VmName> = [beats[0].vm.clone()].into();
-    let named = answer(&beats, "n1", 0.0, &silent);
+    let unresponsive: BTreeSet<VmName> = [beats[0].vm.clone()].into();
+    let named = answer(&beats, "n1", 0.0, &unresponsive);
     assert!(!named.contains(&beats[0].caller) && !named.is_empty());
     let centre: BTreeSet<VmName> = beats[..6].iter().map(|beat| beat.vm.clone()).collect();
     let left = answer(&beats, "n1", 9.0, &centre);
@@ -178,9 +183,9 @@
 
 /// Changes of the platform fill the link of a small VM that tells them to a hundred others.
 #[test]
-fn duties_fall_to_large_vms() {
+fn special_roles_go_to_large_vms() {
     let beats = region(3, 46);
-    let mut doing = [0, 0];
+    let mut role_counts = [0, 0];
     for own in &beats {
         let vm = OwnVm {
             vm: own.vm.clone(),
@@ -191,33 +196,34 @@
         let mut table = PeerTable::new(vm, own.incarnation);
         let others = beats.iter().filter(|beat| beat.vm != own.vm);
         others.for_each(|beat| assert!(table.hear(beat.clone(), at(0))));
-        let duties = [table.is_reader(false, Duration::ZERO, at(100)), table.is_delegate(at(100))];
-        let is_standing = order(&beats).standing().iter().any(|it| *it.vm == own.vm);
-        assert!(is_standing || duties == [false, false], "{}", own.vm);
-        doing = [doing[0] + usize::from(duties[0]), doing[1] + usize::from(duties[1])];
+        let roles = [table.is_reader(false, Duration::ZERO, at(100)), table.is_delegate(at(100))];
+        let is_baseline = order(&beats).baseline().iter().any(|it| *it.vm == own.vm);
+        assert!(is_baseline || roles == [false, false], "{}", own.vm);
+        role_counts =
+            [role_counts[0] + usize::from(roles[0]), role_counts[1] + usize::from(roles[1])];
     }
-    assert_eq!(doing, [2, 2]);
+    assert_eq!(role_counts, [2, 2]);
 }
 
 #[test]
-fn other_regions_are_told_by_way_of_those_in_service_there() {
+fn reports_to_another_region_rotate_over_its_baseline_vms() {
     let beats = region(3, 46);
-    let standing: BTreeSet<VmName> = names(order(&beats).standing()).into_iter().collect();
+    let baseline: BTreeSet<VmName> = names(order(&beats).baseline()).into_iter().collect();
     let mut table = region_table("far", 1, "south");
     beats.iter().for_each(|beat| assert!(table.hear(beat.clone(), at(0))));
     let addresses: BTreeSet<SocketAddr> =
-        beats.iter().filter(|beat| standing.contains(&beat.vm)).map(|beat| beat.peer).collect();
-    let mut told = BTreeSet::new();
-    for _ in 0..standing.len() {
+        beats.iter().filter(|beat| baseline.contains(&beat.vm)).map(|beat| beat.peer).collect();
+    let mut receivers = BTreeSet::new();
+    for _ in 0..baseline.len() {
         let targets = table.one_in_service_of_each_region(at(100));
         assert_eq!(targets.len(), 1);
-        told.extend(targets);
+        receivers.extend(targets);
     }
-    assert_eq!(told, addresses, "each of them in its turn");
+    assert_eq!(receivers, addresses, "each of them once");
 }
 
 #[test]
-fn a_vm_is_doubted_before_it_is_missed() {
+fn vm_is_unresponsive_before_it_is_considered_gone() {
     let mut table = table_of("own", 1);
     let other = beat("other", "north", 1);
     table.hear(other.clone(), at(0));
@@ -232,78 +238,78 @@
 #[case::small(6)]
 #[case::hundred(100)]
 #[case::thousand(1_000)]
-fn what_vms_hear_does_not_grow_with_their_region(#[case] vms: usize) {
+fn received_reports_do_not_grow_with_the_region(#[case] vms: usize) {
     const ACTIVE: usize = 6;
     let address = |at: usize| SocketAddr::from(([127, 9, (at >> 8) as u8, at as u8], 7660));
     let targets: Vec<ReportTarget> =
         (1..vms).map(|at| ReportTarget { address: address(at), is_active: at < ACTIVE }).collect();
     let interval = report_interval(ACTIVE - 1);
     assert_eq!(interval, Duration::from_millis(50));
-    let mut plan = ReportPlanner::default();
-    let mut heard: BTreeMap<SocketAddr, u32> = BTreeMap::new();
+    let mut planner = ReportPlanner::default();
+    let mut received: BTreeMap<SocketAddr, u32> = BTreeMap::new();
     let rounds = Duration::from_secs(3).div_duration_f64(interval) as u32;
     for _ in 0..rounds {
-        let batches = plan.plan_round(&targets, ReportUpdates::default(), interval);
-        let told = batches.iter().flat_map(|batch| &batch.targets);
-        told.for_each(|target| *heard.entry(*target).or_default() += 1);
+        let batches = planner.plan_round(&targets, ReportUpdates::default(), interval);
+        let receivers = batches.iter().flat_map(|batch| &batch.targets);
+        receivers.for_each(|target| *received.entry(*target).or_default() += 1);
     }
-    assert_eq!(heard.len(), vms - 1);
+    assert_eq!(received.len(), vms - 1);
     for target in &targets {
-        let count = heard[&target.address];
+        let count = received[&target.address];
         match target.is_active {
             true => assert_eq!(count, rounds),
-            false => assert!((4..=5).contains(&count), "{target:?} heard {count} in 3 s"),
+            false => assert!((4..=5).contains(&count), "{target:?} received {count} in 3 s"),
         }
     }
 }
 
 /// A VM that is told in turn is told of everything since its last turn, and of nothing twice.
 #[test]
-fn those_who_are_told_in_turn_miss_no_news() {
+fn vms_in_rotation_miss_no_updates() {
     let targets: Vec<ReportTarget> = (1..=20)
         .map(|at| ReportTarget {
             address: SocketAddr::from(([127, 9, 0, at], 7660)),
             is_active: at <= 2,
         })
         .collect();
-    let news = |number: u32| ReportUpdates {
-        regions: vec![RegionReport { sequence: number, ..told_region() }],
+    let updates = |number: u32| ReportUpdates {
+        regions: vec![RegionReport { sequence: number, ..region_report() }],
         ..ReportUpdates::default()
     };
-    let mut plan = ReportPlanner::default();
-    let mut heard: BTreeMap<SocketAddr, Vec<u32>> = BTreeMap::new();
+    let mut planner = ReportPlanner::default();
+    let mut received: BTreeMap<SocketAddr, Vec<u32>> = BTreeMap::new();
     for number in 0..60 {
-        for batch in plan.plan_round(&targets, news(number), Duration::from_millis(50)) {
+        for batch in planner.plan_round(&targets, updates(number), Duration::from_millis(50)) {
             for target in batch.targets {
-                let told = batch.updates.regions.iter().map(|region| region.sequence);
-                heard.entry(target).or_default().extend(told);
+                let sequences = batch.updates.regions.iter().map(|region| region.sequence);
+                received.entry(target).or_default().extend(sequences);
             }
         }
     }
-    for (target, told) in heard {
-        assert!(told.windows(2).all(|pair| pair[1] == pair[0] + 1), "{target}: {told:?}");
-        assert!(told.len() >= 46, "{target} heard of {}", told.len());
+    for (target, sequences) in received {
+        assert!(sequences.windows(2).all(|pair| pair[1] == pair[0] + 1), "{target}: {sequences:?}");
+        assert!(sequences.len() >= 46, "{target} received {}", sequences.len());
     }
 }
 
 /// What a VM is to tell while it has requests would be lost for those whose turn has not come when it has none any
 /// more.
 #[test]
-fn a_vm_whose_requests_end_tells_the_rest_to_all() {
+fn pending_updates_go_to_all_when_requests_end() {
     let address = |at: u8| SocketAddr::from(([127, 9, 0, at], 7660));
     let targets: Vec<ReportTarget> =
         (1..=20).map(|at| ReportTarget { address: address(at), is_active: false }).collect();
-    let news = ReportUpdates { regions: vec![told_region()], ..ReportUpdates::default() };
-    let mut plan = ReportPlanner::default();
-    plan.plan_round(&targets, news.clone(), Duration::from_millis(50));
-    let standing = vec![address(1)];
-    let flushed = plan.plan_idle(&targets, standing.clone(), ReportUpdates::default());
-    assert_eq!((flushed.targets.len(), flushed.updates), (20, news));
-    let later = plan.plan_idle(&targets, standing.clone(), ReportUpdates::default());
-    assert_eq!((later.targets, later.updates.is_empty()), (standing, true));
+    let updates = ReportUpdates { regions: vec![region_report()], ..ReportUpdates::default() };
+    let mut planner = ReportPlanner::default();
+    planner.plan_round(&targets, updates.clone(), Duration::from_millis(50));
+    let baseline = vec![address(1)];
+    let flushed = planner.plan_idle(&targets, baseline.clone(), ReportUpdates::default());
+    assert_eq!((flushed.targets.len(), flushed.updates), (20, updates));
+    let later = planner.plan_idle(&targets, baseline.clone(), ReportUpdates::default());
+    assert_eq!((later.targets, later.updates.is_empty()), (baseline, true));
 }
 
-fn told_region() -> RegionReport {
+fn region_report() -> RegionReport {
     RegionReport {
         region: "south".parse().unwrap(),
         delegate: VmTag(1),
--- a/crates/foldhaven-gateway/src/directory.rs
+++ b/crates/foldhaven-gateway/src/directory.rs
@@ -7,7 +7,7 @@
 use async_trait::async_trait;
 use bytes::Bytes;
 use foldhaven_core::ids::RegionName;
-use foldhaven_core::opaque::directory::{NearService, name_vms};
+use foldhaven_core::opaque::directory::{LocalService, select_vms};
 use http::{Request, StatusCode};
 use hyper::body::Incoming;
 
@@ -53,13 +53,13 @@
         let bound = |region: &RegionName| view.routes.bound_routes_in(&query.host, region);
         let has_bound = view.routes.has_bound_routes(&query.host);
         let settings = &self.shared.settings;
-        let near = NearService {
-            teller: &settings.vm,
+        let near = LocalService {
+            responder: &settings.vm,
             region: settings.region(),
             demand: view.demand,
-            doubted: &view.doubted,
+            unresponsive: &view.doubted,
         };
-        Some(name_vms(&view.beats, &query.region, &near, bound, has_bound))
+        Some(select_vms(&view.beats, &query.region, &near, bound, has_bound))
     }
 }
 
--- a/crates/foldhaven-gateway/src/keeper/mod.rs
+++ b/crates/foldhaven-gateway/src/keeper/mod.rs
@@ -22,7 +22,6 @@
 
 use foldhaven_core::ids::{IncarnationId, UpstreamName, VmName};
 use foldhaven_core::opaque::affinity::{PromptPlacement, UpstreamTag};
-use foldhaven_core::opaque::belief_age::BeliefAge;
 use foldhaven_core::opaque::cpu_demand::PeakCpuDemand;
 use foldhaven_core::opaque::demand_exchange::DemandExchange;
 use foldhaven_core::opaque::load_reports::LoadTable;
@@ -33,6 +32,7 @@
 use foldhaven_core::opaque::report_planner::ReportPlanner;
 use foldhaven_core::opaque::route_table::RouteVersion;
 use foldhaven_core::opaque::sender_agreement::SenderAgreement;
+use foldhaven_core::opaque::view_staleness::ViewStaleness;
 use foldhaven_core::time::MonoTime;
 use tokio::sync::{mpsc, watch};
 use xtra::{Context, Handler};
@@ -138,7 +138,7 @@
     /// How often other VMs were asked for what they know more.
     askings: u32,
     /// How old what is believed of the platform is.
-    belief: BeliefAge,
+    belief: ViewStaleness,
     /// Whether it was so old that it was logged.
     is_belief_old: bool,
     /// Of which revisions others were told without waiting for heartbeats.
@@ -204,7 +204,7 @@
             reports: 0,
             behind: None,
             askings: 0,
-            belief: BeliefAge::default(),
+            belief: ViewStaleness::default(),
             is_belief_old: false,
             told: ToldRevisions::default(),
             offered: OfferedRevision::default(),
--- a/crates/foldhaven-gateway/src/keeper/news.rs
+++ b/crates/foldhaven-gateway/src/keeper/news.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use foldhaven_core::opaque::belief_age::RevisionProof;
 use foldhaven_core::opaque::peer_table::{NewsNotice, PeerTable, VmTag};
+use foldhaven_core::opaque::view_staleness::RevisionConfirmation;
 use foldhaven_core::time::MonoTime;
 use xtra::{Context, Handler};
 
@@ -59,8 +59,8 @@
         }
         let now = self.now();
         if let Some(age) = notice.age() {
-            let proof = RevisionProof { revision: notice.revision, at: now - age };
-            self.belief.hear(proof, self.known.revision());
+            let proof = RevisionConfirmation { revision: notice.revision, at: now - age };
+            self.belief.apply(proof, self.known.revision());
         }
         if notice.revision > self.known.revision() {
             self.offered.note(&notice);
@@ -72,8 +72,8 @@
 impl ControlKeeper {
     /// Notes that an answer of the platform proved what is held now.
     pub(super) fn note_answer(&mut self) {
-        let proof = RevisionProof { revision: self.known.revision(), at: self.now() };
-        self.belief.hear(proof, self.known.revision());
+        let proof = RevisionConfirmation { revision: self.known.revision(), at: self.now() };
+        self.belief.apply(proof, self.known.revision());
     }
 
     /// For how long what is believed has not been proven; since the start when it never was.
@@ -145,10 +145,10 @@
 
     /// Shows how old what is believed is, and says so once when it is old and when it is young again.
     pub(super) fn note_belief_age(&mut self) {
-        self.belief.note_held(self.known.revision());
+        self.belief.advance_to(self.known.revision());
         let age = self.belief_age();
         let age_ms = age.as_millis() as u64;
-        self.shared.set_proven(self.belief.proven());
+        self.shared.set_proven(self.belief.confirmed_at());
         self.shared.metrics.set_level("belief_age_ms", age_ms);
         let (revision, version) = (self.known.revision(), self.version().0);
         let is_disturbed = self.is_disturbed;
--- a/crates/foldhaven-gateway/src/keeper/traffic_view.rs
+++ b/crates/foldhaven-gateway/src/keeper/traffic_view.rs
@@ -148,7 +148,7 @@
         }
         let links = by_region.into_iter().map(|(region, candidates)| {
             let order = ServiceOrder::of(candidates);
-            let standing = order.standing().iter();
+            let standing = order.baseline().iter();
             let links = standing.filter_map(|candidate| self.links.get(candidate.vm).cloned());
             (region.clone(), links.collect())
         });
