--- a/crates/foldhaven-core/src/opaque/directory.rs
+++ b/crates/foldhaven-core/src/opaque/directory.rs
@@ -1,4 +1,4 @@
-//! Which VMs a caller is told to use.
+//! Selects the VMs whose addresses the directory returns to a caller.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -9,31 +9,32 @@
 use crate::rank::rank_hash;
 use crate::units::CoreShare;
 
-/// The most addresses that one answer names; callers use no more.
+/// The maximum number of addresses in one answer; callers use no more.
 pub const MAX_ADDRESSES: usize = 64;
-/// Silent VMs are left out while more than one in so many is heard of, as when one of two data centres is lost;
-/// when fewer are, the fault is rather one of hearing them.
+/// Unresponsive VMs are left out if more than one in this many VMs is responsive, as when one of
+/// two data centres is lost. If fewer are, the connection of this VM is the more likely fault.
 const MIN_RESPONSIVE_RATIO: usize = 3;
 
-/// What the directory knows of its own region.
+/// What the directory knows about its own region.
 pub struct LocalService<'a> {
     /// The VM that answers.
     pub responder: &'a VmName,
     /// Its region.
     pub region: &'a RegionName,
-    /// The processor time that the requests of the region take.
+    /// The CPU time that the requests of the region use.
     pub demand: CoreShare,
-    /// VMs of the region of which nothing has come for a while.
+    /// VMs of the region from which nothing has been received for a while.
     pub unresponsive: &'a BTreeSet<VmName>,
 }
 
-/// The VMs for a caller of a region: those in service of its own region; when none of them serves, those of the
-/// regions that the most routes of its host are bound to. Nobody is named when the host has bound routes
-/// and none of their regions serves, as while the few VMs of a small deployment restart: their requests
-/// must not be led elsewhere, and callers go on with the addresses that they have.
+/// Returns the addresses for a caller of a region: those of the region's VMs in service or, if none
+/// serves, those of the regions to which most routes of the host are bound. Returns none if the
+/// host has bound routes and none of their regions serves, as while the few VMs of a small
+/// deployment restart: the requests must not go elsewhere, and callers keep the addresses that they
+/// have.
 ///
-/// `bound` tells how many routes of the host are bound to a region, `has_bound` whether any is bound at
-/// all.
+/// `bound` returns how many routes of the host are bound to a region; `has_bound` is whether any
+/// route is bound to a region.
 pub fn select_vms(
     serving: &[PeerBeat],
     region: &RegionName,
@@ -68,7 +69,7 @@
     sample_by_size(&in_service.collect::<Vec<_>>(), local.responder)
 }
 
-/// Those that are to take the requests of one region.
+/// Returns the VMs that are to take the requests of one region.
 fn in_service<'a>(
     candidates: Vec<&'a PeerBeat>,
     local: &LocalService<'_>,
@@ -90,9 +91,9 @@
     candidates.into_iter().filter(|beat| names.contains(&beat.vm)).collect()
 }
 
-/// The VMs that one answer names. Callers take each of them as often as any other, so that a VM is left out of
-/// answers the more often the smaller it is; by a rank of the VM that answers, so that its callers are told of the
-/// same ones each time and keep their connections.
+/// Returns the addresses for one answer. Callers use all addresses of an answer equally often, so
+/// smaller VMs are left out of more answers. The choice depends on a rank that includes the
+/// answering VM, so that its callers get the same addresses each time and keep their connections.
 fn sample_by_size(selected: &[&PeerBeat], responder: &VmName) -> Vec<SocketAddr> {
     let largest = selected.iter().map(|beat| beat.cores.as_f64()).fold(0.0, f64::max);
     let weight = |beat: &PeerBeat| if largest > 0.0 { beat.cores.as_f64() / largest } else { 1.0 };
--- a/crates/foldhaven-core/src/opaque/service_order.rs
+++ b/crates/foldhaven-core/src/opaque/service_order.rs
@@ -1,11 +1,12 @@
-//! Which VMs of a region take its callers' requests: as few as the load of the last seconds needs.
+//! Which VMs of a region take the requests of its callers: as few as the recent load needs.
 //!
-//! The pattern that it answers: hundreds of VMs that each decide alone on a few requests a second. What they
-//! report to each other grows with their square, so that it must come seldom; by the time that a report arrives
-//! many others have sent to the place that it shows as the best. A VM that meets an upstream every few seconds
-//! opens a connection for each request. Ten VMs that take the same requests hear each other every 50 ms and keep
-//! their connections. The other VMs stand by: they know all that is published, and are named to callers within
-//! a second when load or losses ask for them.
+//! If each of hundreds of VMs handled a few requests per second, the load reports between them
+//! would grow with the square of their number and would have to be rare. By the time that a report
+//! arrives, many other VMs have sent requests to the upstream that it shows as the best. A VM that
+//! uses an upstream only every few seconds also opens a connection for each request. Ten VMs that
+//! take the same requests exchange reports every 50 ms and keep their connections. The other VMs
+//! stand by: they hold all published state, and the directory returns them within a second when
+//! load or failures require them.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -15,41 +16,45 @@
 use crate::rank::rank_hash;
 use crate::units::CoreShare;
 
-/// The fewest VMs that take requests, where a region has as many. The loss of any two then moves a third of the
-/// callers, and each of two data centres has three.
+/// The minimum number of VMs that take requests, if the region has as many. The loss of any two
+/// then moves a third of the callers, and each of two data centres has three VMs.
 const MIN_MEMBERS: usize = 6;
-/// The part of a region's cores that takes requests at any load: what load will come is not known after a start.
+/// The fraction of a region's cores that takes requests at any load, since the coming load is
+/// unknown after a start.
 const BASELINE_SHARE: f64 = 0.25;
-/// The most VMs that do so: the more there are, the older is what they know of each other. Simulated before 42
-/// engines with a burst of three times the load, 33 VMs in place of 11 lose 0.012 of the worth.
+/// The maximum number of VMs that take requests at any load: the more there are, the older their
+/// reports about each other are. With 42 engines and a burst of three times the load, 33 VMs
+/// instead of 11 lose 0.012 of the total worth of the requests.
 const MAX_BASELINE: usize = 12;
-/// How many times the processor time of the last seconds those in service have. Callers hold on to an answer of
-/// the directory for seconds, in which a burst doubles the load or one of two data centres is lost.
+/// The CPU capacity of the VMs in service, as a multiple of the recent demand. Callers keep a
+/// directory answer for seconds, in which a burst may double the load or one of two data centres
+/// may fail.
 const DEMAND_HEADROOM: f64 = 2.0;
-/// The key by which VMs of one size are ranked.
+/// The hash key that ranks VMs of the same size.
 const ORDER_KEY: &str = "service-order";
 
-/// A VM that serves, as far as the order of service looks at it.
+/// A VM that serves, with the properties that determine its position.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServiceCandidate<'a> {
     /// Its name.
     pub vm: &'a VmName,
-    /// The data centre that it stands in.
+    /// Its data centre.
     pub data_centre: &'a DataCentreName,
-    /// The processor that it has.
+    /// Its CPU cores.
     pub cores: CoreShare,
 }
 
 impl<'a> ServiceCandidate<'a> {
-    /// The VM of a heartbeat.
+    /// Returns the candidate for a heartbeat.
     pub fn of(beat: &'a PeerBeat) -> Self {
         Self { vm: &beat.vm, data_centre: &beat.data_centre, cores: beat.cores }
     }
 }
 
-/// The VMs that serve in one region, in the order in which they are put to use: large ones first, those of one
-/// size in turn from each data centre, and there by a rank. All VMs that know the same VMs make the same order;
-/// the loss of one moves those behind it by a place.
+/// The VMs that serve in one region, in the order in which they are put in service: by descending
+/// size, then in rotation over the data centres, and by rank within each of them. All VMs that know
+/// of the same VMs compute the same order. The loss of one VM moves the following ones up by one
+/// position.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceOrder<'a>(Vec<ServiceCandidate<'a>>);
 
@@ -75,31 +80,32 @@
         Self(interleaved.into_iter().map(|(_, candidate)| candidate).collect())
     }
 
-    /// How many VMs there are.
+    /// Returns the number of VMs.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether there is none.
+    /// Whether there are no VMs.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Those that take requests at any load. What only a few VMs are to do falls to them.
+    /// Returns the VMs that take requests at any load. They also perform the tasks that only a few
+    /// VMs should have.
     pub fn baseline(&self) -> &[ServiceCandidate<'a>] {
         let all: f64 = self.0.iter().map(|candidate| candidate.cores.as_f64()).sum();
         let prefix = self.first_with_cores(all * BASELINE_SHARE);
         &prefix[..prefix.len().min(MAX_BASELINE)]
     }
 
-    /// Those that take requests while all of them together use so much processor time for them.
+    /// Returns the VMs that take requests while all requests together use `demand`.
     pub fn for_demand(&self, demand: CoreShare) -> &[ServiceCandidate<'a>] {
         let by_demand = self.first_with_cores(demand.as_f64() * DEMAND_HEADROOM);
         let baseline = self.baseline();
         if by_demand.len() > baseline.len() { by_demand } else { baseline }
     }
 
-    /// The first ones that have so many cores, and [`LEAST_MEMBERS`] at least.
+    /// Returns the first VMs that together have the given cores, and at least [`MIN_MEMBERS`].
     fn first_with_cores(&self, cores: f64) -> &[ServiceCandidate<'a>] {
         let mut total = 0.0;
         let last_index = self.0.iter().position(|candidate| {
--- a/crates/foldhaven-core/src/opaque/view_staleness.rs
+++ b/crates/foldhaven-core/src/opaque/view_staleness.rs
@@ -1,34 +1,38 @@
-//! How old what a VM believes of the platform is: for how long it has not been proven that nothing else was published.
+//! How stale a VM's view of the platform state is: the time since it was last confirmed that
+//! nothing newer was published.
 //!
-//! The pattern that it answers: a region of which all readers get no answer. Its VMs hold the same revision, so that nobody is
-//! ahead and nobody asks, and all of them decide by what is seconds old. Here each answer of the platform proves what its
-//! reader holds. Readers tell the others with which revision and how long ago, and it counts for whoever holds that revision
-//! or a later one: a chain that ends at an answer of the platform. Ages cross between VMs and not times, so that no two
-//! clocks are compared; the time that a message takes is not counted.
+//! Guards against a region whose readers all get no answer from the platform: its VMs hold the same
+//! revision, so none is ahead and none asks for changes, and all of them decide on data that is
+//! seconds old. Each answer of the platform confirms the revision that its reader holds. Readers
+//! send the others this revision and the age of the confirmation, which is valid for every VM that
+//! holds the revision or a later one. Each chain of confirmations ends at an answer of the
+//! platform. VMs exchange ages instead of times, so clocks are never compared; the message delay is
+//! not counted.
 
 use std::time::Duration;
 
 use crate::time::MonoTime;
 
-/// That nothing after a revision was published by some time.
+/// Confirms that nothing after `revision` was published before `at`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RevisionConfirmation {
     /// The revision.
     pub revision: u64,
-    /// The time, by the clock of this process.
+    /// The time, on the clock of this process.
     pub at: MonoTime,
 }
 
-/// The last proof that what is held was all there is.
+/// The last confirmation that a VM's state is complete.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ViewStaleness {
     confirmed_at: Option<MonoTime>,
-    /// The newest proof of a revision that is not held yet.
+    /// The newest confirmation of a revision that this VM does not hold yet.
     pending: Option<RevisionConfirmation>,
 }
 
 impl ViewStaleness {
-    /// Takes in a proof, where `held` is the revision up to which all is known here.
+    /// Applies a confirmation, where `held` is the revision up to which this VM's state is
+    /// complete.
     pub fn apply(&mut self, confirmation: RevisionConfirmation, held: u64) {
         if confirmation.revision <= held {
             self.confirmed_at = self.confirmed_at.max(Some(confirmation.at));
@@ -37,19 +41,19 @@
         }
     }
 
-    /// Takes in that all is known here up to a revision.
+    /// Applies that this VM's state is now complete up to revision `held`.
     pub fn advance_to(&mut self, held: u64) {
         if let Some(confirmation) = self.pending.take_if(|pending| pending.revision <= held) {
             self.apply(confirmation, held);
         }
     }
 
-    /// When what is held was proven last; nothing before the first time.
+    /// Returns the time of the last confirmation; `None` before the first one.
     pub fn confirmed_at(&self) -> Option<MonoTime> {
         self.confirmed_at
     }
 
-    /// For how long it has not been proven.
+    /// Returns the time since the last confirmation; `None` before the first one.
     pub fn age(&self, now: MonoTime) -> Option<Duration> {
         self.confirmed_at.map(|confirmed_at| now.since(confirmed_at))
     }
--- a/crates/foldhaven-core/tests/testsuite/opaque_routes.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_routes.rs
@@ -1,4 +1,4 @@
-//! Routes of opaque requests and the directory's answers.
+//! Routes of opaque requests, and the VMs that the directory selects.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -106,7 +106,7 @@
     assert!(!bound.permits(&"south".parse().unwrap()));
 }
 
-/// What a VM of the region `north` answers, where nothing has been asked for yet.
+/// The addresses that a VM of the region `north` returns, without any demand yet.
 fn select_for(
     beats: &[PeerBeat],
     region: &RegionName,
@@ -144,8 +144,8 @@
     assert_eq!(named, expected_addresses);
 }
 
-/// Found on a deployment of one VM a region: while two of the three restarted in turn, callers of bound
-/// routes were led to the third, which must not run them.
+/// Guards against callers of region-bound routes being directed to a region that must not run them:
+/// with one VM per region, this happened while two of the three restarted in turn.
 #[rstest]
 #[case::no_bound_route(false, 1)]
 #[case::bound_elsewhere(true, 0)]
--- a/crates/foldhaven-core/tests/testsuite/opaque_service.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_service.rs
@@ -1,4 +1,5 @@
-//! Hundreds of VMs before one region: how few of them take its requests, and how many hear of each.
+//! Service order, directory and report rotation in regions of hundreds of VMs: only a few VMs take
+//! requests, and each VM receives few reports.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -21,7 +22,7 @@
     CoreShare::of_cores(cores)
 }
 
-/// A region of two data centres with so many large and small VMs in each.
+/// A region of two data centres with the given number of large and small VMs in each.
 fn region(large: usize, small: usize) -> Vec<PeerBeat> {
     let mut beats = Vec::new();
     for centre in ["hall-a", "hall-b"] {
@@ -68,7 +69,8 @@
     assert!(counts[0].abs_diff(counts[1]) <= 1, "one data centre has most of them: {counts:?}");
 }
 
-/// What VMs know of each other gets older with each that takes requests, so that a larger region has not more.
+/// A larger region has no more baseline VMs, since what VMs know of each other gets older with each
+/// VM that takes requests.
 #[test]
 fn large_region_has_no_more_baseline_vms() {
     let beats = region(9, 141);
@@ -76,7 +78,7 @@
     assert!(order(&beats).for_demand(cores(6.0)).len() > 12);
 }
 
-/// Nine VMs in three regions are all needed: with fewer the loss of one would show.
+/// With nine VMs in three regions all are needed: with fewer, the loss of one would be noticed.
 #[test]
 fn all_vms_of_a_small_region_take_requests() {
     let beats = region(0, 3);
@@ -131,8 +133,9 @@
     select_vms(beats, &region, &near, |_| 0, false)
 }
 
-/// Callers take each named VM as often as any other: by the answers of all VMs together a VM of a quarter of the
-/// size is to be taken a quarter as often.
+/// Guards against callers overloading small VMs: callers use each address of an answer equally
+/// often, so over the answers of all VMs together a VM of a quarter of the size must be selected a
+/// quarter as often.
 #[test]
 fn callers_are_distributed_by_vm_size() {
     let beats = region(3, 46);
@@ -163,7 +166,7 @@
         assert!((32..=MAX_ADDRESSES).contains(&named.len()), "{}", named.len());
         named.into_iter().for_each(|address| *selections.entry(address).or_default() += 1);
     }
-    // Two names may share an address here.
+    // Two test VMs may share an address.
     let addresses: BTreeSet<SocketAddr> = beats.iter().map(|beat| beat.caller).collect();
     assert_eq!(selections.len(), addresses.len(), "each is in some answer");
 }
@@ -181,7 +184,8 @@
     assert!(answer(&beats, "n1", 9.0, &most).contains(&beats[0].caller));
 }
 
-/// Changes of the platform fill the link of a small VM that tells them to a hundred others.
+/// Guards against small VMs in special roles: sending platform changes to a hundred others
+/// saturates the link of a small VM.
 #[test]
 fn special_roles_go_to_large_vms() {
     let beats = region(3, 46);
@@ -232,8 +236,9 @@
     assert_eq!(table.near(at(1_700)).count(), 1, "it still counts as live");
 }
 
-/// What a VM hears in a second, of whatever size its region is. If all reported to all, 100 VMs would hear each other
-/// every 300 ms, and 300 VMs every 900 ms.
+/// The reports that a VM receives per second do not depend on the size of its region. If all VMs
+/// reported to all, 100 VMs would receive each other's reports every 300 ms, and 300 VMs every 900
+/// ms.
 #[rstest]
 #[case::small(6)]
 #[case::hundred(100)]
@@ -263,7 +268,8 @@
     }
 }
 
-/// A VM that is told in turn is told of everything since its last turn, and of nothing twice.
+/// A VM that receives reports in rotation gets all updates since its previous report, and none
+/// twice.
 #[test]
 fn vms_in_rotation_miss_no_updates() {
     let targets: Vec<ReportTarget> = (1..=20)
@@ -292,8 +298,8 @@
     }
 }
 
-/// What a VM is to tell while it has requests would be lost for those whose turn has not come when it has none any
-/// more.
+/// Guards against the loss of updates for VMs whose turn in the rotation had not come when the
+/// sender's requests ended.
 #[test]
 fn pending_updates_go_to_all_when_requests_end() {
     let address = |at: u8| SocketAddr::from(([127, 9, 0, at], 7660));
