--- a/crates/foldhaven-core/src/opaque/directory.rs
+++ b/crates/foldhaven-core/src/opaque/directory.rs
@@ -1,4 +1,4 @@
-//! Which VMs a caller is told to use.
+//! Selects the VMs whose addresses the directory returns to a caller.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -9,99 +9,104 @@
 use crate::rank::rank_hash;
 use crate::units::CoreShare;
 
-/// The most addresses that one answer names; callers use no more.
-pub const MAX_NAMED: usize = 64;
-/// Silent VMs are left out while more than one in so many is heard of, as when one of two data centres is lost;
-/// when fewer are, the fault is rather one of hearing them.
-const LEAST_HEARD: usize = 3;
+/// The maximum number of addresses in one answer; callers use no more.
+pub const MAX_ADDRESSES: usize = 64;
+/// Unresponsive VMs are left out if more than one in this many VMs is responsive, as when one of
+/// two data centres is lost. If fewer are, the connection of this VM is the more likely fault.
+const MIN_RESPONSIVE_RATIO: usize = 3;
 
-/// What the directory knows of its own region.
-pub struct NearService<'a> {
-    /// The VM that answers.
-    pub teller: &'a VmName,
-    /// Its region.
-    pub region: &'a RegionName,
-    /// The processor time that the requests of the region take.
-    pub demand: CoreShare,
-    /// VMs of the region of which nothing has come for a while.
-    pub doubted: &'a BTreeSet<VmName>,
+/// What the directory knows about its own region.
+pub struct LocalService<'a> {
+/// The VM that answers.
+pub responder: &'a VmName,
+/// Its region.
+pub region: &'a RegionName,
+/// The CPU time that the requests of the region use.
+pub demand: CoreShare,
+/// VMs of the region from which nothing has been received for a while.
+pub unresponsive: &'a BTreeSet<VmName>,
 }
 
-/// The VMs for a caller of a region: those in service of its own region; when none of them serves, those of the
-/// regions that the most routes of its host are bound to. Nobody is named when the host has bound routes
-/// and none of their regions serves, as while the few VMs of a small deployment restart: their requests
-/// must not be led elsewhere, and callers go on with the addresses that they have.
+/// Returns the addresses for a caller of a region: those of the region's VMs in service or, if none
+/// serves, those of the regions to which most routes of the host are bound. Returns none if the
+/// host has bound routes and none of their regions serves, as while the few VMs of a small
+/// deployment restart: the requests must not go elsewhere, and callers keep the addresses that they
+/// have.
 ///
-/// `bound` tells how many routes of the host are bound to a region, `has_bound` whether any is bound at
-/// all.
-pub fn name_vms(
-    serving: &[PeerHeartbeat],
-    region: &RegionName,
-    near: &NearService<'_>,
-    bound: impl Fn(&RegionName) -> usize,
-    has_bound: bool,
+/// `bound` returns how many routes of the host are bound to a region; `has_bound` is whether any
+/// route is bound to a region.
+pub fn select_vms(
+serving: &[PeerHeartbeat],
+region: &RegionName,
+local: &LocalService<'_>,
+bound: impl Fn(&RegionName) -> usize,
+has_bound: bool,
 ) -> Vec<SocketAddr> {
-    let own = select(serving, near, |beat| beat.region == *region);
-    if !own.is_empty() {
-        return own;
-    }
-    let open = serving.iter().filter(|beat| beat.phase == PeerPhase::Serving);
-    let most = open.map(|beat| bound(&beat.region)).max().unwrap_or_default();
-    if most == 0 && has_bound {
-        return Vec::new();
-    }
-    select(serving, near, |beat| bound(&beat.region) == most)
+let own = select(serving, local, |beat| beat.region == *region);
+if !own.is_empty() {
+return own;
+}
+let candidates = serving.iter().filter(|beat| beat.phase == PeerPhase::Serving);
+let most = candidates.map(|beat| bound(&beat.region)).max().unwrap_or_default();
+if most == 0 && has_bound {
+return Vec::new();
+}
+select(serving, local, |beat| bound(&beat.region) == most)
 }
 
 fn select(
-    serving: &[PeerHeartbeat],
-    near: &NearService<'_>,
-    passes: impl Fn(&PeerHeartbeat) -> bool,
+serving: &[PeerHeartbeat],
+local: &LocalService<'_>,
+passes: impl Fn(&PeerHeartbeat) -> bool,
 ) -> Vec<SocketAddr> {
-    let open = serving.iter().filter(|beat| beat.phase == PeerPhase::Serving && passes(beat));
-    let open: Vec<&PeerHeartbeat> = open.collect();
-    let regions: BTreeSet<&RegionName> = open.iter().map(|beat| &beat.region).collect();
-    let in_service = regions.into_iter().flat_map(|region| {
-        let there = open.iter().copied().filter(|beat| beat.region == *region).collect();
-        in_service(there, near, region)
-    });
-    draw(&in_service.collect::<Vec<_>>(), near.teller)
+let candidates = serving.iter().filter(|beat| beat.phase == PeerPhase::Serving && passes(beat));
+let candidates: Vec<&PeerHeartbeat> = candidates.collect();
+let regions: BTreeSet<&RegionName> = candidates.iter().map(|beat| &beat.region).collect();
+let in_service = regions.into_iter().flat_map(|region| {
+let in_region = candidates.iter().copied().filter(|beat| beat.region == *region).collect();
+in_service(in_region, local, region)
+});
+sample_by_size(&in_service.collect::<Vec<_>>(), local.responder)
 }
 
-/// Those that are to take the requests of one region.
+/// Returns the VMs that are to take the requests of one region.
 fn in_service<'a>(
-    open: Vec<&'a PeerHeartbeat>,
-    near: &NearService<'_>,
-    region: &RegionName,
+candidates: Vec<&'a PeerHeartbeat>,
+local: &LocalService<'_>,
+region: &RegionName,
 ) -> Vec<&'a PeerHeartbeat> {
-    let heard: Vec<&PeerHeartbeat> =
-        open.iter().copied().filter(|beat| !near.doubted.contains(&beat.vm)).collect();
-    let open = if heard.len() * LEAST_HEARD > open.len() { heard } else { open };
-    let order = ServiceOrder::of(open.iter().map(|beat| ServiceCandidate::of(beat)));
-    let chosen = match region == near.region {
-        true => order.for_demand(near.demand),
-        false => order.standing(),
-    };
-    let names: BTreeSet<&VmName> = chosen.iter().map(|candidate| candidate.vm).collect();
-    open.into_iter().filter(|beat| names.contains(&beat.vm)).collect()
+let responsive: Vec<&PeerHeartbeat> =
+candidates.iter().copied().filter(|beat| !local.unresponsive.contains(&beat.vm)).collect();
+let candidates = if responsive.len() * MIN_RESPONSIVE_RATIO > candidates.len() {
+responsive
+} else {
+candidates
+};
+let order = ServiceOrder::of(candidates.iter().map(|beat| ServiceCandidate::of(beat)));
+let selected = match region == local.region {
+true => order.for_demand(local.demand),
+false => order.baseline(),
+};
+let names: BTreeSet<&VmName> = selected.iter().map(|candidate| candidate.vm).collect();
+candidates.into_iter().filter(|beat| names.contains(&beat.vm)).collect()
 }
 
-/// The VMs that one answer names. Callers take each of them as often as any other, so that a VM is left out of
-/// answers the more often the smaller it is; by a rank of the VM that answers, so that its callers are told of the
-/// same ones each time and keep their connections.
-fn draw(chosen: &[&PeerHeartbeat], teller: &VmName) -> Vec<SocketAddr> {
-    let largest = chosen.iter().map(|beat| beat.cores.as_cores()).fold(0.0, f64::max);
-    let part =
-        |beat: &PeerHeartbeat| if largest > 0.0 { beat.cores.as_cores() / largest } else { 1.0 };
-    let parts: f64 = chosen.iter().map(|beat| part(beat)).sum();
-    let fitting = (MAX_NAMED as f64 / parts).min(1.0);
-    let lot = |beat: &PeerHeartbeat| rank_hash(&[teller.as_str(), beat.vm.as_str()]);
-    let mut drawn: Vec<(f64, &PeerHeartbeat)> = chosen
-        .iter()
-        .map(|beat| (lot(beat) as f64 / u64::MAX as f64 / (part(beat) * fitting), *beat))
-        .collect();
-    drawn.sort_by(|left, right| left.0.total_cmp(&right.0));
-    let count = drawn.iter().filter(|(lot, _)| *lot <= 1.0).count();
-    let named = drawn.iter().take(count.clamp(1, MAX_NAMED));
-    named.map(|(_, beat)| beat.caller).collect()
+/// Returns the addresses for one answer. Callers use all addresses of an answer equally often, so
+/// smaller VMs are left out of more answers. The choice depends on a rank that includes the
+/// answering VM, so that its callers get the same addresses each time and keep their connections.
+fn sample_by_size(selected: &[&PeerHeartbeat], responder: &VmName) -> Vec<SocketAddr> {
+let largest = selected.iter().map(|beat| beat.cores.as_cores()).fold(0.0, f64::max);
+let weight =
+|beat: &PeerHeartbeat| if largest > 0.0 { beat.cores.as_cores() / largest } else { 1.0 };
+let total_weight: f64 = selected.iter().map(|beat| weight(beat)).sum();
+let fit = (MAX_ADDRESSES as f64 / total_weight).min(1.0);
+let rank = |beat: &PeerHeartbeat| rank_hash(&[responder.as_str(), beat.vm.as_str()]);
+let mut ranked: Vec<(f64, &PeerHeartbeat)> = selected
+.iter()
+.map(|beat| (rank(beat) as f64 / u64::MAX as f64 / (weight(beat) * fit), *beat))
+.collect();
+ranked.sort_by(|left, right| left.0.total_cmp(&right.0));
+let count = ranked.iter().filter(|(rank, _)| *rank <= 1.0).count();
+let named = ranked.iter().take(count.clamp(1, MAX_ADDRESSES));
+named.map(|(_, beat)| beat.caller).collect()
 }
--- a/crates/foldhaven-core/tests/testsuite/opaque_news.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_news.rs
@@ -6,8 +6,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use foldhaven_core::opaque::belief_age::{BeliefAge, RevisionProof};
-use foldhaven_core::opaque::peer_table::{OfferedRevision, PeerTable, RevisionAnnouncement, VmTag};
+use foldhaven_core::opaque::peer_table::{NewsNotice, OfferedRevision, PeerTable, VmTag};
+use foldhaven_core::opaque::view_staleness::{OfferedRevision, PeerTable, RevisionAnnouncement, VmTag};
 use foldhaven_core::time::MonoTime;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -17,8 +17,8 @@
 
 const MILLIS: fn(u64) -> Duration = Duration::from_millis;
 
-fn confirmation(revision: u64, millis: u64) -> RevisionProof {
-RevisionProof { revision, at: at(millis) }
+fn confirmation(revision: u64, millis: u64) -> RevisionConfirmation {
+RevisionConfirmation { revision, at: at(millis) }
 }
 
 fn announcement(vm: &str, revision: u64) -> RevisionAnnouncement {
@@ -50,21 +50,21 @@
 
 #[test]
 fn a_confirmation_counts_once_its_revision_is_known() {
-let mut staleness = BeliefAge::default();
+let mut staleness = ViewStaleness::default();
 assert_eq!(staleness.age(at(100)), None, "nothing is confirmed");
-staleness.hear(confirmation(7, 100), 7);
+staleness.apply(confirmation(7, 100), 7);
 assert_eq!(staleness.age(at(300)), Some(MILLIS(200)));
-staleness.hear(confirmation(9, 400), 7);
+staleness.apply(confirmation(9, 400), 7);
 assert_eq!(
 staleness.age(at(500)),
 Some(MILLIS(400)),
 "the confirmed revision is not known here"
 );
-staleness.note_held(8);
+staleness.advance_to(8);
 assert_eq!(staleness.age(at(500)), Some(MILLIS(400)), "the known revision is still earlier");
-staleness.note_held(9);
+staleness.advance_to(9);
 assert_eq!(staleness.age(at(500)), Some(MILLIS(100)));
-staleness.hear(confirmation(9, 200), 9);
+staleness.apply(confirmation(9, 200), 9);
 assert_eq!(staleness.age(at(500)), Some(MILLIS(100)), "an earlier confirmation has no effect");
 }
 
@@ -76,7 +76,7 @@
 const VMS: usize = 6;
 let mut random = StdRng::seed_from_u64(seed);
 let mut published: BTreeMap<MonoTime, u64> = BTreeMap::from([(at(0), 1)]);
-let mut vms = vec![(BeliefAge::default(), 0_u64); VMS];
+let mut vms = vec![(ViewStaleness::default(), 0_u64); VMS];
 for millis in (1..20_000).step_by(7) {
 let now = at(millis);
 let newest = *published.values().next_back().expect("there is a first revision");
@@ -86,24 +86,24 @@
 1 => {
 let (staleness, known) = &mut vms[own];
 *known = newest;
-staleness.hear(RevisionProof { revision: newest, at: now }, newest);
+staleness.apply(RevisionConfirmation { revision: newest, at: now }, newest);
 }
 2 | 3 => {
 // A VM copies the state of another one without learning its age.
 let known = vms[own].1.max(vms[other].1);
 vms[own].1 = known;
-vms[own].0.note_held(known);
+vms[own].0.advance_to(known);
 }
 _ => {
 let (reported, revision) = vms[other];
 let (staleness, known) = &mut vms[own];
 if let Some(age) = reported.age(now) {
-staleness.hear(RevisionProof { revision, at: now - age }, *known);
+staleness.apply(RevisionConfirmation { revision, at: now - age }, *known);
 }
 }
 }
 for (staleness, known) in &vms {
-let Some(confirmed_at) = staleness.proven() else { continue };
+let Some(confirmed_at) = staleness.confirmed_at() else { continue };
 let published_then =
 published.range(..confirmed_at).next_back().map_or(0, |(_, revision)| *revision);
 assert!(
