--- a/crates/foldhaven-core/src/opaque/service_order.rs
+++ b/crates/foldhaven-core/src/opaque/service_order.rs
@@ -36,19 +36,19 @@
 /// A VM that serves, with the properties that determine its position.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServiceCandidate<'a> {
-/// Its name.
-pub vm: &'a VmName,
-/// Its data centre.
-pub data_centre: &'a DataCentreName,
-/// Its CPU cores.
-pub cores: CoreShare,
+    /// Its name.
+    pub vm: &'a VmName,
+    /// Its data centre.
+    pub data_centre: &'a DataCentreName,
+    /// Its CPU cores.
+    pub cores: CoreShare,
 }
 
 impl<'a> ServiceCandidate<'a> {
-/// Returns the candidate for a heartbeat.
-pub fn of(beat: &'a PeerHeartbeat) -> Self {
-Self { vm: &beat.vm, data_centre: &beat.data_centre, cores: beat.cores }
-}
+    /// Returns the candidate for a heartbeat.
+    pub fn of(beat: &'a PeerHeartbeat) -> Self {
+        Self { vm: &beat.vm, data_centre: &beat.data_centre, cores: beat.cores }
+    }
 }
 
 /// The VMs that serve in one region, in the order in which they are put in service: by descending
@@ -59,60 +59,60 @@
 pub struct ServiceOrder<'a>(Vec<ServiceCandidate<'a>>);
 
 impl<'a> ServiceOrder<'a> {
-/// Orders the VMs of one region.
-pub fn of(candidates: impl IntoIterator<Item = ServiceCandidate<'a>>) -> Self {
-let mut ranked: Vec<(ServiceCandidate<'a>, u64)> = candidates
-.into_iter()
-.map(|candidate| (candidate, rank_hash(&[ORDER_KEY, candidate.vm.as_str()])))
-.collect();
-ranked.sort_by_key(|(candidate, rank)| (Reverse(candidate.cores), *rank));
-let mut rotations: BTreeMap<(CoreShare, &DataCentreName), usize> = BTreeMap::new();
-let mut interleaved: Vec<(usize, ServiceCandidate<'a>)> = ranked
-.into_iter()
-.map(|(candidate, _)| {
-let position =
-rotations.entry((candidate.cores, candidate.data_centre)).or_default();
-*position += 1;
-(*position, candidate)
-})
-.collect();
-interleaved.sort_by_key(|(position, candidate)| (Reverse(candidate.cores), *position));
-Self(interleaved.into_iter().map(|(_, candidate)| candidate).collect())
-}
+    /// Orders the VMs of one region.
+    pub fn of(candidates: impl IntoIterator<Item = ServiceCandidate<'a>>) -> Self {
+        let mut ranked: Vec<(ServiceCandidate<'a>, u64)> = candidates
+            .into_iter()
+            .map(|candidate| (candidate, rank_hash(&[ORDER_KEY, candidate.vm.as_str()])))
+            .collect();
+        ranked.sort_by_key(|(candidate, rank)| (Reverse(candidate.cores), *rank));
+        let mut rotations: BTreeMap<(CoreShare, &DataCentreName), usize> = BTreeMap::new();
+        let mut interleaved: Vec<(usize, ServiceCandidate<'a>)> = ranked
+            .into_iter()
+            .map(|(candidate, _)| {
+                let position =
+                    rotations.entry((candidate.cores, candidate.data_centre)).or_default();
+                *position += 1;
+                (*position, candidate)
+            })
+            .collect();
+        interleaved.sort_by_key(|(position, candidate)| (Reverse(candidate.cores), *position));
+        Self(interleaved.into_iter().map(|(_, candidate)| candidate).collect())
+    }
 
-/// Returns the number of VMs.
-pub fn len(&self) -> usize {
-self.0.len()
-}
+    /// Returns the number of VMs.
+    pub fn len(&self) -> usize {
+        self.0.len()
+    }
 
-/// Whether there are no VMs.
-pub fn is_empty(&self) -> bool {
-self.0.is_empty()
-}
+    /// Whether there are no VMs.
+    pub fn is_empty(&self) -> bool {
+        self.0.is_empty()
+    }
 
-/// Returns the VMs that take requests at any load. They also perform the tasks that only a few
-/// VMs should have.
-pub fn baseline(&self) -> &[ServiceCandidate<'a>] {
-let all: f64 = self.0.iter().map(|candidate| candidate.cores.as_cores()).sum();
-let prefix = self.first_with_cores(all * BASELINE_SHARE);
-&prefix[..prefix.len().min(MAX_BASELINE)]
-}
+    /// Returns the VMs that take requests at any load. They also perform the tasks that only a few
+    /// VMs should have.
+    pub fn baseline(&self) -> &[ServiceCandidate<'a>] {
+        let all: f64 = self.0.iter().map(|candidate| candidate.cores.as_cores()).sum();
+        let prefix = self.first_with_cores(all * BASELINE_SHARE);
+        &prefix[..prefix.len().min(MAX_BASELINE)]
+    }
 
-/// Returns the VMs that take requests while all requests together use `demand`.
-pub fn for_demand(&self, demand: CoreShare) -> &[ServiceCandidate<'a>] {
-let by_demand = self.first_with_cores(demand.as_cores() * DEMAND_HEADROOM);
-let baseline = self.baseline();
-if by_demand.len() > baseline.len() { by_demand } else { baseline }
-}
+    /// Returns the VMs that take requests while all requests together use `demand`.
+    pub fn for_demand(&self, demand: CoreShare) -> &[ServiceCandidate<'a>] {
+        let by_demand = self.first_with_cores(demand.as_cores() * DEMAND_HEADROOM);
+        let baseline = self.baseline();
+        if by_demand.len() > baseline.len() { by_demand } else { baseline }
+    }
 
-/// Returns the first VMs that together have the given cores, and at least [`MIN_MEMBERS`].
-fn first_with_cores(&self, cores: f64) -> &[ServiceCandidate<'a>] {
-let mut total = 0.0;
-let last_index = self.0.iter().position(|candidate| {
-total += candidate.cores.as_cores();
-total >= cores
-});
-let count = last_index.map_or(self.0.len(), |at| at + 1);
-&self.0[..count.max(MIN_MEMBERS).min(self.0.len())]
-}
+    /// Returns the first VMs that together have the given cores, and at least [`MIN_MEMBERS`].
+    fn first_with_cores(&self, cores: f64) -> &[ServiceCandidate<'a>] {
+        let mut total = 0.0;
+        let last_index = self.0.iter().position(|candidate| {
+            total += candidate.cores.as_cores();
+            total >= cores
+        });
+        let count = last_index.map_or(self.0.len(), |at| at + 1);
+        &self.0[..count.max(MIN_MEMBERS).min(self.0.len())]
+    }
 }
