--- a/crates/foldhaven-core/src/opaque/route_delta.rs
+++ b/crates/foldhaven-core/src/opaque/route_delta.rs
@@ -19,14 +19,14 @@
         /// The version that it begins at.
         after: RouteVersion,
         /// The version that is held.
-        held: RouteVersion,
+        base: RouteVersion,
     },
     /// the difference makes {made} routes where there are {wanted}
     Count {
         /// How many routes came out.
-        made: usize,
+        produced: usize,
         /// How many the description has.
-        wanted: usize,
+        expected: usize,
     },
 }
 
@@ -60,20 +60,20 @@
 impl RouteDelta {
     /// The difference between two descriptions; nothing when routes in one of them share a name, so that
     /// names do not tell them apart.
-    pub fn between(held: &RouteDescription, offered: &RouteDescription) -> Option<Self> {
-        let (before, then) = (by_name(held)?, by_name(offered)?);
-        let is_written = |route: &&Arc<OpaqueRoute>| before.get(&route.name) != Some(route);
-        let removed = before.keys().filter(|name| !then.contains_key(*name));
+    pub fn between(base: &RouteDescription, target: &RouteDescription) -> Option<Self> {
+        let (old_routes, new_routes) = (by_name(base)?, by_name(target)?);
+        let is_changed = |route: &&Arc<OpaqueRoute>| old_routes.get(&route.name) != Some(route);
+        let removed = old_routes.keys().filter(|name| !new_routes.contains_key(*name));
         Some(Self {
-            after: held.version,
-            version: offered.version,
-            written: offered.routes.iter().filter(is_written).cloned().collect(),
+            after: base.version,
+            version: target.version,
+            written: target.routes.iter().filter(is_changed).cloned().collect(),
             removed: removed.map(|name| (*name).clone()).collect(),
-            services: (held.services != offered.services).then(|| offered.services.clone()),
-            limits: (held.limits != offered.limits).then_some(offered.limits),
-            count: offered.routes.len(),
+            services: (base.services != target.services).then(|| target.services.clone()),
+            limits: (base.limits != target.limits).then_some(target.limits),
+            count: target.routes.len(),
             through: Vec::new(),
-            accounts: AccountDelta::between(held.accounts.as_deref(), offered.accounts.as_deref()),
+            accounts: AccountDelta::between(base.accounts.as_deref(), target.accounts.as_deref()),
         })
     }
 
@@ -88,7 +88,7 @@
     }
 
     /// The same difference, told to be put together over these versions.
-    pub fn told_through(self, through: Vec<RouteVersion>) -> Self {
+    pub fn with_through(self, through: Vec<RouteVersion>) -> Self {
         Self { through, ..self }
     }
 
@@ -103,7 +103,7 @@
     }
 
     /// Whether it leads from a version to the newer one.
-    fn leads_from(&self, version: RouteVersion) -> bool {
+    fn applies_to(&self, version: RouteVersion) -> bool {
         version == self.after || self.through.contains(&version)
     }
 
@@ -117,28 +117,28 @@
     /// # Errors
     ///
     /// When it does not lead from the version that is held, or the description that is held is another one.
-    pub fn apply(&self, held: &RouteDescription) -> Result<RouteDescription, DeltaError> {
-        if !self.leads_from(held.version) {
-            return Err(DeltaError::Gap { after: self.after, held: held.version });
+    pub fn apply(&self, base: &RouteDescription) -> Result<RouteDescription, DeltaError> {
+        if !self.applies_to(base.version) {
+            return Err(DeltaError::Gap { after: self.after, base: base.version });
         }
         let removed: BTreeSet<&RouteName> = self.removed.iter().collect();
         let mut written: BTreeMap<&RouteName, &Arc<OpaqueRoute>> =
             self.written.iter().map(|route| (&route.name, route)).collect();
-        let kept = held.routes.iter().filter(|route| !removed.contains(&route.name));
+        let kept = base.routes.iter().filter(|route| !removed.contains(&route.name));
         let mut routes: Vec<Arc<OpaqueRoute>> =
             kept.map(|route| written.remove(&route.name).unwrap_or(route).clone()).collect();
         routes.extend(self.written.iter().filter(|it| written.contains_key(&it.name)).cloned());
         if routes.len() != self.count {
-            return Err(DeltaError::Count { made: routes.len(), wanted: self.count });
+            return Err(DeltaError::Count { produced: routes.len(), expected: self.count });
         }
         Ok(RouteDescription {
             version: self.version,
             routes,
-            services: self.services.clone().unwrap_or_else(|| held.services.clone()),
-            limits: self.limits.unwrap_or(held.limits),
+            services: self.services.clone().unwrap_or_else(|| base.services.clone()),
+            limits: self.limits.unwrap_or(base.limits),
             accounts: match &self.accounts {
-                AccountDelta::Same => held.accounts.clone(),
-                changed => changed.apply(held.accounts.as_deref()).map(Arc::new),
+                AccountDelta::Same => base.accounts.clone(),
+                changed => changed.apply(base.accounts.as_deref()).map(Arc::new),
             },
         })
     }
@@ -149,14 +149,15 @@
     ///
     /// When the next one does not lead from where this one ends.
     pub fn followed_by(&self, next: &Self) -> Result<Self, DeltaError> {
-        if !next.leads_from(self.version) {
-            return Err(DeltaError::Gap { after: next.after, held: self.version });
+        if !next.applies_to(self.version) {
+            return Err(DeltaError::Gap { after: next.after, base: self.version });
         }
-        let rewritten: BTreeSet<&RouteName> = next.written.iter().map(|it| &it.name).collect();
-        let dropped: BTreeSet<&RouteName> = next.removed.iter().collect();
-        let is_last = |name: &RouteName| !rewritten.contains(name) && !dropped.contains(name);
-        let written = self.written.iter().filter(|route| is_last(&route.name));
-        let removed = self.removed.iter().filter(|name| is_last(name));
+        let written_later: BTreeSet<&RouteName> = next.written.iter().map(|it| &it.name).collect();
+        let removed_later: BTreeSet<&RouteName> = next.removed.iter().collect();
+        let is_final =
+            |name: &RouteName| !written_later.contains(name) && !removed_later.contains(name);
+        let written = self.written.iter().filter(|route| is_final(&route.name));
+        let removed = self.removed.iter().filter(|name| is_final(name));
         let later = next.through.iter().filter(|version| **version > self.version);
         let through = self.through.iter().chain([&self.version]).chain(later);
         Ok(Self {
--- a/crates/foldhaven-core/src/opaque/route_table.rs
+++ b/crates/foldhaven-core/src/opaque/route_table.rs
@@ -179,8 +179,8 @@
     /// Makes the look-ups.
     pub fn new(description: RouteDescription) -> Self {
         let mut hosts: BTreeMap<String, Vec<usize>> = BTreeMap::new();
-        for (at, route) in description.routes.iter().enumerate() {
-            hosts.entry(route.host.clone()).or_default().push(at);
+        for (index, route) in description.routes.iter().enumerate() {
+            hosts.entry(route.host.clone()).or_default().push(index);
         }
         for routes in hosts.values_mut() {
             // Of two routes with the same prefix all VMs take the same one, in whatever order they hold them.
@@ -191,7 +191,7 @@
             });
         }
         let services = description.services.iter().enumerate();
-        let services = services.map(|(at, service)| (service.name.clone(), at)).collect();
+        let services = services.map(|(index, service)| (service.name.clone(), index)).collect();
         let accounts = AccountTable::new(description.accounts.as_deref());
         Self { description, hosts, services, accounts }
     }
@@ -220,12 +220,12 @@
     /// The route of a request, by the longest prefix of its path.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<OpaqueRoute>> {
         let routes = self.routes_of(host)?;
-        let at = routes.iter().find(|at| self.matches(**at, path))?;
-        Some(&self.description.routes[*at])
+        let index = routes.iter().find(|index| self.matches(**index, path))?;
+        Some(&self.description.routes[*index])
     }
 
-    fn matches(&self, at: usize, path: &str) -> bool {
-        path.starts_with(&self.description.routes[at].path_prefix)
+    fn matches(&self, index: usize, path: &str) -> bool {
+        path.starts_with(&self.description.routes[index].path_prefix)
     }
 
     fn routes_of(&self, host: &str) -> Option<&Vec<usize>> {
@@ -240,19 +240,19 @@
     /// answers for a whole host, whose routes may be bound to different regions.
     pub fn bound_routes_in(&self, host: &str, region: &RegionName) -> usize {
         let Some(routes) = self.routes_of(host) else { return 0 };
-        let homes = routes.iter().map(|at| &self.description.routes[*at].homes);
+        let homes = routes.iter().map(|index| &self.description.routes[*index].homes);
         homes.filter(|homes| homes.contains(region)).count()
     }
 
     /// Whether any route of a host is bound to some regions.
     pub fn has_bound_routes(&self, host: &str) -> bool {
         let Some(routes) = self.routes_of(host) else { return false };
-        routes.iter().any(|at| !self.description.routes[*at].homes.is_empty())
+        routes.iter().any(|index| !self.description.routes[*index].homes.is_empty())
     }
 
     /// The service of that name.
     pub fn service(&self, name: &ServiceName) -> Option<&OpaqueService> {
-        self.services.get(name).map(|at| &self.description.services[*at])
+        self.services.get(name).map(|index| &self.description.services[*index])
     }
 
     /// Whether the description names a service, of its own or for a route.
--- a/crates/foldhaven-core/src/opaque/upstream_signals.rs
+++ b/crates/foldhaven-core/src/opaque/upstream_signals.rs
@@ -10,17 +10,17 @@
 use crate::units::RequestRate;
 
 /// How long the end of a limit is remembered, so that a VM that has not heard of it does not put the limit back.
-const END_MEMORY: Duration = Duration::from_secs(10);
+const ENDED_RETENTION: Duration = Duration::from_secs(10);
 /// How long what an upstream said is remembered while it is not listed.
-const UNLISTED_MEMORY: Duration = Duration::from_secs(60);
+const UNLISTED_RETENTION: Duration = Duration::from_secs(60);
 
 /// When an answer came, and when its request was sent.
 #[derive(Debug, Clone, Copy)]
-pub struct AnswerMoment {
+pub struct AnswerTiming {
     /// When the request was sent.
     pub sent: MonoTime,
     /// When the head of the answer came.
-    pub heard: MonoTime,
+    pub received: MonoTime,
 }
 
 /// The limit of one upstream, as a VM tells others of it.
@@ -52,33 +52,38 @@
 #[derive(Debug, Clone, Copy)]
 struct LeavingEntry {
     /// When the newest answer came that says so.
-    said: MonoTime,
+    signalled_at: MonoTime,
     /// Whether other VMs are still to be told.
-    is_news: bool,
+    is_unsent: bool,
 }
 
 impl LeavingUpstreams {
     /// Takes in an answer that says so. Returns whether it is news.
-    pub fn note_answer(&mut self, upstream: UpstreamTag, now: MonoTime) -> bool {
-        self.put(upstream, true, now)
+    pub fn record_answer(&mut self, upstream: UpstreamTag, now: MonoTime) -> bool {
+        self.update(upstream, true, now)
     }
 
     /// Takes in what another VM tells. Returns whether it is news.
-    pub fn hear(&mut self, told: &LeavingNotice, now: MonoTime) -> bool {
-        self.put(told.upstream, false, now - Duration::from_millis(told.age_ms.into()))
+    pub fn apply_notice(&mut self, notice: &LeavingNotice, now: MonoTime) -> bool {
+        self.update(notice.upstream, false, now - Duration::from_millis(notice.age_ms.into()))
     }
 
-    fn put(&mut self, upstream: UpstreamTag, is_own: bool, said: MonoTime) -> bool {
+    fn update(
+        &mut self,
+        upstream: UpstreamTag,
+        is_own_answer: bool,
+        signalled_at: MonoTime,
+    ) -> bool {
         let held = self.entries.get(&upstream).copied();
         // What another VM has told needs not be told by this one.
-        let is_news = is_own && held.is_none_or(|held| held.is_news);
-        let said = held.map_or(said, |held| held.said.max(said));
-        self.entries.insert(upstream, LeavingEntry { said, is_news });
+        let is_unsent = is_own_answer && held.is_none_or(|held| held.is_unsent);
+        let signalled_at = held.map_or(signalled_at, |held| held.signalled_at.max(signalled_at));
+        self.entries.insert(upstream, LeavingEntry { signalled_at, is_unsent });
         held.is_none()
     }
 
     /// Whether an upstream has said so.
-    pub fn has_said(&self, upstream: UpstreamTag) -> bool {
+    pub fn contains(&self, upstream: UpstreamTag) -> bool {
         self.entries.contains_key(&upstream)
     }
 
@@ -93,24 +98,24 @@
     }
 
     /// What others are still to be told; it counts as told from then on.
-    pub fn take_news(&mut self, now: MonoTime) -> Vec<LeavingNotice> {
-        let news = self.entries.iter_mut().filter(|(_, entry)| entry.is_news);
-        let told = news.map(|(upstream, entry)| {
-            entry.is_news = false;
-            entry.told(*upstream, now)
+    pub fn take_unsent(&mut self, now: MonoTime) -> Vec<LeavingNotice> {
+        let unsent = self.entries.iter_mut().filter(|(_, entry)| entry.is_unsent);
+        let notices = unsent.map(|(upstream, entry)| {
+            entry.is_unsent = false;
+            entry.notice(*upstream, now)
         });
-        told.collect()
+        notices.collect()
     }
 
     /// All that is held, for VMs that have missed news of it.
-    pub fn all(&self, now: MonoTime) -> Vec<LeavingNotice> {
-        self.entries.iter().map(|(upstream, entry)| entry.told(*upstream, now)).collect()
+    pub fn all_notices(&self, now: MonoTime) -> Vec<LeavingNotice> {
+        self.entries.iter().map(|(upstream, entry)| entry.notice(*upstream, now)).collect()
     }
 
     /// Forgets upstreams that are gone. One that is listed again soon is the same process.
-    pub fn forget(&mut self, is_listed: impl Fn(UpstreamTag) -> bool, now: MonoTime) {
+    pub fn remove_expired(&mut self, is_listed: impl Fn(UpstreamTag) -> bool, now: MonoTime) {
         self.entries.retain(|upstream, entry| {
-            is_listed(*upstream) || now.since(entry.said) < UNLISTED_MEMORY
+            is_listed(*upstream) || now.since(entry.signalled_at) < UNLISTED_RETENTION
         });
     }
 }
@@ -130,9 +135,9 @@
 struct RateLimitEntry {
     limit: Option<RequestRate>,
     /// When the newest answer came that says so.
-    said: MonoTime,
+    signalled_at: MonoTime,
     /// Whether other VMs are still to be told.
-    is_news: bool,
+    is_unsent: bool,
 }
 
 /// The limits that upstreams name, each for one process lifetime.
@@ -146,53 +151,53 @@
     ///
     /// An answer without a limit ends one only if its request was sent after the limit was heard: answers on several
     /// connections may overtake each other.
-    pub fn note_answer(
+    pub fn record_answer(
         &mut self,
         upstream: UpstreamTag,
         limit: Option<RequestRate>,
-        moment: AnswerMoment,
+        timing: AnswerTiming,
     ) -> Option<LimitChange> {
         let held = self.entries.get(&upstream);
         let is_newer = match (held, limit) {
             (None, None) => false,
             (None, Some(_)) => true,
-            (Some(held), Some(_)) => moment.heard >= held.said,
-            (Some(held), None) => held.limit.is_some() && moment.sent >= held.said,
+            (Some(held), Some(_)) => timing.received >= held.signalled_at,
+            (Some(held), None) => held.limit.is_some() && timing.sent >= held.signalled_at,
         };
-        is_newer.then(|| self.put(upstream, limit, moment.heard, true)).flatten()
+        is_newer.then(|| self.update(upstream, limit, timing.received, true)).flatten()
     }
 
     /// Takes in what another VM tells. A rate that is no number of at least zero is dropped.
-    pub fn hear(&mut self, told: &LimitNotice, now: MonoTime) -> Option<LimitChange> {
-        let limit = match told.per_s {
+    pub fn apply_notice(&mut self, notice: &LimitNotice, now: MonoTime) -> Option<LimitChange> {
+        let limit = match notice.per_s {
             Some(per_s) => Some(RequestRate::of_per_s(per_s).ok()?),
             None => None,
         };
-        let said = now - Duration::from_millis(told.age_ms.into());
-        match self.entries.get_mut(&told.upstream) {
+        let signalled_at = now - Duration::from_millis(notice.age_ms.into());
+        match self.entries.get_mut(&notice.upstream) {
             None if limit.is_none() => None,
-            Some(held) if said <= held.said => {
+            Some(held) if signalled_at <= held.signalled_at => {
                 // Others know it as well.
-                held.is_news &= held.limit != limit;
+                held.is_unsent &= held.limit != limit;
                 None
             }
-            _ => self.put(told.upstream, limit, said, false),
+            _ => self.update(notice.upstream, limit, signalled_at, false),
         }
     }
 
-    fn put(
+    fn update(
         &mut self,
         upstream: UpstreamTag,
         limit: Option<RequestRate>,
-        said: MonoTime,
-        is_own: bool,
+        signalled_at: MonoTime,
+        is_own_answer: bool,
     ) -> Option<LimitChange> {
         let held = self.entries.get(&upstream).copied();
         let before = held.and_then(|held| held.limit);
         let has_changed = before != limit;
-        let was_news = held.is_some_and(|held| held.is_news);
-        let is_news = is_own && (has_changed || was_news);
-        self.entries.insert(upstream, RateLimitEntry { limit, said, is_news });
+        let was_unsent = held.is_some_and(|held| held.is_unsent);
+        let is_unsent = is_own_answer && (has_changed || was_unsent);
+        self.entries.insert(upstream, RateLimitEntry { limit, signalled_at, is_unsent });
         has_changed.then_some(LimitChange { upstream, before, now: limit })
     }
 
@@ -212,46 +217,46 @@
     }
 
     /// What others are still to be told; it counts as told from then on.
-    pub fn take_news(&mut self, now: MonoTime) -> Vec<LimitNotice> {
-        let news = self.entries.iter_mut().filter(|(_, entry)| entry.is_news);
-        let told = news.map(|(upstream, entry)| {
-            entry.is_news = false;
-            entry.told(*upstream, now)
+    pub fn take_unsent(&mut self, now: MonoTime) -> Vec<LimitNotice> {
+        let unsent = self.entries.iter_mut().filter(|(_, entry)| entry.is_unsent);
+        let notices = unsent.map(|(upstream, entry)| {
+            entry.is_unsent = false;
+            entry.notice(*upstream, now)
         });
-        told.collect()
+        notices.collect()
     }
 
     /// All that is held, for VMs that have missed news of it.
-    pub fn all(&self, now: MonoTime) -> Vec<LimitNotice> {
-        self.entries.iter().map(|(upstream, entry)| entry.told(*upstream, now)).collect()
+    pub fn all_notices(&self, now: MonoTime) -> Vec<LimitNotice> {
+        self.entries.iter().map(|(upstream, entry)| entry.notice(*upstream, now)).collect()
     }
 
     /// Forgets limits that have ended, and those of upstreams that are gone.
-    pub fn forget(&mut self, is_listed: impl Fn(UpstreamTag) -> bool, now: MonoTime) {
+    pub fn remove_expired(&mut self, is_listed: impl Fn(UpstreamTag) -> bool, now: MonoTime) {
         self.entries.retain(|upstream, entry| {
-            let memory = match (entry.limit, is_listed(*upstream)) {
-                (None, _) => END_MEMORY,
-                (Some(_), false) => UNLISTED_MEMORY,
+            let retention = match (entry.limit, is_listed(*upstream)) {
+                (None, _) => ENDED_RETENTION,
+                (Some(_), false) => UNLISTED_RETENTION,
                 (Some(_), true) => return true,
             };
-            now.since(entry.said) < memory
+            now.since(entry.signalled_at) < retention
         });
     }
 }
 
 impl RateLimitEntry {
-    fn told(&self, upstream: UpstreamTag, now: MonoTime) -> LimitNotice {
+    fn notice(&self, upstream: UpstreamTag, now: MonoTime) -> LimitNotice {
         let per_s = self.limit.map(RequestRate::per_s);
-        LimitNotice { upstream, per_s, age_ms: told_age(self.said, now) }
+        LimitNotice { upstream, per_s, age_ms: age_ms(self.signalled_at, now) }
     }
 }
 
 impl LeavingEntry {
-    fn told(&self, upstream: UpstreamTag, now: MonoTime) -> LeavingNotice {
-        LeavingNotice { upstream, age_ms: told_age(self.said, now) }
+    fn notice(&self, upstream: UpstreamTag, now: MonoTime) -> LeavingNotice {
+        LeavingNotice { upstream, age_ms: age_ms(self.signalled_at, now) }
     }
 }
 
-fn told_age(said: MonoTime, now: MonoTime) -> u32 {
-    u32::try_from(now.since(said).as_millis()).unwrap_or(u32::MAX)
+fn age_ms(signalled_at: MonoTime, now: MonoTime) -> u32 {
+    u32::try_from(now.since(signalled_at).as_millis()).unwrap_or(u32::MAX)
 }
--- a/crates/foldhaven-core/tests/testsuite/opaque_deltas.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_deltas.rs
@@ -101,56 +101,56 @@
 
 proptest! {
     #[test]
-    fn a_difference_leads_from_any_version_it_spans_to_the_newest(versions in versions()) {
+    fn delta_applies_to_every_version_that_it_spans(versions in versions()) {
         let steps: Vec<RouteDelta> = versions
             .windows(2)
             .map(|pair| RouteDelta::between(&pair[0], &pair[1]).unwrap())
             .collect();
         let newest = versions.last().unwrap();
         let Some((first, rest)) = steps.split_first() else { return Ok(()) };
-        let whole = rest.iter().try_fold(first.clone(), |whole, next| whole.followed_by(next));
-        let whole = whole.unwrap();
-        prop_assert_eq!(whole.version(), newest.version);
-        for held in &versions[..versions.len() - 1] {
-            prop_assert_eq!(sorted(whole.apply(held).unwrap()), sorted(newest.clone()));
+        let combined = rest.iter().try_fold(first.clone(), |combined, next| combined.followed_by(next));
+        let combined = combined.unwrap();
+        prop_assert_eq!(combined.version(), newest.version);
+        for base in &versions[..versions.len() - 1] {
+            prop_assert_eq!(sorted(combined.apply(base).unwrap()), sorted(newest.clone()));
         }
         // However many versions there were, it is no larger than the routes and accounts that any of them had.
         let all = versions.iter().flat_map(|version| &version.routes);
         let names: BTreeSet<&str> = all.map(|route| route.name.as_str()).collect();
         let all = versions.iter().filter_map(|version| version.accounts.as_ref());
         let accounts: BTreeSet<&AccountName> = all.flat_map(|it| it.accounts.keys()).collect();
-        prop_assert!(whole.size() <= names.len() + accounts.len());
+        prop_assert!(combined.size() <= names.len() + accounts.len());
     }
 }
 
 #[test]
-fn a_difference_holds_what_changes_and_no_more() {
-    let held = description(3, &[(1, 1), (2, 1), (3, 1)]);
-    let offered = description(7, &[(1, 1), (2, 9), (4, 1)]);
-    let delta = RouteDelta::between(&held, &offered).unwrap();
+fn delta_contains_only_changes() {
+    let base = description(3, &[(1, 1), (2, 1), (3, 1)]);
+    let target = description(7, &[(1, 1), (2, 9), (4, 1)]);
+    let delta = RouteDelta::between(&base, &target).unwrap();
     assert_eq!(delta.size(), 3, "one is written again, one is new, one is gone");
-    assert_eq!(delta.apply(&held).unwrap(), offered);
+    assert_eq!(delta.apply(&base).unwrap(), target);
 }
 
 #[test]
-fn a_difference_is_refused_where_versions_are_missing() {
+fn delta_is_rejected_if_versions_are_missing() {
     let versions = [description(3, &[(1, 1)]), description(7, &[(2, 1)]), description(9, &[])];
     let first = RouteDelta::between(&versions[0], &versions[1]).unwrap();
     let second = RouteDelta::between(&versions[1], &versions[2]).unwrap();
-    let gap = DeltaError::Gap { after: RouteVersion(7), held: RouteVersion(3) };
+    let gap = DeltaError::Gap { after: RouteVersion(7), base: RouteVersion(3) };
     assert_eq!(second.apply(&versions[0]), Err(gap));
-    let gap = DeltaError::Gap { after: RouteVersion(7), held: RouteVersion(3) };
+    let gap = DeltaError::Gap { after: RouteVersion(7), base: RouteVersion(3) };
     let earlier = RouteDelta::between(&versions[0], &versions[0]).unwrap();
     assert_eq!(earlier.followed_by(&second), Err(gap));
     // A description of the same version that is another one shows in the count.
     let other = description(3, &[(1, 1), (5, 1)]);
-    assert_eq!(first.apply(&other), Err(DeltaError::Count { made: 2, wanted: 1 }));
+    assert_eq!(first.apply(&other), Err(DeltaError::Count { produced: 2, expected: 1 }));
 }
 
 #[test]
-fn routes_that_share_a_name_make_no_difference() {
-    let held = description(1, &[(1, 1)]);
-    assert_eq!(RouteDelta::between(&held, &description(2, &[(1, 1), (1, 2)])), None);
+fn duplicate_route_names_have_no_delta() {
+    let base = description(1, &[(1, 1)]);
+    assert_eq!(RouteDelta::between(&base, &description(2, &[(1, 1), (1, 2)])), None);
 }
 
 proptest! {
@@ -161,26 +161,26 @@
     /// older one had it. A difference from a version before the one that is held says nothing of a route which that
     /// one had changed and the newest has changed back.
     #[test]
-    fn a_difference_that_skips_versions_leads_to_the_newest_or_is_refused(
+    fn delta_that_skips_versions_yields_the_newest_or_is_rejected(
         versions in versions(),
-        skips in prop::collection::vec(any::<bool>(), 7),
+        is_skipped_flags in prop::collection::vec(any::<bool>(), 7),
     ) {
         let newest = versions.last().unwrap();
-        let told: Vec<&RouteDescription> = versions[..versions.len() - 1]
+        let read_versions: Vec<&RouteDescription> = versions[..versions.len() - 1]
             .iter()
-            .zip(&skips)
+            .zip(&is_skipped_flags)
             .filter(|(_, is_skipped)| !**is_skipped)
             .map(|(version, _)| version)
             .chain([newest])
             .collect();
         let steps: Vec<RouteDelta> =
-            told.windows(2).map(|pair| RouteDelta::between(pair[0], pair[1]).unwrap()).collect();
+            read_versions.windows(2).map(|pair| RouteDelta::between(pair[0], pair[1]).unwrap()).collect();
         let Some((first, rest)) = steps.split_first() else { return Ok(()) };
-        let whole = rest.iter().try_fold(first.clone(), |whole, next| whole.followed_by(next));
-        let whole = whole.unwrap();
-        for held in &versions[..versions.len() - 1] {
-            if let Ok(made) = whole.apply(held) {
-                prop_assert_eq!(sorted(made), sorted(newest.clone()), "from {:?}", held.version);
+        let combined = rest.iter().try_fold(first.clone(), |combined, next| combined.followed_by(next));
+        let combined = combined.unwrap();
+        for base in &versions[..versions.len() - 1] {
+            if let Ok(produced) = combined.apply(base) {
+                prop_assert_eq!(sorted(produced), sorted(newest.clone()), "from {:?}", base.version);
             }
         }
     }
@@ -188,13 +188,13 @@
 
 /// One idle route takes the place of another one and gives it back: the number of routes never changes.
 #[test]
-fn a_difference_from_before_a_change_that_was_taken_back_is_refused_after_it() {
+fn delta_from_before_a_reverted_change_is_rejected_after_it() {
     let versions = [
         description(7, &[(1, 1), (2, 1)]),
         description(10, &[(1, 1), (3, 1)]),
         description(13, &[(1, 2), (2, 1)]),
     ];
     let skipping = RouteDelta::between(&versions[0], &versions[2]).unwrap();
-    let made = skipping.apply(&versions[1]);
-    assert!(made.is_err(), "it makes {made:?}");
+    let produced = skipping.apply(&versions[1]);
+    assert!(produced.is_err(), "it makes {produced:?}");
 }
--- a/crates/foldhaven-core/tests/testsuite/opaque_learning.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_learning.rs
@@ -87,11 +87,11 @@
 #[test]
 fn a_route_tells_what_is_usual_for_it() {
     let mut history = RouteHistory::default();
-    assert_eq!((history.failure_share(), history.usual_events()), (0.0, 0.0));
-    (0..100).for_each(|number| history.note_end(number % 7 == 0));
+    assert_eq!((history.failure_share(), history.usual_event_count()), (0.0, 0.0));
+    (0..100).for_each(|number| history.record_outcome(number % 7 == 0));
     assert!((history.failure_share() - 1.0 / 7.0).abs() < 0.02, "{}", history.failure_share());
-    (0..10).for_each(|_| history.note_events(40));
-    assert!((history.usual_events() - 40.0).abs() < 0.1);
+    (0..10).for_each(|_| history.record_event_count(40));
+    assert!((history.usual_event_count() - 40.0).abs() < 0.1);
 }
 
 /// A service whose every upstream fails 14 in 100 by nature is no reason to leave one of them; one that
--- a/crates/foldhaven-core/tests/testsuite/opaque_signals.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_signals.rs
@@ -4,7 +4,7 @@
 
 use foldhaven_core::opaque::affinity::UpstreamTag;
 use foldhaven_core::opaque::upstream_signals::{
-    AnswerMoment, LeavingNotice, LeavingUpstreams, LimitNotice, RateLimits,
+    AnswerTiming, LeavingNotice, LeavingUpstreams, LimitNotice, RateLimits,
 };
 use foldhaven_core::units::RequestRate;
 use rstest::rstest;
@@ -17,18 +17,20 @@
     Some(RequestRate::of_per_s(per_s).unwrap())
 }
 
-fn moment(sent: u64, heard: u64) -> AnswerMoment {
-    AnswerMoment { sent: at(sent), heard: at(heard) }
+fn timing(sent: u64, received: u64) -> AnswerTiming {
+    AnswerTiming { sent: at(sent), received: at(received) }
 }
 
 /// Guards against a limit that ends by an answer that was on its way when the limit was named.
 #[test]
-fn an_answer_that_was_on_its_way_does_not_end_a_limit() {
+fn answer_in_flight_does_not_end_a_limit() {
     let mut limits = RateLimits::default();
-    limits.note_answer(UPSTREAM, rate(2.5), moment(100, 200));
-    assert!(limits.note_answer(UPSTREAM, None, moment(150, 400)).is_none());
+    limits.record_answer(UPSTREAM, rate(2.5), timing(100, 200));
+    assert!(limits.record_answer(UPSTREAM, None, timing(150, 400)).is_none());
     assert_eq!(limits.limit(UPSTREAM), rate(2.5));
-    limits.note_answer(UPSTREAM, None, moment(250, 500)).expect("it was sent after");
+    limits
+        .record_answer(UPSTREAM, None, timing(250, 500))
+        .expect("its request was sent after the limit was received");
     assert_eq!(limits.limit(UPSTREAM), None);
 }
 
@@ -38,17 +40,17 @@
 #[case::newer_limit(None, 900, Some(2.5), 50, Some(2.5))]
 #[case::older_end(Some(1.0), 900, None, 500, Some(1.0))]
 #[case::newer_end(Some(1.0), 900, None, 50, None)]
-fn the_newest_word_counts(
+fn newest_answer_wins(
     #[case] own: Option<f64>,
-    #[case] heard: u64,
-    #[case] told: Option<f64>,
+    #[case] received: u64,
+    #[case] notice: Option<f64>,
     #[case] age_ms: u32,
     #[case] expected: Option<f64>,
 ) {
     let mut limits = RateLimits::default();
-    limits.note_answer(UPSTREAM, rate(9.0), moment(100, 200));
-    limits.note_answer(UPSTREAM, own.and_then(rate), moment(300, heard));
-    limits.hear(&LimitNotice { upstream: UPSTREAM, per_s: told, age_ms }, at(1_000));
+    limits.record_answer(UPSTREAM, rate(9.0), timing(100, 200));
+    limits.record_answer(UPSTREAM, own.and_then(rate), timing(300, received));
+    limits.apply_notice(&LimitNotice { upstream: UPSTREAM, per_s: notice, age_ms }, at(1_000));
     assert_eq!(limits.limit(UPSTREAM), expected.and_then(rate));
 }
 
@@ -58,68 +60,71 @@
 #[case(f64::INFINITY)]
 #[case(-1.0)]
 #[case(1e300)]
-fn a_told_rate_that_is_none_is_dropped(#[case] per_s: f64) {
+fn invalid_rate_in_a_notice_is_dropped(#[case] per_s: f64) {
     let mut limits = RateLimits::default();
-    let told = LimitNotice { upstream: UPSTREAM, per_s: Some(per_s), age_ms: 0 };
-    assert!(limits.hear(&told, at(1_000)).is_none());
+    let notice = LimitNotice { upstream: UPSTREAM, per_s: Some(per_s), age_ms: 0 };
+    assert!(limits.apply_notice(&notice, at(1_000)).is_none());
     assert!(limits.is_empty());
 }
 
 /// Guards against a region in which each VM tells all others what these have told it.
 #[test]
-fn news_are_told_once_and_only_by_who_has_them() {
+fn updates_are_sent_once_and_only_by_their_source() {
     let (mut first, mut second) = (RateLimits::default(), RateLimits::default());
-    first.note_answer(UPSTREAM, rate(2.5), moment(100, 200));
-    second.note_answer(UPSTREAM, rate(2.5), moment(110, 210));
-    let news = first.take_news(at(250));
-    assert_eq!(news.len(), 1);
-    assert!(first.take_news(at(260)).is_empty());
-    second.hear(&news[0], at(260));
-    assert!(second.take_news(at(270)).is_empty(), "the other one has told it");
+    first.record_answer(UPSTREAM, rate(2.5), timing(100, 200));
+    second.record_answer(UPSTREAM, rate(2.5), timing(110, 210));
+    let updates = first.take_unsent(at(250));
+    assert_eq!(updates.len(), 1);
+    assert!(first.take_unsent(at(260)).is_empty());
+    second.apply_notice(&updates[0], at(260));
+    assert!(second.take_unsent(at(270)).is_empty(), "the other VM has sent it");
     let mut third = RateLimits::default();
-    third.hear(&news[0], at(260));
-    assert!(third.take_news(at(270)).is_empty());
+    third.apply_notice(&updates[0], at(260));
+    assert!(third.take_unsent(at(270)).is_empty());
     assert_eq!(third.limit(UPSTREAM), rate(2.5));
 }
 
 /// Guards against VMs that keep each other's notice alive of an upstream that is long gone.
 #[test]
-fn what_is_told_again_and_again_is_forgotten_all_the_same() {
+fn repeated_notices_do_not_prevent_expiry() {
     let (mut first, mut second) = (LeavingUpstreams::default(), LeavingUpstreams::default());
-    assert!(first.note_answer(UPSTREAM, at(0)));
+    assert!(first.record_answer(UPSTREAM, at(0)));
     for second_at in 1..70 {
         let now = at(second_at * 1_000);
-        for told in first.all(now) {
-            second.hear(&told, now);
+        for notice in first.all_notices(now) {
+            second.apply_notice(&notice, now);
         }
-        for told in second.all(now) {
-            first.hear(&told, now);
+        for notice in second.all_notices(now) {
+            first.apply_notice(&notice, now);
         }
-        first.forget(|_| false, now);
-        second.forget(|_| false, now);
+        first.remove_expired(|_| false, now);
+        second.remove_expired(|_| false, now);
     }
     assert!(first.is_empty() && second.is_empty());
 }
 
 /// Guards against a process that is left out by the signal of another one, or used again since it is listed.
 #[test]
-fn a_process_leaves_for_good() {
+fn leaving_is_final_for_a_process() {
     let mut leaving = LeavingUpstreams::default();
-    assert!(leaving.note_answer(UPSTREAM, at(0)));
-    assert!(!leaving.hear(&LeavingNotice { upstream: UPSTREAM, age_ms: 5 }, at(10)), "it is known");
-    leaving.forget(|_| true, at(0) + Duration::from_secs(3_600));
-    assert!(leaving.has_said(UPSTREAM));
-    assert!(!leaving.has_said(UpstreamTag(8)));
+    assert!(leaving.record_answer(UPSTREAM, at(0)));
+    assert!(
+        !leaving.apply_notice(&LeavingNotice { upstream: UPSTREAM, age_ms: 5 }, at(10)),
+        "it is known already"
+    );
+    leaving.remove_expired(|_| true, at(0) + Duration::from_secs(3_600));
+    assert!(leaving.contains(UPSTREAM));
+    assert!(!leaving.contains(UpstreamTag(8)));
 }
 
 /// Guards against a book that grows with each upstream that ever named a limit.
 #[test]
-fn what_is_gone_is_forgotten() {
+fn unlisted_upstreams_are_removed() {
     let mut limits = RateLimits::default();
-    limits.note_answer(UPSTREAM, rate(2.5), moment(100, 200));
+    limits.record_answer(UPSTREAM, rate(2.5), timing(100, 200));
     let late = at(200) + Duration::from_secs(61);
-    limits.forget(|_| true, late);
+    limits.remove_expired(|_| true, late);
     assert_eq!(limits.limit(UPSTREAM), rate(2.5), "it is listed");
-    limits.forget(|_| false, late);
+    limits.remove_expired(|_| false, late);
     assert!(limits.is_empty());
 }
--- a/crates/foldhaven-gateway/src/attempts/notes.rs
+++ b/crates/foldhaven-gateway/src/attempts/notes.rs
@@ -116,13 +116,16 @@
     /// Notes how a request of this route ended at an upstream. Returns the share that usually fails.
     fn note_route_end(&self, has_failed: bool) -> f64 {
         let route = &self.job.route.name;
-        self.shared.note_history(route, |history| history.note_end(has_failed)).failure_share()
+        self.shared
+            .note_history(route, |history| history.record_outcome(has_failed))
+            .failure_share()
     }
 
     /// Notes a whole stream: how many events it had, in what time from the first to the last, and how many
     /// requests its upstream had meanwhile.
     pub fn note_stream(&self, events: u32, time: Duration, load: f64) {
-        self.shared.note_history(&self.job.route.name, |history| history.note_events(events));
+        self.shared
+            .note_history(&self.job.route.name, |history| history.record_event_count(events));
         if events >= LEAST_EVENTS {
             self.shared.note_event_pace(&self.job.service, time / (events - 1), load);
         }
@@ -130,7 +133,7 @@
 
     /// What the ids of this request's events are judged by.
     pub fn event_order(&self) -> EventOrder {
-        let usual = self.shared.route_history(&self.job.route.name).usual_steps();
+        let usual = self.shared.route_history(&self.job.route.name).usual_numbering();
         let resumed_after = self.job.headers.get(&self.shared.names.last_event);
         EventOrder::new(usual, resumed_after.and_then(|id| id.to_str().ok()))
     }
@@ -139,8 +142,9 @@
     pub fn note_event_order(&self, order: &EventOrder) {
         if order.is_telling() {
             let name = &self.job.route.name;
-            self.shared
-                .note_history(name, |history| history.steps_mut().note_whole(order.whole_steps()));
+            self.shared.note_history(name, |history| {
+                history.numbering_mut().note_whole(order.whole_steps())
+            });
         }
     }
 
@@ -148,7 +152,7 @@
     pub fn note_event_gap(&self) {
         self.shared.metrics.count_event("event_gaps");
         let name = &self.job.route.name;
-        self.shared.note_history(name, |history| history.steps_mut().note_gap());
+        self.shared.note_history(name, |history| history.numbering_mut().note_gap());
     }
 
     /// Notes what a fault says of its place.
--- a/crates/foldhaven-gateway/src/feed.rs
+++ b/crates/foldhaven-gateway/src/feed.rs
@@ -172,7 +172,7 @@
     pub fn told_through(mut self, through: &[RouteVersion]) -> Self {
         for counted in &mut self.changes {
             if let FeedChange::DescriptionDelta(delta) = &mut counted.change {
-                **delta = (**delta).clone().told_through(through.to_vec());
+                **delta = (**delta).clone().with_through(through.to_vec());
             }
         }
         self
--- a/crates/foldhaven-gateway/src/known/takes.rs
+++ b/crates/foldhaven-gateway/src/known/takes.rs
@@ -184,7 +184,7 @@
                 }
                 (FeedChange::DescriptionDelta(it), None) => {
                     let (after, held) = (it.version(), RouteVersion::default());
-                    return Err(DeltaError::Gap { after, held });
+                    return Err(DeltaError::Gap { after, base: held });
                 }
                 _ => continue,
             };
--- a/crates/foldhaven-gateway/src/leaving_desk.rs
+++ b/crates/foldhaven-gateway/src/leaving_desk.rs
@@ -20,7 +20,7 @@
 impl LeavingDesk {
     /// Takes in an answer of an upstream that says that it leaves.
     pub fn note_answer(&self, shared: &GatewayShared, upstream: &Upstream) {
-        let is_news = self.leaving.lock().note_answer(upstream.tag, shared.now());
+        let is_news = self.leaving.lock().record_answer(upstream.tag, shared.now());
         if is_news {
             upstream.set_leaving();
             self.news.notify_one();
@@ -30,12 +30,12 @@
 
     /// Takes in what another VM tells. Returns whether it is news.
     pub fn hear(&self, told: &LeavingNotice, now: MonoTime) -> bool {
-        self.leaving.lock().hear(told, now)
+        self.leaving.lock().apply_notice(told, now)
     }
 
     /// Has an upstream get nothing new where it has said that it leaves.
     pub fn apply(&self, upstream: &Upstream) {
-        if self.leaving.lock().has_said(upstream.tag) {
+        if self.leaving.lock().contains(upstream.tag) {
             upstream.set_leaving();
         }
     }
@@ -47,19 +47,19 @@
 
     /// What is to be told at once.
     pub fn take_news(&self, now: MonoTime) -> Vec<LeavingNotice> {
-        self.leaving.lock().take_news(now)
+        self.leaving.lock().take_unsent(now)
     }
 
     /// What is told again and again.
     pub fn all(&self, now: MonoTime) -> Vec<LeavingNotice> {
-        self.leaving.lock().all(now)
+        self.leaving.lock().all_notices(now)
     }
 
     /// Drops what is too old to count.
     pub fn forget(&self, is_listed: impl Fn(UpstreamTag) -> bool, shared: &GatewayShared) {
         let mut leaving = self.leaving.lock();
         if !leaving.is_empty() {
-            leaving.forget(is_listed, shared.now());
+            leaving.remove_expired(is_listed, shared.now());
             shared.metrics.set_level("leaving_upstreams", leaving.count() as u64);
         }
     }
--- a/crates/foldhaven-gateway/src/limit_desk.rs
+++ b/crates/foldhaven-gateway/src/limit_desk.rs
@@ -2,7 +2,7 @@
 
 use foldhaven_core::opaque::affinity::UpstreamTag;
 use foldhaven_core::opaque::upstream_signals::{
-    AnswerMoment, LimitChange, LimitNotice, RateLimits,
+    AnswerTiming, LimitChange, LimitNotice, RateLimits,
 };
 use foldhaven_core::time::MonoTime;
 use foldhaven_core::units::RequestRate;
@@ -27,10 +27,10 @@
         shared: &GatewayShared,
         upstream: &Upstream,
         limit: Option<RequestRate>,
-        moment: AnswerMoment,
+        moment: AnswerTiming,
     ) {
         let mut limits = self.limits.lock();
-        let change = limits.note_answer(upstream.tag, limit, moment);
+        let change = limits.record_answer(upstream.tag, limit, moment);
         let Some(change) = change else { return };
         upstream.set_limited(change.now.is_some());
         shared.metrics.set_level("limited_upstreams", limits.count() as u64);
@@ -41,7 +41,7 @@
 
     /// Takes in what another VM tells. Returns what has changed.
     pub fn hear(&self, told: &LimitNotice, now: MonoTime) -> Option<LimitChange> {
-        self.limits.lock().hear(told, now)
+        self.limits.lock().apply_notice(told, now)
     }
 
     /// Has an upstream kept to its limit, or to none any more.
@@ -57,19 +57,19 @@
 
     /// What is to be told at once.
     pub fn take_news(&self, now: MonoTime) -> Vec<LimitNotice> {
-        self.limits.lock().take_news(now)
+        self.limits.lock().take_unsent(now)
     }
 
     /// What is told again and again.
     pub fn all(&self, now: MonoTime) -> Vec<LimitNotice> {
-        self.limits.lock().all(now)
+        self.limits.lock().all_notices(now)
     }
 
     /// Drops what is too old to count.
     pub fn forget(&self, is_listed: impl Fn(UpstreamTag) -> bool, shared: &GatewayShared) {
         let mut limits = self.limits.lock();
         if !limits.is_empty() {
-            limits.forget(is_listed, shared.now());
+            limits.remove_expired(is_listed, shared.now());
             shared.metrics.set_level("limited_upstreams", limits.count() as u64);
         }
     }
--- a/crates/foldhaven-gateway/src/places/mod.rs
+++ b/crates/foldhaven-gateway/src/places/mod.rs
@@ -215,7 +215,7 @@
         target: job.route.target,
         waited: job.waited(),
         event_gap: job.route.event_gap,
-        events: shared.route_history(&job.route.name).usual_events(),
+        events: shared.route_history(&job.route.name).usual_event_count(),
         size: job.size(),
         shared_tokens: outline.map_or(0, |outline| outline.shared_tokens()),
         own_tokens: outline.map_or(0, |outline| outline.own_tokens),
--- a/crates/foldhaven-gateway/src/upstream_listener.rs
+++ b/crates/foldhaven-gateway/src/upstream_listener.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use foldhaven_core::opaque::upstream_signals::AnswerMoment;
+use foldhaven_core::opaque::upstream_signals::AnswerTiming;
 use foldhaven_core::time::MonoTime;
 use foldhaven_core::units::RequestRate;
 use http::header::RETRY_AFTER;
@@ -102,7 +102,7 @@
         if head.status == StatusCode::MISDIRECTED_REQUEST {
             return;
         }
-        let moment = AnswerMoment { sent: self.sent, heard: self.shared.now() };
+        let moment = AnswerTiming { sent: self.sent, received: self.shared.now() };
         let limit = self.rate_limit(head);
         self.shared.limits.note_answer(&self.shared, &self.upstream, limit, moment);
         if let Some(backoff) = self.backoff(head) {
