--- a/crates/foldhaven-core/src/opaque/route_delta.rs
+++ b/crates/foldhaven-core/src/opaque/route_delta.rs
@@ -1,4 +1,4 @@
-//! What changes between two versions of a description, so that VMs tell each other no more than that.
+//! Deltas between two versions of a description, so that VMs send each other only what has changed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -11,55 +11,56 @@
 };
 use crate::ids::RouteName;
 
-/// Why a difference does not lead from the description that is held to a newer one.
+/// Why a delta cannot be applied or combined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum DeltaError {
-    /// the difference begins at version {after} and says nothing of what {held}, which is held, changed
+    /// the delta from version {after} does not apply to version {base}, which is held
     Gap {
-        /// The version that it begins at.
+        /// The version at which the delta starts.
         after: RouteVersion,
         /// The version that is held.
         base: RouteVersion,
     },
-    /// the difference makes {made} routes where there are {wanted}
+    /// the delta produces {produced} routes instead of {expected}
     Count {
-        /// How many routes came out.
+        /// The resulting number of routes.
         produced: usize,
-        /// How many the description has.
+        /// The number of routes in the target description.
         expected: usize,
     },
 }
 
-/// The difference between two versions of a description.
+/// The delta between two versions of a description.
 ///
-/// It leads from the version that it begins at, and from those that it was put together over. It does not lead from other
-/// versions between the two: what one of them changed and the newer version has as it was before is not in it. VMs read
-/// at their own pace, and one skips versions that another one holds; applied there, such a difference made descriptions of
-/// the newest name with routes of an older one, which nothing showed.
+/// It applies to the version at which it starts, and to the versions that it was combined over. It
+/// does not apply to other versions in between: the delta lacks anything that such a version
+/// changed and the target version has as it was before. VMs read versions at their own pace, and
+/// one skips versions that another one holds. Applied to these, the delta silently produced
+/// descriptions with the newest version number and routes of an older one.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RouteDelta {
     after: RouteVersion,
     version: RouteVersion,
-    /// The routes that are new or differ.
+    /// The routes that are new or changed.
     written: Vec<Arc<OpaqueRoute>>,
     removed: Vec<RouteName>,
-    /// All services, when any of them differs.
+    /// All services, if any of them changed.
     services: Option<Vec<OpaqueService>>,
     limits: Option<CallerLimits>,
-    /// How many routes the newer version has.
+    /// The number of routes in the target version.
     count: usize,
-    /// The versions that it was put together over. A datagram tells a difference of one step, which has none; where there are
-    /// some, they are told beside it.
+    /// The intermediate versions that the delta was combined over. A datagram carries a delta of a
+    /// single step, which has none; otherwise, they are sent alongside the delta.
     #[serde(skip)]
     through: Vec<RouteVersion>,
-    /// What changes of the accounts; told beside the rest.
+    /// The changes of the accounts, which are sent alongside the delta.
     #[serde(skip)]
     accounts: AccountDelta,
 }
 
 impl RouteDelta {
-    /// The difference between two descriptions; nothing when routes in one of them share a name, so that
-    /// names do not tell them apart.
+    /// Returns the delta between two descriptions; `None` if routes in one of them share a name,
+    /// which then does not identify them.
     pub fn between(base: &RouteDescription, target: &RouteDescription) -> Option<Self> {
         let (old_routes, new_routes) = (by_name(base)?, by_name(target)?);
         let is_changed = |route: &&Arc<OpaqueRoute>| old_routes.get(&route.name) != Some(route);
@@ -77,46 +78,48 @@
         })
     }
 
-    /// The version that it leads to.
+    /// Returns the target version.
     pub fn version(&self) -> RouteVersion {
         self.version
     }
 
-    /// The versions that it was put together over, from which it leads as well.
+    /// Returns the intermediate versions that the delta was combined over, to which it applies as
+    /// well.
     pub fn through(&self) -> &[RouteVersion] {
         &self.through
     }
 
-    /// The same difference, told to be put together over these versions.
+    /// Returns the same delta with the intermediate versions that were sent alongside it.
     pub fn with_through(self, through: Vec<RouteVersion>) -> Self {
         Self { through, ..self }
     }
 
-    /// What changes of the accounts.
+    /// Returns the changes of the accounts.
     pub fn accounts(&self) -> &AccountDelta {
         &self.accounts
     }
 
-    /// The same difference with what changes of the accounts.
+    /// Returns the same delta with the changes of the accounts.
     pub fn with_accounts(self, accounts: AccountDelta) -> Self {
         Self { accounts, ..self }
     }
 
-    /// Whether it leads from a version to the newer one.
+    /// Whether the delta applies to a version.
     fn applies_to(&self, version: RouteVersion) -> bool {
         version == self.after || self.through.contains(&version)
     }
 
-    /// How many routes and accounts it writes or removes.
+    /// Returns how many routes and accounts the delta writes or removes.
     pub fn size(&self) -> usize {
         self.written.len() + self.removed.len() + self.accounts.size()
     }
 
-    /// The newer description, from the one that is held.
+    /// Applies the delta to the description that is held. Returns the target description.
     ///
     /// # Errors
     ///
-    /// When it does not lead from the version that is held, or the description that is held is another one.
+    /// If the delta does not apply to the version that is held, or a different description with
+    /// this version is held.
     pub fn apply(&self, base: &RouteDescription) -> Result<RouteDescription, DeltaError> {
         if !self.applies_to(base.version) {
             return Err(DeltaError::Gap { after: self.after, base: base.version });
@@ -143,11 +146,11 @@
         })
     }
 
-    /// One difference in place of this one and the next: what the next one writes again is dropped.
+    /// Combines this delta and the next one into one, without what the next one overwrites.
     ///
     /// # Errors
     ///
-    /// When the next one does not lead from where this one ends.
+    /// If the next delta does not start where this one ends.
     pub fn followed_by(&self, next: &Self) -> Result<Self, DeltaError> {
         if !next.applies_to(self.version) {
             return Err(DeltaError::Gap { after: next.after, base: self.version });
@@ -174,7 +177,7 @@
     }
 }
 
-/// The routes by their names; nothing when two share one.
+/// Returns the routes by name; `None` if two share one.
 fn by_name(description: &RouteDescription) -> Option<BTreeMap<&RouteName, &Arc<OpaqueRoute>>> {
     let routes: BTreeMap<&RouteName, &Arc<OpaqueRoute>> =
         description.routes.iter().map(|route| (&route.name, route)).collect();
--- a/crates/foldhaven-core/src/opaque/route_history.rs
+++ b/crates/foldhaven-core/src/opaque/route_history.rs
@@ -1,13 +1,14 @@
-//! What the requests of one route have shown, whichever upstream ran them: how often they fail by their
-//! nature, and how many events their answers have.
+//! Statistics of the requests of one route over all upstreams: how often they fail by their nature,
+//! and how many events their answers have.
 
 use crate::opaque::event_order::{EventSteps, UsualSteps};
 
-/// The weight of one more end of a request. Small, so that an upstream that fails for some seconds does not
-/// become what is usual.
+/// The minimum weight of a new value. It is small, so that an upstream that fails for some seconds
+/// does not change the usual failure share.
 const MIN_WEIGHT: f64 = 0.01;
 
-/// A mean whose first values count evenly, and later ones with a small weight.
+/// A running mean that weights the first values equally and later ones with a small constant
+/// weight.
 #[derive(Debug, Clone, Copy, Default)]
 struct RunningMean {
     value: f64,
@@ -22,7 +23,7 @@
     }
 }
 
-/// What the requests of one route have shown.
+/// Statistics of the requests of one route.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RouteHistory {
     failure_mean: RunningMean,
@@ -31,32 +32,33 @@
 }
 
 impl RouteHistory {
-    /// Takes in how a request ended at an upstream.
+    /// Records how a request ended at an upstream.
     pub fn record_outcome(&mut self, has_failed: bool) {
         self.failure_mean.record(f64::from(u8::from(has_failed)));
     }
 
-    /// Takes in how many events a whole answer had.
+    /// Records the number of events of a complete answer.
     pub fn record_event_count(&mut self, events: u32) {
         self.event_mean.record(f64::from(events));
     }
 
-    /// How the events of its streams are numbered.
+    /// Returns the learned event numbering of the route's streams for updates.
     pub fn numbering_mut(&mut self) -> &mut UsualSteps {
         &mut self.numbering
     }
 
-    /// The steps that its streams are judged by.
+    /// Returns the event numbering that the route's streams are checked against; `None` if it is
+    /// unknown.
     pub fn usual_numbering(&self) -> Option<EventSteps> {
         self.numbering.steps()
     }
 
-    /// The share of requests that usually fails.
+    /// Returns the usual share of requests that fail.
     pub fn failure_share(&self) -> f64 {
         self.failure_mean.value
     }
 
-    /// The number of events that an answer usually has; 0 before any was seen.
+    /// Returns the usual number of events in an answer; 0 before the first answer.
     pub fn usual_event_count(&self) -> f64 {
         self.event_mean.value
     }
--- a/crates/foldhaven-core/src/opaque/route_table.rs
+++ b/crates/foldhaven-core/src/opaque/route_table.rs
@@ -1,4 +1,5 @@
-//! The routes of opaque requests, read as one value and looked up by host and longest path prefix.
+//! The routes of opaque requests, published as one value and looked up by host and longest path
+//! prefix.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,7 +10,7 @@
 use super::account_table::{AccountDescription, AccountTable};
 use crate::ids::{RegionName, RouteName, ServiceName};
 
-/// Orders the route descriptions of one deployment; a larger one is newer.
+/// The version of a route description; a larger one is newer.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -30,7 +31,7 @@
     }
 }
 
-/// What may be done again with a request of a route.
+/// Whether and how a request of a route may be repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RepeatKind {
@@ -38,14 +39,15 @@
     Safe,
     /// Runs at most once.
     Once,
-    /// Answers with events and runs at most once.
+    /// Is answered with a stream of events and runs at most once.
     Stream,
-    /// Answers with events; another upstream can go on after the last event that was passed on.
+    /// Is answered with a stream of events. Another upstream can continue after the last event that
+    /// was passed on.
     ResumableStream,
 }
 
 impl RepeatKind {
-    /// Whether the answer is a series of events.
+    /// Whether the answer is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::ResumableStream)
     }
@@ -56,41 +58,41 @@
     }
 }
 
-/// A service that takes a part of the requests of a route.
+/// A service that receives a share of the requests of a route.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WeightedService {
     /// The service.
     pub service: ServiceName,
-    /// Its part, against the sum of all weights of the route.
+    /// Its weight, relative to the sum of all weights of the route.
     pub weight: f64,
 }
 
-/// One route.
+/// A route.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct OpaqueRoute {
     /// Its name.
     pub name: RouteName,
-    /// The host that callers name, in lower case.
+    /// The host that callers use, in lower case.
     pub host: String,
-    /// The start of the path, from slash to slash.
+    /// The path prefix, which starts and ends with a slash.
     pub path_prefix: String,
-    /// What may be done again.
+    /// Whether and how its requests may be repeated.
     pub repeat: RepeatKind,
-    /// How long one request may be held.
+    /// The maximum duration of a request.
     pub timeout: Duration,
-    /// The time to the answer, or to its first event, that callers want.
+    /// The target time to the answer, or to its first event.
     pub target: Duration,
-    /// The longest wanted pause between two events.
+    /// The target for the longest pause between two events; `None` if there is none.
     pub event_gap: Option<Duration>,
-    /// The rank against other routes of the same service; 0 goes first.
+    /// The priority compared to other routes of the same service; 0 is the highest.
     pub priority: u8,
-    /// To how many upstreams one request may be sent.
+    /// The maximum number of upstreams that one request may be sent to.
     pub max_attempts: u32,
-    /// The services that run it.
+    /// The services that run the requests.
     pub services: Vec<WeightedService>,
-    /// The regions in which it may run; all when empty.
+    /// The regions in which requests may run; all if empty.
     pub homes: Vec<RegionName>,
-    /// Whether requests that share the start of their prompt should meet at one upstream.
+    /// Whether requests that share the start of their prompt should be sent to the same upstream.
     pub affinity: bool,
 }
 
@@ -100,7 +102,7 @@
         self.homes.is_empty() || self.homes.contains(region)
     }
 
-    /// The service for one request. `draw` is uniform in 0..1.
+    /// Picks the service for one request. `draw` is a uniform random number in 0..1.
     pub fn pick_service(&self, draw: f64) -> Option<&ServiceName> {
         let sum: f64 = self.services.iter().map(|it| it.weight).sum();
         let mut rest = draw * sum;
@@ -114,23 +116,24 @@
     }
 }
 
-/// One service that runs opaque requests.
+/// A service that runs opaque requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct OpaqueService {
     /// Its name.
     pub name: ServiceName,
-    /// The path that answers whether an instance is well.
+    /// The path of the health check of an instance.
     pub health_path: String,
-    /// How many connections one instance takes from all VMs together.
+    /// The maximum number of connections that one instance accepts from all VMs together; 0 for no
+    /// limit.
     pub connection_limit: u32,
     /// How long an instance stays cold after its start.
     pub cold_time: Duration,
-    /// How many requests a second a cold instance bears, from all VMs together; where none is described it gets nothing
-    /// until it is warm.
+    /// The requests per second that a cold instance can handle from all VMs together. With 0 it
+    /// gets no requests until it is warm.
     pub cold_rate: f64,
-    /// The prompt memory of an instance in tokens, for services that run a model.
+    /// The size of an instance's prompt cache in tokens, for services that run a model.
     pub prompt_memory: Option<u64>,
-    /// How many prompt tokens a second an instance takes over from another one; nothing when it
+    /// The prompt tokens per second that an instance can fetch from another one; `None` if it
     /// cannot.
     pub fetch_rate: Option<f64>,
 }
@@ -138,20 +141,20 @@
 /// Limits on what callers may send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// The largest request head, in bytes.
+    /// The maximum size of a request head in bytes.
     pub header_bytes: usize,
-    /// The largest request body, in bytes.
+    /// The maximum size of a request body in bytes.
     pub body_bytes: usize,
-    /// The longest time that a head may take.
+    /// The maximum time that a caller may take to send a request head.
     pub header_time: Duration,
-    /// How long a connection is kept without a request.
+    /// How long an idle connection is kept open.
     pub idle_time: Duration,
 }
 
-/// All routes of one deployment, as one value with a version.
+/// All routes of one deployment, as one versioned value.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RouteDescription {
-    /// The version; one process never goes back to a smaller one.
+    /// The version. A process never goes back to a smaller one.
     pub version: RouteVersion,
     /// The routes.
     pub routes: Vec<Arc<OpaqueRoute>>,
@@ -159,31 +162,32 @@
     pub services: Vec<OpaqueService>,
     /// The limits on callers.
     pub limits: CallerLimits,
-    /// The client accounts; nothing where requests need no key. Told beside the rest, so that daemons that know of none
-    /// read it as before.
+    /// The client accounts; `None` if requests need no key. Sent alongside the description, so that
+    /// daemons without support for accounts can still read it.
     #[serde(skip)]
     pub accounts: Option<Arc<AccountDescription>>,
 }
 
-/// A route description with its look-ups.
+/// A route description with its lookup tables.
 #[derive(Debug)]
 pub struct RouteTable {
     description: RouteDescription,
-    /// For each host, its routes with the longest path prefix first.
+    /// The indexes of each host's routes, the longest path prefix first.
     hosts: BTreeMap<String, Vec<usize>>,
     services: BTreeMap<ServiceName, usize>,
     accounts: AccountTable,
 }
 
 impl RouteTable {
-    /// Makes the look-ups.
+    /// Builds the lookup tables.
     pub fn new(description: RouteDescription) -> Self {
         let mut hosts: BTreeMap<String, Vec<usize>> = BTreeMap::new();
         for (index, route) in description.routes.iter().enumerate() {
             hosts.entry(route.host.clone()).or_default().push(index);
         }
         for routes in hosts.values_mut() {
-            // Of two routes with the same prefix all VMs take the same one, in whatever order they hold them.
+            // Of two routes with the same prefix all VMs use the same one, whatever order they hold
+            // them in.
             routes.sort_by(|left, right| {
                 let (left, right) = (&description.routes[*left], &description.routes[*right]);
                 let by_length = right.path_prefix.len().cmp(&left.path_prefix.len());
@@ -196,17 +200,17 @@
         Self { description, hosts, services, accounts }
     }
 
-    /// The description.
+    /// Returns the description.
     pub fn description(&self) -> &RouteDescription {
         &self.description
     }
 
-    /// The version.
+    /// Returns the version.
     pub fn version(&self) -> RouteVersion {
         self.description.version
     }
 
-    /// The client accounts.
+    /// Returns the client accounts.
     pub fn accounts(&self) -> &AccountTable {
         &self.accounts
     }
@@ -217,7 +221,7 @@
         accounts.is_some_and(|accounts| !accounts.open_routes.contains(route))
     }
 
-    /// The route of a request, by the longest prefix of its path.
+    /// Returns the route with the longest path prefix that matches a request.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<OpaqueRoute>> {
         let routes = self.routes_of(host)?;
         let index = routes.iter().find(|index| self.matches(**index, path))?;
@@ -236,26 +240,26 @@
         self.hosts.get(&name.to_ascii_lowercase())
     }
 
-    /// How many routes of a host that are bound to some regions permit this one. The directory
-    /// answers for a whole host, whose routes may be bound to different regions.
+    /// Returns how many region-bound routes of a host permit a region. The directory answers for a
+    /// whole host, whose routes may be bound to different regions.
     pub fn bound_routes_in(&self, host: &str, region: &RegionName) -> usize {
         let Some(routes) = self.routes_of(host) else { return 0 };
         let homes = routes.iter().map(|index| &self.description.routes[*index].homes);
         homes.filter(|homes| homes.contains(region)).count()
     }
 
-    /// Whether any route of a host is bound to some regions.
+    /// Whether any route of a host is bound to regions.
     pub fn has_bound_routes(&self, host: &str) -> bool {
         let Some(routes) = self.routes_of(host) else { return false };
         routes.iter().any(|index| !self.description.routes[*index].homes.is_empty())
     }
 
-    /// The service of that name.
+    /// Returns the service with a name.
     pub fn service(&self, name: &ServiceName) -> Option<&OpaqueService> {
         self.services.get(name).map(|index| &self.description.services[*index])
     }
 
-    /// Whether the description names a service, of its own or for a route.
+    /// Whether the description lists a service or a route uses it.
     pub fn names_service(&self, name: &ServiceName) -> bool {
         let is_routed =
             |route: &Arc<OpaqueRoute>| route.services.iter().any(|it| it.service == *name);
--- a/crates/foldhaven-core/src/opaque/upstream_signals.rs
+++ b/crates/foldhaven-core/src/opaque/upstream_signals.rs
@@ -1,4 +1,5 @@
-//! What upstreams say of themselves in their answers, by the newest answer that any VM of the region got.
+//! Signals that upstreams send in their answers, as of the newest answer that any VM of the region
+//! received.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,41 +10,44 @@
 use crate::time::MonoTime;
 use crate::units::RequestRate;
 
-/// How long the end of a limit is remembered, so that a VM that has not heard of it does not put the limit back.
+/// How long the end of a limit is remembered, so that a VM that has not received it does not
+/// restore the limit.
 const ENDED_RETENTION: Duration = Duration::from_secs(10);
-/// How long what an upstream said is remembered while it is not listed.
+/// How long the signals of an upstream are remembered while it is not listed.
 const UNLISTED_RETENTION: Duration = Duration::from_secs(60);
 
-/// When an answer came, and when its request was sent.
+/// When an answer was received, and when its request was sent.
 #[derive(Debug, Clone, Copy)]
 pub struct AnswerTiming {
     /// When the request was sent.
     pub sent: MonoTime,
-    /// When the head of the answer came.
+    /// When the head of the answer was received.
     pub received: MonoTime,
 }
 
-/// The limit of one upstream, as a VM tells others of it.
+/// The rate limit of one upstream, as VMs send it to each other.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct LimitNotice {
-    /// The upstream, in one of its process lifetimes.
+    /// The upstream, identified per process incarnation.
     pub upstream: UpstreamTag,
-    /// The requests a second that it takes from all VMs together; nothing when it names no limit any more.
+    /// The requests per second that it accepts from all VMs together; `None` if it no longer names
+    /// a limit.
     pub per_s: Option<f64>,
-    /// How many milliseconds ago the answer came that says so.
+    /// The age of the answer with this signal in milliseconds.
     pub age_ms: u32,
 }
 
-/// An upstream that leaves, as a VM tells others of it.
+/// An upstream that is leaving, as VMs send it to each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeavingNotice {
-    /// The upstream, in one of its process lifetimes.
+    /// The upstream, identified per process incarnation.
     pub upstream: UpstreamTag,
-    /// How many milliseconds ago the newest answer came that says so.
+    /// The age of the newest answer with this signal in milliseconds.
     pub age_ms: u32,
 }
 
-/// The process lifetimes of upstreams that have said that they leave. None takes that back: a later process has another tag.
+/// The incarnations of upstreams that have signalled that they are leaving. None can revoke this
+/// signal: a later process has a different tag.
 #[derive(Debug, Default)]
 pub struct LeavingUpstreams {
     entries: BTreeMap<UpstreamTag, LeavingEntry>,
@@ -51,19 +55,19 @@
 
 #[derive(Debug, Clone, Copy)]
 struct LeavingEntry {
-    /// When the newest answer came that says so.
+    /// When the newest answer with this signal was received.
     signalled_at: MonoTime,
-    /// Whether other VMs are still to be told.
+    /// Whether the signal is yet to be sent to other VMs.
     is_unsent: bool,
 }
 
 impl LeavingUpstreams {
-    /// Takes in an answer that says so. Returns whether it is news.
+    /// Records an answer with the signal. Returns whether the signal is new.
     pub fn record_answer(&mut self, upstream: UpstreamTag, now: MonoTime) -> bool {
         self.update(upstream, true, now)
     }
 
-    /// Takes in what another VM tells. Returns whether it is news.
+    /// Applies the notice of another VM. Returns whether the signal is new.
     pub fn apply_notice(&mut self, notice: &LeavingNotice, now: MonoTime) -> bool {
         self.update(notice.upstream, false, now - Duration::from_millis(notice.age_ms.into()))
     }
@@ -75,29 +79,29 @@
         signalled_at: MonoTime,
     ) -> bool {
         let held = self.entries.get(&upstream).copied();
-        // What another VM has told needs not be told by this one.
+        // A signal that another VM has sent need not be sent by this one.
         let is_unsent = is_own_answer && held.is_none_or(|held| held.is_unsent);
         let signalled_at = held.map_or(signalled_at, |held| held.signalled_at.max(signalled_at));
         self.entries.insert(upstream, LeavingEntry { signalled_at, is_unsent });
         held.is_none()
     }
 
-    /// Whether an upstream has said so.
+    /// Whether an upstream has signalled that it is leaving.
     pub fn contains(&self, upstream: UpstreamTag) -> bool {
         self.entries.contains_key(&upstream)
     }
 
-    /// Whether anything is held.
+    /// Whether no upstreams are held.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// How many have said so.
+    /// Returns the number of upstreams that have signalled that they are leaving.
     pub fn count(&self) -> usize {
         self.entries.len()
     }
 
-    /// What others are still to be told; it counts as told from then on.
+    /// Returns the notices that are yet to be sent, and marks them as sent.
     pub fn take_unsent(&mut self, now: MonoTime) -> Vec<LeavingNotice> {
         let unsent = self.entries.iter_mut().filter(|(_, entry)| entry.is_unsent);
         let notices = unsent.map(|(upstream, entry)| {
@@ -107,12 +111,12 @@
         notices.collect()
     }
 
-    /// All that is held, for VMs that have missed news of it.
+    /// Returns all notices, for VMs that have missed some.
     pub fn all_notices(&self, now: MonoTime) -> Vec<LeavingNotice> {
         self.entries.iter().map(|(upstream, entry)| entry.notice(*upstream, now)).collect()
     }
 
-    /// Forgets upstreams that are gone. One that is listed again soon is the same process.
+    /// Removes upstreams that are gone. One that is listed again soon is the same process.
     pub fn remove_expired(&mut self, is_listed: impl Fn(UpstreamTag) -> bool, now: MonoTime) {
         self.entries.retain(|upstream, entry| {
             is_listed(*upstream) || now.since(entry.signalled_at) < UNLISTED_RETENTION
@@ -120,37 +124,37 @@
     }
 }
 
-/// A limit that has changed.
+/// A change of a rate limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitChange {
     /// The upstream.
     pub upstream: UpstreamTag,
-    /// The limit before.
+    /// The previous limit.
     pub before: Option<RequestRate>,
-    /// The limit now.
+    /// The new limit.
     pub now: Option<RequestRate>,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct RateLimitEntry {
     limit: Option<RequestRate>,
-    /// When the newest answer came that says so.
+    /// When the newest answer with this limit was received.
     signalled_at: MonoTime,
-    /// Whether other VMs are still to be told.
+    /// Whether the limit is yet to be sent to other VMs.
     is_unsent: bool,
 }
 
-/// The limits that upstreams name, each for one process lifetime.
+/// The rate limits that upstreams name, per process incarnation.
 #[derive(Debug, Default)]
 pub struct RateLimits {
     entries: BTreeMap<UpstreamTag, RateLimitEntry>,
 }
 
 impl RateLimits {
-    /// Takes in the limit that an answer names, or that it names none.
+    /// Records the limit that an answer names; `None` if it names none.
     ///
-    /// An answer without a limit ends one only if its request was sent after the limit was heard: answers on several
-    /// connections may overtake each other.
+    /// An answer without a limit ends the limit only if its request was sent after the limit was
+    /// received, since answers on several connections may arrive out of order.
     pub fn record_answer(
         &mut self,
         upstream: UpstreamTag,
@@ -167,7 +171,7 @@
         is_newer.then(|| self.update(upstream, limit, timing.received, true)).flatten()
     }
 
-    /// Takes in what another VM tells. A rate that is no number of at least zero is dropped.
+    /// Applies the notice of another VM. A rate that is not a valid non-negative number is dropped.
     pub fn apply_notice(&mut self, notice: &LimitNotice, now: MonoTime) -> Option<LimitChange> {
         let limit = match notice.per_s {
             Some(per_s) => Some(RequestRate::of_per_s(per_s).ok()?),
@@ -177,7 +181,7 @@
         match self.entries.get_mut(&notice.upstream) {
             None if limit.is_none() => None,
             Some(held) if signalled_at <= held.signalled_at => {
-                // Others know it as well.
+                // The other VMs have the same limit.
                 held.is_unsent &= held.limit != limit;
                 None
             }
@@ -201,22 +205,22 @@
         has_changed.then_some(LimitChange { upstream, before, now: limit })
     }
 
-    /// The limit of an upstream.
+    /// Returns the limit of an upstream.
     pub fn limit(&self, upstream: UpstreamTag) -> Option<RequestRate> {
         self.entries.get(&upstream)?.limit
     }
 
-    /// Whether anything is held.
+    /// Whether no limits are held.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// How many upstreams name a limit.
+    /// Returns the number of upstreams that name a limit.
     pub fn count(&self) -> usize {
         self.entries.values().filter(|entry| entry.limit.is_some()).count()
     }
 
-    /// What others are still to be told; it counts as told from then on.
+    /// Returns the notices that are yet to be sent, and marks them as sent.
     pub fn take_unsent(&mut self, now: MonoTime) -> Vec<LimitNotice> {
         let unsent = self.entries.iter_mut().filter(|(_, entry)| entry.is_unsent);
         let notices = unsent.map(|(upstream, entry)| {
@@ -226,12 +230,12 @@
         notices.collect()
     }
 
-    /// All that is held, for VMs that have missed news of it.
+    /// Returns all notices, for VMs that have missed some.
     pub fn all_notices(&self, now: MonoTime) -> Vec<LimitNotice> {
         self.entries.iter().map(|(upstream, entry)| entry.notice(*upstream, now)).collect()
     }
 
-    /// Forgets limits that have ended, and those of upstreams that are gone.
+    /// Removes limits that have ended, and those of upstreams that are gone.
     pub fn remove_expired(&mut self, is_listed: impl Fn(UpstreamTag) -> bool, now: MonoTime) {
         self.entries.retain(|upstream, entry| {
             let retention = match (entry.limit, is_listed(*upstream)) {
--- a/crates/foldhaven-core/tests/testsuite/opaque_deltas.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_deltas.rs
@@ -1,4 +1,4 @@
-//! Differences between descriptions, as VMs tell each other of them.
+//! Deltas between descriptions, as VMs send them to each other.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -35,7 +35,7 @@
     }
 }
 
-/// A description of routes, by the numbers that name them and the time-outs that tell their versions apart.
+/// Creates a description with routes named by number, whose time-outs distinguish their versions.
 fn description(version: u64, routes: &[(u8, u64)]) -> RouteDescription {
     let make = |(number, seconds): &(u8, u64)| {
         let timeout = Duration::from_secs(*seconds);
@@ -51,7 +51,7 @@
     }
 }
 
-/// Accounts by the numbers that name them, each with the numbers of its keys.
+/// Creates accounts named by number, each with keys named by number.
 fn accounts(drawn: &std::collections::BTreeMap<u8, Vec<u8>>, open: u8) -> AccountDescription {
     let make = |(number, keys): (&u8, &Vec<u8>)| {
         let name: AccountName = format!("a{number}").parse().unwrap();
@@ -70,13 +70,13 @@
     }
 }
 
-/// The routes whatever their order.
+/// Sorts the routes by name.
 fn sorted(mut description: RouteDescription) -> RouteDescription {
     description.routes.sort_by(|left, right| left.name.cmp(&right.name));
     description
 }
 
-/// Versions of a description, each with some routes.
+/// Generates consecutive versions of a description with random routes.
 fn versions() -> impl Strategy<Value = Vec<RouteDescription>> {
     let routes = prop::collection::btree_map(0..12_u8, 1..4_u64, 0..10);
     let keyed = prop::collection::btree_map(0..6_u8, prop::collection::vec(0..4_u8, 0..3), 0..5);
@@ -114,7 +114,8 @@
         for base in &versions[..versions.len() - 1] {
             prop_assert_eq!(sorted(combined.apply(base).unwrap()), sorted(newest.clone()));
         }
-        // However many versions there were, it is no larger than the routes and accounts that any of them had.
+        // However many versions it spans, the delta is no larger than the number of routes and
+        // accounts in any of them.
         let all = versions.iter().flat_map(|version| &version.routes);
         let names: BTreeSet<&str> = all.map(|route| route.name.as_str()).collect();
         let all = versions.iter().filter_map(|version| version.accounts.as_ref());
@@ -142,7 +143,7 @@
     let gap = DeltaError::Gap { after: RouteVersion(7), base: RouteVersion(3) };
     let earlier = RouteDelta::between(&versions[0], &versions[0]).unwrap();
     assert_eq!(earlier.followed_by(&second), Err(gap));
-    // A description of the same version that is another one shows in the count.
+    // A different description with the same version is detected by its number of routes.
     let other = description(3, &[(1, 1), (5, 1)]);
     assert_eq!(first.apply(&other), Err(DeltaError::Count { produced: 2, expected: 1 }));
 }
@@ -154,12 +155,11 @@
 }
 
 proptest! {
-    /// Two VMs read descriptions at their own pace: one meets versions that the other one skips. What either tells as a
-    /// difference leads to the newest description or is refused, whatever version is held.
-    ///
-    /// Seen: VMs that named the newest version and revision as theirs, and served a route that it had dropped, or as an
-    /// older one had it. A difference from a version before the one that is held says nothing of a route which that
-    /// one had changed and the newest has changed back.
+    /// Guards against VMs that hold the newest version number with routes that the newest version
+    /// has dropped or changed. VMs read descriptions at their own pace, and one reads versions that
+    /// another one skips. A delta from a version before the held one lacks a route that the held
+    /// version had changed and the newest one has changed back. Any delta must yield the newest
+    /// description or be rejected, whatever version is held.
     #[test]
     fn delta_that_skips_versions_yields_the_newest_or_is_rejected(
         versions in versions(),
@@ -186,7 +186,8 @@
     }
 }
 
-/// One idle route takes the place of another one and gives it back: the number of routes never changes.
+/// Guards against a route that replaces another one and is replaced by it again, where the number
+/// of routes never changes.
 #[test]
 fn delta_from_before_a_reverted_change_is_rejected_after_it() {
     let versions = [
--- a/crates/foldhaven-core/tests/testsuite/opaque_signals.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_signals.rs
@@ -1,4 +1,4 @@
-//! What upstreams say of themselves in their answers, whatever the order in which these are heard.
+//! Signals of upstreams, received in any order.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
     AnswerTiming { sent: at(sent), received: at(received) }
 }
 
-/// Guards against a limit that ends by an answer that was on its way when the limit was named.
+/// Guards against a limit that is ended by an answer that was in flight when the limit was named.
 #[test]
 fn answer_in_flight_does_not_end_a_limit() {
     let mut limits = RateLimits::default();
@@ -34,7 +34,8 @@
     assert_eq!(limits.limit(UPSTREAM), None);
 }
 
-/// Guards against an old notice of another VM that puts back what has ended, or ends what was named since.
+/// Guards against an old notice of another VM that restores a limit that has ended, or ends a limit
+/// that was named since.
 #[rstest]
 #[case::older_limit(None, 900, Some(2.5), 500, None)]
 #[case::newer_limit(None, 900, Some(2.5), 50, Some(2.5))]
@@ -54,7 +55,7 @@
     assert_eq!(limits.limit(UPSTREAM), expected.and_then(rate));
 }
 
-/// Guards against a datagram with a rate that is no number, or none that can be kept to.
+/// Guards against a datagram with a rate that is not a number or not a usable rate.
 #[rstest]
 #[case(f64::NAN)]
 #[case(f64::INFINITY)]
@@ -67,7 +68,7 @@
     assert!(limits.is_empty());
 }
 
-/// Guards against a region in which each VM tells all others what these have told it.
+/// Guards against each VM of a region sending notices on to the VMs that it received them from.
 #[test]
 fn updates_are_sent_once_and_only_by_their_source() {
     let (mut first, mut second) = (RateLimits::default(), RateLimits::default());
@@ -84,7 +85,7 @@
     assert_eq!(third.limit(UPSTREAM), rate(2.5));
 }
 
-/// Guards against VMs that keep each other's notice alive of an upstream that is long gone.
+/// Guards against VMs that keep each other's notices of a long-gone upstream alive.
 #[test]
 fn repeated_notices_do_not_prevent_expiry() {
     let (mut first, mut second) = (LeavingUpstreams::default(), LeavingUpstreams::default());
@@ -103,7 +104,8 @@
     assert!(first.is_empty() && second.is_empty());
 }
 
-/// Guards against a process that is left out by the signal of another one, or used again since it is listed.
+/// Guards against a process that is excluded by the signal of another process, or used again
+/// because it is still listed.
 #[test]
 fn leaving_is_final_for_a_process() {
     let mut leaving = LeavingUpstreams::default();
@@ -117,7 +119,7 @@
     assert!(!leaving.contains(UpstreamTag(8)));
 }
 
-/// Guards against a book that grows with each upstream that ever named a limit.
+/// Guards against a table that grows with each upstream that ever named a limit.
 #[test]
 fn unlisted_upstreams_are_removed() {
     let mut limits = RateLimits::default();
