--- a/crates/foldhaven-core/src/opaque/demand_exchange.rs
+++ b/crates/foldhaven-core/src/opaque/demand_exchange.rs
@@ -40,7 +40,7 @@
     /// The number of VMs that may exist, including this one.
     pub vms: usize,
     /// The number of other VMs that were heard from recently.
-    pub heard: usize,
+    pub responsive: usize,
     /// Whether this process has run long enough to hear from the others, and has heard from a VM
     /// that every starting process asks first.
     pub is_informed: bool,
@@ -55,9 +55,9 @@
     /// What this VM last reported.
     announced: BTreeMap<AccountTag, f64>,
     /// Reports of other regions' delegates that are yet to be relayed to the VMs of this region.
-    relayed: Vec<RegionDemand>,
+    pending_relays: Vec<RegionDemand>,
     /// The demand in this region in the last rounds.
-    past: BTreeMap<AccountTag, VecDeque<(MonoTime, f64)>>,
+    region_history: BTreeMap<AccountTag, VecDeque<(MonoTime, f64)>>,
     rounds: u32,
     /// Increases with each message.
     sequence: u32,
@@ -67,9 +67,18 @@
     /// Creates the exchange of a VM of `region`, where `regions` are all that may exist.
     pub fn new(vm: VmTag, region: RegionTag, regions: impl IntoIterator<Item = RegionTag>) -> Self {
         let table = DemandTable::new(region, regions);
-        let (announced, relayed) = (BTreeMap::new(), Vec::new());
-        let past = BTreeMap::new();
-        Self { vm, region, table, announced, relayed, past, rounds: 0, sequence: 0 }
+        let (announced, pending_relays) = (BTreeMap::new(), Vec::new());
+        let region_history = BTreeMap::new();
+        Self {
+            vm,
+            region,
+            table,
+            announced,
+            pending_relays,
+            region_history,
+            rounds: 0,
+            sequence: 0,
+        }
     }
 
     /// Applies the report of another VM of this region.
@@ -89,7 +98,7 @@
         // Several delegates report to several VMs; one relay per round is enough for all.
         let is_due = age.is_none_or(|age| age >= DEMAND_INTERVAL);
         if self.table.apply_region(&demand, now) && is_due {
-            self.relayed.push(demand);
+            self.pending_relays.push(demand);
         }
     }
 
@@ -100,7 +109,7 @@
             regions: self.table.region_count(),
             silent_regions: self.table.silent_regions(now),
             vms,
-            silent_vms: vms - 1 - local.heard.min(vms - 1),
+            silent_vms: vms - 1 - local.responsive.min(vms - 1),
             is_informed: local.is_informed,
         }
     }
@@ -111,14 +120,14 @@
         &mut self,
         demands: &[LimitedDemand],
         view: &SharerView,
-        heard: &BTreeSet<VmTag>,
+        responsive: &BTreeSet<VmTag>,
         incarnation: IncarnationId,
         now: MonoTime,
     ) -> Option<LocalDemand> {
         self.rounds = self.rounds.wrapping_add(1);
-        self.table.retain_vms(|vm| heard.contains(&vm));
+        self.table.retain_vms(|vm| responsive.contains(&vm));
         let own = self.own_demand(demands, view, incarnation, now);
-        let regions = std::mem::take(&mut self.relayed);
+        let regions = std::mem::take(&mut self.pending_relays);
         let has_update = own.is_some() || !regions.is_empty();
         has_update.then_some(LocalDemand { own, regions })
     }
@@ -201,12 +210,15 @@
         demand: f64,
         now: MonoTime,
     ) -> f64 {
-        let past = self.past.entry(account).or_default();
-        past.push_back((now, demand));
-        while past.get(1).is_some_and(|(at, _)| now.since(*at) >= REMOTE_DELAY) {
-            past.pop_front();
+        let region_history = self.region_history.entry(account).or_default();
+        region_history.push_back((now, demand));
+        while region_history.get(1).is_some_and(|(at, _)| now.since(*at) >= REMOTE_DELAY) {
+            region_history.pop_front();
         }
-        past.front().filter(|(at, _)| now.since(*at) >= REMOTE_DELAY).map_or(0.0, |(_, it)| *it)
+        region_history
+            .front()
+            .filter(|(at, _)| now.since(*at) >= REMOTE_DELAY)
+            .map_or(0.0, |(_, it)| *it)
     }
 
     /// Returns what to report to other regions if this VM is a delegate of its region; `None` if
@@ -243,7 +255,7 @@
 
     /// Drops pending relays and past demand while no account has a limit.
     pub fn clear_pending(&mut self) {
-        self.relayed.clear();
-        self.past.clear();
+        self.pending_relays.clear();
+        self.region_history.clear();
     }
 }
--- a/crates/foldhaven-core/src/opaque/directory.rs
+++ b/crates/foldhaven-core/src/opaque/directory.rs
@@ -13,7 +13,7 @@
 pub const MAX_ADDRESSES: usize = 64;
 /// Unresponsive VMs are left out if more than one in this many VMs is responsive, as when one of
 /// two data centres is lost. If fewer are, the connection of this VM is the more likely fault.
-const MIN_RESPONSIVE_RATIO: usize = 3;
+const MIN_RESPONSIVE_ONE_IN: usize = 3;
 
 /// What the directory knows about its own region.
 pub struct LocalService<'a> {
@@ -77,7 +77,7 @@
 ) -> Vec<&'a PeerBeat> {
     let responsive: Vec<&PeerBeat> =
         candidates.iter().copied().filter(|beat| !local.unresponsive.contains(&beat.vm)).collect();
-    let candidates = if responsive.len() * MIN_RESPONSIVE_RATIO > candidates.len() {
+    let candidates = if responsive.len() * MIN_RESPONSIVE_ONE_IN > candidates.len() {
         responsive
     } else {
         candidates
--- a/crates/foldhaven-core/src/opaque/limit_share.rs
+++ b/crates/foldhaven-core/src/opaque/limit_share.rs
@@ -183,18 +183,18 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct DemandRate {
     per_s: f64,
-    at: MonoTime,
+    updated_at: MonoTime,
 }
 
 impl DemandRate {
-    fn now(&self, now: MonoTime) -> f64 {
-        let passed = now.since(self.at).as_secs_f64();
+    fn current(&self, now: MonoTime) -> f64 {
+        let passed = now.since(self.updated_at).as_secs_f64();
         self.per_s * (-passed / DEMAND_WINDOW.as_secs_f64()).exp()
     }
 
     fn record(&mut self, cost: f64, now: MonoTime) {
-        self.per_s = self.now(now) + cost / DEMAND_WINDOW.as_secs_f64();
-        self.at = now;
+        self.per_s = self.current(now) + cost / DEMAND_WINDOW.as_secs_f64();
+        self.updated_at = now;
     }
 }
 
@@ -207,7 +207,7 @@
     /// The amount that may be used at once; a negative value is debt.
     level: f64,
     /// When `level` was last updated.
-    at: MonoTime,
+    updated_at: MonoTime,
     demand: DemandRate,
 }
 
@@ -216,7 +216,8 @@
     /// earlier process is unknown, so the meter starts with the maximum debt.
     pub fn new(share: LimitShare, started: MonoTime, now: MonoTime) -> Self {
         let demand = DemandRate::default();
-        let mut meter = Self { share, renewed: now, level: -share.max_debt, at: started, demand };
+        let mut meter =
+            Self { share, renewed: now, level: -share.max_debt, updated_at: started, demand };
         meter.refill(now);
         meter
     }
@@ -241,7 +242,7 @@
 
     /// Returns the demand of callers per second.
     pub fn demand(&self, now: MonoTime) -> f64 {
-        self.demand.now(now)
+        self.demand.current(now)
     }
 
     /// Returns the amount that may be used at once.
@@ -278,12 +279,12 @@
 
     /// Adds what has been permitted since the last update.
     fn refill(&mut self, now: MonoTime) {
-        let valid_until = (self.renewed + SHARE_LIFETIME).max(self.at).min(now);
-        let full = valid_until.since(self.at).as_secs_f64() * self.share.per_s;
+        let valid_until = (self.renewed + SHARE_LIFETIME).max(self.updated_at).min(now);
+        let full = valid_until.since(self.updated_at).as_secs_f64() * self.share.per_s;
         let equal =
             now.since(valid_until).as_secs_f64() * self.share.per_s.min(self.share.equal_per_s);
         self.level = (self.level + full + equal).min(self.share.burst);
-        self.at = self.at.max(now);
+        self.updated_at = self.updated_at.max(now);
     }
 }
 
--- a/crates/foldhaven-core/src/opaque/retry_share.rs
+++ b/crates/foldhaven-core/src/opaque/retry_share.rs
@@ -62,7 +62,7 @@
         if !is_current {
             self.slices.push_back(RetrySlice { start: now, requests: 0, retries: 0 });
         }
-        self.slices.back_mut().expect("a slice was just made")
+        self.slices.back_mut().expect("a slice was just added")
     }
 
     /// Counts a request from a caller.
--- a/crates/foldhaven-core/src/opaque/sender_agreement.rs
+++ b/crates/foldhaven-core/src/opaque/sender_agreement.rs
@@ -78,10 +78,10 @@
     own: VmTag,
     list: Option<ListDigest>,
     /// When the list last changed.
-    since: MonoTime,
+    changed_at: MonoTime,
     round: AgreementRound,
     /// The numbers and send times of the last rounds.
-    sent: VecDeque<(u32, MonoTime)>,
+    sent_rounds: VecDeque<(u32, MonoTime)>,
     peers: BTreeMap<VmTag, PeerState>,
 }
 
@@ -89,33 +89,33 @@
     /// Creates the agreement of a process that starts now.
     pub fn new(own: VmTag, incarnation: IncarnationId, now: MonoTime) -> Self {
         let round = AgreementRound { incarnation, number: 0 };
-        let (sent, peers) = (VecDeque::new(), BTreeMap::new());
-        Self { own, list: None, since: now, round, sent, peers }
+        let (sent_rounds, peers) = (VecDeque::new(), BTreeMap::new());
+        Self { own, list: None, changed_at: now, round, sent_rounds, peers }
     }
 
     /// Sets the list that this VM holds; `None` if it is on none.
     pub fn set_list(&mut self, list: Option<ListDigest>, now: MonoTime) {
         if list != self.list {
             self.list = list;
-            self.since = now;
+            self.changed_at = now;
         }
     }
 
     /// Returns the list that this VM confirms.
     fn settled_list(&self, now: MonoTime) -> Option<ListDigest> {
-        self.list.filter(|_| now.since(self.since) >= SETTLE_TIME)
+        self.list.filter(|_| now.since(self.changed_at) >= SETTLE_TIME)
     }
 
     /// Begins a round of notices.
     pub fn begin_round(&mut self, incarnation: IncarnationId, now: MonoTime) {
         if incarnation != self.round.incarnation {
             self.round = AgreementRound { incarnation, number: 0 };
-            self.sent.clear();
+            self.sent_rounds.clear();
         }
         self.round.number += 1;
-        self.sent.push_back((self.round.number, now));
-        if self.sent.len() > MAX_REMEMBERED_ROUNDS {
-            self.sent.pop_front();
+        self.sent_rounds.push_back((self.round.number, now));
+        if self.sent_rounds.len() > MAX_REMEMBERED_ROUNDS {
+            self.sent_rounds.pop_front();
         }
     }
 
@@ -149,8 +149,9 @@
     /// Returns when a round of this incarnation was sent.
     fn sent_at(&self, round: AgreementRound) -> Option<MonoTime> {
         let is_own = round.incarnation == self.round.incarnation;
-        let sent = self.sent.iter().find(|(number, _)| is_own && *number == round.number);
-        sent.map(|(_, at)| *at)
+        let sent_rounds =
+            self.sent_rounds.iter().find(|(number, _)| is_own && *number == round.number);
+        sent_rounds.map(|(_, at)| *at)
     }
 
     /// Returns until when this VM may use its share, where `others` are the other VMs on its list;
--- a/crates/foldhaven-core/tests/testsuite/opaque_limits.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_limits.rs
@@ -67,13 +67,13 @@
             let in_window = |counts: &BTreeMap<u64, u32>, window: std::ops::Range<u64>| {
                 counts.range(window).map(|(_, count)| *count).sum::<u32>()
             };
-            let made = in_window(&retries, window.clone());
+            let sent = in_window(&retries, window.clone());
             // The budget counts the requests of this window, the previous one, or one that starts
             // half a window earlier.
             let before = first.saturating_sub(100)..first;
             let most = in_window(&requests, window).max(in_window(&requests, before));
             let permitted = LIMITS.ratio * f64::from(most) + LIMITS.extra;
-            prop_assert!(f64::from(made) <= permitted, "{made} retries, {permitted} permitted");
+            prop_assert!(f64::from(sent) <= permitted, "{sent} retries, {permitted} permitted");
         }
     }
 
--- a/crates/foldhaven-core/tests/testsuite/opaque_service.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_service.rs
@@ -124,13 +124,13 @@
 ) -> Vec<SocketAddr> {
     let (responder, region): (VmName, RegionName) =
         (responder.parse().unwrap(), "north".parse().unwrap());
-    let near = LocalService {
+    let local = LocalService {
         responder: &responder,
         region: &region,
         demand: cores(demand),
         unresponsive,
     };
-    select_vms(beats, &region, &near, |_| 0, false)
+    select_vms(beats, &region, &local, |_| 0, false)
 }
 
 /// Guards against callers overloading small VMs: callers use each address of an answer equally
--- a/crates/foldhaven-gateway/src/keeper/account_limits.rs
+++ b/crates/foldhaven-gateway/src/keeper/account_limits.rs
@@ -127,7 +127,7 @@
         let known = self.peers.region_count();
         let vms = usize::from(self.peers.assumed_counts(now).near).max(known);
         let is_informed = self.assumed_vms().is_some() && self.is_witnessed();
-        self.demands.view(LocalSharers { vms, heard, is_informed }, now)
+        self.demands.view(LocalSharers { vms, responsive: heard, is_informed }, now)
     }
 
     /// Divides the limits anew.
--- a/crates/foldhaven-testkit/src/limits/vm.rs
+++ b/crates/foldhaven-testkit/src/limits/vm.rs
@@ -192,7 +192,7 @@
         let known = self.heard.len() + 1;
         let near = LocalSharers {
             vms: known,
-            heard: heard.len(),
+            responsive: heard.len(),
             is_informed: at - self.started >= LEARNT_AFTER && known > 1 || self.region_vms == 1,
         };
         let wants =
