--- a/crates/foldhaven-core/src/opaque/demand_exchange.rs
+++ b/crates/foldhaven-core/src/opaque/demand_exchange.rs
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Begins a round, where `heard` are the VMs of the region that were heard from recently.
+    /// Begins a round, where `responsive` are the VMs of the region that were heard from recently.
     /// Returns what to report to the VMs of the region; `None` if there is nothing new.
     pub fn next_local_update(
         &mut self,
