--- a/crates/foldhaven-core/src/opaque/far_queue.rs
+++ b/crates/foldhaven-core/src/opaque/far_queue.rs
@@ -36,7 +36,7 @@
             in_flight: (f64::from(own.in_flight) * factor * arrived) as u32,
             whole: 0,
             behind: 0,
-            unread: own.unread.times(factor),
+            unread: own.prefill_backlog.times(factor),
         }
     }
 }
--- a/crates/foldhaven-core/src/opaque/load_reports.rs
+++ b/crates/foldhaven-core/src/opaque/load_reports.rs
@@ -29,11 +29,14 @@
     /// Requests in flight.
     pub in_flight: u16,
     /// Requests that can still be answered within their target.
-    pub whole: u16,
+    #[serde(rename = "whole")]
+    pub on_track: u16,
     /// Unanswered requests that are queued behind all others.
-    pub behind: u16,
+    #[serde(rename = "behind")]
+    pub deferred: u16,
     /// Prompt tokens of requests that have not been answered yet.
-    pub unread: UnreadTokens,
+    #[serde(rename = "unread")]
+    pub prefill_backlog: UnreadTokens,
 }
 
 /// A report of one VM.
@@ -76,29 +79,29 @@
 struct ShareSum {
     vms: u32,
     in_flight: u64,
-    whole: u64,
-    behind: u64,
-    unread_timely: u64,
-    unread_behind: u64,
+    on_track: u64,
+    deferred: u64,
+    backlog_timely: u64,
+    backlog_deferred: u64,
 }
 
 impl ShareSum {
     fn add(&mut self, share: &UpstreamShare) {
         self.vms += 1;
         self.in_flight += u64::from(share.in_flight);
-        self.whole += u64::from(share.whole);
-        self.behind += u64::from(share.behind);
-        self.unread_timely += u64::from(share.unread.timely);
-        self.unread_behind += u64::from(share.unread.behind);
+        self.on_track += u64::from(share.on_track);
+        self.deferred += u64::from(share.deferred);
+        self.backlog_timely += u64::from(share.prefill_backlog.timely);
+        self.backlog_deferred += u64::from(share.prefill_backlog.behind);
     }
 
     fn subtract(&mut self, share: &UpstreamShare) {
         self.vms -= 1;
         self.in_flight -= u64::from(share.in_flight);
-        self.whole -= u64::from(share.whole);
-        self.behind -= u64::from(share.behind);
-        self.unread_timely -= u64::from(share.unread.timely);
-        self.unread_behind -= u64::from(share.unread.behind);
+        self.on_track -= u64::from(share.on_track);
+        self.deferred -= u64::from(share.deferred);
+        self.backlog_timely -= u64::from(share.prefill_backlog.timely);
+        self.backlog_deferred -= u64::from(share.prefill_backlog.behind);
     }
 
     fn share(&self) -> UpstreamShare {
@@ -106,11 +109,11 @@
         let tokens = |sum: u64| u32::try_from(sum).unwrap_or(u32::MAX);
         UpstreamShare {
             in_flight: count(self.in_flight),
-            whole: count(self.whole),
-            behind: count(self.behind),
-            unread: UnreadTokens {
-                timely: tokens(self.unread_timely),
-                behind: tokens(self.unread_behind),
+            on_track: count(self.on_track),
+            deferred: count(self.deferred),
+            prefill_backlog: UnreadTokens {
+                timely: tokens(self.backlog_timely),
+                behind: tokens(self.backlog_deferred),
             },
         }
     }
--- a/crates/foldhaven-core/tests/testsuite/opaque_far.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_far.rs
@@ -13,7 +13,7 @@
 
 fn own(in_flight: u16, tokens: u32) -> UpstreamShare {
     let unread = UnreadTokens { timely: tokens, behind: 0 };
-    UpstreamShare { in_flight, whole: in_flight, behind: 0, unread }
+    UpstreamShare { in_flight, on_track: in_flight, deferred: 0, prefill_backlog: unread }
 }
 
 /// What a VM has on its way leaves room there; what it holds there does not.
--- a/crates/foldhaven-core/tests/testsuite/opaque_reports.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_reports.rs
@@ -14,7 +14,12 @@
 use crate::opaque_support::at;
 
 fn report(vm: &str, sequence: u32, in_flight: u16) -> LoadReport {
-    let share = UpstreamShare { in_flight, whole: 0, behind: 0, unread: UnreadTokens::default() };
+    let share = UpstreamShare {
+        in_flight,
+        on_track: 0,
+        deferred: 0,
+        prefill_backlog: UnreadTokens::default(),
+    };
     LoadReport {
         vm: VmTag::of(&vm.parse().unwrap()),
         incarnation: IncarnationId(1),
@@ -53,9 +58,9 @@
 
     fn shares() -> impl Strategy<Value = Shares> {
         let share = (0_u32..4, any::<(u16, u16, u16, u32, u32)>()).prop_map(
-            |(tag, (in_flight, whole, behind, timely, late))| {
-                let unread = UnreadTokens { timely, behind: late };
-                (UpstreamTag(tag), UpstreamShare { in_flight, whole, behind, unread })
+            |(tag, (in_flight, on_track, deferred, timely, late))| {
+                let prefill_backlog = UnreadTokens { timely, behind: late };
+                (UpstreamTag(tag), UpstreamShare { in_flight, on_track, deferred, prefill_backlog })
             },
         );
         prop::collection::vec(share, 0..5)
--- a/crates/foldhaven-gateway/src/places/far.rs
+++ b/crates/foldhaven-gateway/src/places/far.rs
@@ -133,7 +133,7 @@
         let sent = links.map(|peer| peer.share(&self.job.service));
         let own = sent.fold(UpstreamShare::default(), |sum, share| UpstreamShare {
             in_flight: sum.in_flight.saturating_add(share.in_flight),
-            unread: sum.unread.plus(share.unread),
+            prefill_backlog: sum.prefill_backlog.plus(share.prefill_backlog),
             ..sum
         });
         let RegionWait { upstreams, slots, .. } = self.wait;
--- a/crates/foldhaven-gateway/src/upstream.rs
+++ b/crates/foldhaven-gateway/src/upstream.rs
@@ -245,9 +245,9 @@
     /// Takes in the requests that other VMs have there.
     pub fn set_others(&self, share: UpstreamShare) {
         self.others_in_flight.store(share.in_flight.into(), Ordering::Relaxed);
-        self.others_whole.store(share.whole.into(), Ordering::Relaxed);
-        self.others_behind.store(share.behind.into(), Ordering::Relaxed);
-        *self.others_unread.lock() = share.unread;
+        self.others_whole.store(share.on_track.into(), Ordering::Relaxed);
+        self.others_behind.store(share.deferred.into(), Ordering::Relaxed);
+        *self.others_unread.lock() = share.prefill_backlog;
     }
 
     /// The queue that all VMs of the region make.
@@ -257,9 +257,9 @@
         QueueFacts {
             slots: self.identity.slots,
             in_flight: u32::from(own.in_flight) + others,
-            whole: u32::from(own.whole) + self.others_whole.load(Ordering::Relaxed),
-            behind: u32::from(own.behind) + self.others_behind.load(Ordering::Relaxed),
-            unread: own.unread.plus(*self.others_unread.lock()),
+            whole: u32::from(own.on_track) + self.others_whole.load(Ordering::Relaxed),
+            behind: u32::from(own.deferred) + self.others_behind.load(Ordering::Relaxed),
+            unread: own.prefill_backlog.plus(*self.others_unread.lock()),
         }
     }
 }
@@ -310,9 +310,9 @@
             |count: &AtomicU32| u16::try_from(count.load(Ordering::Relaxed)).unwrap_or(u16::MAX);
         UpstreamShare {
             in_flight: read(&self.in_flight),
-            whole: read(&self.whole),
-            behind: read(&self.behind),
-            unread: UnreadTokens {
+            on_track: read(&self.whole),
+            deferred: read(&self.behind),
+            prefill_backlog: UnreadTokens {
                 timely: self.unread_timely.load(Ordering::Relaxed),
                 behind: self.unread_behind.load(Ordering::Relaxed),
             },
--- a/crates/foldhaven-testkit/src/simulate/vm.rs
+++ b/crates/foldhaven-testkit/src/simulate/vm.rs
@@ -208,8 +208,8 @@
     pub(super) fn enter(&mut self, choice: &VmChoice, tokens: u32, now: MonoTime) {
         let known = &mut self.engines[choice.engine];
         known.own.in_flight += 1;
-        known.own.whole += u16::from(choice.rank == QueueRank::Timely);
-        known.own.behind += u16::from(choice.rank == QueueRank::Behind);
+        known.own.on_track += u16::from(choice.rank == QueueRank::Timely);
+        known.own.deferred += u16::from(choice.rank == QueueRank::Behind);
         *unread_of(&mut known.own, choice.rank) += tokens;
         known.idle.retain(|since| now.since(*since) < IDLE_LIMIT);
         if known.idle.pop().is_none() {
@@ -229,7 +229,7 @@
         take_off(&mut known.own, choice.rank, tokens);
         self.pace.room.note_taken(choice.queue);
         if choice.rank == QueueRank::Behind {
-            known.own.behind -= 1;
+            known.own.deferred -= 1;
             return;
         }
         known.pace.note_first(choice.expected, took, now);
@@ -248,12 +248,12 @@
     ) {
         let known = &mut self.engines[choice.engine];
         known.own.in_flight -= 1;
-        known.own.whole -= u16::from(choice.rank == QueueRank::Timely);
+        known.own.on_track -= u16::from(choice.rank == QueueRank::Timely);
         known.idle.push(now);
         match refused {
             Some(tokens) => {
                 take_off(&mut known.own, choice.rank, tokens);
-                known.own.behind -= u16::from(choice.rank == QueueRank::Behind);
+                known.own.deferred -= u16::from(choice.rank == QueueRank::Behind);
                 self.pace.room.note_declined(choice.queue);
                 known.pace.note_full(self.pace.room.load_of_full(choice.queue), now);
                 known.pace.note_end(true, 0.0, now);
@@ -336,9 +336,9 @@
         let told = QueueFacts {
             slots,
             in_flight: u32::from(self.own.in_flight) + u32::from(self.others.in_flight),
-            whole: u32::from(self.own.whole) + u32::from(self.others.whole),
-            behind: u32::from(self.own.behind) + u32::from(self.others.behind),
-            unread: self.own.unread.plus(self.others.unread),
+            whole: u32::from(self.own.on_track) + u32::from(self.others.on_track),
+            behind: u32::from(self.own.deferred) + u32::from(self.others.deferred),
+            unread: self.own.prefill_backlog.plus(self.others.prefill_backlog),
         };
         self.pace.queue_beyond(told, hold, now)
     }
@@ -347,8 +347,8 @@
 /// The tokens that are still to be read of requests of a rank.
 fn unread_of(share: &mut UpstreamShare, rank: QueueRank) -> &mut u32 {
     match rank {
-        QueueRank::Timely => &mut share.unread.timely,
-        QueueRank::Behind => &mut share.unread.behind,
+        QueueRank::Timely => &mut share.prefill_backlog.timely,
+        QueueRank::Behind => &mut share.prefill_backlog.behind,
     }
 }
 
