--- a/crates/foldhaven-core/src/opaque/limit_share.rs
+++ b/crates/foldhaven-core/src/opaque/limit_share.rs
@@ -158,9 +158,9 @@
     let regions = view.regions.max(1) as f64;
     if view.silent_regions == 0 {
         let others = demand.other_regions.iter().sum::<f64>();
-        let of = |own: f64| proportional_share(rate, own, own + others, regions);
-        return of(demand.own + demand.local_peers)
-            .min(of(demand.region_as_known_remotely) * MAX_GROWTH);
+        let share_of = |own: f64| proportional_share(rate, own, own + others, regions);
+        return share_of(demand.own + demand.local_peers)
+            .min(share_of(demand.region_as_known_remotely) * MAX_GROWTH);
     }
     let equal = rate / regions;
     let others = (regions - 1.0).max(1.0);
--- a/crates/foldhaven-core/tests/testsuite/opaque_account_limits.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_account_limits.rs
@@ -45,7 +45,11 @@
         let mut least = 0.0;
         for (at, region) in reported.iter().enumerate() {
             let other_regions: Vec<f64> =
-                sums.iter().enumerate().filter(|(other, _)| *other != at).map(|(_, sum)| *sum).collect();
+                sums.iter()
+                    .enumerate()
+                    .filter(|(other, _)| *other != at)
+                    .map(|(_, sum)| *sum)
+                    .collect();
             let view = SharerView {
                 regions: reported.len(),
                 silent_regions: 0,
@@ -90,7 +94,8 @@
     ) {
         let share = LimitShare { per_s: 500.0, equal_per_s: 100.0, burst, max_debt };
         let mut at = 10_000;
-        let mut meter = LimitMeter::new(share, MonoTime::from_millis(at), MonoTime::from_millis(at));
+        let mut meter =
+            LimitMeter::new(share, MonoTime::from_millis(at), MonoTime::from_millis(at));
         let (started, mut used, mut largest) = (at, 0.0, 0.0_f64);
         for (after, cost) in asks {
             at += after;
--- a/crates/foldhaven-core/tests/testsuite/opaque_deltas.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_deltas.rs
@@ -108,7 +108,8 @@
             .collect();
         let newest = versions.last().unwrap();
         let Some((first, rest)) = steps.split_first() else { return Ok(()) };
-        let combined = rest.iter().try_fold(first.clone(), |combined, next| combined.followed_by(next));
+        let combined =
+            rest.iter().try_fold(first.clone(), |combined, next| combined.followed_by(next));
         let combined = combined.unwrap();
         prop_assert_eq!(combined.version(), newest.version);
         for base in &versions[..versions.len() - 1] {
@@ -163,24 +164,33 @@
     #[test]
     fn delta_that_skips_versions_yields_the_newest_or_is_rejected(
         versions in versions(),
-        is_skipped_flags in prop::collection::vec(any::<bool>(), 7),
+        skipped in prop::collection::vec(any::<bool>(), 7),
     ) {
         let newest = versions.last().unwrap();
         let read_versions: Vec<&RouteDescription> = versions[..versions.len() - 1]
             .iter()
-            .zip(&is_skipped_flags)
+            .zip(&skipped)
             .filter(|(_, is_skipped)| !**is_skipped)
             .map(|(version, _)| version)
             .chain([newest])
             .collect();
         let steps: Vec<RouteDelta> =
-            read_versions.windows(2).map(|pair| RouteDelta::between(pair[0], pair[1]).unwrap()).collect();
+            read_versions
+                .windows(2)
+                .map(|pair| RouteDelta::between(pair[0], pair[1]).unwrap())
+                .collect();
         let Some((first, rest)) = steps.split_first() else { return Ok(()) };
-        let combined = rest.iter().try_fold(first.clone(), |combined, next| combined.followed_by(next));
+        let combined =
+            rest.iter().try_fold(first.clone(), |combined, next| combined.followed_by(next));
         let combined = combined.unwrap();
         for base in &versions[..versions.len() - 1] {
             if let Ok(produced) = combined.apply(base) {
-                prop_assert_eq!(sorted(produced), sorted(newest.clone()), "from {:?}", base.version);
+                prop_assert_eq!(
+                    sorted(produced),
+                    sorted(newest.clone()),
+                    "from {:?}",
+                    base.version
+                );
             }
         }
     }
@@ -197,5 +207,5 @@
     ];
     let skipping = RouteDelta::between(&versions[0], &versions[2]).unwrap();
     let produced = skipping.apply(&versions[1]);
-    assert!(produced.is_err(), "it makes {produced:?}");
+    assert!(produced.is_err(), "it produced {produced:?}");
 }
--- a/crates/foldhaven-core/tests/testsuite/opaque_limits.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_limits.rs
@@ -91,7 +91,11 @@
     /// Guards against VMs that disagree on who is live: if some VMs see one VM and others do not,
     /// the total rate grows by one sender's share at most.
     #[test]
-    fn one_disputed_vm_adds_at_most_one_share(vms in 4usize..60, name in 0u32..1000, disputed in 0usize..60) {
+    fn one_disputed_vm_adds_at_most_one_share(
+        vms in 4usize..60,
+        name in 0u32..1000,
+        disputed in 0usize..60,
+    ) {
         let upstream: UpstreamName = format!("i-{name}").parse().unwrap();
         let all: Vec<VmName> = (0..vms).map(vm).collect();
         let without: Vec<VmName> =
--- a/crates/foldhaven-core/tests/testsuite/opaque_reports.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_reports.rs
@@ -81,7 +81,10 @@
                 table.remove_stale(interval, now);
                 let is_stale = |received_at: MonoTime| now.since(received_at) >= interval * 8;
                 newest.iter_mut().for_each(|held| drop(held.take_if(|held| is_stale(held.1))));
-                let reported = LoadReport { shares: shares.clone(), ..report(&format!("vm{vm}"), sequence, 0) };
+                let reported = LoadReport {
+                    shares: shares.clone(),
+                    ..report(&format!("vm{vm}"), sequence, 0)
+                };
                 let is_newer = newest[vm].as_ref().is_none_or(|held| sequence > held.0);
                 prop_assert_eq!(table.apply(reported, now).is_some(), is_newer);
                 if is_newer {
--- a/crates/foldhaven-core/tests/testsuite/opaque_sender_agreement.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_sender_agreement.rs
@@ -81,8 +81,8 @@
         let copies = if self.rng.random_bool(0.1) { 2 } else { 1 };
         for _ in 0..copies {
             let longest = if self.rng.random_bool(0.1) { 3_000 } else { 20 };
-            let way = Duration::from_millis(self.rng.random_range(0..=longest));
-            self.in_flight.push((now + way, to, notice));
+            let delay = Duration::from_millis(self.rng.random_range(0..=longest));
+            self.in_flight.push((now + delay, to, notice));
         }
     }
 
@@ -123,7 +123,8 @@
             }
             self.vms[to].agreement.apply(&notice);
             self.vms[to].update(to, now);
-            let from = (0..self.vms.len()).find(|vm| tag(*vm) == notice.vm).expect("one of them");
+            let from =
+                (0..self.vms.len()).find(|vm| tag(*vm) == notice.vm).expect("a simulated VM");
             if notice.requests_reply {
                 self.send(to, from, false, now);
             }
