--- a/crates/foldhaven-core/src/opaque/limit_share.rs
+++ b/crates/foldhaven-core/src/opaque/limit_share.rs
@@ -153,7 +153,7 @@
     LimitShare { per_s, equal_per_s, burst: limit.burst * fraction, max_debt }
 }
 
-/// Returns the rate of this region.
+/// Returns the rate that this region may use.
 fn region_rate(rate: f64, demand: &ReportedDemand, view: &SharerView) -> f64 {
     let regions = view.regions.max(1) as f64;
     if view.silent_regions == 0 {
@@ -170,7 +170,8 @@
     equal + unused
 }
 
-/// Returns the rate of one of `count` sharers with demand `own` out of a total demand of `all`.
+/// Returns the share of `rate` for one of `count` sharers, with demand `own` out of a total demand
+/// of `all`.
 fn proportional_share(rate: f64, own: f64, all: f64, count: f64) -> f64 {
     if all > rate {
         return rate * own / all;
