--- a/crates/foldhaven-core/src/opaque/directory.rs
+++ b/crates/foldhaven-core/src/opaque/directory.rs
@@ -17,14 +17,14 @@
 
 /// What the directory knows about its own region.
 pub struct LocalService<'a> {
-/// The VM that answers.
-pub responder: &'a VmName,
-/// Its region.
-pub region: &'a RegionName,
-/// The CPU time that the requests of the region use.
-pub demand: CoreShare,
-/// VMs of the region from which nothing has been received for a while.
-pub unresponsive: &'a BTreeSet<VmName>,
+    /// The VM that answers.
+    pub responder: &'a VmName,
+    /// Its region.
+    pub region: &'a RegionName,
+    /// The CPU time that the requests of the region use.
+    pub demand: CoreShare,
+    /// VMs of the region from which nothing has been received for a while.
+    pub unresponsive: &'a BTreeSet<VmName>,
 }
 
 /// Returns the addresses for a caller of a region: those of the region's VMs in service or, if none
@@ -36,77 +36,77 @@
 /// `bound` returns how many routes of the host are bound to a region; `has_bound` is whether any
 /// route is bound to a region.
 pub fn select_vms(
-serving: &[PeerHeartbeat],
-region: &RegionName,
-local: &LocalService<'_>,
-bound: impl Fn(&RegionName) -> usize,
-has_bound: bool,
+    serving: &[PeerHeartbeat],
+    region: &RegionName,
+    local: &LocalService<'_>,
+    bound: impl Fn(&RegionName) -> usize,
+    has_bound: bool,
 ) -> Vec<SocketAddr> {
-let own = select(serving, local, |beat| beat.region == *region);
-if !own.is_empty() {
-return own;
-}
-let candidates = serving.iter().filter(|beat| beat.phase == PeerPhase::Serving);
-let most = candidates.map(|beat| bound(&beat.region)).max().unwrap_or_default();
-if most == 0 && has_bound {
-return Vec::new();
-}
-select(serving, local, |beat| bound(&beat.region) == most)
+    let own = select(serving, local, |beat| beat.region == *region);
+    if !own.is_empty() {
+        return own;
+    }
+    let candidates = serving.iter().filter(|beat| beat.phase == PeerPhase::Serving);
+    let most = candidates.map(|beat| bound(&beat.region)).max().unwrap_or_default();
+    if most == 0 && has_bound {
+        return Vec::new();
+    }
+    select(serving, local, |beat| bound(&beat.region) == most)
 }
 
 fn select(
-serving: &[PeerHeartbeat],
-local: &LocalService<'_>,
-passes: impl Fn(&PeerHeartbeat) -> bool,
+    serving: &[PeerHeartbeat],
+    local: &LocalService<'_>,
+    passes: impl Fn(&PeerHeartbeat) -> bool,
 ) -> Vec<SocketAddr> {
-let candidates = serving.iter().filter(|beat| beat.phase == PeerPhase::Serving && passes(beat));
-let candidates: Vec<&PeerHeartbeat> = candidates.collect();
-let regions: BTreeSet<&RegionName> = candidates.iter().map(|beat| &beat.region).collect();
-let in_service = regions.into_iter().flat_map(|region| {
-let in_region = candidates.iter().copied().filter(|beat| beat.region == *region).collect();
-in_service(in_region, local, region)
-});
-sample_by_size(&in_service.collect::<Vec<_>>(), local.responder)
+    let candidates = serving.iter().filter(|beat| beat.phase == PeerPhase::Serving && passes(beat));
+    let candidates: Vec<&PeerHeartbeat> = candidates.collect();
+    let regions: BTreeSet<&RegionName> = candidates.iter().map(|beat| &beat.region).collect();
+    let in_service = regions.into_iter().flat_map(|region| {
+        let in_region = candidates.iter().copied().filter(|beat| beat.region == *region).collect();
+        in_service(in_region, local, region)
+    });
+    sample_by_size(&in_service.collect::<Vec<_>>(), local.responder)
 }
 
 /// Returns the VMs that are to take the requests of one region.
 fn in_service<'a>(
-candidates: Vec<&'a PeerHeartbeat>,
-local: &LocalService<'_>,
-region: &RegionName,
+    candidates: Vec<&'a PeerHeartbeat>,
+    local: &LocalService<'_>,
+    region: &RegionName,
 ) -> Vec<&'a PeerHeartbeat> {
-let responsive: Vec<&PeerHeartbeat> =
-candidates.iter().copied().filter(|beat| !local.unresponsive.contains(&beat.vm)).collect();
-let candidates = if responsive.len() * MIN_RESPONSIVE_ONE_IN > candidates.len() {
-responsive
-} else {
-candidates
-};
-let order = ServiceOrder::of(candidates.iter().map(|beat| ServiceCandidate::of(beat)));
-let selected = match region == local.region {
-true => order.for_demand(local.demand),
-false => order.baseline(),
-};
-let names: BTreeSet<&VmName> = selected.iter().map(|candidate| candidate.vm).collect();
-candidates.into_iter().filter(|beat| names.contains(&beat.vm)).collect()
+    let responsive: Vec<&PeerHeartbeat> =
+        candidates.iter().copied().filter(|beat| !local.unresponsive.contains(&beat.vm)).collect();
+    let candidates = if responsive.len() * MIN_RESPONSIVE_ONE_IN > candidates.len() {
+        responsive
+    } else {
+        candidates
+    };
+    let order = ServiceOrder::of(candidates.iter().map(|beat| ServiceCandidate::of(beat)));
+    let selected = match region == local.region {
+        true => order.for_demand(local.demand),
+        false => order.baseline(),
+    };
+    let names: BTreeSet<&VmName> = selected.iter().map(|candidate| candidate.vm).collect();
+    candidates.into_iter().filter(|beat| names.contains(&beat.vm)).collect()
 }
 
 /// Returns the addresses for one answer. Callers use all addresses of an answer equally often, so
 /// smaller VMs are left out of more answers. The choice depends on a rank that includes the
 /// answering VM, so that its callers get the same addresses each time and keep their connections.
 fn sample_by_size(selected: &[&PeerHeartbeat], responder: &VmName) -> Vec<SocketAddr> {
-let largest = selected.iter().map(|beat| beat.cores.as_cores()).fold(0.0, f64::max);
-let weight =
-|beat: &PeerHeartbeat| if largest > 0.0 { beat.cores.as_cores() / largest } else { 1.0 };
-let total_weight: f64 = selected.iter().map(|beat| weight(beat)).sum();
-let fit = (MAX_ADDRESSES as f64 / total_weight).min(1.0);
-let rank = |beat: &PeerHeartbeat| rank_hash(&[responder.as_str(), beat.vm.as_str()]);
-let mut ranked: Vec<(f64, &PeerHeartbeat)> = selected
-.iter()
-.map(|beat| (rank(beat) as f64 / u64::MAX as f64 / (weight(beat) * fit), *beat))
-.collect();
-ranked.sort_by(|left, right| left.0.total_cmp(&right.0));
-let count = ranked.iter().filter(|(rank, _)| *rank <= 1.0).count();
-let named = ranked.iter().take(count.clamp(1, MAX_ADDRESSES));
-named.map(|(_, beat)| beat.caller).collect()
+    let largest = selected.iter().map(|beat| beat.cores.as_cores()).fold(0.0, f64::max);
+    let weight =
+        |beat: &PeerHeartbeat| if largest > 0.0 { beat.cores.as_cores() / largest } else { 1.0 };
+    let total_weight: f64 = selected.iter().map(|beat| weight(beat)).sum();
+    let fit = (MAX_ADDRESSES as f64 / total_weight).min(1.0);
+    let rank = |beat: &PeerHeartbeat| rank_hash(&[responder.as_str(), beat.vm.as_str()]);
+    let mut ranked: Vec<(f64, &PeerHeartbeat)> = selected
+        .iter()
+        .map(|beat| (rank(beat) as f64 / u64::MAX as f64 / (weight(beat) * fit), *beat))
+        .collect();
+    ranked.sort_by(|left, right| left.0.total_cmp(&right.0));
+    let count = ranked.iter().filter(|(rank, _)| *rank <= 1.0).count();
+    let named = ranked.iter().take(count.clamp(1, MAX_ADDRESSES));
+    named.map(|(_, beat)| beat.caller).collect()
 }
--- a/crates/foldhaven-core/src/opaque/route_history.rs
+++ b/crates/foldhaven-core/src/opaque/route_history.rs
@@ -11,55 +11,55 @@
 /// weight.
 #[derive(Debug, Clone, Copy, Default)]
 struct RunningMean {
-value: f64,
-count: u32,
+    value: f64,
+    count: u32,
 }
 
 impl RunningMean {
-fn record(&mut self, value: f64) {
-self.count = self.count.saturating_add(1);
-let weight = MIN_WEIGHT.max(1.0 / f64::from(self.count));
-self.value += (value - self.value) * weight;
-}
+    fn record(&mut self, value: f64) {
+        self.count = self.count.saturating_add(1);
+        let weight = MIN_WEIGHT.max(1.0 / f64::from(self.count));
+        self.value += (value - self.value) * weight;
+    }
 }
 
 /// Statistics of the requests of one route.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RouteHistory {
-failure_mean: RunningMean,
-event_mean: RunningMean,
-numbering: LearnedNumbering,
+    failure_mean: RunningMean,
+    event_mean: RunningMean,
+    numbering: LearnedNumbering,
 }
 
 impl RouteHistory {
-/// Records how a request ended at an upstream.
-pub fn record_outcome(&mut self, has_failed: bool) {
-self.failure_mean.record(f64::from(u8::from(has_failed)));
-}
+    /// Records how a request ended at an upstream.
+    pub fn record_outcome(&mut self, has_failed: bool) {
+        self.failure_mean.record(f64::from(u8::from(has_failed)));
+    }
 
-/// Records the number of events of a complete answer.
-pub fn record_event_count(&mut self, events: u32) {
-self.event_mean.record(f64::from(events));
-}
+    /// Records the number of events of a complete answer.
+    pub fn record_event_count(&mut self, events: u32) {
+        self.event_mean.record(f64::from(events));
+    }
 
-/// Returns the learned event numbering of the route's streams for updates.
-pub fn numbering_mut(&mut self) -> &mut LearnedNumbering {
-&mut self.numbering
-}
+    /// Returns the learned event numbering of the route's streams for updates.
+    pub fn numbering_mut(&mut self) -> &mut LearnedNumbering {
+        &mut self.numbering
+    }
 
-/// Returns the event numbering that the route's streams are checked against; `None` if it is
-/// unknown.
-pub fn usual_numbering(&self) -> Option<EventNumbering> {
-self.numbering.numbering()
-}
+    /// Returns the event numbering that the route's streams are checked against; `None` if it is
+    /// unknown.
+    pub fn usual_numbering(&self) -> Option<EventNumbering> {
+        self.numbering.numbering()
+    }
 
-/// Returns the usual share of requests that fail.
-pub fn failure_share(&self) -> f64 {
-self.failure_mean.value
-}
+    /// Returns the usual share of requests that fail.
+    pub fn failure_share(&self) -> f64 {
+        self.failure_mean.value
+    }
 
-/// Returns the usual number of events in an answer; 0 before the first answer.
-pub fn usual_event_count(&self) -> f64 {
-self.event_mean.value
-}
+    /// Returns the usual number of events in an answer; 0 before the first answer.
+    pub fn usual_event_count(&self) -> f64 {
+        self.event_mean.value
+    }
 }
--- a/crates/foldhaven-gateway/src/platform_state/updates.rs
+++ b/crates/foldhaven-gateway/src/platform_state/updates.rs
@@ -14,270 +14,270 @@
 use crate::feed::{ChangeSet, ChangeSubject, FeedChange, FeedSnapshot, NumberedChange};
 
 impl PlatformState {
-/// Replaces the state by a snapshot, unless the snapshot is older. Returns the changes that
-/// other VMs may apply early.
-pub fn apply_snapshot(
-&mut self,
-snapshot: FeedSnapshot,
-context: ApplyContext,
-) -> Option<ChangeSet> {
-let FeedSnapshot { revision, description, upstreams, unusable, evacuated } = snapshot;
-if revision < self.revision {
-tracing::warn!(held = self.revision, offered = revision, "older snapshot ignored");
-return None;
-}
-self.revision = revision;
-// Changes that came and went in between are in no delta, so VMs that know less get the
-// whole state.
-self.log.reset(revision);
-let is_replacement = std::mem::replace(&mut self.needs_snapshot, false);
-for name in &unusable {
-self.withdraw(name);
-}
-let difference = self.table.replace(upstreams, context.now);
-let mut changes = self.replace_evacuated(evacuated);
-let upstreams = difference.listed.len();
-changes.extend(difference.listed.into_iter().map(FeedChange::UpstreamWritten));
-changes.extend(difference.unlisted.into_iter().map(FeedChange::UpstreamRemoved));
-match std::mem::replace(&mut self.has_state, true) {
-true => changes.iter().for_each(|change| self.log_change(change)),
-false => tracing::info!(upstreams, revision, "first list of upstreams"),
-}
-let offered = description.as_ref().map(|description| description.version);
-let held = self.routes.as_deref().map(RouteTable::version);
-// After deltas failed to apply, the known description may differ from the platform's of the
-// same version.
-let is_newer = offered > held || is_replacement && offered == held;
-match description.filter(|_| is_newer) {
-Some(description) => drop(self.install_description(description, context)),
-None => offered.into_iter().for_each(|offered| self.warn_older_description(offered)),
-}
-self.reapply_early_changes(context.now);
-changes.retain(EarlyChanges::may_apply_early);
-let numbered = changes.into_iter().map(|change| NumberedChange { revision, change });
-// The set builds on no earlier revision.
-Some(ChangeSet { after: revision, revision, changes: numbered.collect() })
-}
+    /// Replaces the state by a snapshot, unless the snapshot is older. Returns the changes that
+    /// other VMs may apply early.
+    pub fn apply_snapshot(
+        &mut self,
+        snapshot: FeedSnapshot,
+        context: ApplyContext,
+    ) -> Option<ChangeSet> {
+        let FeedSnapshot { revision, description, upstreams, unusable, evacuated } = snapshot;
+        if revision < self.revision {
+            tracing::warn!(held = self.revision, offered = revision, "older snapshot ignored");
+            return None;
+        }
+        self.revision = revision;
+        // Changes that came and went in between are in no delta, so VMs that know less get the
+        // whole state.
+        self.log.reset(revision);
+        let is_replacement = std::mem::replace(&mut self.needs_snapshot, false);
+        for name in &unusable {
+            self.withdraw(name);
+        }
+        let difference = self.table.replace(upstreams, context.now);
+        let mut changes = self.replace_evacuated(evacuated);
+        let upstreams = difference.listed.len();
+        changes.extend(difference.listed.into_iter().map(FeedChange::UpstreamWritten));
+        changes.extend(difference.unlisted.into_iter().map(FeedChange::UpstreamRemoved));
+        match std::mem::replace(&mut self.has_state, true) {
+            true => changes.iter().for_each(|change| self.log_change(change)),
+            false => tracing::info!(upstreams, revision, "first list of upstreams"),
+        }
+        let offered = description.as_ref().map(|description| description.version);
+        let held = self.routes.as_deref().map(RouteTable::version);
+        // After deltas failed to apply, the known description may differ from the platform's of the
+        // same version.
+        let is_newer = offered > held || is_replacement && offered == held;
+        match description.filter(|_| is_newer) {
+            Some(description) => drop(self.install_description(description, context)),
+            None => offered.into_iter().for_each(|offered| self.warn_older_description(offered)),
+        }
+        self.reapply_early_changes(context.now);
+        changes.retain(EarlyChanges::may_apply_early);
+        let numbered = changes.into_iter().map(|change| NumberedChange { revision, change });
+        // The set builds on no earlier revision.
+        Some(ChangeSet { after: revision, revision, changes: numbered.collect() })
+    }
 
-/// Returns whether no changes are missing between the known state and a change set.
-pub fn can_apply(&self, set: &ChangeSet) -> bool {
-self.has_state && set.after <= self.revision
-}
+    /// Returns whether no changes are missing between the known state and a change set.
+    pub fn can_apply(&self, set: &ChangeSet) -> bool {
+        self.has_state && set.after <= self.revision
+    }
 
-/// Applies changes. Returns the new ones, to be forwarded to other VMs, or `None` if changes
-/// before them are missing.
-pub fn apply_changes(
-&mut self,
-set: ChangeSet,
-context: ApplyContext,
-) -> Option<AppliedChanges> {
-if !self.can_apply(&set) {
-return None;
-}
-let (known, after) = (self.revision, self.log.last_revision());
-let new_changes: Vec<NumberedChange> =
-set.changes.into_iter().filter(|numbered| numbered.revision > known).collect();
-let description = match self.newer_description(&new_changes) {
-Ok(description) => description,
-Err(error) => {
-tracing::warn!(revision = known, error = %error, "changes cannot be applied, requesting a snapshot");
-self.needs_snapshot = true;
-return None;
-}
-};
-self.revision = known.max(set.revision);
-self.needs_snapshot = false;
-let is_urgent = new_changes.iter().any(|numbered| numbered.change.is_urgent());
-let mut applied: Vec<NumberedChange> = Vec::new();
-let mut described = None;
-for numbered in new_changes {
-if numbered.change.subject() == ChangeSubject::Description {
-described = Some(numbered.revision);
-continue;
-}
-self.log_change(&numbered.change);
-self.apply_change(numbered.change.clone(), context.now);
-applied.push(numbered);
-}
-let change = match description {
-Some(description) => Some(self.install_description(description, context)),
-// The description arrived earlier by another way. VMs that get the forwarded changes
-// may not have it.
-None => self.held_description().map(FeedChange::Description),
-};
-let described = described.zip(change);
-applied.extend(described.map(|(revision, change)| NumberedChange { revision, change }));
-applied.sort_by_key(|numbered| numbered.revision);
-applied.iter().for_each(|numbered| self.log.push(numbered.clone()));
-self.reapply_early_changes(context.now);
-let changes = ChangeSet { after, revision: self.revision, changes: applied };
-Some(AppliedChanges { changes, is_urgent })
-}
+    /// Applies changes. Returns the new ones, to be forwarded to other VMs, or `None` if changes
+    /// before them are missing.
+    pub fn apply_changes(
+        &mut self,
+        set: ChangeSet,
+        context: ApplyContext,
+    ) -> Option<AppliedChanges> {
+        if !self.can_apply(&set) {
+            return None;
+        }
+        let (known, after) = (self.revision, self.log.last_revision());
+        let new_changes: Vec<NumberedChange> =
+            set.changes.into_iter().filter(|numbered| numbered.revision > known).collect();
+        let description = match self.newer_description(&new_changes) {
+            Ok(description) => description,
+            Err(error) => {
+                tracing::warn!(revision = known, error = %error, "changes cannot be applied, requesting a snapshot");
+                self.needs_snapshot = true;
+                return None;
+            }
+        };
+        self.revision = known.max(set.revision);
+        self.needs_snapshot = false;
+        let is_urgent = new_changes.iter().any(|numbered| numbered.change.is_urgent());
+        let mut applied: Vec<NumberedChange> = Vec::new();
+        let mut described = None;
+        for numbered in new_changes {
+            if numbered.change.subject() == ChangeSubject::Description {
+                described = Some(numbered.revision);
+                continue;
+            }
+            self.log_change(&numbered.change);
+            self.apply_change(numbered.change.clone(), context.now);
+            applied.push(numbered);
+        }
+        let change = match description {
+            Some(description) => Some(self.install_description(description, context)),
+            // The description arrived earlier by another way. VMs that get the forwarded changes
+            // may not have it.
+            None => self.held_description().map(FeedChange::Description),
+        };
+        let described = described.zip(change);
+        applied.extend(described.map(|(revision, change)| NumberedChange { revision, change }));
+        applied.sort_by_key(|numbered| numbered.revision);
+        applied.iter().for_each(|numbered| self.log.push(numbered.clone()));
+        self.reapply_early_changes(context.now);
+        let changes = ChangeSet { after, revision: self.revision, changes: applied };
+        Some(AppliedChanges { changes, is_urgent })
+    }
 
-/// Applies changes although their predecessors are missing, if requests could be sent to wrong
-/// destinations without them. Returns whether there were any.
-pub fn apply_early_changes(&mut self, changes: Vec<NumberedChange>, now: MonoTime) -> bool {
-if !self.has_state {
-return false;
-}
-let known = self.revision;
-let mut is_news = false;
-for numbered in changes {
-let revision = numbered.revision;
-let Some(change) = self.early.insert(numbered, known) else { continue };
-tracing::info!(revision, known, "change applied before its predecessors");
-self.log_change(&change);
-self.apply_change(change, now);
-is_news = true;
-}
-is_news
-}
+    /// Applies changes although their predecessors are missing, if requests could be sent to wrong
+    /// destinations without them. Returns whether there were any.
+    pub fn apply_early_changes(&mut self, changes: Vec<NumberedChange>, now: MonoTime) -> bool {
+        if !self.has_state {
+            return false;
+        }
+        let known = self.revision;
+        let mut is_news = false;
+        for numbered in changes {
+            let revision = numbered.revision;
+            let Some(change) = self.early.insert(numbered, known) else { continue };
+            tracing::info!(revision, known, "change applied before its predecessors");
+            self.log_change(&change);
+            self.apply_change(change, now);
+            is_news = true;
+        }
+        is_news
+    }
 
-/// Applies the remaining early changes again.
-fn reapply_early_changes(&mut self, now: MonoTime) {
-for change in self.early.drop_through(self.revision) {
-self.apply_change(change, now);
-}
-}
+    /// Applies the remaining early changes again.
+    fn reapply_early_changes(&mut self, now: MonoTime) {
+        for change in self.early.drop_through(self.revision) {
+            self.apply_change(change, now);
+        }
+    }
 
-/// Installs a description that is newer than the known one. Returns the change, as a delta to
-/// the known one where possible.
-fn install_description(
-&mut self,
-description: RouteDescription,
-context: ApplyContext,
-) -> FeedChange {
-let (held, offered) = (self.version(), description.version);
-let routes = description.routes.len();
-let known = self.routes.as_deref().map(RouteTable::description);
-let delta = known.and_then(|known| RouteDelta::between(known, &description));
-let touched = delta.as_ref().map_or(routes, RouteDelta::size);
-let change = match delta {
-Some(delta) => FeedChange::DescriptionDelta(Box::new(delta)),
-None => FeedChange::Description(Box::new(description.clone())),
-};
-let digest = description_digest(&description).unwrap_or_else(|error| {
-tracing::error!(error = %error, "serializing a description failed");
-0
-});
-self.digest = digest;
-self.routes = Some(Arc::new(RouteTable::new(description)));
-tracing::info!(
-version = offered.0,
-before = held.0,
-digest = format!("{digest:016x}"),
-routes,
-touched,
-revision = self.revision,
-behind_ms = context.lag.as_millis() as u64,
-"description adopted"
-);
-change
-}
+    /// Installs a description that is newer than the known one. Returns the change, as a delta to
+    /// the known one where possible.
+    fn install_description(
+        &mut self,
+        description: RouteDescription,
+        context: ApplyContext,
+    ) -> FeedChange {
+        let (held, offered) = (self.version(), description.version);
+        let routes = description.routes.len();
+        let known = self.routes.as_deref().map(RouteTable::description);
+        let delta = known.and_then(|known| RouteDelta::between(known, &description));
+        let touched = delta.as_ref().map_or(routes, RouteDelta::size);
+        let change = match delta {
+            Some(delta) => FeedChange::DescriptionDelta(Box::new(delta)),
+            None => FeedChange::Description(Box::new(description.clone())),
+        };
+        let digest = description_digest(&description).unwrap_or_else(|error| {
+            tracing::error!(error = %error, "serializing a description failed");
+            0
+        });
+        self.digest = digest;
+        self.routes = Some(Arc::new(RouteTable::new(description)));
+        tracing::info!(
+            version = offered.0,
+            before = held.0,
+            digest = format!("{digest:016x}"),
+            routes,
+            touched,
+            revision = self.revision,
+            behind_ms = context.lag.as_millis() as u64,
+            "description adopted"
+        );
+        change
+    }
 
-/// Returns the description that results from the changes, or `None` if they contain no newer
-/// one.
-fn newer_description(
-&self,
-changes: &[NumberedChange],
-) -> Result<Option<RouteDescription>, DeltaError> {
-let mut newer: Option<RouteDescription> = None;
-for numbered in changes {
-let known = self.routes.as_deref().map(RouteTable::description);
-let known = newer.as_ref().or(known);
-let held = known.map(|known| known.version);
-newer = match (&numbered.change, known) {
-(FeedChange::Description(it), _) if held < Some(it.version) => Some((**it).clone()),
-(FeedChange::Description(it), _) => {
-self.warn_older_description(it.version);
-continue;
-}
-(FeedChange::DescriptionDelta(it), Some(known)) if it.version() > known.version => {
-Some(it.apply(known)?)
-}
-(FeedChange::DescriptionDelta(it), None) => {
-let (after, held) = (it.version(), RouteVersion::default());
-return Err(DeltaError::Gap { after, base: held });
-}
-_ => continue,
-};
-}
-Ok(newer)
-}
+    /// Returns the description that results from the changes, or `None` if they contain no newer
+    /// one.
+    fn newer_description(
+        &self,
+        changes: &[NumberedChange],
+    ) -> Result<Option<RouteDescription>, DeltaError> {
+        let mut newer: Option<RouteDescription> = None;
+        for numbered in changes {
+            let known = self.routes.as_deref().map(RouteTable::description);
+            let known = newer.as_ref().or(known);
+            let held = known.map(|known| known.version);
+            newer = match (&numbered.change, known) {
+                (FeedChange::Description(it), _) if held < Some(it.version) => Some((**it).clone()),
+                (FeedChange::Description(it), _) => {
+                    self.warn_older_description(it.version);
+                    continue;
+                }
+                (FeedChange::DescriptionDelta(it), Some(known)) if it.version() > known.version => {
+                    Some(it.apply(known)?)
+                }
+                (FeedChange::DescriptionDelta(it), None) => {
+                    let (after, held) = (it.version(), RouteVersion::default());
+                    return Err(DeltaError::Gap { after, base: held });
+                }
+                _ => continue,
+            };
+        }
+        Ok(newer)
+    }
 
-fn warn_older_description(&self, offered: RouteVersion) {
-let held = self.version();
-if offered < held {
-tracing::warn!(held = held.0, offered = offered.0, "older description ignored");
-}
-}
+    fn warn_older_description(&self, offered: RouteVersion) {
+        let held = self.version();
+        if offered < held {
+            tracing::warn!(held = held.0, offered = offered.0, "older description ignored");
+        }
+    }
 
-fn log_change(&self, change: &FeedChange) {
-match change {
-FeedChange::Description(_) | FeedChange::DescriptionDelta(_) => {}
-FeedChange::UpstreamWritten(record) => self.log_listed(record),
-FeedChange::UpstreamRemoved(name) | FeedChange::UpstreamUnusable(name) => {
-self.log_unlisted(name);
-}
-FeedChange::EvacuationStarted(centre) => {
-tracing::info!(data_centre = %centre, "evacuation starts");
-}
-FeedChange::EvacuationEnded(centre) => {
-tracing::info!(data_centre = %centre, "evacuation ends");
-}
-}
-}
+    fn log_change(&self, change: &FeedChange) {
+        match change {
+            FeedChange::Description(_) | FeedChange::DescriptionDelta(_) => {}
+            FeedChange::UpstreamWritten(record) => self.log_listed(record),
+            FeedChange::UpstreamRemoved(name) | FeedChange::UpstreamUnusable(name) => {
+                self.log_unlisted(name);
+            }
+            FeedChange::EvacuationStarted(centre) => {
+                tracing::info!(data_centre = %centre, "evacuation starts");
+            }
+            FeedChange::EvacuationEnded(centre) => {
+                tracing::info!(data_centre = %centre, "evacuation ends");
+            }
+        }
+    }
 
-/// Applies a change that is not about the description.
-fn apply_change(&mut self, change: FeedChange, now: MonoTime) {
-match change {
-FeedChange::Description(_) | FeedChange::DescriptionDelta(_) => {}
-FeedChange::UpstreamWritten(record) => self.table.put(record, now),
-FeedChange::UpstreamRemoved(name) => self.table.remove(&name, now),
-FeedChange::UpstreamUnusable(name) => self.withdraw(&name),
-FeedChange::EvacuationStarted(centre) => {
-self.update_evacuated(|evacuated| evacuated.insert(centre));
-}
-FeedChange::EvacuationEnded(centre) => {
-self.update_evacuated(|evacuated| evacuated.remove(&centre));
-}
-}
-}
+    /// Applies a change that is not about the description.
+    fn apply_change(&mut self, change: FeedChange, now: MonoTime) {
+        match change {
+            FeedChange::Description(_) | FeedChange::DescriptionDelta(_) => {}
+            FeedChange::UpstreamWritten(record) => self.table.put(record, now),
+            FeedChange::UpstreamRemoved(name) => self.table.remove(&name, now),
+            FeedChange::UpstreamUnusable(name) => self.withdraw(&name),
+            FeedChange::EvacuationStarted(centre) => {
+                self.update_evacuated(|evacuated| evacuated.insert(centre));
+            }
+            FeedChange::EvacuationEnded(centre) => {
+                self.update_evacuated(|evacuated| evacuated.remove(&centre));
+            }
+        }
+    }
 
-/// Removes an upstream whose record has become invalid.
-fn withdraw(&mut self, name: &UpstreamName) {
-self.unusable_count += 1;
-self.table.withdraw(name);
-}
+    /// Removes an upstream whose record has become invalid.
+    fn withdraw(&mut self, name: &UpstreamName) {
+        self.unusable_count += 1;
+        self.table.withdraw(name);
+    }
 
-/// Replaces the evacuated data centres. Returns the changes.
-fn replace_evacuated(&mut self, evacuated: BTreeSet<DataCentreName>) -> Vec<FeedChange> {
-let held = self.table.evacuated();
-let started = evacuated.difference(held).cloned().map(FeedChange::EvacuationStarted);
-let ended = held.difference(&evacuated).cloned().map(FeedChange::EvacuationEnded);
-let changes = started.chain(ended).collect();
-self.table.set_evacuated(evacuated);
-changes
-}
+    /// Replaces the evacuated data centres. Returns the changes.
+    fn replace_evacuated(&mut self, evacuated: BTreeSet<DataCentreName>) -> Vec<FeedChange> {
+        let held = self.table.evacuated();
+        let started = evacuated.difference(held).cloned().map(FeedChange::EvacuationStarted);
+        let ended = held.difference(&evacuated).cloned().map(FeedChange::EvacuationEnded);
+        let changes = started.chain(ended).collect();
+        self.table.set_evacuated(evacuated);
+        changes
+    }
 
-fn update_evacuated(&mut self, change: impl FnOnce(&mut BTreeSet<DataCentreName>) -> bool) {
-let mut evacuated = self.table.evacuated().clone();
-change(&mut evacuated);
-self.table.set_evacuated(evacuated);
-}
+    fn update_evacuated(&mut self, change: impl FnOnce(&mut BTreeSet<DataCentreName>) -> bool) {
+        let mut evacuated = self.table.evacuated().clone();
+        change(&mut evacuated);
+        self.table.set_evacuated(evacuated);
+    }
 
-fn log_listed(&self, record: &UpstreamRecord) {
-tracing::info!(
-upstream = %record.name,
-birth = record.birth.0,
-leaving = record.leaving,
-cold_ms = record.cold_for.as_millis() as u64,
-revision = self.revision,
-"upstream listed"
-);
-}
+    fn log_listed(&self, record: &UpstreamRecord) {
+        tracing::info!(
+        upstream = %record.name,
+        birth = record.birth.0,
+        leaving = record.leaving,
+        cold_ms = record.cold_for.as_millis() as u64,
+        revision = self.revision,
+        "upstream listed"
+        );
+    }
 
-fn log_unlisted(&self, name: &UpstreamName) {
-tracing::info!(upstream = %name, revision = self.revision, "upstream unlisted");
-}
+    fn log_unlisted(&self, name: &UpstreamName) {
+        tracing::info!(upstream = %name, revision = self.revision, "upstream unlisted");
+    }
 }
