--- a/crates/foldhaven-gateway/src/account_desk.rs
+++ b/crates/foldhaven-gateway/src/account_limiter.rs
@@ -17,16 +17,16 @@
     /// After which time one could be let through.
     pub wait: Duration,
     /// The part in force.
-    pub part: LimitShare,
+    pub share: LimitShare,
     /// For how long it has been.
-    pub part_age: Duration,
+    pub share_age: Duration,
     /// What is owed.
     pub level: f64,
 }
 
 /// One account at this VM.
 #[derive(Debug, Clone, Copy)]
-struct DeskEntry {
+struct AccountEntry {
     meter: LimitMeter,
     /// How much was let through, and how much was not, in the unit of the limit.
     let_through: f64,
@@ -35,31 +35,31 @@
 
 /// One account at this VM, as operators are told.
 #[derive(Debug, Clone)]
-pub struct AccountUse {
+pub struct AccountUsage {
     pub account: AccountName,
-    pub part: LimitShare,
-    pub part_age: Duration,
+    pub share: LimitShare,
+    pub share_age: Duration,
     pub level: f64,
-    pub want: f64,
+    pub demand: f64,
     pub let_through: f64,
     pub refused: u64,
 }
 
 /// The accounts with limits.
-pub struct AccountDesk {
+pub struct AccountLimiter {
     slack: LimitSlack,
-    inner: Mutex<DeskInner>,
+    inner: Mutex<LimiterState>,
 }
 
-struct DeskInner {
+struct LimiterState {
     view: SharerView,
-    entries: HashMap<AccountName, DeskEntry>,
+    entries: HashMap<AccountName, AccountEntry>,
 }
 
-impl AccountDesk {
+impl AccountLimiter {
     /// The desk of a process that has heard of nobody, in one of so many regions.
     pub fn new(regions: usize, slack: LimitSlack) -> Self {
-        let inner = DeskInner { view: SharerView::unknown(regions), entries: HashMap::new() };
+        let inner = LimiterState { view: SharerView::unknown(regions), entries: HashMap::new() };
         Self { slack, inner: Mutex::new(inner) }
     }
 
@@ -74,7 +74,7 @@
     }
 
     /// Lets a request of an account through that counts for `cost`; `started` is when this process did.
-    pub fn ask(
+    pub fn try_acquire(
         &self,
         account: &ClientAccount,
         limit: &AccountLimit,
@@ -85,9 +85,9 @@
         let mut inner = self.inner.lock();
         let view = inner.view;
         if !inner.entries.contains_key(&account.name) {
-            let part = limit_share(limit, &ReportedDemand::default(), &view, &self.slack);
-            let meter = LimitMeter::new(part, started, now);
-            let entry = DeskEntry { meter, let_through: 0.0, refused: 0 };
+            let share = limit_share(limit, &ReportedDemand::default(), &view, &self.slack);
+            let meter = LimitMeter::new(share, started, now);
+            let entry = AccountEntry { meter, let_through: 0.0, refused: 0 };
             inner.entries.insert(account.name.clone(), entry);
         }
         let entry = inner.entries.get_mut(&account.name).expect("it was just made");
@@ -96,13 +96,13 @@
             Ok(()) => entry.let_through += cost,
             Err(_) => entry.refused += 1,
         }
-        let (part, level) = (entry.meter.share(), entry.meter.level());
-        let part_age = entry.meter.share_age(now);
-        asked.map_err(|wait| OverLimit { wait, part, part_age, level })
+        let (share, level) = (entry.meter.share(), entry.meter.level());
+        let share_age = entry.meter.share_age(now);
+        asked.map_err(|wait| OverLimit { wait, share, share_age, level })
     }
 
     /// Gives back what a request counted for that has not run.
-    pub fn give_back(&self, account: &AccountName, cost: f64) {
+    pub fn refund(&self, account: &AccountName, cost: f64) {
         if let Some(entry) = self.inner.lock().entries.get_mut(account) {
             entry.meter.refund(cost);
             entry.let_through -= cost;
@@ -110,49 +110,52 @@
     }
 
     /// What callers of each account want.
-    pub fn wants(&self, now: MonoTime) -> Vec<(AccountName, f64)> {
+    pub fn demands(&self, now: MonoTime) -> Vec<(AccountName, f64)> {
         let inner = self.inner.lock();
-        let wants = inner.entries.iter().map(|(name, entry)| (name, entry.meter.demand(now)));
-        wants.filter(|(_, want)| *want > 0.0).map(|(name, want)| (name.clone(), want)).collect()
+        let demands = inner.entries.iter().map(|(name, entry)| (name, entry.meter.demand(now)));
+        demands
+            .filter(|(_, demand)| *demand > 0.0)
+            .map(|(name, demand)| (name.clone(), demand))
+            .collect()
     }
 
     /// Puts new parts in force, of all accounts that have limits. `started` is when this process did.
     pub fn renew(
         &self,
         view: SharerView,
-        parts: Vec<(AccountName, LimitShare)>,
+        shares: Vec<(AccountName, LimitShare)>,
         started: MonoTime,
         now: MonoTime,
     ) {
         let mut inner = self.inner.lock();
         inner.view = view;
         let mut held = std::mem::take(&mut inner.entries);
-        for (name, part) in parts {
+        for (name, share) in shares {
             let mut entry = held.remove(&name).unwrap_or_else(|| {
-                let meter = LimitMeter::new(part, started, now);
-                DeskEntry { meter, let_through: 0.0, refused: 0 }
+                let meter = LimitMeter::new(share, started, now);
+                AccountEntry { meter, let_through: 0.0, refused: 0 }
             });
-            entry.meter.renew(part, now);
+            entry.meter.renew(share, now);
             inner.entries.insert(name, entry);
         }
     }
 
     /// The accounts that were used here.
-    pub fn uses(&self, now: MonoTime) -> Vec<AccountUse> {
+    pub fn usages(&self, now: MonoTime) -> Vec<AccountUsage> {
         let inner = self.inner.lock();
-        let mut uses: Vec<AccountUse> = inner.entries.iter().map(use_of(now)).collect();
-        uses.sort_by(|left, right| left.account.cmp(&right.account));
-        uses
+        let mut usages: Vec<AccountUsage> = inner.entries.iter().map(usage_of(now)).collect();
+        usages.sort_by(|left, right| left.account.cmp(&right.account));
+        usages
     }
 }
 
-fn use_of(now: MonoTime) -> impl Fn((&AccountName, &DeskEntry)) -> AccountUse {
-    move |(account, entry)| AccountUse {
+fn usage_of(now: MonoTime) -> impl Fn((&AccountName, &AccountEntry)) -> AccountUsage {
+    move |(account, entry)| AccountUsage {
         account: account.clone(),
-        part: entry.meter.share(),
-        part_age: entry.meter.share_age(now),
+        share: entry.meter.share(),
+        share_age: entry.meter.share_age(now),
         level: entry.meter.level(),
-        want: entry.meter.demand(now),
+        demand: entry.meter.demand(now),
         let_through: entry.let_through,
         refused: entry.refused,
     }
--- a/crates/foldhaven-gateway/src/attempts/mod.rs
+++ b/crates/foldhaven-gateway/src/attempts/mod.rs
@@ -222,7 +222,7 @@
         }
         // Only an answer of the kind that the route expects counts as a success of its place.
         if !self.job.route.repeat.is_stream() {
-            self.note_first(&place, expected, sent);
+            self.record_time_to_first(&place, expected, sent);
             self.note_success(&place, sent);
         }
         TryEnd::Answered(whole)
@@ -293,6 +293,8 @@
         let is_elsewhere = view.expected_waits.keys().any(|(region, service)| {
             *service == self.job.service && region != own_region && self.job.permits(region)
         });
-        is_elsewhere && !self.job.is_forwarded && self.shared.viewed_for() < PEERS_KNOWN_AFTER
+        is_elsewhere
+            && !self.job.is_forwarded
+            && self.shared.time_since_first_view() < PEERS_KNOWN_AFTER
     }
 }
--- a/crates/foldhaven-gateway/src/attempts/notes.rs
+++ b/crates/foldhaven-gateway/src/attempts/notes.rs
@@ -33,14 +33,14 @@
             shared: outline.shared.clone(),
             own_tokens: outline.own_tokens,
         };
-        self.shared.hints.lock().record(&placement);
+        self.shared.prefix_caches.lock().record(&placement);
         if outline.shared_tokens() >= MIN_ANNOUNCED_TOKENS {
             self.shared.placements.lock().push(placement);
         }
     }
 
     /// Notes whether an upstream with such a queue took the request.
-    pub(super) fn note_room(
+    pub(super) fn update_queue_capacity(
         &self,
         upstream: &Upstream,
         queue: QueueState,
@@ -49,10 +49,11 @@
         let service = &self.job.service;
         match opened {
             Ok(_) => {
-                self.shared.note_room(service, |room| room.record_accepted(queue));
+                self.shared.update_queue_capacity(service, |room| room.record_accepted(queue));
             }
             Err(fault) if fault.is_full() => {
-                let room = self.shared.note_room(service, |room| room.record_refused(queue));
+                let room =
+                    self.shared.update_queue_capacity(service, |room| room.record_refused(queue));
                 upstream
                     .pace
                     .lock()
@@ -63,7 +64,7 @@
     }
 
     /// Notes that a place has begun its answer.
-    pub fn note_first(
+    pub fn record_time_to_first(
         &self,
         place: &RequestDestination,
         expected: ExpectedFirst,
@@ -75,7 +76,7 @@
             let took = sent.elapsed();
             upstream.pace.lock().record_time_to_first(expected.time, took, self.shared.now());
             if let Some(tokens) = expected.prefill_before_answer {
-                self.shared.note_reading(&self.job.service, tokens, took);
+                self.shared.record_prefill(&self.job.service, tokens, took);
             }
         }
     }
@@ -86,7 +87,7 @@
             let usual = self.note_route_end(false);
             upstream.pace.lock().record_end(false, usual, self.shared.now());
             upstream.health.lock().record_success();
-            self.shared.note_hold(&self.job.service, sent.elapsed());
+            self.shared.record_slot_time(&self.job.service, sent.elapsed());
         }
     }
 
@@ -125,15 +126,18 @@
     /// Notes how a request of this route ended at an upstream. Returns the share that usually fails.
     fn note_route_end(&self, has_failed: bool) -> f64 {
         let route = &self.job.route.name;
-        self.shared.note_history(route, |history| history.note_end(has_failed)).failure_share()
+        self.shared
+            .update_route_history(route, |history| history.note_end(has_failed))
+            .failure_share()
     }
 
     /// Notes a whole stream: how many events it had, in what time from the first to the last, and how many
     /// requests its upstream had meanwhile.
     pub fn note_stream(&self, events: u32, time: Duration, load: f64) {
-        self.shared.note_history(&self.job.route.name, |history| history.note_events(events));
+        self.shared
+            .update_route_history(&self.job.route.name, |history| history.note_events(events));
         if events >= LEAST_EVENTS {
-            self.shared.note_event_pace(&self.job.service, time / (events - 1), load);
+            self.shared.record_event_interval(&self.job.service, time / (events - 1), load);
         }
     }
 
@@ -148,8 +152,9 @@
     pub fn note_event_order(&self, order: &EventSequenceChecker) {
         if order.is_informative() {
             let name = &self.job.route.name;
-            self.shared
-                .note_history(name, |history| history.steps_mut().record_stream(order.numbering()));
+            self.shared.update_route_history(name, |history| {
+                history.steps_mut().record_stream(order.numbering())
+            });
         }
     }
 
@@ -157,7 +162,7 @@
     pub fn note_event_gap(&self) {
         self.shared.metrics.count_event("event_gaps");
         let name = &self.job.route.name;
-        self.shared.note_history(name, |history| history.steps_mut().reset());
+        self.shared.update_route_history(name, |history| history.steps_mut().reset());
     }
 
     /// Notes what a fault says of its place.
--- a/crates/foldhaven-gateway/src/attempts/suspicion.rs
+++ b/crates/foldhaven-gateway/src/attempts/suspicion.rs
@@ -17,7 +17,7 @@
         if self.is_trial {
             return Ok(());
         }
-        match self.shared.suspects.look(&self.job.print, self.shared.now()) {
+        match self.shared.suspects.peek_verdict(&self.job.print, self.shared.now()) {
             SuspectVerdict::Refused { wait } => Err(self.hold_back(wait)),
             SuspectVerdict::Allowed | SuspectVerdict::Probe => Ok(()),
         }
@@ -29,7 +29,7 @@
         if self.is_trial || matches!(place, RequestDestination::Peer(_)) {
             return Ok(());
         }
-        let verdict = self.shared.suspects.judge(&self.job.print, &self.shared.change_context());
+        let verdict = self.shared.suspects.decide(&self.job.print, &self.shared.change_context());
         match verdict {
             SuspectVerdict::Allowed => {}
             SuspectVerdict::Probe => self.is_trial = true,
@@ -39,7 +39,7 @@
     }
 
     fn hold_back(&self, wait: Duration) -> Refusal {
-        self.shared.suspects.note_route(self.job.print, &self.job.route.name);
+        self.shared.suspects.remember_route(self.job.print, &self.job.route.name);
         Refusal::Suspect { wait }
     }
 
@@ -55,14 +55,14 @@
         tokio::select! {
         biased;
         answered = answered => answered,
-        () = self.shared.suspects.until_refused(&self.job.print) => Err(CallFault::CalledBack),
+        () = self.shared.suspects.wait_until_refused(&self.job.print) => Err(CallFault::CalledBack),
         }
     }
 
     /// Whether another try would be a bet with another upstream that is likely to be lost: connections ended under the
     /// request twice, here or as other VMs tell, or it is on trial.
     pub(super) fn may_be_harmful(&self) -> bool {
-        let known = self.shared.suspects.ends(&self.job.print);
+        let known = self.shared.suspects.exit_count(&self.job.print);
         self.is_trial || known.max(self.breaks as usize) >= PROBE_EXITS
     }
 
@@ -83,7 +83,7 @@
             guest.note_harmless();
         }
         self.is_trial = false;
-        self.shared.suspects.note_answered(self.job.print, &self.shared.change_context());
+        self.shared.suspects.record_success(self.job.print, &self.shared.change_context());
     }
 }
 
@@ -91,7 +91,7 @@
     fn drop(&mut self) {
         if self.is_trial {
             let was_sent = self.is_trial_sent;
-            self.shared.suspects.end_trial(&self.job.print, was_sent, self.shared.now());
+            self.shared.suspects.finish_probe(&self.job.print, was_sent, self.shared.now());
         }
     }
 }
--- a/crates/foldhaven-gateway/src/caller_front.rs
+++ b/crates/foldhaven-gateway/src/caller_front.rs
@@ -40,7 +40,7 @@
         let attempt = request.headers().get(&self.shared.names.attempt).cloned();
         match read_job(&self.shared, request).await {
             Ok(job) => {
-                self.shared.note_request(&job.service, job.size());
+                self.shared.record_request(&job.service, job.size());
                 run_job(self.shared.clone(), job).await
             }
             Err(refusal) => {
@@ -69,16 +69,16 @@
     if matches!(refusal, Refusal::OverLimit { .. }) || !shared.quota.take(is_plain) {
         return;
     }
-    let behind = shared.behind();
+    let behind = shared.lag();
     tracing::info!(
         request = attempt.and_then(|id| id.to_str().ok()).unwrap_or("unreadable"),
         refusal = refusal.label(),
         status = refusal.status().as_u16(),
-        described_ms = shared.viewed_for().as_millis() as u64,
+        described_ms = shared.time_since_first_view().as_millis() as u64,
         awake = shared.is_awake(),
-        belief_age_ms = shared.belief_age().as_millis() as u64,
+        belief_age_ms = shared.staleness().as_millis() as u64,
         behind_ms = behind.map(|it| shared.now().since(it.since).as_millis() as u64),
-        behind_near = behind.map(|it| it.is_near),
+        behind_near = behind.map(|it| it.is_local),
         "refused before a place was looked for"
     );
 }
@@ -104,7 +104,7 @@
     let route = route.ok_or_else(|| unknown_route(shared))?.clone();
     let account = identify(shared, &view, &route, &mut head)?;
     let terms = read_terms(&head, &shared.names)?;
-    let waited = shared.note_patience(&route.name, terms.remaining);
+    let waited = shared.record_caller_timeout(&route.name, terms.remaining);
     let terms = CallerTerms { remaining: terms.remaining.min(route.timeout), waited, ..terms };
     let service = route.pick_service(rand::random()).ok_or(Refusal::NoRoute)?.clone();
     let account = match account {
@@ -129,7 +129,7 @@
     }
     let credential = take_credential(&mut head.headers, &shared.names);
     find_account(&view.routes, route, credential).map_err(|fault| match fault {
-        KeyFault::Unknown if shared.is_in_doubt() => Refusal::Behind,
+        KeyFault::Unknown if shared.is_possibly_outdated() => Refusal::Behind,
         KeyFault::Unknown | KeyFault::Absent => Refusal::NoKey,
     })
 }
@@ -142,7 +142,8 @@
 ) -> Result<JobAccount, Refusal> {
     let Some(limit) = account.account.limit else { return Ok(account) };
     let cost = limit.cost(read_token_sum(head, &shared.names));
-    let asked = shared.accounts.ask(&account.account, &limit, cost, shared.started(), shared.now());
+    let asked =
+        shared.accounts.try_acquire(&account.account, &limit, cost, shared.started(), shared.now());
     let Err(over) = asked else { return Ok(JobAccount { cost: Some(cost), ..account }) };
     if shared.quota.take(false) {
         let id = head.headers.get(&shared.names.attempt).and_then(|id| id.to_str().ok());
@@ -152,8 +153,8 @@
             cost,
             per_s = limit.per_s,
             burst = limit.burst,
-            part_per_s = over.part.per_s,
-            part_age_ms = over.part_age.as_millis() as u64,
+            part_per_s = over.share.per_s,
+            part_age_ms = over.share_age.as_millis() as u64,
             level = over.level,
             view = ?shared.accounts.view(),
             wait_ms = over.wait.as_millis() as u64,
@@ -166,7 +167,7 @@
 /// What is said of a route that is not known. A VM that knows that others know more says no more than that
 /// nothing has run.
 fn unknown_route(shared: &GatewayShared) -> Refusal {
-    match shared.is_in_doubt() {
+    match shared.is_possibly_outdated() {
         true => Refusal::Behind,
         false => Refusal::NoRoute,
     }
@@ -174,7 +175,7 @@
 
 /// Runs a request and gives its answer.
 pub async fn run_job(shared: Arc<GatewayShared>, job: GatewayJob) -> Answer {
-    let in_flight = shared.enter();
+    let in_flight = shared.start_request();
     let mut driver = EndNote { driver: Some(RequestDriver::new(shared, job)) };
     let placed = match driver.get().run().await {
         Ok(AnswerStart::Events(placed)) => placed,
@@ -225,8 +226,8 @@
             true => RequestEnd::FailedUpstream,
             false => RequestEnd::Served,
         };
-        let took = driver.job.note_first();
-        driver.shared.metrics.note_first(&driver.job.route.name, took);
+        let took = driver.job.record_time_to_first();
+        driver.shared.metrics.record_time_to_first(&driver.job.route.name, took);
         driver.note_end(end);
         let mut answer = answer_with(head.status, head.headers);
         *answer.body_mut() = AnswerBody::whole(body);
@@ -236,7 +237,7 @@
     fn end_refused(&mut self, refusal: Refusal) -> Answer {
         let driver = self.release();
         if refusal.promises_unrun() {
-            give_back(&driver);
+            refund(&driver);
         }
         driver.note_end(RequestEnd::Refused(refusal.label()));
         refusal.answer()
@@ -244,10 +245,10 @@
 }
 
 /// Gives back what a request counted for that has not run.
-fn give_back(driver: &RequestDriver) {
+fn refund(driver: &RequestDriver) {
     let account = driver.job.account.as_ref();
     if let Some((account, cost)) = account.and_then(|it| Some((&it.account.name, it.cost?))) {
-        driver.shared.accounts.give_back(account, cost);
+        driver.shared.accounts.refund(account, cost);
     }
 }
 
@@ -267,7 +268,7 @@
 #[async_trait]
 impl FrontHandler for ReadyHandler {
     async fn handle(&self, _request: Request<Incoming>) -> Answer {
-        let is_ready = self.shared.is_prepared() && !self.shared.is_leaving();
+        let is_ready = self.shared.is_ready() && !self.shared.is_leaving();
         let status = if is_ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
         body_answer(status, "text/plain", "")
     }
--- a/crates/foldhaven-gateway/src/control/account_limits.rs
+++ b/crates/foldhaven-gateway/src/control/account_limits.rs
@@ -119,7 +119,7 @@
         let described = self.platform.routes().and_then(|it| it.description().accounts.as_ref());
         let Some(described) = described else { return Default::default() };
         let demands: BTreeMap<AccountName, f64> =
-            self.shared.accounts.wants(now).into_iter().collect();
+            self.shared.accounts.demands(now).into_iter().collect();
         let limited = described.accounts.values().filter_map(|account| {
             let name = account.name.clone();
             let demand = demands.get(&name).copied().unwrap_or_default();
--- a/crates/foldhaven-gateway/src/control/announcements.rs
+++ b/crates/foldhaven-gateway/src/control/announcements.rs
@@ -11,7 +11,7 @@
 
 use super::ControlActor;
 use crate::feed::ChangeSet;
-use crate::shared::OLD_BELIEF;
+use crate::shared::STALE_AFTER;
 
 /// Minimum interval between two announcements to other regions. Changes in between are part of the
 /// next one.
@@ -66,7 +66,7 @@
         }
         if notice.revision > self.platform.revision() {
             self.offered.note(&notice);
-            self.shared.ahead_news.notify_one();
+            self.shared.newer_revision_notify.notify_one();
         }
     }
 }
@@ -157,11 +157,11 @@
         self.staleness.note_held(self.platform.revision());
         let age = self.staleness();
         let age_ms = age.as_millis() as u64;
-        self.shared.set_proven(self.staleness.proven());
+        self.shared.set_confirmed_at(self.staleness.proven());
         self.shared.metrics.set_level("belief_age_ms", age_ms);
         let (revision, version) = (self.platform.revision(), self.version().0);
         let is_platform_unreachable = self.is_platform_unreachable;
-        if !self.is_staleness_logged && age >= OLD_BELIEF {
+        if !self.is_staleness_logged && age >= STALE_AFTER {
             self.is_staleness_logged = true;
             tracing::warn!(
                 age_ms,
--- a/crates/foldhaven-gateway/src/control/catch_up.rs
+++ b/crates/foldhaven-gateway/src/control/catch_up.rs
@@ -10,7 +10,7 @@
 use xtra::{Context, Handler};
 
 use super::ControlActor;
-use crate::shared::BehindBelief;
+use crate::shared::ObservedLag;
 
 /// A VM of this region that has had a newer revision for this long is asked for the changes.
 const LOCAL_REQUEST_DELAY: Duration = Duration::from_millis(350);
@@ -179,7 +179,7 @@
         }
         self.lag = None;
         let lag = self.now().since(lag_state.since);
-        self.shared.metrics.note_span("behind", lag);
+        self.shared.metrics.record_span("behind", lag);
         if lag_state.is_logged {
             let behind_ms = lag.as_millis() as u64;
             tracing::info!(
@@ -198,11 +198,11 @@
     }
 
     fn publish_lag(&self) {
-        let published = |lag_state: LagState| BehindBelief {
+        let published = |lag_state: LagState| ObservedLag {
             since: lag_state.since,
-            is_near: lag_state.is_local,
+            is_local: lag_state.is_local,
         };
-        self.shared.set_behind(self.lag.map(published));
+        self.shared.set_lag(self.lag.map(published));
         self.shared.metrics.set_level("behind_ms", self.lag_time().as_millis() as u64);
     }
 }
--- a/crates/foldhaven-gateway/src/control/load_reports.rs
+++ b/crates/foldhaven-gateway/src/control/load_reports.rs
@@ -150,7 +150,7 @@
 
     /// Returns a report of the requests that this VM has at each upstream.
     fn own_report(&mut self) -> LoadReport {
-        let busy = self.meter.busy(self.shared.taken(), self.shared.settings.cores);
+        let busy = self.meter.busy(self.shared.accepted_requests(), self.shared.settings.cores);
         let own = self.upstreams.values().map(|upstream| (upstream.tag, upstream.load.share()));
         LoadReport {
             vm: VmTag::of(&self.shared.settings.vm),
@@ -202,7 +202,7 @@
     }
 
     fn record_placements(&self, placements: &[PromptPlacement]) {
-        let mut hints = self.shared.hints.lock();
+        let mut hints = self.shared.prefix_caches.lock();
         for placement in placements {
             hints.record(placement);
         }
--- a/crates/foldhaven-gateway/src/control/mod.rs
+++ b/crates/foldhaven-gateway/src/control/mod.rs
@@ -286,7 +286,7 @@
             (true, _) => PeerPhase::Leaving,
             (false, None) => PeerPhase::Starting,
             (false, Some(_)) if self.shared.is_too_far_behind() => PeerPhase::Starting,
-            (false, Some(_)) if !self.shared.is_prepared() => PeerPhase::Starting,
+            (false, Some(_)) if !self.shared.is_ready() => PeerPhase::Starting,
             (false, Some(_)) => PeerPhase::Serving,
         }
     }
--- a/crates/foldhaven-gateway/src/control/region_waits.rs
+++ b/crates/foldhaven-gateway/src/control/region_waits.rs
@@ -31,7 +31,7 @@
         let mut by_service: BTreeMap<&ServiceName, Vec<ExpectedQueue>> = BTreeMap::new();
         for upstream in open {
             let service = &upstream.identity.service;
-            let wait = expected_wait(upstream, &self.shared.measured_pace(service), now);
+            let wait = expected_wait(upstream, &self.shared.measured_performance(service), now);
             let long_pauses = upstream.pace.lock().long_pause_share(now);
             let expected = ExpectedQueue { wait, load: upstream.queue().in_flight, long_pauses };
             by_service.entry(service).or_default().push(expected);
--- a/crates/foldhaven-gateway/src/control/suspension.rs
+++ b/crates/foldhaven-gateway/src/control/suspension.rs
@@ -13,7 +13,7 @@
         let (revision, version) = (self.platform.revision(), self.version().0);
         tracing::warn!(still_ms, revision, version, "the process was suspended");
         self.shared.metrics.count_event("stood_still");
-        self.shared.suspects.ask_again();
+        self.shared.suspects.mark_uninformed();
         self.peers.ask_again();
         self.upstreams.values().for_each(|upstream| upstream.pool.clear());
         self.links.values().for_each(|link| link.pool.clear());
@@ -22,7 +22,7 @@
     /// Checks whether the process is up to date after a suspension: another VM has answered, and
     /// none has newer platform state.
     pub(super) fn check_resumed(&mut self) {
-        let is_known = self.shared.suspects.was_told() && self.lag_time().is_zero();
+        let is_known = self.shared.suspects.has_received_records() && self.lag_time().is_zero();
         if let Some(span) = self.shared.wake.note_known(is_known, self.now()) {
             let ms = span.as_millis() as u64;
             tracing::info!(
--- a/crates/foldhaven-gateway/src/control/traffic_view.rs
+++ b/crates/foldhaven-gateway/src/control/traffic_view.rs
@@ -99,7 +99,7 @@
             let Some(upstream) = self.upstream_of(entry, routes) else { continue };
             upstream.set_cold(entry.cold_until);
             self.shared.limits.apply(&upstream);
-            self.shared.leavers.apply(&upstream);
+            self.shared.leaving_upstreams.apply(&upstream);
             let service = routes.service(&upstream.identity.service);
             let limit = service.map_or(0, |service| service.connection_limit);
             upstream.pool.keep_at_most(max_idle_connections(limit, vms));
@@ -109,7 +109,7 @@
         let by_tag: HashMap<UpstreamTag, Arc<Upstream>> =
             kept.values().map(|upstream| (upstream.tag, upstream.clone())).collect();
         for tag in self.by_tag.keys().filter(|tag| !by_tag.contains_key(*tag)) {
-            self.shared.hints.lock().remove(*tag);
+            self.shared.prefix_caches.lock().remove(*tag);
         }
         self.by_tag = by_tag;
         self.upstreams = kept;
@@ -164,7 +164,7 @@
 
     /// Returns the peak processor time that the region's requests used in the last few seconds.
     fn current_demand(&mut self, now: MonoTime) -> CoreShare {
-        let own = self.meter.busy(self.shared.taken(), self.shared.settings.cores);
+        let own = self.meter.busy(self.shared.accepted_requests(), self.shared.settings.cores);
         self.demand.record(self.loads.busy().saturating_add(own), now)
     }
 
--- a/crates/foldhaven-gateway/src/control/upstream_signals.rs
+++ b/crates/foldhaven-gateway/src/control/upstream_signals.rs
@@ -7,8 +7,8 @@
 use xtra::{Context, Handler};
 
 use super::{ControlActor, SendReason};
-use crate::leaving_desk::note_leaving;
-use crate::limit_desk::note_change;
+use crate::leaving_tracker::record_leaving;
+use crate::rate_limit_tracker::record_limit_change;
 
 /// Upstream limits received from another VM of the region.
 pub struct ReceiveLimits {
@@ -22,11 +22,11 @@
         let now = self.now();
         let mut has_changed = false;
         for notice in &message.limits {
-            let Some(change) = self.shared.limits.hear(notice, now) else { continue };
+            let Some(change) = self.shared.limits.apply_notice(notice, now) else { continue };
             // The limit of an upstream that is not listed yet is applied once it is.
             let Some(upstream) = self.by_tag.get(&notice.upstream) else { continue };
             self.shared.limits.apply(upstream);
-            note_change(&self.shared, upstream, &change, "peer");
+            record_limit_change(&self.shared, upstream, &change, "peer");
             has_changed = true;
         }
         if has_changed {
@@ -46,12 +46,12 @@
     async fn handle(&mut self, message: ReceiveLeavingNotices, _: &mut Context<Self>) {
         let now = self.now();
         for notice in &message.leavers {
-            if !self.shared.leavers.hear(notice, now) {
+            if !self.shared.leaving_upstreams.apply_notice(notice, now) {
                 continue;
             }
             let Some(upstream) = self.by_tag.get(&notice.upstream) else { continue };
-            self.shared.leavers.apply(upstream);
-            note_leaving(&self.shared, upstream, "peer");
+            self.shared.leaving_upstreams.apply(upstream);
+            record_leaving(&self.shared, upstream, "peer");
         }
     }
 }
@@ -82,6 +82,6 @@
     pub(super) fn forget_signals(&self) {
         let is_listed = |tag| self.by_tag.contains_key(&tag);
         self.shared.limits.forget(is_listed, &self.shared);
-        self.shared.leavers.forget(is_listed, &self.shared);
+        self.shared.leaving_upstreams.forget(is_listed, &self.shared);
     }
 }
--- a/crates/foldhaven-gateway/src/daemon.rs
+++ b/crates/foldhaven-gateway/src/daemon.rs
@@ -24,23 +24,23 @@
 use crate::feed::{FeedSink, PlatformFeed};
 use crate::front::{FrontHandler, serve_front};
 use crate::names::HeaderNames;
-use crate::news_teller::tell_until_end;
 use crate::operator_front::OperatorHandler;
 use crate::peer_front::PeerHandler;
-use crate::peer_state::follow_peers;
-use crate::reload::follow_settings;
+use crate::peer_state::sync_with_peers;
+use crate::reload::watch_settings;
 use crate::settings::GatewaySettings;
 use crate::shared::GatewayShared;
-use crate::signal_news::SignalTeller;
+use crate::signal_sender::SignalSender;
 use crate::stop::stop_when_told;
-use crate::suspect_news::SuspectTeller;
+use crate::suspect_sender::SuspectSender;
+use crate::update_sender::run_update_sender;
 use crate::warm_links::keep_links_warm;
 
 /// How often the control state is looked over.
 const TICK: Duration = Duration::from_millis(250);
 
 /// What a platform supplies.
-pub struct GatewayParts {
+pub struct PlatformAdapter {
     /// Its header names.
     pub names: HeaderNames,
     /// How callers ask which VMs to use.
@@ -75,18 +75,18 @@
 /// # Errors
 ///
 /// When an address cannot be bound or a runtime cannot be set up.
-pub fn run_gateway(settings: GatewaySettings, parts: GatewayParts) -> Result<(), DaemonError> {
+pub fn run_gateway(settings: GatewaySettings, parts: PlatformAdapter) -> Result<(), DaemonError> {
     for field in settings.unknown.keys() {
         tracing::warn!(field, "unknown field of the settings ignored");
     }
     let shared = GatewayShared::new(settings, parts.names);
-    let traffic = make_runtime("the traffic runtime")?;
-    let control = make_runtime("the control runtime")?;
+    let traffic = build_runtime("the traffic runtime")?;
+    let control = build_runtime("the control runtime")?;
     start_control(control, shared.clone(), parts.feed, parts.settings_path)?;
     traffic.block_on(serve(shared, parts.codec))
 }
 
-fn make_runtime(step: &'static str) -> Result<Runtime, DaemonError> {
+fn build_runtime(step: &'static str) -> Result<Runtime, DaemonError> {
     let runtime = Builder::new_current_thread().enable_all().build();
     runtime.map_err(|source| DaemonError::Setup { step, source })
 }
@@ -159,16 +159,16 @@
     tokio::spawn(send_updates(socket.clone(), told, shared.clone()));
     tokio::spawn(send_reports(socket.clone(), address.clone()));
     let control = address.clone();
-    let suspects = SuspectTeller { socket: socket.clone(), control, shared: shared.clone() };
-    tokio::spawn(tell_until_end(suspects));
+    let suspects = SuspectSender { socket: socket.clone(), control, shared: shared.clone() };
+    tokio::spawn(run_update_sender(suspects));
     tokio::spawn(send_agreements(socket.clone(), address.clone(), is_rate_used));
     let control = address.clone();
-    let signals = SignalTeller { socket: socket.clone(), control, shared: shared.clone() };
-    tokio::spawn(tell_until_end(signals));
+    let signals = SignalSender { socket: socket.clone(), control, shared: shared.clone() };
+    tokio::spawn(run_update_sender(signals));
     tokio::spawn(send_demands(socket.clone(), address.clone()));
     tokio::spawn(send_heartbeats(socket, address.clone(), shared.clone()));
-    tokio::spawn(follow_settings(settings_path, shared.settings.clone(), address.clone()));
-    tokio::spawn(follow_peers(shared, address.clone()));
+    tokio::spawn(watch_settings(settings_path, shared.settings.clone(), address.clone()));
+    tokio::spawn(sync_with_peers(shared, address.clone()));
     tokio::spawn(tick(address.clone()));
     feed.run(FeedSink::new(address, read_assignments)).await;
 }
--- a/crates/foldhaven-gateway/src/datagrams.rs
+++ b/crates/foldhaven-gateway/src/datagrams.rs
@@ -29,7 +29,7 @@
     ReceiveRevisionNotice, ReceiveView, ReceiveViewList,
 };
 use crate::feed::NumberedChange;
-use crate::peer_message::{MAX_DATAGRAM, PeerMessage, SuspectTelling};
+use crate::peer_message::{MAX_DATAGRAM, PeerMessage, SuspectMessage};
 use crate::platform_state::EarlyChanges;
 use crate::shared::GatewayShared;
 
@@ -264,18 +264,18 @@
     shared: &GatewayShared,
     target: SocketAddr,
 ) {
-    let records = shared.suspects.told_to_starter();
-    let suspects = SuspectTelling { region: shared.settings.region().clone(), records };
+    let records = shared.suspects.startup_records();
+    let suspects = SuspectMessage { region: shared.settings.region().clone(), records };
     send_to(socket, &[target], &PeerMessage::Suspects(suspects)).await;
 }
 
 /// Applies the suspected requests that another VM sent.
-fn apply_suspects(shared: &GatewayShared, suspects: &SuspectTelling) {
+fn apply_suspects(shared: &GatewayShared, suspects: &SuspectMessage) {
     let source = match suspects.region == *shared.settings.region() {
         true => RecordSource::Local,
         false => RecordSource::Remote,
     };
-    shared.suspects.hear(&suspects.records, source, &shared.change_context());
+    shared.suspects.merge_records(&suspects.records, source, &shared.change_context());
 }
 
 /// Sends heartbeats in rounds, and immediately when this daemon starts to leave or finds that it
--- a/crates/foldhaven-gateway/src/destinations/local.rs
+++ b/crates/foldhaven-gateway/src/destinations/local.rs
@@ -82,7 +82,7 @@
 ) -> Option<LocalChoice> {
     let local = local_upstreams(shared, view, job);
     let candidates = candidates_of(shared, &local, job, tried);
-    let pace = shared.pace(&job.service, view);
+    let pace = shared.performance(&job.service, view);
     let choice = choose_upstream(&candidates, &choice_query(shared, view, job), &pace)?;
     let fetch_from = choice.fetch_from.map(|at| local[at].identity.address);
     Some(LocalChoice { upstream: local[choice.index].clone(), choice, fetch_from })
@@ -128,7 +128,7 @@
 ) -> Vec<(Arc<Upstream>, UpstreamChoice)> {
     let local = local_upstreams(shared, view, job);
     let candidates = candidates_of(shared, &local, job, &TriedDestinations::default());
-    let pace = shared.pace(&job.service, view);
+    let pace = shared.performance(&job.service, view);
     let priced = price_upstreams(&candidates, &choice_query(shared, view, job), &pace);
     priced.into_iter().map(|choice| (local[choice.index].clone(), choice)).collect()
 }
@@ -151,7 +151,7 @@
     tried: &TriedDestinations,
 ) -> Vec<UpstreamCandidate<'a>> {
     let now = shared.now();
-    let hold = shared.measured_pace(&job.service).slot_time;
+    let hold = shared.measured_performance(&job.service).slot_time;
     local.iter().map(|upstream| candidate_of(shared, upstream, job, tried, hold, now)).collect()
 }
 
@@ -171,9 +171,11 @@
     };
     let cached_tokens = match job.shared_parts() {
         [] => 0,
-        parts => {
-            shared.hints.lock().cached_tokens(upstream.tag, parts, upstream.identity.prompt_memory)
-        }
+        parts => shared.prefix_caches.lock().cached_tokens(
+            upstream.tag,
+            parts,
+            upstream.identity.prompt_memory,
+        ),
     };
     UpstreamCandidate {
         name: upstream.name(),
--- a/crates/foldhaven-gateway/src/destinations/remote.rs
+++ b/crates/foldhaven-gateway/src/destinations/remote.rs
@@ -96,7 +96,7 @@
         let query = choice_query(self.shared, self.view, job);
         let missing = self.missing_tokens(query.shared_tokens);
         let prefill_tokens = query.own_tokens + missing;
-        let pace = self.shared.measured_pace(&job.service);
+        let pace = self.shared.measured_performance(&job.service);
         let network_time = self.network_time(&peer);
         let sent = self.sent_since(pace.slot_time, network_time);
         let there = pace.time_to_first(sent, QueueRank::Timely, prefill_tokens);
@@ -155,7 +155,7 @@
             return (f64::from(shared_tokens) * REMOTE_MISSING_SHARE) as u32;
         }
         let parts = self.job.shared_parts();
-        let hints = self.shared.hints.lock();
+        let hints = self.shared.prefix_caches.lock();
         let upstreams = self.view.upstreams_of(&self.job.service).iter();
         let there = upstreams.filter(|upstream| upstream.identity.region == *self.region);
         let held = there.map(|upstream| {
--- a/crates/foldhaven-gateway/src/leaving_desk.rs
+++ b/crates/foldhaven-gateway/src/leaving_tracker.rs
@@ -11,25 +11,25 @@
 
 /// The upstreams that leave , as their answers say.
 #[derive(Default)]
-pub struct LeavingDesk {
+pub struct LeavingTracker {
     leaving: Mutex<LeavingUpstreams>,
     /// Told when there is something to tell other VMs.
-    news: Notify,
+    updates: Notify,
 }
 
-impl LeavingDesk {
+impl LeavingTracker {
     /// Takes in an answer of an upstream that says that it leaves.
-    pub fn note_answer(&self, shared: &GatewayShared, upstream: &Upstream) {
+    pub fn record_answer(&self, shared: &GatewayShared, upstream: &Upstream) {
         let is_news = self.leaving.lock().note_answer(upstream.tag, shared.now());
         if is_news {
             upstream.set_leaving();
-            self.news.notify_one();
-            note_leaving(shared, upstream, "answer");
+            self.updates.notify_one();
+            record_leaving(shared, upstream, "answer");
         }
     }
 
     /// Takes in what another VM tells. Returns whether it is news.
-    pub fn hear(&self, told: &LeavingNotice, now: MonoTime) -> bool {
+    pub fn apply_notice(&self, told: &LeavingNotice, now: MonoTime) -> bool {
         self.leaving.lock().hear(told, now)
     }
 
@@ -41,17 +41,17 @@
     }
 
     /// Waits until there may be something to tell.
-    pub async fn await_news(&self) {
-        self.news.notified().await;
+    pub async fn wait_for_updates(&self) {
+        self.updates.notified().await;
     }
 
     /// What is to be told at once.
-    pub fn take_news(&self, now: MonoTime) -> Vec<LeavingNotice> {
+    pub fn take_updates(&self, now: MonoTime) -> Vec<LeavingNotice> {
         self.leaving.lock().take_news(now)
     }
 
     /// What is told again and again.
-    pub fn all(&self, now: MonoTime) -> Vec<LeavingNotice> {
+    pub fn all_notices(&self, now: MonoTime) -> Vec<LeavingNotice> {
         self.leaving.lock().all(now)
     }
 
@@ -66,7 +66,7 @@
 }
 
 /// Counts and logs that an upstream leaves, which this VM learnt from a source.
-pub fn note_leaving(shared: &GatewayShared, upstream: &Upstream, source: &'static str) {
+pub fn record_leaving(shared: &GatewayShared, upstream: &Upstream, source: &'static str) {
     shared.metrics.count_event("upstream_leaving_signalled");
     if shared.quota.take(false) {
         tracing::info!(
--- a/crates/foldhaven-gateway/src/lib.rs
+++ b/crates/foldhaven-gateway/src/lib.rs
@@ -4,7 +4,7 @@
 //! The words of the surrounding platform (header names, paths, formats) come in through
 //! [`names::HeaderNames`], [`directory::DirectoryCodec`] and [`feed::PlatformFeed`].
 
-mod account_desk;
+mod account_limiter;
 pub mod answer;
 mod attempts;
 mod call;
@@ -24,25 +24,25 @@
 pub mod feed;
 mod front;
 mod job;
-mod leaving_desk;
-mod limit_desk;
+mod leaving_tracker;
 pub mod logging;
 mod metrics;
 pub mod names;
-mod news_teller;
 mod operator_front;
 mod peer_front;
 pub mod peer_message;
 mod peer_state;
 pub mod platform_state;
+mod rate_limit_tracker;
 mod reload;
 pub mod settings;
 mod shared;
-mod signal_news;
+mod signal_sender;
 mod stop;
-mod suspect_news;
+mod suspect_sender;
 mod suspects;
 mod told_change;
+mod update_sender;
 mod upstream;
 mod upstream_ends;
 mod upstream_listener;
@@ -50,4 +50,4 @@
 mod wake;
 mod warm_links;
 
-pub use self::daemon::{DaemonError, GatewayParts, run_gateway};
+pub use self::daemon::{DaemonError, PlatformAdapter, run_gateway};
--- a/crates/foldhaven-gateway/src/logging.rs
+++ b/crates/foldhaven-gateway/src/logging.rs
@@ -12,12 +12,12 @@
 use crate::clock::BootInstant;
 
 /// How much is held that has not been written yet; lines beyond it are dropped and counted.
-const MAX_HELD_BYTES: usize = 256 << 10;
+const MAX_BUFFERED_BYTES: usize = 256 << 10;
 /// How often held lines are written. Each write wakes the processor, which is metered.
 const WRITE_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Default)]
-struct HeldLines {
+struct BufferedLines {
     bytes: Vec<u8>,
     dropped: u64,
 }
@@ -25,13 +25,13 @@
 /// Holds lines until they are written.
 #[derive(Clone, Default)]
 struct LineBuffer {
-    held: Arc<Mutex<HeldLines>>,
+    held: Arc<Mutex<BufferedLines>>,
 }
 
 impl Write for LineBuffer {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         let mut held = self.held.lock();
-        match held.bytes.len() + line.len() > MAX_HELD_BYTES {
+        match held.bytes.len() + line.len() > MAX_BUFFERED_BYTES {
             true => held.dropped += 1,
             false => held.bytes.extend_from_slice(line),
         }
@@ -58,7 +58,7 @@
 
 impl Drop for LogGuard {
     fn drop(&mut self) {
-        write_held(&self.buffer);
+        write_buffered(&self.buffer);
     }
 }
 
@@ -80,14 +80,14 @@
     std::thread::spawn(move || {
         loop {
             std::thread::sleep(WRITE_INTERVAL);
-            write_held(&written);
+            write_buffered(&written);
         }
     });
     LogGuard { buffer }
 }
 
-fn write_held(buffer: &LineBuffer) {
-    let HeldLines { mut bytes, dropped } = std::mem::take(&mut *buffer.held.lock());
+fn write_buffered(buffer: &LineBuffer) {
+    let BufferedLines { mut bytes, dropped } = std::mem::take(&mut *buffer.held.lock());
     if dropped > 0 {
         let line = format!(
             "{{\"level\":\"WARN\",\"message\":\"log lines dropped\",\"lines\":{dropped}}}\n"
--- a/crates/foldhaven-gateway/src/metrics.rs
+++ b/crates/foldhaven-gateway/src/metrics.rs
@@ -96,14 +96,14 @@
     }
 
     /// Notes the time to the answer, or to the first event.
-    pub fn note_first(&self, route: &RouteName, span: Duration) {
+    pub fn record_time_to_first(&self, route: &RouteName, span: Duration) {
         let mut inner = self.inner.lock();
         let first = &mut counts_of(&mut inner, route).first;
         record(first.get_or_insert_with(new_histogram), span);
     }
 
     /// Notes how long something of the control state took, such as being behind.
-    pub fn note_span(&self, name: &'static str, span: Duration) {
+    pub fn record_span(&self, name: &'static str, span: Duration) {
         let mut inner = self.inner.lock();
         record(inner.spans.entry(name).or_insert_with(new_histogram), span);
     }
--- a/crates/foldhaven-gateway/src/operator_front/accounts.rs
+++ b/crates/foldhaven-gateway/src/operator_front/accounts.rs
@@ -6,17 +6,17 @@
 use foldhaven_wire::operator::{AccountRow, AccountsAnswer};
 
 use super::OperatorHandler;
-use crate::account_desk::AccountUse;
+use crate::account_limiter::AccountUsage;
 
 impl OperatorHandler {
     /// The accounts that are described, and what those with limits use at this VM.
     pub(super) fn accounts(&self) -> AccountsAnswer {
         let view = self.shared.view();
         let described = view.as_ref().and_then(|it| it.routes.description().accounts.clone());
-        let uses = self.shared.accounts.uses(self.shared.now());
+        let usages = self.shared.accounts.usages(self.shared.now());
         let accounts = described.iter().flat_map(|described| described.accounts.values());
         let rows = accounts.map(|account| {
-            let held = uses.iter().find(|held| held.account == account.name);
+            let held = usages.iter().find(|held| held.account == account.name);
             let limit = account.limit;
             AccountRow {
                 account: account.name.to_string(),
@@ -25,12 +25,12 @@
                 unit: limit.map(|limit| unit_of(&limit).to_owned()),
                 per_s: limit.map(|limit| limit.per_s),
                 burst: limit.map(|limit| limit.burst),
-                part_per_s: held.map(|held| held.part.per_s),
-                part_age_ms: held.map(|held| held.part_age.as_millis() as u64),
+                part_per_s: held.map(|held| held.share.per_s),
+                part_age_ms: held.map(|held| held.share_age.as_millis() as u64),
                 level: held.map(|held| held.level),
-                want_per_s: held.map(|held| held.want),
+                want_per_s: held.map(|held| held.demand),
                 let_through: held.map_or(0.0, |held| held.let_through),
-                refused: held.map_or(0, |held: &AccountUse| held.refused),
+                refused: held.map_or(0, |held: &AccountUsage| held.refused),
             }
         });
         let sharers = self.shared.accounts.view();
@@ -47,13 +47,13 @@
 }
 
 /// The lines of one account in the metrics.
-pub(super) fn put_account(page: &mut String, used: &AccountUse) {
-    let account = &used.account;
+pub(super) fn write_account(page: &mut String, usage: &AccountUsage) {
+    let account = &usage.account;
     let lines = [
-        ("foldhaven_opaque_account_let_through_total", used.let_through),
-        ("foldhaven_opaque_account_refused_total", used.refused as f64),
-        ("foldhaven_opaque_account_part_per_second", used.part.per_s),
-        ("foldhaven_opaque_account_wanted_per_second", used.want),
+        ("foldhaven_opaque_account_let_through_total", usage.let_through),
+        ("foldhaven_opaque_account_refused_total", usage.refused as f64),
+        ("foldhaven_opaque_account_part_per_second", usage.share.per_s),
+        ("foldhaven_opaque_account_wanted_per_second", usage.demand),
     ];
     for (name, value) in lines {
         // Writing to a string cannot fail.
--- a/crates/foldhaven-gateway/src/operator_front/mod.rs
+++ b/crates/foldhaven-gateway/src/operator_front/mod.rs
@@ -12,7 +12,7 @@
 use hyper::body::Incoming;
 use serde::Serialize;
 
-use self::accounts::put_account;
+use self::accounts::write_account;
 use crate::answer::{Answer, Refusal, body_answer};
 use crate::explain::explain;
 use crate::front::FrontHandler;
@@ -50,10 +50,10 @@
 impl OperatorHandler {
     /// The page that collectors read. Accounts have a few lines each.
     fn metrics_page(&self) -> String {
-        let uses = self.shared.accounts.uses(self.shared.now());
+        let usages = self.shared.accounts.usages(self.shared.now());
         let mut page = self.shared.metrics.page();
-        for used in uses.iter().take(MAX_METRIC_ACCOUNTS) {
-            put_account(&mut page, used);
+        for used in usages.iter().take(MAX_METRIC_ACCOUNTS) {
+            write_account(&mut page, used);
         }
         page
     }
--- a/crates/foldhaven-gateway/src/operator_front/status.rs
+++ b/crates/foldhaven-gateway/src/operator_front/status.rs
@@ -28,11 +28,13 @@
         StatusAnswer {
             vm: settings.vm.clone(),
             data_centre: settings.data_centre.clone(),
-            incarnation: view.and_then(|view| self.own_lifetime(view)).unwrap_or(IncarnationId(0)),
+            incarnation: view
+                .and_then(|view| self.own_incarnation(view))
+                .unwrap_or(IncarnationId(0)),
             state,
             stamp: view.map(|view| view.routes.version().to_string()),
             content: view.map(|view| format!("{:016x}", view.offer.digest)),
-            belief_age_ms: u64::try_from(self.shared.belief_age().as_millis()).ok(),
+            belief_age_ms: u64::try_from(self.shared.staleness().as_millis()).ok(),
             refused: None,
             in_flight: self.shared.in_flight(),
             members: view.map(|view| self.members(view)).unwrap_or_default(),
@@ -42,7 +44,7 @@
     }
 
     /// The lifetime of this process; not known before the first description.
-    fn own_lifetime(&self, view: &GatewayView) -> Option<IncarnationId> {
+    fn own_incarnation(&self, view: &GatewayView) -> Option<IncarnationId> {
         let own = view.heartbeats.iter().find(|beat| beat.vm == self.shared.settings.vm);
         own.map(|beat| beat.incarnation)
     }
--- a/crates/foldhaven-gateway/src/operator_front/suspects.rs
+++ b/crates/foldhaven-gateway/src/operator_front/suspects.rs
@@ -8,15 +8,15 @@
 use crate::answer::Refusal;
 
 /// What goes before the fingerprint in the query.
-const PRINT_FIELD: &str = "print=";
+const FINGERPRINT_PREFIX: &str = "print=";
 
 impl OperatorHandler {
     /// The suspected requests, those with the most ends first.
     pub(super) fn suspects(&self) -> SuspectsAnswer {
         let now = self.shared.now();
         let suspects = &self.shared.suspects;
-        let rows = suspects.rows(now).into_iter().map(|(record, age)| {
-            let (state, opens) = match suspects.look(&record.fingerprint, now) {
+        let rows = suspects.records_with_age(now).into_iter().map(|(record, age)| {
+            let (state, opens) = match suspects.peek_verdict(&record.fingerprint, now) {
                 SuspectVerdict::Allowed => ("noted", None),
                 SuspectVerdict::Probe => ("on trial", None),
                 SuspectVerdict::Refused { wait } => ("refused", Some(wait)),
@@ -37,7 +37,7 @@
 
     /// Clears a request as a whole answer to it would: here, and at all VMs that are told.
     pub(super) fn clear_suspect(&self, query: Option<&str>) -> Result<ClearAnswer, Refusal> {
-        let print = query.and_then(|query| query.strip_prefix(PRINT_FIELD));
+        let print = query.and_then(|query| query.strip_prefix(FINGERPRINT_PREFIX));
         let print: RequestFingerprint =
             print.and_then(|print| print.parse().ok()).ok_or(Refusal::Malformed)?;
         let is_cleared = self.shared.suspects.clear(print, &self.shared.change_context());
--- a/crates/foldhaven-gateway/src/peer_front.rs
+++ b/crates/foldhaven-gateway/src/peer_front.rs
@@ -17,7 +17,7 @@
 use crate::job::{
     CallerTerms, GatewayJob, ReadRequest, RoutedPlace, host_of, read_body, read_terms,
 };
-use crate::peer_state::{PEER_STATE_AFTER, PEER_STATE_PATH};
+use crate::peer_state::{PEER_STATE_PATH, PEER_STATE_REVISION_PREFIX};
 use crate::platform_state::{AnswerCache, StateRequest};
 use crate::shared::GatewayShared;
 
@@ -54,7 +54,7 @@
     /// What the platform published, after the revision that the query names.
     fn state(&self, query: Option<&str>, is_spanning: bool) -> Answer {
         let Some(view) = self.shared.view() else { return Refusal::NoDescription.answer() };
-        let known = query.and_then(|query| query.strip_prefix(PEER_STATE_AFTER));
+        let known = query.and_then(|query| query.strip_prefix(PEER_STATE_REVISION_PREFIX));
         let known = known.and_then(|known| known.parse().ok());
         match self.told.answer(
             &view.offer,
--- a/crates/foldhaven-gateway/src/peer_message.rs
+++ b/crates/foldhaven-gateway/src/peer_message.rs
@@ -27,7 +27,7 @@
 
 /// What one VM tells another of suspected requests.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct SuspectTelling {
+pub struct SuspectMessage {
     /// The region of the teller.
     pub region: RegionName,
     /// What it knows; nothing in the answer to a VM that has just started, where nothing is suspected.
@@ -50,7 +50,7 @@
     /// What a delegate tells of its region.
     Region(RegionReport),
     /// Requests under which upstreams ended.
-    Suspects(SuspectTelling),
+    Suspects(SuspectMessage),
     /// Which VMs of its region one knows, in short.
     View(ViewDigest),
     /// The same in full.
--- a/crates/foldhaven-gateway/src/peer_state.rs
+++ b/crates/foldhaven-gateway/src/peer_state.rs
@@ -26,23 +26,23 @@
 /// Where peers tell what the platform published.
 pub const PEER_STATE_PATH: &str = "/peer/v1/state";
 /// What goes before the revision that the asker knows, in the query.
-pub const PEER_STATE_AFTER: &str = "after=";
+pub const PEER_STATE_REVISION_PREFIX: &str = "after=";
 /// How often it is looked whether another VM knows more, where none says so.
 const CHECK_INTERVAL: Duration = Duration::from_millis(150);
 /// For how long a peer may be silent, before its answer and within it. There is no limit on the whole: it would
 /// be met again and again by an answer that is larger than a narrow link carries in that time.
-const SILENT_LIMIT: Duration = Duration::from_millis(1_500);
+const IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// The largest state that is taken.
 const MAX_STATE_BYTES: usize = 16 << 20;
 /// After this time without the beginning of an answer another peer is asked too, and who begins first is heard: one that is
 /// frozen or cut off costs no more than this.
 const HEDGE_AFTER: Duration = Duration::from_millis(300);
 /// After a peer could not be asked.
-const RETRY_PAUSE: Duration = Duration::from_millis(250);
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// Why a peer could not be asked.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
-enum AskError {
+enum FetchError {
     /// connecting: {0}
     Connect(std::io::Error),
     /// asking: {0}
@@ -52,35 +52,35 @@
     /// the answer: {0}
     Content(bincode::Error),
     /// silent after {0} bytes
-    Silent(usize),
+    TimedOut(usize),
     /// too large
     TooLarge,
 }
 
 /// Takes over from peers what this daemon has not read itself.
-pub async fn follow_peers(shared: Arc<GatewayShared>, control: ControlAddress) {
+pub async fn sync_with_peers(shared: Arc<GatewayShared>, control: ControlAddress) {
     let mut avoided = None;
     loop {
         let Ok(next) = control.send(FindNewerPeer { avoided }).await else { return };
         let NewerPeer { peer, base_revision: known } = match next {
             CatchUpStep::Ask(ahead) => ahead,
             CatchUpStep::Wait(pause) => {
-                await_news(&shared, pause.min(CHECK_INTERVAL)).await;
+                wait_for_newer_revision(&shared, pause.min(CHECK_INTERVAL)).await;
                 continue;
             }
             CatchUpStep::UpToDate => {
-                await_news(&shared, CHECK_INTERVAL).await;
+                wait_for_newer_revision(&shared, CHECK_INTERVAL).await;
                 continue;
             }
         };
         let started = BootInstant::now();
-        let (peer, asked) = ask_hedged(&control, peer, known).await;
+        let (peer, asked) = fetch_hedged(&control, peer, known).await;
         match asked {
-            Ok(TakenState { state, bytes }) => {
+            Ok(FetchedState { state, bytes }) => {
                 avoided = None;
-                shared.metrics.note_span("state_asked", started.elapsed());
+                shared.metrics.record_span("state_asked", started.elapsed());
                 shared.metrics.add_events("state_taken_bytes", bytes as u64);
-                let leads_on = leads_beyond(&state, known);
+                let leads_on = is_newer_than(&state, known);
                 let taken = match state {
                     PeerState::Snapshot(snapshot) => {
                         control.send(ApplySnapshot { snapshot, peer }).await
@@ -110,14 +110,14 @@
                 shared.metrics.count_event("state_not_taken");
                 let ms = started.elapsed().as_millis() as u64;
                 tracing::warn!(vm = %shared.settings.vm, peer = %peer, error = %error, ms, "asking a peer failed");
-                sleep(RETRY_PAUSE).await;
+                sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
 /// Whether a state holds changes that lead on from a revision.
-fn leads_beyond(state: &PeerState, known: Option<u64>) -> bool {
+fn is_newer_than(state: &PeerState, known: Option<u64>) -> bool {
     match state {
         PeerState::Changes(set) | PeerState::SpanningChanges(set, _) => Some(set.revision) > known,
         PeerState::Snapshot(_) | PeerState::KeyedSnapshot(..) => false,
@@ -125,24 +125,24 @@
 }
 
 /// Waits until another VM says that it knows more, but no longer than this. What it said since the last wait counts.
-async fn await_news(shared: &GatewayShared, limit: Duration) {
+async fn wait_for_newer_revision(shared: &GatewayShared, limit: Duration) {
     // Without news it is looked all the same.
-    let _ = timeout(limit, shared.ahead_news.notified()).await;
+    let _ = timeout(limit, shared.newer_revision_notify.notified()).await;
 }
 
 /// What a peer told, and how large it was.
-struct TakenState {
+struct FetchedState {
     state: PeerState,
     bytes: usize,
 }
 
 /// Asks a peer, and another one beside it where the first says nothing. Returns whose answer it is.
-async fn ask_hedged(
+async fn fetch_hedged(
     control: &ControlAddress,
     first: SocketAddr,
     known: Option<u64>,
-) -> (SocketAddr, Result<TakenState, AskError>) {
-    let mut begun = pin!(begin_asking(first, known));
+) -> (SocketAddr, Result<FetchedState, FetchError>) {
+    let mut begun = pin!(start_fetch(first, known));
     tokio::select! {
         answer = &mut begun => return (first, read_answer(answer).await),
         () = sleep(HEDGE_AFTER) => {}
@@ -153,7 +153,7 @@
     };
     let (second, known) = (other.peer, other.base_revision);
     tracing::info!(peer = %first, other = %second, "a peer says nothing, another one is asked too");
-    let mut hedge = pin!(begin_asking(second, known));
+    let mut hedge = pin!(start_fetch(second, known));
     let (peer, answer) = tokio::select! {
         answer = &mut begun => (first, answer),
         answer = &mut hedge => (second, answer),
@@ -169,49 +169,49 @@
 }
 
 /// An answer that has begun, with the connection that it comes by.
-struct BegunAnswer {
+struct StartedAnswer {
     response: Response<Incoming>,
     _connection: Connection,
 }
 
-async fn begin_asking(peer: SocketAddr, known: Option<u64>) -> Result<BegunAnswer, AskError> {
+async fn start_fetch(peer: SocketAddr, known: Option<u64>) -> Result<StartedAnswer, FetchError> {
     let mut connection =
-        Connection::open(peer, FAR_CONNECT_LIMIT).await.map_err(AskError::Connect)?;
-    let after = known.map(|known| format!("?{PEER_STATE_AFTER}{known}"));
+        Connection::open(peer, FAR_CONNECT_LIMIT).await.map_err(FetchError::Connect)?;
+    let after = known.map(|known| format!("?{PEER_STATE_REVISION_PREFIX}{known}"));
     let path = format!("{PEER_STATE_PATH}{}", after.unwrap_or_default());
     let request = Request::get(path)
         .header(HOST, peer.to_string())
         .header(SPANS, "1")
         .body(Full::<Bytes>::default())
         .expect("a constant path makes a request");
-    let response = timeout(SILENT_LIMIT, connection.sender.send_request(request)).await;
-    let response = response.map_err(|_| AskError::Silent(0))?.map_err(AskError::Http)?;
+    let response = timeout(IDLE_TIMEOUT, connection.sender.send_request(request)).await;
+    let response = response.map_err(|_| FetchError::TimedOut(0))?.map_err(FetchError::Http)?;
     if response.status() != StatusCode::OK {
-        return Err(AskError::Status(response.status()));
+        return Err(FetchError::Status(response.status()));
     }
-    Ok(BegunAnswer { response, _connection: connection })
+    Ok(StartedAnswer { response, _connection: connection })
 }
 
-async fn read_answer(begun: Result<BegunAnswer, AskError>) -> Result<TakenState, AskError> {
+async fn read_answer(begun: Result<StartedAnswer, FetchError>) -> Result<FetchedState, FetchError> {
     let begun = begun?;
     let body = read_state(begun.response.into_body()).await?;
-    let state = peer_codec().deserialize(&body).map_err(AskError::Content)?;
-    Ok(TakenState { state, bytes: body.len() })
+    let state = peer_codec().deserialize(&body).map_err(FetchError::Content)?;
+    Ok(FetchedState { state, bytes: body.len() })
 }
 
 /// Reads an answer for as long as more of it comes.
-async fn read_state(mut body: Incoming) -> Result<Vec<u8>, AskError> {
+async fn read_state(mut body: Incoming) -> Result<Vec<u8>, FetchError> {
     let mut bytes = Vec::new();
     loop {
-        let frame = timeout(SILENT_LIMIT, body.frame()).await;
-        let Some(frame) = frame.map_err(|_| AskError::Silent(bytes.len()))? else {
+        let frame = timeout(IDLE_TIMEOUT, body.frame()).await;
+        let Some(frame) = frame.map_err(|_| FetchError::TimedOut(bytes.len()))? else {
             return Ok(bytes);
         };
-        if let Some(data) = frame.map_err(AskError::Http)?.data_ref() {
+        if let Some(data) = frame.map_err(FetchError::Http)?.data_ref() {
             bytes.extend_from_slice(data);
         }
         if bytes.len() > MAX_STATE_BYTES {
-            return Err(AskError::TooLarge);
+            return Err(FetchError::TooLarge);
         }
     }
 }
--- a/crates/foldhaven-gateway/src/limit_desk.rs
+++ b/crates/foldhaven-gateway/src/rate_limit_tracker.rs
@@ -14,15 +14,15 @@
 
 /// The limits.
 #[derive(Default)]
-pub struct LimitDesk {
+pub struct RateLimitTracker {
     limits: Mutex<RateLimits>,
     /// Told when there is something to tell other VMs.
-    news: Notify,
+    updates: Notify,
 }
 
-impl LimitDesk {
+impl RateLimitTracker {
     /// Takes in the limit that an answer names, or that it names none.
-    pub fn note_answer(
+    pub fn record_answer(
         &self,
         shared: &GatewayShared,
         upstream: &Upstream,
@@ -35,12 +35,12 @@
         upstream.set_limited(change.now.is_some());
         shared.metrics.set_level("limited_upstreams", limits.count() as u64);
         drop(limits);
-        self.news.notify_one();
-        note_change(shared, upstream, &change, "answer");
+        self.updates.notify_one();
+        record_limit_change(shared, upstream, &change, "answer");
     }
 
     /// Takes in what another VM tells. Returns what has changed.
-    pub fn hear(&self, told: &LimitNotice, now: MonoTime) -> Option<LimitChange> {
+    pub fn apply_notice(&self, told: &LimitNotice, now: MonoTime) -> Option<LimitChange> {
         self.limits.lock().hear(told, now)
     }
 
@@ -51,17 +51,17 @@
     }
 
     /// Waits until there may be something to tell.
-    pub async fn await_news(&self) {
-        self.news.notified().await;
+    pub async fn wait_for_updates(&self) {
+        self.updates.notified().await;
     }
 
     /// What is to be told at once.
-    pub fn take_news(&self, now: MonoTime) -> Vec<LimitNotice> {
+    pub fn take_updates(&self, now: MonoTime) -> Vec<LimitNotice> {
         self.limits.lock().take_news(now)
     }
 
     /// What is told again and again.
-    pub fn all(&self, now: MonoTime) -> Vec<LimitNotice> {
+    pub fn all_notices(&self, now: MonoTime) -> Vec<LimitNotice> {
         self.limits.lock().all(now)
     }
 
@@ -81,7 +81,7 @@
 }
 
 /// Counts and logs a change, of which this VM learnt from a source.
-pub fn note_change(
+pub fn record_limit_change(
     shared: &GatewayShared,
     upstream: &Upstream,
     change: &LimitChange,
--- a/crates/foldhaven-gateway/src/reload.rs
+++ b/crates/foldhaven-gateway/src/reload.rs
@@ -14,7 +14,7 @@
 
 /// Follows the settings file. What names this VM and its addresses holds until the next start; the
 /// rest is taken over.
-pub async fn follow_settings(path: PathBuf, mut held: GatewaySettings, control: ControlAddress) {
+pub async fn watch_settings(path: PathBuf, mut held: GatewaySettings, control: ControlAddress) {
     let mut hangup = match signal(SignalKind::hangup()) {
         Ok(hangup) => hangup,
         Err(error) => {
@@ -40,7 +40,7 @@
             }
             continue;
         }
-        warn_of_fixed(&held, &read);
+        warn_if_restart_needed(&held, &read);
         tracing::info!(told = is_told, seeds = read.seeds.len(), "settings reloaded");
         held = read.clone();
         if control.send(ReplaceSettings { settings: read }).await.is_err() {
@@ -49,7 +49,7 @@
     }
 }
 
-fn warn_of_fixed(held: &GatewaySettings, read: &GatewaySettings) {
+fn warn_if_restart_needed(held: &GatewaySettings, read: &GatewaySettings) {
     let is_fixed = held.vm == read.vm
         && held.data_centre == read.data_centre
         && held.addresses == read.addresses
--- a/crates/foldhaven-gateway/src/signal_news.rs
+++ b/crates/foldhaven-gateway/src/signal_sender.rs
@@ -9,12 +9,12 @@
 
 use crate::control::{ControlAddress, PlanSignalTargets, SendReason};
 use crate::datagrams::send_to;
-use crate::news_teller::{NewsTeller, await_others};
 use crate::peer_message::PeerMessage;
 use crate::shared::GatewayShared;
+use crate::update_sender::{UpdateSender, wait_for_other_senders};
 
 /// How many upstreams go into one datagram.
-const MAX_TOLD: usize = 256;
+const MAX_NOTICES_PER_DATAGRAM: usize = 256;
 
 /// What VMs are told in one round.
 struct SignalBatch {
@@ -28,20 +28,24 @@
     }
 
     fn messages(&self) -> impl Iterator<Item = PeerMessage> {
-        let limits = self.limits.chunks(MAX_TOLD).map(|it| PeerMessage::Limits(it.to_vec()));
-        let leavers = self.leavers.chunks(MAX_TOLD).map(|it| PeerMessage::Leavers(it.to_vec()));
+        let limits =
+            self.limits.chunks(MAX_NOTICES_PER_DATAGRAM).map(|it| PeerMessage::Limits(it.to_vec()));
+        let leavers = self
+            .leavers
+            .chunks(MAX_NOTICES_PER_DATAGRAM)
+            .map(|it| PeerMessage::Leavers(it.to_vec()));
         limits.chain(leavers)
     }
 }
 
 /// Tells of limits and of upstreams that leave. Several VMs hear one upstream at once.
-pub struct SignalTeller {
+pub struct SignalSender {
     pub socket: Arc<UdpSocket>,
     pub control: ControlAddress,
     pub shared: Arc<GatewayShared>,
 }
 
-impl SignalTeller {
+impl SignalSender {
     async fn send(&self, targets: &[SocketAddr], batch: &SignalBatch) {
         for message in batch.messages() {
             let bytes = send_to(&self.socket, targets, &message).await;
@@ -52,29 +56,30 @@
 }
 
 #[async_trait]
-impl NewsTeller for SignalTeller {
-    async fn await_news(&self) {
+impl UpdateSender for SignalSender {
+    async fn wait_for_updates(&self) {
         tokio::select! {
-            () = self.shared.limits.await_news() => {}
-            () = self.shared.leavers.await_news() => {}
+            () = self.shared.limits.wait_for_updates() => {}
+            () = self.shared.leaving_upstreams.wait_for_updates() => {}
         }
     }
 
-    async fn tell_news(&self) -> Result<(), xtra::Error> {
+    async fn send_updates(&self) -> Result<(), xtra::Error> {
         let reason = SendReason::Change;
         let targets = self.control.send(PlanSignalTargets { reason }).await?;
-        await_others().await;
+        wait_for_other_senders().await;
         let now = self.shared.now();
-        let limits = self.shared.limits.take_news(now);
-        let batch = SignalBatch { limits, leavers: self.shared.leavers.take_news(now) };
+        let limits = self.shared.limits.take_updates(now);
+        let batch =
+            SignalBatch { limits, leavers: self.shared.leaving_upstreams.take_updates(now) };
         self.send(&targets, &batch).await;
         Ok(())
     }
 
-    async fn repeat(&self) -> Result<(), xtra::Error> {
+    async fn resend(&self) -> Result<(), xtra::Error> {
         let now = self.shared.now();
-        let limits = self.shared.limits.all(now);
-        let batch = SignalBatch { limits, leavers: self.shared.leavers.all(now) };
+        let limits = self.shared.limits.all_notices(now);
+        let batch = SignalBatch { limits, leavers: self.shared.leaving_upstreams.all_notices(now) };
         if batch.is_empty() {
             return Ok(());
         }
--- a/crates/foldhaven-gateway/src/stop.rs
+++ b/crates/foldhaven-gateway/src/stop.rs
@@ -37,7 +37,7 @@
     let leaving = LEAVING_TIME.min(grace / 2);
     sleep(leaving).await;
     shared.enter_stage(StopStage::Closing);
-    if timeout(grace - leaving, shared.wait_settled()).await.is_err() {
+    if timeout(grace - leaving, shared.wait_idle()).await.is_err() {
         tracing::warn!(in_flight = shared.in_flight(), "the end of the grace time cuts requests");
     }
     sleep(FLUSH_TIME).await;
--- a/crates/foldhaven-gateway/src/suspect_news.rs
+++ b/crates/foldhaven-gateway/src/suspect_sender.rs
@@ -11,18 +11,18 @@
 
 use crate::control::{ControlAddress, PlanSuspectTargets, SendReason, SuspectTargets};
 use crate::datagrams::send_to;
-use crate::news_teller::{NewsTeller, await_others};
-use crate::peer_message::{PeerMessage, SuspectTelling};
+use crate::peer_message::{PeerMessage, SuspectMessage};
 use crate::shared::GatewayShared;
+use crate::update_sender::{UpdateSender, wait_for_other_senders};
 
 /// Tells of what holds requests back.
-pub struct SuspectTeller {
+pub struct SuspectSender {
     pub socket: Arc<UdpSocket>,
     pub control: ControlAddress,
     pub shared: Arc<GatewayShared>,
 }
 
-impl SuspectTeller {
+impl SuspectSender {
     async fn tell(&self, news: Vec<SuspectUpdate>) -> Result<(), xtra::Error> {
         if news.is_empty() {
             return Ok(());
@@ -44,7 +44,7 @@
         }
         let region = self.shared.settings.region();
         for chunk in records.chunks(MAX_RECORDS_PER_MESSAGE) {
-            let telling = SuspectTelling { region: region.clone(), records: chunk.to_vec() };
+            let telling = SuspectMessage { region: region.clone(), records: chunk.to_vec() };
             let bytes = send_to(&self.socket, targets, &PeerMessage::Suspects(telling)).await;
             let sum = (bytes * targets.len()) as u64;
             self.shared.metrics.add_events("suspects_told_bytes", sum);
@@ -53,22 +53,22 @@
 }
 
 #[async_trait]
-impl NewsTeller for SuspectTeller {
-    async fn await_news(&self) {
-        self.shared.suspects.await_news().await;
+impl UpdateSender for SuspectSender {
+    async fn wait_for_updates(&self) {
+        self.shared.suspects.wait_for_updates().await;
     }
 
-    async fn tell_news(&self) -> Result<(), xtra::Error> {
-        self.tell(self.shared.suspects.take_news()).await?;
-        await_others().await;
+    async fn send_updates(&self) -> Result<(), xtra::Error> {
+        self.tell(self.shared.suspects.take_updates()).await?;
+        wait_for_other_senders().await;
         // What has come up meanwhile goes first.
-        self.tell(self.shared.suspects.take_news()).await?;
-        self.tell(self.shared.suspects.take_shared_news()).await
+        self.tell(self.shared.suspects.take_updates()).await?;
+        self.tell(self.shared.suspects.take_shared_updates()).await
     }
 
     /// Nothing is sent while nothing holds requests back.
-    async fn repeat(&self) -> Result<(), xtra::Error> {
-        let records = self.shared.suspects.next_repeated(self.shared.now());
+    async fn resend(&self) -> Result<(), xtra::Error> {
+        let records = self.shared.suspects.next_resent(self.shared.now());
         if records.is_empty() {
             return Ok(());
         }
--- a/crates/foldhaven-gateway/src/suspects.rs
+++ b/crates/foldhaven-gateway/src/suspects.rs
@@ -29,14 +29,14 @@
 const MAX_ROUTES: NonZeroUsize = NonZeroUsize::new(1_024).expect("not zero");
 
 /// The suspected requests.
-pub struct SuspectDesk {
+pub struct SuspectTracker {
     table: Mutex<SuspectTable>,
     /// The routes of requests that were held back here.
     routes: Mutex<LruCache<RequestFingerprint, RouteName>>,
     /// Limits how many lines on changes are logged.
     quota: LogQuota,
     /// Told when there is something to tell other VMs.
-    news: Notify,
+    updates: Notify,
     /// Told when a request is refused from now on.
     refused: watch::Sender<()>,
     /// Whether another VM has told what it knows since this process started.
@@ -49,52 +49,56 @@
     pub now: MonoTime,
 }
 
-impl SuspectDesk {
+impl SuspectTracker {
     pub fn new(own: VmTag) -> Self {
         Self {
             table: Mutex::new(SuspectTable::new(own)),
             routes: Mutex::new(LruCache::new(MAX_ROUTES)),
             quota: LogQuota::default(),
-            news: Notify::new(),
+            updates: Notify::new(),
             refused: watch::Sender::new(()),
             is_informed: AtomicBool::new(false),
         }
     }
 
     /// How many upstreams ended under a request.
-    pub fn ends(&self, print: &RequestFingerprint) -> usize {
+    pub fn exit_count(&self, print: &RequestFingerprint) -> usize {
         self.table.lock().exit_count(print)
     }
 
     /// What would be done with a request.
-    pub fn look(&self, print: &RequestFingerprint, now: MonoTime) -> SuspectVerdict {
+    pub fn peek_verdict(&self, print: &RequestFingerprint, now: MonoTime) -> SuspectVerdict {
         self.table.lock().peek_verdict(print, now)
     }
 
     /// What is done with a request that is about to be sent to an upstream.
-    pub fn judge(&self, print: &RequestFingerprint, context: &ChangeContext<'_>) -> SuspectVerdict {
+    pub fn decide(
+        &self,
+        print: &RequestFingerprint,
+        context: &ChangeContext<'_>,
+    ) -> SuspectVerdict {
         let verdict = self.table.lock().decide(print, context.now);
         if verdict == SuspectVerdict::Probe {
             context.metrics.count_event("suspect_tried");
             tracing::info!(%print, "a suspected request is tried");
-            self.news.notify_one();
+            self.updates.notify_one();
         }
         verdict
     }
 
     /// Waits until a request is refused that was not before.
-    pub async fn until_refused(&self, print: &RequestFingerprint) {
+    pub async fn wait_until_refused(&self, print: &RequestFingerprint) {
         let mut refused = self.refused.subscribe();
         // The sender lives as long as this desk.
         while refused.changed().await.is_ok() {
-            if self.ends(print) >= REFUSE_EXITS {
+            if self.exit_count(print) >= REFUSE_EXITS {
                 return;
             }
         }
     }
 
     /// Notes which route a request is of that is held back.
-    pub fn note_route(&self, print: RequestFingerprint, route: &RouteName) {
+    pub fn remember_route(&self, print: RequestFingerprint, route: &RouteName) {
         self.routes.lock().get_or_insert(print, || route.clone());
     }
 
@@ -107,34 +111,34 @@
     pub fn clear(&self, print: RequestFingerprint, context: &ChangeContext<'_>) -> bool {
         let change = self.table.lock().clear(print, context.now);
         let is_cleared = change.is_some();
-        self.note_change(change, "operator", context);
+        self.record_change(change, "operator", context);
         is_cleared
     }
 
     /// Notes that a trial of this VM is over, and whether an upstream may have got it.
-    pub fn end_trial(&self, print: &RequestFingerprint, was_sent: bool, now: MonoTime) {
+    pub fn finish_probe(&self, print: &RequestFingerprint, was_sent: bool, now: MonoTime) {
         self.table.lock().finish_probe(print, was_sent, now);
     }
 
     /// Notes that an upstream ended under a request of this VM.
-    pub fn note_end(
+    pub fn record_exit(
         &self,
         print: RequestFingerprint,
         upstream: UpstreamTag,
         context: &ChangeContext<'_>,
     ) {
         let change = self.table.lock().record_exit(print, upstream, context.now);
-        self.note_change(change, "own", context);
+        self.record_change(change, "own", context);
     }
 
     /// Notes that a request was answered whole.
-    pub fn note_answered(&self, print: RequestFingerprint, context: &ChangeContext<'_>) {
+    pub fn record_success(&self, print: RequestFingerprint, context: &ChangeContext<'_>) {
         let change = self.table.lock().record_success(print, context.now);
-        self.note_change(change, "own", context);
+        self.record_change(change, "own", context);
     }
 
     /// Takes in what another VM told.
-    pub fn hear(
+    pub fn merge_records(
         &self,
         records: &[SuspectRecord],
         source: RecordSource,
@@ -144,7 +148,7 @@
         for record in records {
             let heard = self.table.lock().merge_record(record, source, context.now);
             match heard {
-                Ok(change) => self.note_change(change, "told", context),
+                Ok(change) => self.record_change(change, "told", context),
                 Err(fault) => {
                     context.metrics.count_event("suspect_record_dropped");
                     if self.quota.take(false) {
@@ -157,46 +161,46 @@
 
     /// Whether what other VMs know is known here, as far as there are any to tell it.
     pub fn is_informed(&self, described_for: Duration) -> bool {
-        self.was_told() || described_for >= INFORMED_AFTER
+        self.has_received_records() || described_for >= INFORMED_AFTER
     }
 
     /// Whether another VM has told what it knows, since the start or since it was asked again.
-    pub fn was_told(&self) -> bool {
+    pub fn has_received_records(&self) -> bool {
         self.is_informed.load(Ordering::Relaxed)
     }
 
     /// Takes what was told so far for out of date.
-    pub fn ask_again(&self) {
+    pub fn mark_uninformed(&self) {
         self.is_informed.store(false, Ordering::Relaxed);
     }
 
     /// Waits until there may be something to tell.
-    pub async fn await_news(&self) {
-        self.news.notified().await;
+    pub async fn wait_for_updates(&self) {
+        self.updates.notified().await;
     }
 
     /// What is to be told at once.
-    pub fn take_news(&self) -> Vec<SuspectUpdate> {
+    pub fn take_updates(&self) -> Vec<SuspectUpdate> {
         self.table.lock().take_updates()
     }
 
     /// What other VMs may be about to tell as well.
-    pub fn take_shared_news(&self) -> Vec<SuspectUpdate> {
+    pub fn take_shared_updates(&self) -> Vec<SuspectUpdate> {
         self.table.lock().take_shared_updates()
     }
 
     /// What is told again and again.
-    pub fn next_repeated(&self, now: MonoTime) -> Vec<SuspectRecord> {
+    pub fn next_resent(&self, now: MonoTime) -> Vec<SuspectRecord> {
         self.table.lock().next_resent(now)
     }
 
     /// What a VM that has just started is told.
-    pub fn told_to_starter(&self) -> Vec<SuspectRecord> {
+    pub fn startup_records(&self) -> Vec<SuspectRecord> {
         self.table.lock().startup_records()
     }
 
     /// All suspected requests, with the time since the last change of each.
-    pub fn rows(&self, now: MonoTime) -> Vec<(SuspectRecord, Duration)> {
+    pub fn records_with_age(&self, now: MonoTime) -> Vec<(SuspectRecord, Duration)> {
         let table = self.table.lock();
         let records = table.records().into_iter();
         records
@@ -212,14 +216,14 @@
     }
 
     /// Counts and logs a change, and has others told.
-    fn note_change(
+    fn record_change(
         &self,
         change: Option<SuspectChange>,
         source: &'static str,
         context: &ChangeContext<'_>,
     ) {
         let Some(SuspectChange { record, exits_before }) = change else { return };
-        self.news.notify_one();
+        self.updates.notify_one();
         let ends = record.exits.len();
         let event = match ends {
             0 => "suspect_pardoned",
--- a/crates/foldhaven-gateway/src/news_teller.rs
+++ b/crates/foldhaven-gateway/src/update_sender.rs
@@ -6,40 +6,40 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 /// Between two rounds in which what holds is told again, to a few VMs each. Hundreds hear it within seconds.
-const REPEAT_INTERVAL: Duration = Duration::from_millis(500);
+const RESEND_INTERVAL: Duration = Duration::from_millis(500);
 /// What several VMs have come to at once is told after a moment of up to this, unless another one tells it first.
-const SHARED_PAUSE: Duration = Duration::from_millis(80);
+const MAX_SHARED_DELAY: Duration = Duration::from_millis(80);
 
 /// Something of which other VMs are told.
 #[async_trait]
-pub trait NewsTeller: Send + Sync {
+pub trait UpdateSender: Send + Sync {
     /// Waits until there may be something new.
-    async fn await_news(&self);
+    async fn wait_for_updates(&self);
 
     /// Tells what is new.
     ///
     /// # Errors
     ///
     /// When the control thread has ended.
-    async fn tell_news(&self) -> Result<(), xtra::Error>;
+    async fn send_updates(&self) -> Result<(), xtra::Error>;
 
     /// Tells a few VMs again what holds.
     ///
     /// # Errors
     ///
     /// When the control thread has ended.
-    async fn repeat(&self) -> Result<(), xtra::Error>;
+    async fn resend(&self) -> Result<(), xtra::Error>;
 }
 
 /// Tells until the control thread ends.
-pub async fn tell_until_end(teller: impl NewsTeller) {
-    let mut next_round = Instant::now() + REPEAT_INTERVAL;
+pub async fn run_update_sender(teller: impl UpdateSender) {
+    let mut next_round = Instant::now() + RESEND_INTERVAL;
     loop {
         let told = tokio::select! {
-            () = teller.await_news() => teller.tell_news().await,
+            () = teller.wait_for_updates() => teller.send_updates().await,
             () = sleep_until(next_round) => {
-                next_round = Instant::now() + REPEAT_INTERVAL;
-                teller.repeat().await
+                next_round = Instant::now() + RESEND_INTERVAL;
+                teller.resend().await
             }
         };
         if told.is_err() {
@@ -49,6 +49,6 @@
 }
 
 /// Waits for another VM to tell first what several have come to at once.
-pub async fn await_others() {
-    sleep(SHARED_PAUSE.mul_f64(rand::random())).await;
+pub async fn wait_for_other_senders() {
+    sleep(MAX_SHARED_DELAY.mul_f64(rand::random())).await;
 }
--- a/crates/foldhaven-gateway/src/upstream_ends.rs
+++ b/crates/foldhaven-gateway/src/upstream_ends.rs
@@ -93,6 +93,6 @@
         );
     }
     for print in victims {
-        shared.suspects.note_end(print, upstream.tag, &shared.change_context());
+        shared.suspects.record_exit(print, upstream.tag, &shared.change_context());
     }
 }
--- a/crates/foldhaven-gateway/src/upstream_listener.rs
+++ b/crates/foldhaven-gateway/src/upstream_listener.rs
@@ -104,12 +104,12 @@
         }
         let moment = AnswerMoment { sent: self.sent, heard: self.shared.now() };
         let limit = self.rate_limit(head);
-        self.shared.limits.note_answer(&self.shared, &self.upstream, limit, moment);
+        self.shared.limits.record_answer(&self.shared, &self.upstream, limit, moment);
         if let Some(backoff) = self.backoff(head) {
             self.note_backoff(backoff);
         }
         if self.is_leaving(head) {
-            self.shared.leavers.note_answer(&self.shared, &self.upstream);
+            self.shared.leaving_upstreams.record_answer(&self.shared, &self.upstream);
         }
     }
 }
--- a/crates/foldhaven-gateway/tests/testsuite/peer_messages.rs
+++ b/crates/foldhaven-gateway/tests/testsuite/peer_messages.rs
@@ -22,7 +22,7 @@
 use foldhaven_core::opaque::upstream_signals::{LeavingNotice, LimitNotice};
 use foldhaven_core::units::CoreShare;
 use foldhaven_gateway::feed::{ChangeSet, FeedChange, NumberedChange};
-use foldhaven_gateway::peer_message::{PeerMessage, SuspectTelling};
+use foldhaven_gateway::peer_message::{PeerMessage, SuspectMessage};
 use rstest::rstest;
 
 fn beat() -> PeerMessage {
@@ -58,7 +58,7 @@
 
 fn suspects() -> PeerMessage {
     let region = "north".parse().unwrap();
-    PeerMessage::Suspects(SuspectTelling { region, records: Vec::new() })
+    PeerMessage::Suspects(SuspectMessage { region, records: Vec::new() })
 }
 
 fn view() -> PeerMessage {
