--- a/crates/foldhaven-gateway/src/account_limiter.rs
+++ b/crates/foldhaven-gateway/src/account_limiter.rs
@@ -1,4 +1,5 @@
-//! What limited accounts use at this VM, shared by both threads: traffic asks, the control thread renews the parts.
+//! Limits the usage of client accounts at this VM. The traffic thread checks requests against the
+//! limits, and the control thread renews this VM's shares of them.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,29 +12,30 @@
 use foldhaven_core::time::MonoTime;
 use parking_lot::Mutex;
 
-/// What a limit said of a request that it did not let through.
+/// Why a request was refused by the limit of its account.
 #[derive(Debug, Clone, Copy)]
 pub struct OverLimit {
-    /// After which time one could be let through.
+    /// The time after which a request could be let through.
     pub wait: Duration,
-    /// The part in force.
+    /// The share of the limit that is in force at this VM.
     pub share: LimitShare,
-    /// For how long it has been.
+    /// The time since the share was renewed.
     pub share_age: Duration,
-    /// What is owed.
+    /// The amount that may be used at once, in the unit of the limit. A negative value is debt.
     pub level: f64,
 }
 
-/// One account at this VM.
+/// The usage of one account.
 #[derive(Debug, Clone, Copy)]
 struct AccountEntry {
     meter: LimitMeter,
-    /// How much was let through, and how much was not, in the unit of the limit.
+    /// The amount that was let through since startup, in the unit of the limit.
     let_through: f64,
+    /// The number of requests that were refused since startup.
     refused: u64,
 }
 
-/// One account at this VM, as operators are told.
+/// The usage of one account at this VM, as reported to operators.
 #[derive(Debug, Clone)]
 pub struct AccountUsage {
     pub account: AccountName,
@@ -45,7 +47,7 @@
     pub refused: u64,
 }
 
-/// The accounts with limits.
+/// The usage of all accounts with limits.
 pub struct AccountLimiter {
     slack: LimitSlack,
     inner: Mutex<LimiterState>,
@@ -57,23 +59,25 @@
 }
 
 impl AccountLimiter {
-    /// The desk of a process that has heard of nobody, in one of so many regions.
+    /// Creates the limiter of a process that has not heard from other VMs yet. `regions` is the
+    /// number of regions that may exist.
     pub fn new(regions: usize, slack: LimitSlack) -> Self {
         let inner = LimiterState { view: SharerView::unknown(regions), entries: HashMap::new() };
         Self { slack, inner: Mutex::new(inner) }
     }
 
-    /// What is permitted above limits.
+    /// Returns by how much the limits may be exceeded.
     pub fn slack(&self) -> &LimitSlack {
         &self.slack
     }
 
-    /// Who shares the limits, as it was looked at last.
+    /// Returns the last view of the VMs and regions that share the limits.
     pub fn view(&self) -> SharerView {
         self.inner.lock().view
     }
 
-    /// Lets a request of an account through that counts for `cost`; `started` is when this process did.
+    /// Lets a request of an account through, or returns why it is refused. `cost` is what it counts
+    /// for in the unit of the limit, and `started` is when this process started.
     pub fn try_acquire(
         &self,
         account: &ClientAccount,
@@ -91,17 +95,17 @@
             inner.entries.insert(account.name.clone(), entry);
         }
         let entry = inner.entries.get_mut(&account.name).expect("it was just made");
-        let asked = entry.meter.try_acquire(cost, now);
-        match asked {
+        let result = entry.meter.try_acquire(cost, now);
+        match result {
             Ok(()) => entry.let_through += cost,
             Err(_) => entry.refused += 1,
         }
         let (share, level) = (entry.meter.share(), entry.meter.level());
         let share_age = entry.meter.share_age(now);
-        asked.map_err(|wait| OverLimit { wait, share, share_age, level })
+        result.map_err(|wait| OverLimit { wait, share, share_age, level })
     }
 
-    /// Gives back what a request counted for that has not run.
+    /// Refunds the cost of a request that has not run.
     pub fn refund(&self, account: &AccountName, cost: f64) {
         if let Some(entry) = self.inner.lock().entries.get_mut(account) {
             entry.meter.refund(cost);
@@ -109,7 +113,8 @@
         }
     }
 
-    /// What callers of each account want.
+    /// Returns the demand of each account's callers per second. Accounts without demand are left
+    /// out.
     pub fn demands(&self, now: MonoTime) -> Vec<(AccountName, f64)> {
         let inner = self.inner.lock();
         let demands = inner.entries.iter().map(|(name, entry)| (name, entry.meter.demand(now)));
@@ -119,7 +124,8 @@
             .collect()
     }
 
-    /// Puts new parts in force, of all accounts that have limits. `started` is when this process did.
+    /// Puts new shares in force. `shares` lists all accounts that have limits; the usage of others
+    /// is dropped. `started` is when this process started.
     pub fn renew(
         &self,
         view: SharerView,
@@ -129,9 +135,9 @@
     ) {
         let mut inner = self.inner.lock();
         inner.view = view;
-        let mut held = std::mem::take(&mut inner.entries);
+        let mut previous = std::mem::take(&mut inner.entries);
         for (name, share) in shares {
-            let mut entry = held.remove(&name).unwrap_or_else(|| {
+            let mut entry = previous.remove(&name).unwrap_or_else(|| {
                 let meter = LimitMeter::new(share, started, now);
                 AccountEntry { meter, let_through: 0.0, refused: 0 }
             });
@@ -140,7 +146,7 @@
         }
     }
 
-    /// The accounts that were used here.
+    /// Returns the usage of all accounts with limits, sorted by name.
     pub fn usages(&self, now: MonoTime) -> Vec<AccountUsage> {
         let inner = self.inner.lock();
         let mut usages: Vec<AccountUsage> = inner.entries.iter().map(usage_of(now)).collect();
--- a/crates/foldhaven-gateway/src/attempts/mod.rs
+++ b/crates/foldhaven-gateway/src/attempts/mod.rs
@@ -222,7 +222,7 @@
         }
         // Only an answer of the kind that the route expects counts as a success of its place.
         if !self.job.route.repeat.is_stream() {
-            self.record_time_to_first(&place, expected, sent);
+            self.note_first(&place, expected, sent);
             self.note_success(&place, sent);
         }
         TryEnd::Answered(whole)
--- a/crates/foldhaven-gateway/src/attempts/notes.rs
+++ b/crates/foldhaven-gateway/src/attempts/notes.rs
@@ -40,7 +40,7 @@
     }
 
     /// Notes whether an upstream with such a queue took the request.
-    pub(super) fn update_queue_capacity(
+    pub(super) fn note_room(
         &self,
         upstream: &Upstream,
         queue: QueueState,
@@ -64,7 +64,7 @@
     }
 
     /// Notes that a place has begun its answer.
-    pub fn record_time_to_first(
+    pub fn note_first(
         &self,
         place: &RequestDestination,
         expected: ExpectedFirst,
--- a/crates/foldhaven-gateway/src/attempts/requests.rs
+++ b/crates/foldhaven-gateway/src/attempts/requests.rs
@@ -67,7 +67,7 @@
             self.arrivals -= 1;
         }
         if let RequestDestination::Upstream(upstream) = &place {
-            self.update_queue_capacity(upstream, queue, &opened);
+            self.note_room(upstream, queue, &opened);
         }
         if opened.as_ref().is_err_and(|fault| !fault.may_have_run()) {
             self.is_trial_sent = false;
--- a/crates/foldhaven-gateway/src/attempts/retries.rs
+++ b/crates/foldhaven-gateway/src/attempts/retries.rs
@@ -18,7 +18,7 @@
             CallFault::NotSent(_) => self.may_choose_again(),
             CallFault::Declined { .. } if fault.is_misdirected() => {
                 // Another process has the address: no upstream of the service got the request.
-                self.may_choose_again() && self.try_withdraw_retry()
+                self.may_choose_again() && self.take_retry()
             }
             CallFault::Declined { .. } => self.may_send_again(),
             CallFault::Broken(_) | CallFault::Silent | CallFault::TimedOut => self.may_repeat(),
@@ -44,11 +44,11 @@
     /// Whether the request may be sent to one more place that counts it as arrived.
     fn may_send_again(&mut self) -> bool {
         let is_open = self.arrivals < self.job.route.max_attempts && !self.job.is_forwarded;
-        is_open && !self.may_be_harmful() && self.may_choose_again() && self.try_withdraw_retry()
+        is_open && !self.may_be_harmful() && self.may_choose_again() && self.take_retry()
     }
 
     /// Takes one retry out of this VM's part of the budget.
-    fn try_withdraw_retry(&self) -> bool {
+    fn take_retry(&self) -> bool {
         let Some(view) = self.shared.view() else { return false };
         let is_granted = self.shared.try_withdraw_retry(&self.job.service, &view);
         self.shared.metrics.count_event(if is_granted { "retry" } else { "retry_denied" });
--- a/crates/foldhaven-gateway/src/call.rs
+++ b/crates/foldhaven-gateway/src/call.rs
@@ -104,7 +104,7 @@
 
 impl ConnectionLease {
     /// Keeps the connection for further requests, after the answer was read to its end.
-    pub fn refund(self, pool: &ConnectionPool) {
+    pub fn give_back(self, pool: &ConnectionPool) {
         pool.put(self.connection, self.keep_for);
     }
 }
@@ -194,6 +194,6 @@
     let collected = timeout_at(deadline, collecting).await;
     let collected = collected.map_err(|_| CallFault::TimedOut)?;
     let bytes = collected.map_err(|error| CallFault::Broken(error.to_string()))?.to_bytes();
-    lease.refund(pool);
+    lease.give_back(pool);
     Ok((head, bytes))
 }
--- a/crates/foldhaven-gateway/src/caller_front.rs
+++ b/crates/foldhaven-gateway/src/caller_front.rs
@@ -226,7 +226,7 @@
             true => RequestEnd::FailedUpstream,
             false => RequestEnd::Served,
         };
-        let took = driver.job.record_time_to_first();
+        let took = driver.job.note_first();
         driver.shared.metrics.record_time_to_first(&driver.job.route.name, took);
         driver.note_end(end);
         let mut answer = answer_with(head.status, head.headers);
@@ -237,7 +237,7 @@
     fn end_refused(&mut self, refusal: Refusal) -> Answer {
         let driver = self.release();
         if refusal.promises_unrun() {
-            refund(&driver);
+            give_back(&driver);
         }
         driver.note_end(RequestEnd::Refused(refusal.label()));
         refusal.answer()
@@ -245,7 +245,7 @@
 }
 
 /// Gives back what a request counted for that has not run.
-fn refund(driver: &RequestDriver) {
+fn give_back(driver: &RequestDriver) {
     let account = driver.job.account.as_ref();
     if let Some((account, cost)) = account.and_then(|it| Some((&it.account.name, it.cost?))) {
         driver.shared.accounts.refund(account, cost);
--- a/crates/foldhaven-gateway/src/daemon.rs
+++ b/crates/foldhaven-gateway/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The life of a gateway daemon: one thread for control, one for traffic.
+//! Sets up a gateway daemon, with one thread for control and one for traffic.
 
 use std::io;
 use std::net::SocketAddr;
@@ -36,54 +36,54 @@
 use crate::update_sender::run_update_sender;
 use crate::warm_links::keep_links_warm;
 
-/// How often the control state is looked over.
+/// Interval between two periodic checks of the control state.
 const TICK: Duration = Duration::from_millis(250);
 
-/// What a platform supplies.
+/// The platform-specific parts of a gateway daemon.
 pub struct PlatformAdapter {
-    /// Its header names.
+    /// The header names of the platform.
     pub names: HeaderNames,
-    /// How callers ask which VMs to use.
+    /// The format in which callers ask which VMs to use.
     pub codec: Arc<dyn DirectoryCodec>,
-    /// What it publishes.
+    /// The source of the platform state.
     pub feed: Arc<dyn PlatformFeed>,
-    /// The file of the settings, which may change while the daemon runs.
+    /// The path of the settings file, which may change while the daemon runs.
     pub settings_path: PathBuf,
 }
 
-/// Why a daemon could not serve.
+/// Why a daemon could not be started.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum DaemonError {
     /// listening at {peer}: {source}
     Listen {
         /// The address.
         peer: SocketAddr,
-        /// What went wrong.
+        /// The cause.
         source: io::Error,
     },
     /// setting up {step}: {source}
     Setup {
-        /// What was being set up.
+        /// What could not be set up.
         step: &'static str,
-        /// What went wrong.
+        /// The cause.
         source: io::Error,
     },
 }
 
-/// Serves until it is told to stop, and returns after a planned stop.
+/// Runs the daemon until it receives a signal to stop. Returns after the planned stop.
 ///
 /// # Errors
 ///
-/// When an address cannot be bound or a runtime cannot be set up.
-pub fn run_gateway(settings: GatewaySettings, parts: PlatformAdapter) -> Result<(), DaemonError> {
+/// If an address cannot be bound or a runtime cannot be set up.
+pub fn run_gateway(settings: GatewaySettings, adapter: PlatformAdapter) -> Result<(), DaemonError> {
     for field in settings.unknown.keys() {
-        tracing::warn!(field, "unknown field of the settings ignored");
+        tracing::warn!(field, "unknown settings field ignored");
     }
-    let shared = GatewayShared::new(settings, parts.names);
+    let shared = GatewayShared::new(settings, adapter.names);
     let traffic = build_runtime("the traffic runtime")?;
     let control = build_runtime("the control runtime")?;
-    start_control(control, shared.clone(), parts.feed, parts.settings_path)?;
-    traffic.block_on(serve(shared, parts.codec))
+    start_control(control, shared.clone(), adapter.feed, adapter.settings_path)?;
+    traffic.block_on(serve(shared, adapter.codec))
 }
 
 fn build_runtime(step: &'static str) -> Result<Runtime, DaemonError> {
@@ -150,13 +150,13 @@
     settings_path: PathBuf,
 ) {
     let incarnation = new_incarnation();
-    let (news, told) = mpsc::unbounded_channel();
-    let control = ControlActor::new(shared.clone(), incarnation, news);
+    let (updates, pending_updates) = mpsc::unbounded_channel();
+    let control = ControlActor::new(shared.clone(), incarnation, updates);
     let read_assignments = control.read_assignments();
     let is_rate_used = control.rate_watch();
     let address = xtra::spawn_tokio(control, Mailbox::unbounded());
     tokio::spawn(receive_datagrams(socket.clone(), address.clone(), shared.clone()));
-    tokio::spawn(send_updates(socket.clone(), told, shared.clone()));
+    tokio::spawn(send_updates(socket.clone(), pending_updates, shared.clone()));
     tokio::spawn(send_reports(socket.clone(), address.clone()));
     let control = address.clone();
     let suspects = SuspectSender { socket: socket.clone(), control, shared: shared.clone() };
@@ -184,8 +184,8 @@
     }
 }
 
-/// The process lifetime that starts now. Clocks may be set back between two starts of a VM by less
-/// than a start takes.
+/// Returns the incarnation of a process that starts now. Between two starts of a VM, the clock may
+/// be set back by less than the duration of a start.
 fn new_incarnation() -> IncarnationId {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     IncarnationId(since_epoch.as_millis() as u64)
--- a/crates/foldhaven-gateway/src/directory.rs
+++ b/crates/foldhaven-gateway/src/directory.rs
@@ -1,4 +1,4 @@
-//! Answers callers who ask which VMs to use.
+//! The directory: tells callers which VMs to use.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,36 +15,37 @@
 use crate::front::FrontHandler;
 use crate::shared::GatewayShared;
 
-/// How long callers may use an answer. Shorter answers move callers sooner and cost more questions.
+/// How long callers may use an answer. A shorter time moves callers sooner but costs more requests.
 const ANSWER_LIFETIME: Duration = Duration::from_secs(2);
-/// A process that has just started names nobody until it had time to hear of the others.
+/// Uptime before which a process names no VMs, because it has not yet heard from all of them.
 const NAMING_DELAY: Duration = Duration::from_millis(1_200);
 
-/// What a caller asks.
+/// A query of a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DirectoryQuery {
-    /// The host that its requests will name.
+    /// The host of the requests that the caller is going to send.
     pub host: String,
-    /// Its region.
+    /// The region of the caller.
     pub region: RegionName,
 }
 
-/// The form in which callers ask and are answered.
+/// The format of queries and answers.
 pub trait DirectoryCodec: Send + Sync {
-    /// Reads a question; nothing when it is none.
+    /// Parses a query. `None` if the path and query string are not a valid one.
     fn read(&self, path: &str, query: &str) -> Option<DirectoryQuery>;
 
-    /// Writes an answer.
+    /// Serializes an answer.
     fn write(&self, addresses: &[SocketAddr], lifetime: Duration) -> Bytes;
 }
 
-/// Answers at the directory's address.
+/// Handles requests at the directory's address.
 pub(crate) struct DirectoryHandler {
     pub shared: Arc<GatewayShared>,
     pub codec: Arc<dyn DirectoryCodec>,
 }
 
 impl DirectoryHandler {
+    /// Returns the addresses of the VMs to use. `None` if this VM does not know them yet.
     fn addresses(&self, query: &DirectoryQuery) -> Option<Vec<SocketAddr>> {
         let view = self.shared.view()?;
         if self.shared.uptime() < NAMING_DELAY {
@@ -53,13 +54,13 @@
         let bound = |region: &RegionName| view.routes.bound_routes_in(&query.host, region);
         let has_bound = view.routes.has_bound_routes(&query.host);
         let settings = &self.shared.settings;
-        let near = NearService {
+        let local = NearService {
             teller: &settings.vm,
             region: settings.region(),
             demand: view.demand,
             doubted: &view.unresponsive_vms,
         };
-        Some(name_vms(&view.heartbeats, &query.region, &near, bound, has_bound))
+        Some(name_vms(&view.heartbeats, &query.region, &local, bound, has_bound))
     }
 }
 
@@ -69,7 +70,8 @@
         let uri = request.uri();
         let query = self.codec.read(uri.path(), uri.query().unwrap_or_default());
         let Some(query) = query else { return Refusal::Malformed.answer() };
-        // After a stand-still the VMs that are known may have ended long ago; callers ask another directory.
+        // After a suspension, the known VMs may have exited long ago. The caller then asks another
+        // directory.
         let addresses = self.shared.is_awake().then(|| self.addresses(&query)).flatten();
         match addresses {
             Some(addresses) if !addresses.is_empty() => {
--- a/crates/foldhaven-gateway/src/events.rs
+++ b/crates/foldhaven-gateway/src/events.rs
@@ -204,7 +204,7 @@
 
     /// Takes in bytes of the upstream, and gives the events that they complete.
     fn take_bytes(&mut self, bytes: Bytes) -> RelayStep {
-        self.record_pause();
+        self.note_pause();
         self.last_news = BootInstant::now();
         self.note_heard();
         let passed_on = self.blocks.last_id().map(str::to_owned);
@@ -215,7 +215,7 @@
                 RelayStep::Broken("an event was missing")
             }
             Ok(events) => {
-                self.record_time_to_first();
+                self.note_first();
                 self.note_load();
                 RelayStep::Events(events)
             }
@@ -259,23 +259,23 @@
     }
 
     /// Notes the first event: of this upstream, and of the whole stream.
-    fn record_time_to_first(&mut self) {
+    fn note_first(&mut self) {
         let (RelayState::Reading(reading), Some(driver)) = (&mut self.state, &mut self.driver)
         else {
             return;
         };
         if !std::mem::replace(&mut reading.has_begun, true) {
             reading.seat.note_answered();
-            driver.record_time_to_first(&reading.place, reading.expected, reading.sent);
+            driver.note_first(&reading.place, reading.expected, reading.sent);
         }
         if !std::mem::replace(&mut self.has_first, true) {
-            let took = driver.job.record_time_to_first();
+            let took = driver.job.note_first();
             driver.shared.metrics.record_time_to_first(&driver.job.route.name, took);
         }
     }
 
     /// Notes whether the pause that ends now was longer than wanted.
-    fn record_pause(&mut self) {
+    fn note_pause(&mut self) {
         let (RelayState::Reading(reading), Some(driver)) = (&mut self.state, &self.driver) else {
             return;
         };
@@ -410,7 +410,7 @@
                     driver.note_stream(events, self.last_news - begun, load);
                 }
             }
-            reading.lease.refund(reading.place.pool());
+            reading.lease.give_back(reading.place.pool());
         }
         self.note_end(RequestEnd::Served);
         Poll::Ready(None)
--- a/crates/foldhaven-gateway/src/job.rs
+++ b/crates/foldhaven-gateway/src/job.rs
@@ -82,7 +82,7 @@
     }
 
     /// Notes that the caller gets the answer, or its first event, now. Returns how long this VM took.
-    pub fn record_time_to_first(&mut self) -> Duration {
+    pub fn note_first(&mut self) -> Duration {
         let took = self.started.elapsed();
         self.first_after = Some(self.waited_before + took);
         took
--- a/crates/foldhaven-gateway/src/leaving_tracker.rs
+++ b/crates/foldhaven-gateway/src/leaving_tracker.rs
@@ -1,4 +1,5 @@
-//! The upstreams that have said in their answers that they leave, shared by both threads, with a log line for each.
+//! Tracks the upstreams that have announced in their answers that they are leaving, shared by both
+//! threads. Each one is logged.
 
 use foldhaven_core::opaque::affinity::UpstreamTag;
 use foldhaven_core::opaque::upstream_signals::{LeavingNotice, LeavingUpstreams};
@@ -9,53 +10,53 @@
 use crate::shared::GatewayShared;
 use crate::upstream::Upstream;
 
-/// The upstreams that leave , as their answers say.
+/// The leaving upstreams.
 #[derive(Default)]
 pub struct LeavingTracker {
     leaving: Mutex<LeavingUpstreams>,
-    /// Told when there is something to tell other VMs.
+    /// Notified when there are updates to send to other VMs.
     updates: Notify,
 }
 
 impl LeavingTracker {
-    /// Takes in an answer of an upstream that says that it leaves.
+    /// Records an answer of an upstream that announces that it is leaving.
     pub fn record_answer(&self, shared: &GatewayShared, upstream: &Upstream) {
-        let is_news = self.leaving.lock().note_answer(upstream.tag, shared.now());
-        if is_news {
+        let is_new = self.leaving.lock().note_answer(upstream.tag, shared.now());
+        if is_new {
             upstream.set_leaving();
             self.updates.notify_one();
             record_leaving(shared, upstream, "answer");
         }
     }
 
-    /// Takes in what another VM tells. Returns whether it is news.
-    pub fn apply_notice(&self, told: &LeavingNotice, now: MonoTime) -> bool {
-        self.leaving.lock().hear(told, now)
+    /// Applies a notice from another VM. Returns whether the upstream was not known to be leaving.
+    pub fn apply_notice(&self, notice: &LeavingNotice, now: MonoTime) -> bool {
+        self.leaving.lock().hear(notice, now)
     }
 
-    /// Has an upstream get nothing new where it has said that it leaves.
+    /// Marks an upstream as leaving if it has announced so, so that it gets no new requests.
     pub fn apply(&self, upstream: &Upstream) {
         if self.leaving.lock().has_said(upstream.tag) {
             upstream.set_leaving();
         }
     }
 
-    /// Waits until there may be something to tell.
+    /// Waits until there may be updates to send.
     pub async fn wait_for_updates(&self) {
         self.updates.notified().await;
     }
 
-    /// What is to be told at once.
+    /// Removes and returns the updates that are to be sent at once.
     pub fn take_updates(&self, now: MonoTime) -> Vec<LeavingNotice> {
         self.leaving.lock().take_news(now)
     }
 
-    /// What is told again and again.
+    /// Returns all leaving upstreams, for periodic resending.
     pub fn all_notices(&self, now: MonoTime) -> Vec<LeavingNotice> {
         self.leaving.lock().all(now)
     }
 
-    /// Drops what is too old to count.
+    /// Removes expired entries.
     pub fn forget(&self, is_listed: impl Fn(UpstreamTag) -> bool, shared: &GatewayShared) {
         let mut leaving = self.leaving.lock();
         if !leaving.is_empty() {
@@ -65,7 +66,7 @@
     }
 }
 
-/// Counts and logs that an upstream leaves, which this VM learnt from a source.
+/// Counts and logs that an upstream is leaving. `source` names where this VM learned of it.
 pub fn record_leaving(shared: &GatewayShared, upstream: &Upstream, source: &'static str) {
     shared.metrics.count_event("upstream_leaving_signalled");
     if shared.quota.take(false) {
@@ -74,7 +75,7 @@
             birth = upstream.identity.birth.0,
             requests = upstream.load.share().in_flight,
             source,
-            "an upstream is leaving, as its answer says"
+            "upstream is leaving"
         );
     }
 }
--- a/crates/foldhaven-gateway/src/logging.rs
+++ b/crates/foldhaven-gateway/src/logging.rs
@@ -1,5 +1,5 @@
-//! Logs as JSON lines on standard output, bounded, and written by a thread of their own so that
-//! nobody waits for whoever reads them.
+//! Logging of JSON lines to standard output. Lines are buffered up to a limit and written by a
+//! separate thread, so that no other thread waits for the reader of the output.
 
 use std::io::{self, Write};
 use std::sync::Arc;
@@ -11,9 +11,10 @@
 
 use crate::clock::BootInstant;
 
-/// How much is held that has not been written yet; lines beyond it are dropped and counted.
+/// Maximum size of the buffered lines in bytes. Lines beyond it are dropped and counted.
 const MAX_BUFFERED_BYTES: usize = 256 << 10;
-/// How often held lines are written. Each write wakes the processor, which is metered.
+/// Interval between two writes of the buffered lines. Each write wakes the processor, whose use is
+/// metered.
 const WRITE_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Default)]
@@ -22,18 +23,18 @@
     dropped: u64,
 }
 
-/// Holds lines until they are written.
+/// Buffers lines until they are written.
 #[derive(Clone, Default)]
 struct LineBuffer {
-    held: Arc<Mutex<BufferedLines>>,
+    lines: Arc<Mutex<BufferedLines>>,
 }
 
 impl Write for LineBuffer {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        let mut held = self.held.lock();
-        match held.bytes.len() + line.len() > MAX_BUFFERED_BYTES {
-            true => held.dropped += 1,
-            false => held.bytes.extend_from_slice(line),
+        let mut lines = self.lines.lock();
+        match lines.bytes.len() + line.len() > MAX_BUFFERED_BYTES {
+            true => lines.dropped += 1,
+            false => lines.bytes.extend_from_slice(line),
         }
         Ok(line.len())
     }
@@ -51,7 +52,7 @@
     }
 }
 
-/// Writes what is held when it is dropped, so that the last lines of a process are not lost.
+/// Writes the buffered lines when it is dropped, so that the last lines of a process are not lost.
 pub struct LogGuard {
     buffer: LineBuffer,
 }
@@ -62,7 +63,7 @@
     }
 }
 
-/// Starts logging at a level and above.
+/// Starts logging at a level and above. An invalid level counts as `info`.
 pub fn start_logging(level: &str) -> LogGuard {
     let filter =
         EnvFilter::try_new(format!("warn,foldhaven_gateway={level},foldhaven_platform={level}"))
@@ -74,20 +75,20 @@
         .with_env_filter(filter)
         .with_writer(buffer.clone())
         .finish();
-    // A process that already logs keeps its subscriber.
+    // If the process already has a subscriber, it is kept.
     let _ = tracing::subscriber::set_global_default(subscriber);
-    let written = buffer.clone();
+    let writer_buffer = buffer.clone();
     std::thread::spawn(move || {
         loop {
             std::thread::sleep(WRITE_INTERVAL);
-            write_buffered(&written);
+            write_buffered(&writer_buffer);
         }
     });
     LogGuard { buffer }
 }
 
 fn write_buffered(buffer: &LineBuffer) {
-    let BufferedLines { mut bytes, dropped } = std::mem::take(&mut *buffer.held.lock());
+    let BufferedLines { mut bytes, dropped } = std::mem::take(&mut *buffer.lines.lock());
     if dropped > 0 {
         let line = format!(
             "{{\"level\":\"WARN\",\"message\":\"log lines dropped\",\"lines\":{dropped}}}\n"
@@ -97,16 +98,17 @@
     if bytes.is_empty() {
         return;
     }
-    // Nobody is left to be told when standard output is gone.
+    // If standard output is closed, there is nowhere left to report the failure.
     let _ = io::stdout().write_all(&bytes);
 }
 
-/// How many lines a second are logged of requests that were served at the first try.
+/// Maximum number of log lines per second about requests that were served at the first attempt.
 const PLAIN_LINES_PER_S: u32 = 10;
-/// How many lines a second are logged of all other requests.
+/// Maximum number of log lines per second about all other requests.
 const FAULT_LINES_PER_S: u32 = 100;
 
-/// Bounds the lines a second. Lines left out are counted in the metrics by the outcome itself.
+/// Limits the number of log lines per second. The metrics count the outcomes of requests whose
+/// lines are left out.
 #[derive(Default)]
 pub struct LogQuota {
     inner: Mutex<Option<QuotaSecond>>,
@@ -119,12 +121,13 @@
 }
 
 impl LogQuota {
-    /// A quota of which nothing was taken yet.
+    /// Creates an unused quota.
     pub const fn new() -> Self {
         Self { inner: Mutex::new(None) }
     }
 
-    /// Whether a line may be logged now.
+    /// Returns whether a line may be logged now, and counts it. `is_plain` selects the lower limit,
+    /// for requests without faults.
     pub fn take(&self, is_plain: bool) -> bool {
         let mut inner = self.inner.lock();
         let second = inner
--- a/crates/foldhaven-gateway/src/metrics.rs
+++ b/crates/foldhaven-gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latency histograms, as the text that collectors read.
+//! Counters and latency histograms, in the text format that metrics collectors read.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -11,26 +11,26 @@
 use parking_lot::Mutex;
 
 const QUANTILES: [f64; 3] = [0.5, 0.95, 0.99];
-/// The longest time that a histogram tells apart, in microseconds.
+/// Maximum time that a histogram distinguishes, in microseconds.
 const LONGEST_MICROS: u64 = 60_000_000;
 
-/// How a request ended.
+/// The outcome of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestEnd {
-    /// The whole answer of an upstream was handed over.
+    /// The complete answer of an upstream was delivered.
     Served,
-    /// The whole answer of an upstream, which told of a failure, was handed over.
+    /// The complete answer of an upstream was delivered, and it reported a failure.
     FailedUpstream,
-    /// Refused or failed by the gateway itself, with the reason.
+    /// The gateway itself refused or failed the request, for this reason.
     Refused(&'static str),
-    /// The caller left.
+    /// The caller disconnected.
     CallerLeft,
-    /// A stream was cut off after its start.
+    /// A stream was aborted after it had started.
     Cut,
 }
 
 impl RequestEnd {
-    /// The name in logs and metrics.
+    /// Returns the name of the outcome in logs and metrics.
     pub fn label(self) -> &'static str {
         match self {
             Self::Served => "served",
@@ -42,7 +42,7 @@
     }
 }
 
-/// Everything that is counted.
+/// The metrics of one daemon.
 #[derive(Default)]
 pub struct GatewayMetrics {
     inner: Mutex<MetricsInner>,
@@ -63,17 +63,17 @@
     burn: Option<BurnRing>,
 }
 
-/// What a request counts for in the report on service-level burn.
+/// The contribution of a request to the service-level burn.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestBurn {
     pub event: BurnEvent,
-    /// Its size in tokens, to which its worth is in proportion.
+    /// The size of the request in tokens, to which its worth is proportional.
     pub worth: f64,
     pub now: MonoTime,
 }
 
 impl GatewayMetrics {
-    /// Counts how a request of a route ended, and what of its size was served on time.
+    /// Counts the outcome of a route's request and its contribution to the service-level burn.
     pub fn count_end(&self, route: &RouteName, end: RequestEnd, burn: RequestBurn) {
         let mut inner = self.inner.lock();
         let counts = counts_of(&mut inner, route);
@@ -82,8 +82,9 @@
         ring.record(burn.event, burn.worth, burn.now);
     }
 
-    /// How fast each route uses up its error budget. Opaque requests belong to no account: the data
-    /// centre of this VM, which took them from their callers, stands in its place.
+    /// Returns how fast each route uses up its error budget. Opaque requests belong to no account,
+    /// so the data centre of this VM, which received them from their callers, takes the place of
+    /// the account.
     pub fn burn_rows(&self, data_centre: &DataCentreName, now: MonoTime) -> Vec<BurnRow> {
         let mut inner = self.inner.lock();
         let account: Result<AccountName, _> = data_centre.as_str().parse();
@@ -95,20 +96,21 @@
         rows.filter(|row| row.long.total > 0).collect()
     }
 
-    /// Notes the time to the answer, or to the first event.
+    /// Records the time until the answer began or the first event arrived.
     pub fn record_time_to_first(&self, route: &RouteName, span: Duration) {
         let mut inner = self.inner.lock();
         let first = &mut counts_of(&mut inner, route).first;
         record(first.get_or_insert_with(new_histogram), span);
     }
 
-    /// Notes how long something of the control state took, such as being behind.
+    /// Records the duration of an operation or condition of the control state, such as lagging
+    /// behind other VMs.
     pub fn record_span(&self, name: &'static str, span: Duration) {
         let mut inner = self.inner.lock();
         record(inner.spans.entry(name).or_insert_with(new_histogram), span);
     }
 
-    /// Replaces a level of the control state, such as the revision that is known.
+    /// Sets a level of the control state, such as the known revision.
     pub fn set_level(&self, name: &'static str, level: u64) {
         self.inner.lock().levels.insert(name, level);
     }
@@ -118,12 +120,12 @@
         self.add_events(event, 1);
     }
 
-    /// Counts several of an event, such as bytes.
+    /// Adds to the count of an event, such as a number of bytes.
     pub fn add_events(&self, event: &'static str, count: u64) {
         *self.inner.lock().events.entry(event).or_default() += count;
     }
 
-    /// The page that collectors read.
+    /// Returns the page that metrics collectors read.
     pub fn page(&self) -> String {
         let inner = self.inner.lock();
         let mut page = String::new();
--- a/crates/foldhaven-gateway/src/operator_front/accounts.rs
+++ b/crates/foldhaven-gateway/src/operator_front/accounts.rs
@@ -1,4 +1,4 @@
-//! What operators are told of accounts with limits.
+//! Reports accounts and the usage of their limits to operators.
 
 use std::fmt::Write;
 
@@ -9,28 +9,28 @@
 use crate::account_limiter::AccountUsage;
 
 impl OperatorHandler {
-    /// The accounts that are described, and what those with limits use at this VM.
+    /// Returns the accounts of the description, and the usage at this VM of those with limits.
     pub(super) fn accounts(&self) -> AccountsAnswer {
         let view = self.shared.view();
-        let described = view.as_ref().and_then(|it| it.routes.description().accounts.clone());
+        let description = view.as_ref().and_then(|it| it.routes.description().accounts.clone());
         let usages = self.shared.accounts.usages(self.shared.now());
-        let accounts = described.iter().flat_map(|described| described.accounts.values());
+        let accounts = description.iter().flat_map(|description| description.accounts.values());
         let rows = accounts.map(|account| {
-            let held = usages.iter().find(|held| held.account == account.name);
+            let usage = usages.iter().find(|usage| usage.account == account.name);
             let limit = account.limit;
             AccountRow {
                 account: account.name.to_string(),
                 keys: account.keys.len(),
                 homes: account.homes.iter().map(ToString::to_string).collect(),
-                unit: limit.map(|limit| unit_of(&limit).to_owned()),
+                unit: limit.map(|limit| unit_name(&limit).to_owned()),
                 per_s: limit.map(|limit| limit.per_s),
                 burst: limit.map(|limit| limit.burst),
-                part_per_s: held.map(|held| held.share.per_s),
-                part_age_ms: held.map(|held| held.share_age.as_millis() as u64),
-                level: held.map(|held| held.level),
-                want_per_s: held.map(|held| held.demand),
-                let_through: held.map_or(0.0, |held| held.let_through),
-                refused: held.map_or(0, |held: &AccountUsage| held.refused),
+                part_per_s: usage.map(|usage| usage.share.per_s),
+                part_age_ms: usage.map(|usage| usage.share_age.as_millis() as u64),
+                level: usage.map(|usage| usage.level),
+                want_per_s: usage.map(|usage| usage.demand),
+                let_through: usage.map_or(0.0, |usage| usage.let_through),
+                refused: usage.map_or(0, |usage: &AccountUsage| usage.refused),
             }
         });
         let sharers = self.shared.accounts.view();
@@ -46,7 +46,7 @@
     }
 }
 
-/// The lines of one account in the metrics.
+/// Writes the metrics of one account.
 pub(super) fn write_account(page: &mut String, usage: &AccountUsage) {
     let account = &usage.account;
     let lines = [
@@ -61,7 +61,7 @@
     }
 }
 
-fn unit_of(limit: &AccountLimit) -> &'static str {
+fn unit_name(limit: &AccountLimit) -> &'static str {
     match limit.unit {
         LimitUnit::Requests => "requests",
         LimitUnit::Tokens { .. } => "tokens",
--- a/crates/foldhaven-gateway/src/operator_front/mod.rs
+++ b/crates/foldhaven-gateway/src/operator_front/mod.rs
@@ -1,4 +1,5 @@
-//! Tells operators how this daemon fares: metrics, its view of the others, and service-level burn.
+//! The interface for operators: metrics, the status of this daemon and its view of the others,
+//! suspected requests, accounts, and service-level burn.
 
 mod accounts;
 mod status;
@@ -18,13 +19,13 @@
 use crate::front::FrontHandler;
 use crate::shared::GatewayShared;
 
-/// The share of requests that is to be served on time. Routes name no share of their own.
+/// The target share of requests served on time. Routes do not define their own.
 const TARGET_SHARE: f64 = 0.99;
 
-/// The most accounts that the metrics tell of.
+/// Maximum number of accounts in the metrics.
 const MAX_METRIC_ACCOUNTS: usize = 1_000;
 
-/// Answers operators.
+/// Handles requests of operators.
 pub struct OperatorHandler {
     pub shared: Arc<GatewayShared>,
 }
@@ -48,7 +49,7 @@
 }
 
 impl OperatorHandler {
-    /// The page that collectors read. Accounts have a few lines each.
+    /// Returns the page that metrics collectors read, with a few lines for each account.
     fn metrics_page(&self) -> String {
         let usages = self.shared.accounts.usages(self.shared.now());
         let mut page = self.shared.metrics.page();
@@ -58,12 +59,13 @@
         page
     }
 
-    /// Where the request that a query describes would go.
+    /// Returns where the request that a query describes would be sent.
     fn explain(&self, query: Option<&str>) -> Answer {
         or_refusal(explain(&self.shared, query.unwrap_or_default()))
     }
 
-    /// How fast the routes use up their error budgets, by the requests that this VM took.
+    /// Returns how fast the routes use up their error budgets, based on the requests that this VM
+    /// received from callers.
     fn burn(&self) -> BurnAnswer {
         let settings = &self.shared.settings;
         let rows = self.shared.metrics.burn_rows(&settings.data_centre, self.shared.now());
@@ -88,7 +90,7 @@
     match serde_json::to_vec(answer) {
         Ok(body) => body_answer(StatusCode::OK, "application/json", body),
         Err(error) => {
-            tracing::error!(error = %error, "writing an answer to operators failed");
+            tracing::error!(error = %error, "serializing an answer to an operator failed");
             Refusal::NoDescription.answer()
         }
     }
--- a/crates/foldhaven-gateway/src/operator_front/status.rs
+++ b/crates/foldhaven-gateway/src/operator_front/status.rs
@@ -1,4 +1,4 @@
-//! The status of this daemon, and of the others as it sees them.
+//! Reports the status of this daemon, and of the others as seen by it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 use crate::view::GatewayView;
 
 impl OperatorHandler {
-    /// What this daemon is and sees.
+    /// Returns the status of this daemon.
     pub(super) fn status(&self) -> StatusAnswer {
         let settings = &self.shared.settings;
         let view = self.shared.view();
@@ -43,31 +43,31 @@
         }
     }
 
-    /// The lifetime of this process; not known before the first description.
+    /// Returns the incarnation of this process. `None` before the first description.
     fn own_incarnation(&self, view: &GatewayView) -> Option<IncarnationId> {
-        let own = view.heartbeats.iter().find(|beat| beat.vm == self.shared.settings.vm);
-        own.map(|beat| beat.incarnation)
+        let own = view.heartbeats.iter().find(|heartbeat| heartbeat.vm == self.shared.settings.vm);
+        own.map(|heartbeat| heartbeat.incarnation)
     }
 
-    /// The other VMs of this data centre.
+    /// Returns the other VMs of this data centre.
     fn members(&self, view: &GatewayView) -> Vec<MemberStatus> {
         let settings = &self.shared.settings;
-        let others = view.heartbeats.iter().filter(|beat| beat.vm != settings.vm);
-        let near = others.filter(|beat| beat.data_centre == settings.data_centre);
-        let member = |beat: &PeerHeartbeat| MemberStatus {
-            vm: beat.vm.clone(),
-            state: phase_name(beat.phase).to_owned(),
-            stamp: Some(beat.version.to_string()),
-            peer: self.operator_address(beat).to_string(),
+        let others = view.heartbeats.iter().filter(|heartbeat| heartbeat.vm != settings.vm);
+        let local = others.filter(|heartbeat| heartbeat.data_centre == settings.data_centre);
+        let member = |heartbeat: &PeerHeartbeat| MemberStatus {
+            vm: heartbeat.vm.clone(),
+            state: phase_name(heartbeat.phase).to_owned(),
+            stamp: Some(heartbeat.version.to_string()),
+            peer: self.operator_address(heartbeat).to_string(),
         };
-        near.map(member).collect()
+        local.map(member).collect()
     }
 
-    /// The upstreams of this data centre that may get requests.
+    /// Returns the upstreams of this data centre that may get requests.
     fn upstreams(&self, view: &GatewayView) -> Vec<UpstreamStatus> {
         let own = &self.shared.settings.data_centre;
         let all = view.upstreams.values().flatten();
-        let near = all.filter(|upstream| upstream.identity.data_centre == *own);
+        let local = all.filter(|upstream| upstream.identity.data_centre == *own);
         let status = |upstream: &Arc<Upstream>| UpstreamStatus {
             name: upstream.name().to_string(),
             holds: vec![upstream.identity.service.to_string()],
@@ -76,48 +76,52 @@
             leaving: upstream.is_leaving(),
             limit: self.shared.limits.limit(upstream).map(|limit| limit.to_string()),
         };
-        near.map(status).collect()
+        local.map(status).collect()
     }
 
-    /// The other data centres with VMs that live.
+    /// Returns the other data centres that have live VMs.
     fn centres(&self, view: &GatewayView) -> Vec<CentreStatus> {
         let own = &self.shared.settings.data_centre;
         let mut by_centre: BTreeMap<&DataCentreName, Vec<&PeerHeartbeat>> = BTreeMap::new();
-        for beat in view.heartbeats.iter().filter(|beat| beat.data_centre != *own) {
-            by_centre.entry(&beat.data_centre).or_default().push(beat);
+        for heartbeat in view.heartbeats.iter().filter(|heartbeat| heartbeat.data_centre != *own) {
+            by_centre.entry(&heartbeat.data_centre).or_default().push(heartbeat);
         }
         let centres = by_centre.into_iter();
-        centres.map(|(name, beats)| self.centre(view, name, &beats)).collect()
+        centres.map(|(name, heartbeats)| self.centre(view, name, &heartbeats)).collect()
     }
 
-    /// One other data centre, by the heartbeats of its VMs.
+    /// Returns the status of another data centre, based on the heartbeats of its VMs.
     fn centre(
         &self,
         view: &GatewayView,
         data_centre: &DataCentreName,
-        beats: &[&PeerHeartbeat],
+        heartbeats: &[&PeerHeartbeat],
     ) -> CentreStatus {
         let now = self.shared.now();
-        let heard = view.last_seen.get(data_centre);
-        let serving = beats.iter().filter(|beat| beat.phase == PeerPhase::Serving).count();
-        let versions = beats.iter().map(|beat| beat.version);
+        let last_seen = view.last_seen.get(data_centre);
+        let serving =
+            heartbeats.iter().filter(|heartbeat| heartbeat.phase == PeerPhase::Serving).count();
+        let versions = heartbeats.iter().map(|heartbeat| heartbeat.version);
         let stamps = versions.clone().min().zip(versions.max());
         CentreStatus {
             data_centre: data_centre.clone(),
-            age_ms: heard.map_or(0, |heard| now.since(*heard).as_millis() as u64),
+            age_ms: last_seen.map_or(0, |last_seen| now.since(*last_seen).as_millis() as u64),
             serving: u32::try_from(serving).unwrap_or(u32::MAX),
             stamps: stamps.map(|(low, high)| (low.to_string(), high.to_string())),
-            peers: beats.iter().map(|beat| self.operator_address(beat).to_string()).collect(),
+            peers: heartbeats
+                .iter()
+                .map(|heartbeat| self.operator_address(heartbeat).to_string())
+                .collect(),
         }
     }
 
-    /// Where operators reach another VM: at the same port as this one.
-    fn operator_address(&self, beat: &PeerHeartbeat) -> SocketAddr {
-        SocketAddr::new(beat.peer.ip(), self.shared.settings.addresses.operator.port())
+    /// Returns the operators' address of another VM. All VMs use the same port for it.
+    fn operator_address(&self, heartbeat: &PeerHeartbeat) -> SocketAddr {
+        SocketAddr::new(heartbeat.peer.ip(), self.shared.settings.addresses.operator.port())
     }
 }
 
-/// The word for a phase in statuses.
+/// Returns the name of a phase in status reports.
 fn phase_name(phase: PeerPhase) -> &'static str {
     match phase {
         PeerPhase::Starting => "suspect",
--- a/crates/foldhaven-gateway/src/operator_front/suspects.rs
+++ b/crates/foldhaven-gateway/src/operator_front/suspects.rs
@@ -1,4 +1,4 @@
-//! What operators are told of requests under which upstreams ended, and how one is cleared.
+//! Reports suspected requests to operators, and clears them.
 
 use foldhaven_core::opaque::request_fingerprint::RequestFingerprint;
 use foldhaven_core::opaque::suspects::SuspectVerdict;
@@ -7,11 +7,11 @@
 use super::OperatorHandler;
 use crate::answer::Refusal;
 
-/// What goes before the fingerprint in the query.
+/// The text before the fingerprint in the query.
 const FINGERPRINT_PREFIX: &str = "print=";
 
 impl OperatorHandler {
-    /// The suspected requests, those with the most ends first.
+    /// Returns the suspected requests, those with the most exits first.
     pub(super) fn suspects(&self) -> SuspectsAnswer {
         let now = self.shared.now();
         let suspects = &self.shared.suspects;
@@ -35,13 +35,15 @@
         SuspectsAnswer { vm: self.shared.settings.vm.clone(), rows: rows.collect() }
     }
 
-    /// Clears a request as a whole answer to it would: here, and at all VMs that are told.
+    /// Clears a request, as a complete answer to it would. This VM also sends the change to the
+    /// other VMs.
     pub(super) fn clear_suspect(&self, query: Option<&str>) -> Result<ClearAnswer, Refusal> {
-        let print = query.and_then(|query| query.strip_prefix(FINGERPRINT_PREFIX));
-        let print: RequestFingerprint =
-            print.and_then(|print| print.parse().ok()).ok_or(Refusal::Malformed)?;
-        let is_cleared = self.shared.suspects.clear(print, &self.shared.change_context());
-        tracing::info!(%print, is_cleared, "an operator clears a request");
-        Ok(ClearAnswer { print: print.to_string(), is_cleared })
+        let fingerprint = query.and_then(|query| query.strip_prefix(FINGERPRINT_PREFIX));
+        let fingerprint: RequestFingerprint = fingerprint
+            .and_then(|fingerprint| fingerprint.parse().ok())
+            .ok_or(Refusal::Malformed)?;
+        let is_cleared = self.shared.suspects.clear(fingerprint, &self.shared.change_context());
+        tracing::info!(print = %fingerprint, is_cleared, "request cleared by an operator");
+        Ok(ClearAnswer { print: fingerprint.to_string(), is_cleared })
     }
 }
--- a/crates/foldhaven-gateway/src/peer_front.rs
+++ b/crates/foldhaven-gateway/src/peer_front.rs
@@ -1,4 +1,4 @@
-//! Takes requests that other VMs forward, and tells them what the platform published.
+//! Serves requests that other VMs forward, and sends them the platform state.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,10 +21,10 @@
 use crate::platform_state::{AnswerCache, StateRequest};
 use crate::shared::GatewayShared;
 
-/// Answers other VMs.
+/// Handles requests of other VMs.
 pub struct PeerHandler {
     shared: Arc<GatewayShared>,
-    told: AnswerCache,
+    answer_cache: AnswerCache,
 }
 
 #[async_trait]
@@ -48,36 +48,36 @@
 
 impl PeerHandler {
     pub fn new(shared: Arc<GatewayShared>) -> Self {
-        Self { shared, told: AnswerCache::default() }
+        Self { shared, answer_cache: AnswerCache::default() }
     }
 
-    /// What the platform published, after the revision that the query names.
+    /// Returns the platform state, or its changes after the revision that the query names.
     fn state(&self, query: Option<&str>, is_spanning: bool) -> Answer {
         let Some(view) = self.shared.view() else { return Refusal::NoDescription.answer() };
-        let known = query.and_then(|query| query.strip_prefix(PEER_STATE_REVISION_PREFIX));
-        let known = known.and_then(|known| known.parse().ok());
-        match self.told.answer(
-            &view.offer,
-            StateRequest { known_revision: known, accepts_spanning: is_spanning },
-        ) {
+        let known_revision = query.and_then(|query| query.strip_prefix(PEER_STATE_REVISION_PREFIX));
+        let known_revision = known_revision.and_then(|known_revision| known_revision.parse().ok());
+        match self
+            .answer_cache
+            .answer(&view.offer, StateRequest { known_revision, accepts_spanning: is_spanning })
+        {
             Ok(body) => {
                 let (revision, bytes) = (view.offer.revision, body.len());
                 self.shared.metrics.count_event("state_told");
                 self.shared.metrics.add_events("state_told_bytes", bytes as u64);
-                tracing::info!(query, revision, bytes, "state told");
+                tracing::info!(query, revision, bytes, "platform state sent to a peer");
                 let mut answer = body_answer(StatusCode::OK, "application/octet-stream", body);
                 answer.headers_mut().insert(headers::REVISION, HeaderValue::from(revision));
                 answer
             }
             Err(error) => {
-                tracing::error!(error = %error, "writing the state for a peer failed");
+                tracing::error!(error = %error, "serializing the platform state for a peer failed");
                 Refusal::NoDescription.answer()
             }
         }
     }
 }
 
-/// Names the attempt in a refusal, so that its origin knows that nothing of it ran here.
+/// Adds the attempt to a refusal, so that the origin VM knows that nothing of it ran here.
 fn mark_refusal(mut answer: Answer, attempt: Option<HeaderValue>) -> Answer {
     let is_refusal = answer.status() == StatusCode::SERVICE_UNAVAILABLE;
     if let Some(attempt) = attempt.filter(|_| is_refusal) {
@@ -86,7 +86,8 @@
     answer
 }
 
-/// Reads a forwarded request. It must name where it has been and the service that its origin chose.
+/// Reads a forwarded request. It must name the VMs that it has visited and the service that the
+/// origin VM chose.
 async fn read_forwarded(
     shared: &GatewayShared,
     request: Request<Incoming>,
@@ -105,7 +106,7 @@
     let host = host_of(&head).ok_or(Refusal::NotPermitted)?;
     let route = view.routes.find(host, head.uri.path()).ok_or(Refusal::NotPermitted)?.clone();
     if !route.services.iter().any(|it| it.service == service) {
-        // The descriptions of the two VMs differ; the origin may ask elsewhere.
+        // The two VMs have different descriptions. The origin VM may choose another destination.
         return Err(Refusal::NotPermitted);
     }
     let is_begun = head.headers.remove(headers::BEGUN).is_some();
@@ -114,7 +115,7 @@
     let waited = Duration::from_millis(waited.ok_or(Refusal::NotPermitted)?);
     let terms = CallerTerms { waited, ..read_terms(&head, &shared.names)? };
     let credential = take_forwarded(&mut head.headers);
-    // The key may have gone, or not have come yet, by the description of this VM.
+    // In the description of this VM, the key may be missing already, or still.
     let account = find_account(&view.routes, &route, credential);
     let account = account.map_err(|_| Refusal::NotPermitted)?;
     let request = ReadRequest { head, body, started };
--- a/crates/foldhaven-gateway/src/peer_message.rs
+++ b/crates/foldhaven-gateway/src/peer_message.rs
@@ -1,7 +1,8 @@
-//! What VMs tell each other in datagrams, and how it is written.
+//! The datagrams that VMs send to each other, and their serialized form.
 //!
-//! A kind is known by its place in [`PeerMessage`]: new kinds go to the end, and what a kind holds does not change. Daemons of
-//! two versions then understand all kinds that both know, and drop others with a count and a bounded log line.
+//! A variant of [`PeerMessage`] is identified by its position: new ones are added at the end, and
+//! the content of a variant never changes. Daemons of two versions thus understand all variants
+//! that both know. Others are dropped, counted and logged at a limited rate.
 
 use std::io;
 
@@ -22,72 +23,74 @@
 use crate::codec::peer_codec;
 use crate::feed::{ChangeSet, NumberedChange};
 
-/// The largest datagram that is read, in bytes.
+/// Maximum size of a datagram in bytes.
 pub const MAX_DATAGRAM: usize = 16 << 10;
 
-/// What one VM tells another of suspected requests.
+/// The suspected requests that one VM sends to another.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct SuspectMessage {
-    /// The region of the teller.
+    /// The region of the sender.
     pub region: RegionName,
-    /// What it knows; nothing in the answer to a VM that has just started, where nothing is suspected.
+    /// The records. Empty in the answer to a VM that has just started if no request is suspected.
     pub records: Vec<SuspectRecord>,
 }
 
-/// What VMs tell each other in a datagram.
+/// The content of a datagram between VMs.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum PeerMessage {
     /// A heartbeat.
     Beat(HeartbeatMessage),
-    /// The requests of a VM at the upstreams of its region.
+    /// The number of requests that a VM has at each upstream of its region.
     Load(LoadReport),
-    /// Where long prompts were sent, for another region.
+    /// The destinations of long prompts, for another region.
     Placements(Vec<PromptPlacement>),
-    /// What the platform published.
+    /// Changes of the platform state.
     Changes(ChangeSet),
-    /// Changes that must not wait for those before them.
+    /// Changes that are applied without waiting for earlier ones.
     Early(Vec<NumberedChange>),
-    /// What a delegate tells of its region.
+    /// The report of a delegate about its region.
     Region(RegionReport),
-    /// Requests under which upstreams ended.
+    /// Suspected requests.
     Suspects(SuspectMessage),
-    /// Which VMs of its region one knows, in short.
+    /// A digest of a VM's view of the VMs in its region.
     View(ViewDigest),
-    /// The same in full.
+    /// The full list of VMs in that view.
     ViewList(ViewList),
-    /// Which list of senders a VM holds.
+    /// The list of senders that a VM has adopted.
     Pact(AgreementNotice),
-    /// How far a VM knows the platform's changes.
+    /// The revision of the platform state that a VM knows.
     News(RevisionAnnouncement),
-    /// What callers of limited accounts want at a VM of the region.
+    /// The demand of limited accounts at a VM of the region.
     Demand(LocalDemand),
-    /// The same for a whole other region.
+    /// The total demand of limited accounts in another region.
     RegionDemand(RegionDemand),
-    /// The limits that upstreams of the region name.
+    /// The rate limits that upstreams of the region have announced.
     Limits(Vec<LimitNotice>),
-    /// Upstreams of the region that have said that they leave.
+    /// Upstreams of the region that have announced that they are leaving.
     Leavers(Vec<LeavingNotice>),
 }
 
 impl PeerMessage {
-    /// Its bytes.
+    /// Serializes the message.
     ///
     /// # Errors
     ///
-    /// When they do not fit a datagram.
+    /// If the message does not fit into a datagram.
     pub fn bytes(&self) -> io::Result<Vec<u8>> {
         let bytes = peer_codec().serialize(self).map_err(io::Error::other)?;
         match bytes.len() <= MAX_DATAGRAM {
             true => Ok(bytes),
-            false => Err(io::Error::other(format!("{} bytes do not fit a datagram", bytes.len()))),
+            false => {
+                Err(io::Error::other(format!("{} bytes do not fit into a datagram", bytes.len())))
+            }
         }
     }
 
-    /// The message of these bytes.
+    /// Deserializes a message.
     ///
     /// # Errors
     ///
-    /// When they are of a kind that is not known, or of another form.
+    /// If the message is malformed or of an unknown variant.
     pub fn read(bytes: &[u8]) -> bincode::Result<Self> {
         peer_codec().deserialize(bytes)
     }
--- a/crates/foldhaven-gateway/src/peer_state.rs
+++ b/crates/foldhaven-gateway/src/peer_state.rs
@@ -1,4 +1,5 @@
-//! Asks another VM what the platform published, when this one cannot read it or reads it later.
+//! Fetches platform state from another VM if this one cannot read it from the platform or reads it
+//! later.
 
 use std::net::SocketAddr;
 use std::pin::pin;
@@ -23,46 +24,47 @@
 use crate::feed::PeerState;
 use crate::shared::GatewayShared;
 
-/// Where peers tell what the platform published.
+/// The path at which VMs serve the platform state to each other.
 pub const PEER_STATE_PATH: &str = "/peer/v1/state";
-/// What goes before the revision that the asker knows, in the query.
+/// The text before the revision that the requesting VM knows, in the query.
 pub const PEER_STATE_REVISION_PREFIX: &str = "after=";
-/// How often it is looked whether another VM knows more, where none says so.
+/// Interval between two checks whether another VM has a newer revision, if none announces one.
 const CHECK_INTERVAL: Duration = Duration::from_millis(150);
-/// For how long a peer may be silent, before its answer and within it. There is no limit on the whole: it would
-/// be met again and again by an answer that is larger than a narrow link carries in that time.
+/// Maximum time without data from a peer, before and within its answer. There is no limit on the
+/// whole answer: one that takes a narrow link longer than the limit would fail again and again.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// The largest state that is taken.
+/// Maximum size of a received state in bytes.
 const MAX_STATE_BYTES: usize = 16 << 20;
-/// After this time without the beginning of an answer another peer is asked too, and who begins first is heard: one that is
-/// frozen or cut off costs no more than this.
+/// Time without the beginning of an answer after which a second peer is asked as well. The first
+/// answer that begins is used, so a peer that is frozen or partitioned delays the fetch by no more
+/// than this.
 const HEDGE_AFTER: Duration = Duration::from_millis(300);
-/// After a peer could not be asked.
+/// Delay after a failed fetch.
 const RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Why a peer could not be asked.
+/// Why fetching the state from a peer failed.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 enum FetchError {
     /// connecting: {0}
     Connect(std::io::Error),
-    /// asking: {0}
+    /// sending the request: {0}
     Http(hyper::Error),
     /// status {0}
     Status(StatusCode),
-    /// the answer: {0}
+    /// deserializing the answer: {0}
     Content(bincode::Error),
-    /// silent after {0} bytes
+    /// timed out after {0} bytes
     TimedOut(usize),
-    /// too large
+    /// answer too large
     TooLarge,
 }
 
-/// Takes over from peers what this daemon has not read itself.
+/// Fetches platform state from peers that have a newer revision, until the control thread ends.
 pub async fn sync_with_peers(shared: Arc<GatewayShared>, control: ControlAddress) {
     let mut avoided = None;
     loop {
         let Ok(next) = control.send(FindNewerPeer { avoided }).await else { return };
-        let NewerPeer { peer, base_revision: known } = match next {
+        let NewerPeer { peer, base_revision: known_revision } = match next {
             CatchUpStep::Ask(ahead) => ahead,
             CatchUpStep::Wait(pause) => {
                 wait_for_newer_revision(&shared, pause.min(CHECK_INTERVAL)).await;
@@ -74,14 +76,14 @@
             }
         };
         let started = BootInstant::now();
-        let (peer, asked) = fetch_hedged(&control, peer, known).await;
-        match asked {
+        let (peer, result) = fetch_hedged(&control, peer, known_revision).await;
+        match result {
             Ok(FetchedState { state, bytes }) => {
                 avoided = None;
                 shared.metrics.record_span("state_asked", started.elapsed());
                 shared.metrics.add_events("state_taken_bytes", bytes as u64);
-                let leads_on = is_newer_than(&state, known);
-                let taken = match state {
+                let is_newer = is_newer_than(&state, known_revision);
+                let applied = match state {
                     PeerState::Snapshot(snapshot) => {
                         control.send(ApplySnapshot { snapshot, peer }).await
                     }
@@ -97,11 +99,11 @@
                         control.send(ApplyChanges { changes, peer }).await
                     }
                 };
-                if taken.is_err() {
+                if applied.is_err() {
                     return;
                 }
-                // A peer that had nothing new is not asked again at once.
-                if !leads_on {
+                // Peers are not asked again at once if the answer had nothing new.
+                if !is_newer {
                     sleep(CHECK_INTERVAL).await;
                 }
             }
@@ -109,17 +111,19 @@
                 avoided = Some(peer);
                 shared.metrics.count_event("state_not_taken");
                 let ms = started.elapsed().as_millis() as u64;
-                tracing::warn!(vm = %shared.settings.vm, peer = %peer, error = %error, ms, "asking a peer failed");
+                tracing::warn!(vm = %shared.settings.vm, peer = %peer, error = %error, ms, "fetching platform state from a peer failed");
                 sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Whether a state holds changes that lead on from a revision.
-fn is_newer_than(state: &PeerState, known: Option<u64>) -> bool {
+/// Returns whether a state contains changes that lead beyond a revision.
+fn is_newer_than(state: &PeerState, known_revision: Option<u64>) -> bool {
     match state {
-        PeerState::Changes(set) | PeerState::SpanningChanges(set, _) => Some(set.revision) > known,
+        PeerState::Changes(set) | PeerState::SpanningChanges(set, _) => {
+            Some(set.revision) > known_revision
+        }
         PeerState::Snapshot(_) | PeerState::KeyedSnapshot(..) => false,
     }
 }
@@ -140,44 +144,48 @@
 async fn fetch_hedged(
     control: &ControlAddress,
     first: SocketAddr,
-    known: Option<u64>,
+    known_revision: Option<u64>,
 ) -> (SocketAddr, Result<FetchedState, FetchError>) {
-    let mut begun = pin!(start_fetch(first, known));
+    let mut primary = pin!(start_fetch(first, known_revision));
     tokio::select! {
-        answer = &mut begun => return (first, read_answer(answer).await),
+        answer = &mut primary => return (first, read_answer(answer).await),
         () = sleep(HEDGE_AFTER) => {}
     }
     let other = match control.send(FindNewerPeer { avoided: Some(first) }).await {
         Ok(CatchUpStep::Ask(other)) if other.peer != first => other,
-        _ => return (first, read_answer(begun.await).await),
+        _ => return (first, read_answer(primary.await).await),
     };
-    let (second, known) = (other.peer, other.base_revision);
-    tracing::info!(peer = %first, other = %second, "a peer says nothing, another one is asked too");
-    let mut hedge = pin!(start_fetch(second, known));
+    let (second, known_revision) = (other.peer, other.base_revision);
+    tracing::info!(peer = %first, other = %second, "a peer does not answer, asking another one as well");
+    let mut hedge = pin!(start_fetch(second, known_revision));
     let (peer, answer) = tokio::select! {
-        answer = &mut begun => (first, answer),
+        answer = &mut primary => (first, answer),
         answer = &mut hedge => (second, answer),
     };
     if answer.is_ok() {
         return (peer, read_answer(answer).await);
     }
-    // The one that is left may still answer.
+    // The remaining one may still answer.
     match peer == first {
         true => (second, read_answer(hedge.await).await),
-        false => (first, read_answer(begun.await).await),
+        false => (first, read_answer(primary.await).await),
     }
 }
 
-/// An answer that has begun, with the connection that it comes by.
+/// An answer that has begun, with its connection.
 struct StartedAnswer {
     response: Response<Incoming>,
     _connection: Connection,
 }
 
-async fn start_fetch(peer: SocketAddr, known: Option<u64>) -> Result<StartedAnswer, FetchError> {
+async fn start_fetch(
+    peer: SocketAddr,
+    known_revision: Option<u64>,
+) -> Result<StartedAnswer, FetchError> {
     let mut connection =
         Connection::open(peer, FAR_CONNECT_LIMIT).await.map_err(FetchError::Connect)?;
-    let after = known.map(|known| format!("?{PEER_STATE_REVISION_PREFIX}{known}"));
+    let after = known_revision
+        .map(|known_revision| format!("?{PEER_STATE_REVISION_PREFIX}{known_revision}"));
     let path = format!("{PEER_STATE_PATH}{}", after.unwrap_or_default());
     let request = Request::get(path)
         .header(HOST, peer.to_string())
@@ -192,14 +200,16 @@
     Ok(StartedAnswer { response, _connection: connection })
 }
 
-async fn read_answer(begun: Result<StartedAnswer, FetchError>) -> Result<FetchedState, FetchError> {
-    let begun = begun?;
-    let body = read_state(begun.response.into_body()).await?;
+async fn read_answer(
+    answer: Result<StartedAnswer, FetchError>,
+) -> Result<FetchedState, FetchError> {
+    let answer = answer?;
+    let body = read_state(answer.response.into_body()).await?;
     let state = peer_codec().deserialize(&body).map_err(FetchError::Content)?;
     Ok(FetchedState { state, bytes: body.len() })
 }
 
-/// Reads an answer for as long as more of it comes.
+/// Reads an answer to its end. Only the time between two pieces of it is limited.
 async fn read_state(mut body: Incoming) -> Result<Vec<u8>, FetchError> {
     let mut bytes = Vec::new();
     loop {
--- a/crates/foldhaven-gateway/src/rate_limit_tracker.rs
+++ b/crates/foldhaven-gateway/src/rate_limit_tracker.rs
@@ -1,4 +1,5 @@
-//! The limits that upstreams name in their answers, shared by both threads, with a log line for each change.
+//! Tracks the rate limits that upstreams announce in their answers, shared by both threads. Each
+//! change is logged.
 
 use foldhaven_core::opaque::affinity::UpstreamTag;
 use foldhaven_core::opaque::upstream_signals::{
@@ -12,16 +13,16 @@
 use crate::shared::GatewayShared;
 use crate::upstream::Upstream;
 
-/// The limits.
+/// The rate limits of upstreams.
 #[derive(Default)]
 pub struct RateLimitTracker {
     limits: Mutex<RateLimits>,
-    /// Told when there is something to tell other VMs.
+    /// Notified when there are updates to send to other VMs.
     updates: Notify,
 }
 
 impl RateLimitTracker {
-    /// Takes in the limit that an answer names, or that it names none.
+    /// Records the limit that an answer announces. `None` if it announces none.
     pub fn record_answer(
         &self,
         shared: &GatewayShared,
@@ -39,33 +40,33 @@
         record_limit_change(shared, upstream, &change, "answer");
     }
 
-    /// Takes in what another VM tells. Returns what has changed.
-    pub fn apply_notice(&self, told: &LimitNotice, now: MonoTime) -> Option<LimitChange> {
-        self.limits.lock().hear(told, now)
+    /// Applies a limit that another VM reports. Returns the change, if any.
+    pub fn apply_notice(&self, notice: &LimitNotice, now: MonoTime) -> Option<LimitChange> {
+        self.limits.lock().hear(notice, now)
     }
 
-    /// Has an upstream kept to its limit, or to none any more.
+    /// Updates whether an upstream is marked as limited.
     pub fn apply(&self, upstream: &Upstream) {
         let limits = self.limits.lock();
         upstream.set_limited(limits.limit(upstream.tag).is_some());
     }
 
-    /// Waits until there may be something to tell.
+    /// Waits until there may be updates to send.
     pub async fn wait_for_updates(&self) {
         self.updates.notified().await;
     }
 
-    /// What is to be told at once.
+    /// Removes and returns the updates that are to be sent at once.
     pub fn take_updates(&self, now: MonoTime) -> Vec<LimitNotice> {
         self.limits.lock().take_news(now)
     }
 
-    /// What is told again and again.
+    /// Returns all limits, for periodic resending.
     pub fn all_notices(&self, now: MonoTime) -> Vec<LimitNotice> {
         self.limits.lock().all(now)
     }
 
-    /// Drops what is too old to count.
+    /// Removes expired entries.
     pub fn forget(&self, is_listed: impl Fn(UpstreamTag) -> bool, shared: &GatewayShared) {
         let mut limits = self.limits.lock();
         if !limits.is_empty() {
@@ -74,13 +75,13 @@
         }
     }
 
-    /// The limit of an upstream.
+    /// Returns the limit of an upstream. `None` if it has none.
     pub fn limit(&self, upstream: &Upstream) -> Option<RequestRate> {
         self.limits.lock().limit(upstream.tag)
     }
 }
 
-/// Counts and logs a change, of which this VM learnt from a source.
+/// Counts and logs the change of a limit. `source` names where this VM learned of it.
 pub fn record_limit_change(
     shared: &GatewayShared,
     upstream: &Upstream,
@@ -103,7 +104,7 @@
             before,
             event,
             source,
-            "the limit of an upstream changes"
+            "upstream limit changed"
         );
     }
 }
--- a/crates/foldhaven-gateway/src/settings.rs
+++ b/crates/foldhaven-gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a gateway daemon, in YAML.
+//! The settings of a gateway daemon in YAML.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -15,43 +15,46 @@
 /// The addresses on which a daemon listens.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GatewayAddresses {
-    /// For callers' requests.
+    /// For the requests of callers.
     pub caller: SocketAddr,
-    /// For the question whether the daemon is ready.
+    /// For readiness checks.
     pub ready: SocketAddr,
-    /// For callers who ask which VMs to use.
+    /// For queries of callers about which VMs to use.
     pub directory: SocketAddr,
     /// For operators: metrics and status.
     pub operator: SocketAddr,
     /// For other VMs: heartbeats over UDP and forwarded requests over TCP. The same port on all VMs.
     pub peer: SocketAddr,
-    /// For those who collect metrics and do not know the operators' address.
+    /// For metrics collectors that do not know the operators' address. `None` if there is no
+    /// separate address.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub metrics: Option<SocketAddr>,
 }
 
-/// Limits that hold over all VMs together.
+/// Limits that apply to all VMs together.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SharedLimits {
-    /// Retries permitted for each request of a service.
+    /// Retries permitted per request of a service.
     pub retry_ratio: f64,
-    /// Retries of a service permitted on top in each window.
+    /// Additional retries of a service permitted in each window.
     pub retry_extra: f64,
-    /// The length of that window in seconds.
+    /// The length of that window in seconds, in the range 0.1 to 3600.
     pub retry_window_s: f64,
-    /// What is permitted above the limits of accounts in a window, as a share of what they permit.
+    /// By how much the limits of accounts may be exceeded in a window, as a share of what they
+    /// permit in it. Default: 0.
     #[serde(default)]
     pub account_share: Option<f64>,
-    /// What is permitted on top of that, in the unit of the limit.
+    /// By how much they may be exceeded in addition, in the unit of the limit. Default: 0.
     #[serde(default)]
     pub account_extra: Option<f64>,
-    /// The length of the window in seconds.
+    /// The length of the window of the account limits in seconds, at most 3600. Default: 0.
     #[serde(default)]
     pub account_window_s: Option<f64>,
 }
 
 impl SharedLimits {
-    /// What is permitted above the limits of accounts; nothing where the settings do not say.
+    /// Returns by how much the limits of accounts may be exceeded. Values that are not set count as
+    /// 0.
     pub fn accounts(&self) -> LimitSlack {
         LimitSlack {
             share: self.account_share.unwrap_or_default(),
@@ -60,7 +63,7 @@
         }
     }
 
-    /// The retry budget.
+    /// Returns the retry budget.
     pub fn retries(&self) -> RetryLimits {
         RetryLimits {
             ratio: self.retry_ratio,
@@ -70,33 +73,35 @@
     }
 }
 
-/// The settings of one daemon. Unknown fields are ignored and named once in the log.
+/// The settings of one daemon. Unknown fields are ignored, and each is logged once at startup.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct GatewaySettings {
     /// The name of this VM.
     pub vm: VmName,
-    /// The data centre that it stands in.
+    /// The data centre of this VM.
     pub data_centre: DataCentreName,
     /// The region of each data centre.
     pub regions: BTreeMap<DataCentreName, RegionName>,
-    /// The addresses on which it listens.
+    /// The addresses on which the daemon listens.
     pub addresses: GatewayAddresses,
-    /// Addresses of some other VMs; only the hosts count, since all VMs use one peer port.
+    /// Addresses of some other VMs. Their ports are ignored, since all VMs use the same peer port.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
     /// The address of the platform's service.
     pub platform: SocketAddr,
-    /// Limits over all VMs.
+    /// Limits that apply to all VMs together.
     pub limits: SharedLimits,
-    /// The processor that this VM has, in cores. Larger VMs take requests first, and more of them.
+    /// The processor capacity of this VM in cores. Larger VMs are the first to take requests, and
+    /// take more of them. Default: 1.
     #[serde(default = "default_cores")]
     pub cores: CoreShare,
-    /// The time in seconds from the request to stop to the forced end.
+    /// The time in seconds from the signal to stop to the forced end of the process.
     pub grace_s: f64,
-    /// The least severe level that is logged: `error`, `warn`, `info`, `debug` or `trace`.
+    /// The least severe level that is logged: `error`, `warn`, `info`, `debug` or `trace`. Default:
+    /// `info`.
     #[serde(default = "default_log")]
     pub log: String,
-    /// Fields that are not known.
+    /// The unknown fields.
     #[serde(flatten)]
     pub unknown: BTreeMap<String, serde_json::Value>,
 }
@@ -156,27 +161,28 @@
 }
 
 impl GatewaySettings {
-    /// Reads settings from a file and checks them.
+    /// Reads the settings from a file and validates them.
     ///
     /// # Errors
     ///
-    /// When the file cannot be read, is not YAML of the right shape, or has a value out of range.
+    /// If the file cannot be read, is not YAML of the expected structure, or has a value out of
+    /// range.
     pub fn read(path: &Path) -> Result<Self, SettingsError> {
         read_settings(path)
     }
 
-    /// The region of this VM.
+    /// Returns the region of this VM.
     pub fn region(&self) -> &RegionName {
         &self.regions[&self.data_centre]
     }
 
-    /// How many regions there may be.
+    /// Returns the number of regions that may exist.
     pub fn region_count(&self) -> usize {
         let regions: BTreeSet<&RegionName> = self.regions.values().collect();
         regions.len()
     }
 
-    /// Where the seeds take heartbeats.
+    /// Returns the addresses at which the seeds receive heartbeats. This VM is left out.
     pub fn seed_peers(&self) -> Vec<SocketAddr> {
         let port = self.addresses.peer.port();
         let peers = self.seeds.iter().map(|seed| SocketAddr::new(seed.ip(), port));
--- a/crates/foldhaven-gateway/src/shared.rs
+++ b/crates/foldhaven-gateway/src/shared.rs
@@ -1,4 +1,5 @@
-//! What the control thread and the traffic thread share: views one way, counts the other.
+//! State shared by the control thread and the traffic thread: the control thread publishes views,
+//! and the traffic thread publishes measurements and counts.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
@@ -31,85 +32,89 @@
 use crate::view::GatewayView;
 use crate::wake::WakeWatch;
 
-/// From when on a VM that others are ahead of does not rule out what it does not know. Changes are in force
-/// everywhere within five seconds, by the operators' word; asking for them takes well under one.
+/// Lag from which on this VM no longer concludes from its own state that something does not exist.
+/// The operators require changes to be in force everywhere within five seconds; fetching them takes
+/// well under one second.
 const OUTDATED_AFTER: Duration = Duration::from_millis(1_000);
-/// From when on what was not proven since rules nothing out, by the same word of the operators: a region all of which is equally
-/// old has nobody ahead in it.
+/// Staleness from which on the platform state rules nothing out, even if no VM is known to have
+/// newer state: in a region whose VMs are all equally stale, none is ahead. Follows from the same
+/// requirement of five seconds.
 pub const STALE_AFTER: Duration = Duration::from_millis(5_000);
-/// From when on a VM that others of its region are ahead of takes no requests, short of those five seconds: what
-/// it would do with them may be forbidden by now, and its callers have others to ask. A region that is cut off has
-/// nobody ahead in it and goes on.
+/// Lag behind another VM of the region from which on this VM accepts no requests. It is below the
+/// five seconds, since newer state may forbid what this VM would do, and callers can use the other
+/// VMs. In a region that is partitioned from the others no VM is ahead, so its VMs continue to
+/// serve.
 const REFUSE_REQUESTS_AFTER: Duration = Duration::from_millis(4_000);
 
-/// That other VMs know changes of the platform that this one does not.
+/// A lag of this VM: other VMs know platform changes that it does not.
 #[derive(Debug, Clone, Copy)]
 pub struct ObservedLag {
-    /// Since when.
+    /// When the lag began.
     pub since: MonoTime,
-    /// Whether a VM of this region is among them.
+    /// Whether a VM of this region is ahead.
     pub is_local: bool,
 }
 
-/// How far a planned stop has come.
+/// The stage of a planned stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StopStage {
     /// Serving as usual.
     Serving,
-    /// Others are told; requests that still come are served, and their connections closed.
+    /// Other VMs are informed. Requests that still arrive are served, and their connections are
+    /// then closed.
     Leaving,
-    /// No new connections; only what is under way is finished.
+    /// No new connections are accepted. Requests in flight are completed.
     Closing,
 }
 
-/// Everything that the threads of one daemon share.
+/// The state that the threads of one daemon share.
 pub struct GatewayShared {
-    /// The settings as they were read at the start.
+    /// The settings as read at startup.
     pub settings: GatewaySettings,
     pub names: HeaderNames,
     pub metrics: GatewayMetrics,
-    /// Limits how many lines on requests are logged.
+    /// Limits the number of log lines about requests.
     pub quota: LogQuota,
     pub stage: watch::Sender<StopStage>,
-    /// Which upstreams of the region probably hold which prompts.
+    /// The prompts that each upstream of the region has probably cached.
     pub prefix_caches: Mutex<PrefixCacheIndex>,
-    /// Long prompts that were sent since other VMs were told last.
+    /// The destinations of long prompts since the last report to other VMs.
     pub placements: Mutex<Vec<PromptPlacement>>,
-    /// How long requests of each service held their upstreams, as measured.
+    /// The measured performance of each service's upstreams.
     performance: Mutex<HashMap<ServiceName, ServicePerformance>>,
-    /// The longest times that callers of each route give.
+    /// The longest remaining times that callers of each route announce.
     caller_timeouts: Mutex<HashMap<RouteName, CallerTimeouts>>,
-    /// What the requests of each route have shown.
+    /// The statistics of each route's requests.
     route_histories: Mutex<HashMap<RouteName, RouteHistory>>,
     /// The clock of the process.
     pub clock: MonoClock,
     view: ArcSwapOption<GatewayView>,
-    /// When the first view was published.
+    /// When the first view was published. Empty before that.
     first_view: OnceLock<BootInstant>,
-    /// This VM's part of each service's retry budget.
+    /// This VM's share of each service's retry budget.
     retry_shares: Mutex<HashMap<ServiceName, RetryShare>>,
-    /// Requests under way.
+    /// The number of requests in flight.
     in_flight: AtomicU32,
-    /// Requests that were taken since the start.
+    /// The number of requests accepted since startup.
     accepted_requests: AtomicU64,
-    /// Told when none is under way any more.
+    /// Notified when no request is in flight any more.
     idle: Notify,
     is_leaving: AtomicBool,
-    /// What is believed of others that know more.
+    /// The current lag behind other VMs. `None` if no VM is known to be ahead.
     lag: Mutex<Option<ObservedLag>>,
-    /// Told when another VM says that it knows more of the platform's changes.
+    /// Notified when another VM announces a newer revision of the platform state.
     pub newer_revision_notify: Notify,
-    /// When what is believed of the platform was proven last.
+    /// When the platform state was last confirmed to be current. `None` if it never was.
     confirmed_at: Mutex<Option<MonoTime>>,
-    /// Requests under which upstreams ended.
+    /// Requests that were in flight at upstreams that exited.
     pub suspects: SuspectTracker,
-    /// The limits that upstreams name.
+    /// The rate limits that upstreams announce.
     pub limits: RateLimitTracker,
-    /// The upstreams that have said that they leave.
+    /// The upstreams that have announced that they are leaving.
     pub leaving_upstreams: LeavingTracker,
-    /// What limited accounts use.
+    /// The usage of accounts with limits.
     pub accounts: AccountLimiter,
-    /// Whether what is believed is of now.
+    /// Detects that the process was suspended, so that its state may be outdated.
     pub wake: WakeWatch,
 }
 
@@ -145,113 +150,121 @@
         })
     }
 
-    /// The time on the clock that never steps back.
+    /// Returns the current time of the monotonic clock.
     pub fn now(&self) -> MonoTime {
         self.clock.now()
     }
 
-    /// When this process started.
+    /// Returns the time at which this process started.
     pub fn started(&self) -> MonoTime {
         self.now() - self.uptime()
     }
 
-    /// How long this process has run.
+    /// Returns the time since this process started.
     pub fn uptime(&self) -> Duration {
         self.clock.uptime()
     }
 
-    /// What requests are decided by; nothing before the first description.
+    /// Returns the view by which requests are routed. `None` before the first description.
     pub fn view(&self) -> Option<Arc<GatewayView>> {
         self.view.load_full()
     }
 
-    /// Replaces what requests are decided by.
+    /// Replaces the view by which requests are routed.
     pub fn publish(&self, view: GatewayView) {
         self.view.store(Some(Arc::new(view)));
         self.first_view.get_or_init(BootInstant::now);
     }
 
-    /// For how long this process has known what to decide by.
+    /// Returns the time since the first view was published. Zero before that.
     pub fn time_since_first_view(&self) -> Duration {
         self.first_view.get().map_or(Duration::ZERO, BootInstant::elapsed)
     }
 
-    /// What is believed of others that know more.
+    /// Returns the current lag behind other VMs. `None` if no VM is known to be ahead.
     pub fn lag(&self) -> Option<ObservedLag> {
         *self.lag.lock()
     }
 
-    /// When and where a change of what is believed of a request is noted.
+    /// Returns the current time and the metrics, as needed to record a change of a suspected
+    /// request.
     pub fn change_context(&self) -> ChangeContext<'_> {
         ChangeContext { metrics: &self.metrics, now: self.now() }
     }
 
-    /// Whether this process knows all that it needs to take requests: a description, and which requests must not be
-    /// sent on.
+    /// Returns whether this process has the state that it needs to accept requests: a description,
+    /// and the records of suspected requests. It must not have been suspended a moment ago.
     pub fn is_ready(&self) -> bool {
         let is_informed = self.suspects.is_informed(self.time_since_first_view());
         self.view.load().is_some() && is_informed && self.is_awake()
     }
 
-    /// Whether requests may be decided by what is believed: the process did not stand still a moment ago.
+    /// Returns whether requests may be routed by the current state. Returns false if the process
+    /// was suspended and does not know yet what happened meanwhile.
     pub fn is_awake(&self) -> bool {
         self.wake.is_awake(self.now())
     }
 
+    /// Returns whether a planned stop has begun.
     pub fn is_leaving(&self) -> bool {
         self.is_leaving.load(Ordering::Relaxed)
     }
 
-    /// Notes whether other VMs know changes of the platform that this one does not.
+    /// Sets the current lag behind other VMs.
     pub fn set_lag(&self, lag: Option<ObservedLag>) {
         *self.lag.lock() = lag;
     }
 
-    /// Notes when what is believed of the platform was proven last.
+    /// Sets the time at which the platform state was last confirmed.
     pub fn set_confirmed_at(&self, confirmed_at: Option<MonoTime>) {
         *self.confirmed_at.lock() = confirmed_at;
     }
 
-    /// For how long what is believed of the platform has not been proven; since the start when it never was.
+    /// Returns the time since the platform state was last confirmed, or since startup if it never
+    /// was.
     pub fn staleness(&self) -> Duration {
         let confirmed_at = *self.confirmed_at.lock();
         confirmed_at.map_or_else(|| self.uptime(), |confirmed_at| self.now().since(confirmed_at))
     }
 
-    /// Whether what is not known here may well be known to others, or to the platform alone.
+    /// Returns whether something that this VM does not know may be known to other VMs or to the
+    /// platform.
     pub fn is_possibly_outdated(&self) -> bool {
         self.lag_of_at_least(OUTDATED_AFTER).is_some() || self.staleness() >= STALE_AFTER
     }
 
-    /// Whether others of the region have known more for so long that this VM is to take no requests.
+    /// Returns whether this VM has lagged behind another VM of its region for so long that it must
+    /// not accept requests.
     pub fn is_too_far_behind(&self) -> bool {
         self.lag_of_at_least(REFUSE_REQUESTS_AFTER).is_some_and(|lag| lag.is_local)
     }
 
+    /// Returns the current lag if it has lasted for at least `span`.
     fn lag_of_at_least(&self, span: Duration) -> Option<ObservedLag> {
         let lag = *self.lag.lock();
         lag.filter(|lag| self.now().since(lag.since) >= span)
     }
 
-    /// Goes on to a stage of a planned stop.
+    /// Enters a stage of a planned stop.
     pub fn enter_stage(&self, stage: StopStage) {
         self.is_leaving.store(stage != StopStage::Serving, Ordering::Relaxed);
         self.stage.send_replace(stage);
     }
 
-    /// How fast the upstreams of a service are.
+    /// Returns the measured performance of a service's upstreams, with the fetch rate from the
+    /// description (0 if the description has none).
     pub fn performance(&self, service: &ServiceName, view: &GatewayView) -> ServicePerformance {
         let measured = self.performance.lock().get(service).copied().unwrap_or_default();
         let described = view.routes.service(service).and_then(|service| service.fetch_rate);
         ServicePerformance { fetch_tokens_per_s: described.unwrap_or_default(), ..measured }
     }
 
-    /// How fast the upstreams of a service have been.
+    /// Returns the measured performance of a service's upstreams.
     pub fn measured_performance(&self, service: &ServiceName) -> ServicePerformance {
         self.performance.lock().get(service).copied().unwrap_or_default()
     }
 
-    /// Notes how long a request held its place at an upstream of a service.
+    /// Records how long a request occupied a slot of an upstream.
     pub fn record_slot_time(&self, service: &ServiceName, held: Duration) {
         self.with_performance(service, |performance| performance.record_slot_time(held));
     }
@@ -268,7 +281,8 @@
         act(performance.entry(service.clone()).or_default())
     }
 
-    /// Takes in the time that a caller of a route still gives. Returns how long it has waited already.
+    /// Records the remaining time that a caller of a route announces. Returns how long the caller
+    /// has already waited.
     pub fn record_caller_timeout(&self, route: &RouteName, remaining: Duration) -> Duration {
         let now = self.now();
         let mut caller_timeouts = self.caller_timeouts.lock();
@@ -278,12 +292,12 @@
         caller_timeouts.entry(route.clone()).or_default().record(remaining, now)
     }
 
-    /// What the requests of a route have shown.
+    /// Returns the statistics of a route's requests.
     pub fn route_history(&self, route: &RouteName) -> RouteHistory {
         self.route_histories.lock().get(route).copied().unwrap_or_default()
     }
 
-    /// Takes in what a request of a route has shown, and gives what all of them have.
+    /// Updates the statistics of a route's requests, and returns them.
     pub fn update_route_history(
         &self,
         route: &RouteName,
@@ -299,12 +313,14 @@
         *history
     }
 
-    /// Takes in how long an upstream of a service took to read so many prompt tokens and to answer.
+    /// Records how long an upstream of a service took to prefill `tokens` prompt tokens and to
+    /// begin its answer.
     pub fn record_prefill(&self, service: &ServiceName, tokens: u32, took: Duration) {
         self.with_performance(service, |performance| performance.record_prefill(tokens, took));
     }
 
-    /// Takes in whether an upstream of a service took a request or declined it. Returns what is known by then.
+    /// Updates the queue capacity of a service's upstreams with a request that one of them accepted
+    /// or refused. Returns the result.
     pub fn update_queue_capacity(
         &self,
         service: &ServiceName,
@@ -316,29 +332,32 @@
         })
     }
 
-    /// Takes in whether a pause of a stream was longer than wanted, and the prompt tokens that its upstream
-    /// had to read when it began.
+    /// Records whether a pause of a stream was too long, with the prefill backlog of its upstream
+    /// when the pause began, in tokens.
     pub fn record_pause(&self, service: &ServiceName, prefill_backlog: u32, is_long: bool) {
         self.with_performance(service, |performance| {
             performance.pause_statistics.record(prefill_backlog, is_long)
         });
     }
 
-    /// Takes in the time between two events of a stream, and how many requests its upstream had.
+    /// Records the time between two events of a stream, with the number of requests at its
+    /// upstream.
     pub fn record_event_interval(&self, service: &ServiceName, between: Duration, load: f64) {
         self.with_performance(service, |performance| {
             performance.event_interval.record(between, load)
         });
     }
 
-    /// Counts a request of a caller, and its size, for the retry budget and the pace of its service.
+    /// Records a request of a caller and its size, for the retry budget and the performance model
+    /// of its service.
     pub fn record_request(&self, service: &ServiceName, size: u32) {
         let now = self.now();
         self.with_performance(service, |performance| performance.record_size(size));
         self.with_retry_share(service, |share| share.record_request(now));
     }
 
-    /// Takes one retry out of this VM's part of the budget.
+    /// Withdraws one retry from this VM's share of the budget. Returns whether the share permits
+    /// it.
     pub fn try_withdraw_retry(&self, service: &ServiceName, view: &GatewayView) -> bool {
         let now = self.now();
         let uptime = self.uptime();
@@ -358,24 +377,24 @@
         act(retry_shares.entry(service.clone()).or_insert(share))
     }
 
-    /// How many requests are under way.
+    /// Returns the number of requests in flight.
     pub fn in_flight(&self) -> u32 {
         self.in_flight.load(Ordering::Relaxed)
     }
 
-    /// How many requests were taken since the start.
+    /// Returns the number of requests accepted since startup.
     pub fn accepted_requests(&self) -> u64 {
         self.accepted_requests.load(Ordering::Relaxed)
     }
 
-    /// Counts one request as under way until the guard is dropped.
+    /// Counts a request as in flight until the guard is dropped.
     pub fn start_request(self: &Arc<Self>) -> InFlightGuard {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         self.accepted_requests.fetch_add(1, Ordering::Relaxed);
         InFlightGuard { shared: self.clone() }
     }
 
-    /// Waits until no request is under way.
+    /// Waits until no request is in flight.
     pub async fn wait_idle(&self) {
         loop {
             let idle = self.idle.notified();
@@ -387,7 +406,7 @@
     }
 }
 
-/// One request under way.
+/// Guard of a request in flight.
 pub struct InFlightGuard {
     shared: Arc<GatewayShared>,
 }
--- a/crates/foldhaven-gateway/src/signal_sender.rs
+++ b/crates/foldhaven-gateway/src/signal_sender.rs
@@ -1,4 +1,4 @@
-//! Tells the other VMs of the region what upstreams say of themselves.
+//! Relays the rate limits and leave notices of upstreams to the other VMs of the region.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,32 +13,32 @@
 use crate::shared::GatewayShared;
 use crate::update_sender::{UpdateSender, wait_for_other_senders};
 
-/// How many upstreams go into one datagram.
+/// Maximum number of upstreams in one datagram.
 const MAX_NOTICES_PER_DATAGRAM: usize = 256;
 
-/// What VMs are told in one round.
+/// The notices that are sent in one round.
 struct SignalBatch {
     limits: Vec<LimitNotice>,
-    leavers: Vec<LeavingNotice>,
+    leaving: Vec<LeavingNotice>,
 }
 
 impl SignalBatch {
     fn is_empty(&self) -> bool {
-        self.limits.is_empty() && self.leavers.is_empty()
+        self.limits.is_empty() && self.leaving.is_empty()
     }
 
     fn messages(&self) -> impl Iterator<Item = PeerMessage> {
         let limits =
             self.limits.chunks(MAX_NOTICES_PER_DATAGRAM).map(|it| PeerMessage::Limits(it.to_vec()));
-        let leavers = self
-            .leavers
+        let leaving = self
+            .leaving
             .chunks(MAX_NOTICES_PER_DATAGRAM)
             .map(|it| PeerMessage::Leavers(it.to_vec()));
-        limits.chain(leavers)
+        limits.chain(leaving)
     }
 }
 
-/// Tells of limits and of upstreams that leave. Several VMs hear one upstream at once.
+/// Sends limits and leave notices. Several VMs may receive them from one upstream at the same time.
 pub struct SignalSender {
     pub socket: Arc<UdpSocket>,
     pub control: ControlAddress,
@@ -71,7 +71,7 @@
         let now = self.shared.now();
         let limits = self.shared.limits.take_updates(now);
         let batch =
-            SignalBatch { limits, leavers: self.shared.leaving_upstreams.take_updates(now) };
+            SignalBatch { limits, leaving: self.shared.leaving_upstreams.take_updates(now) };
         self.send(&targets, &batch).await;
         Ok(())
     }
@@ -79,7 +79,7 @@
     async fn resend(&self) -> Result<(), xtra::Error> {
         let now = self.shared.now();
         let limits = self.shared.limits.all_notices(now);
-        let batch = SignalBatch { limits, leavers: self.shared.leaving_upstreams.all_notices(now) };
+        let batch = SignalBatch { limits, leaving: self.shared.leaving_upstreams.all_notices(now) };
         if batch.is_empty() {
             return Ok(());
         }
--- a/crates/foldhaven-gateway/src/suspect_sender.rs
+++ b/crates/foldhaven-gateway/src/suspect_sender.rs
@@ -1,4 +1,4 @@
-//! Tells other VMs of requests under which upstreams ended.
+//! Sends updates about suspected requests to other VMs.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use crate::shared::GatewayShared;
 use crate::update_sender::{UpdateSender, wait_for_other_senders};
 
-/// Tells of what holds requests back.
+/// Sends the records of suspected requests.
 pub struct SuspectSender {
     pub socket: Arc<UdpSocket>,
     pub control: ControlAddress,
@@ -23,18 +23,18 @@
 }
 
 impl SuspectSender {
-    async fn tell(&self, news: Vec<SuspectUpdate>) -> Result<(), xtra::Error> {
-        if news.is_empty() {
+    async fn tell(&self, updates: Vec<SuspectUpdate>) -> Result<(), xtra::Error> {
+        if updates.is_empty() {
             return Ok(());
         }
         let reason = SendReason::Change;
-        let SuspectTargets { local: near, remote: far } =
+        let SuspectTargets { local, remote } =
             self.control.send(PlanSuspectTargets { reason }).await?;
-        let wide = news.iter().filter(|news| news.scope == UpdateScope::Global);
-        let wide: Vec<SuspectRecord> = wide.map(|news| news.record.clone()).collect();
-        let all: Vec<SuspectRecord> = news.into_iter().map(|news| news.record).collect();
-        self.send(&far, &wide).await;
-        self.send(&near, &all).await;
+        let global = updates.iter().filter(|update| update.scope == UpdateScope::Global);
+        let global: Vec<SuspectRecord> = global.map(|update| update.record.clone()).collect();
+        let all: Vec<SuspectRecord> = updates.into_iter().map(|update| update.record).collect();
+        self.send(&remote, &global).await;
+        self.send(&local, &all).await;
         Ok(())
     }
 
@@ -44,8 +44,8 @@
         }
         let region = self.shared.settings.region();
         for chunk in records.chunks(MAX_RECORDS_PER_MESSAGE) {
-            let telling = SuspectMessage { region: region.clone(), records: chunk.to_vec() };
-            let bytes = send_to(&self.socket, targets, &PeerMessage::Suspects(telling)).await;
+            let message = SuspectMessage { region: region.clone(), records: chunk.to_vec() };
+            let bytes = send_to(&self.socket, targets, &PeerMessage::Suspects(message)).await;
             let sum = (bytes * targets.len()) as u64;
             self.shared.metrics.add_events("suspects_told_bytes", sum);
         }
@@ -61,22 +61,22 @@
     async fn send_updates(&self) -> Result<(), xtra::Error> {
         self.tell(self.shared.suspects.take_updates()).await?;
         wait_for_other_senders().await;
-        // What has come up meanwhile goes first.
+        // Updates that came up during the delay are sent first.
         self.tell(self.shared.suspects.take_updates()).await?;
         self.tell(self.shared.suspects.take_shared_updates()).await
     }
 
-    /// Nothing is sent while nothing holds requests back.
+    /// Sends nothing while no request is held back.
     async fn resend(&self) -> Result<(), xtra::Error> {
         let records = self.shared.suspects.next_resent(self.shared.now());
         if records.is_empty() {
             return Ok(());
         }
         let reason = SendReason::Repeat;
-        let SuspectTargets { local: near, remote: far } =
+        let SuspectTargets { local, remote } =
             self.control.send(PlanSuspectTargets { reason }).await?;
-        self.send(&far, &records).await;
-        self.send(&near, &records).await;
+        self.send(&remote, &records).await;
+        self.send(&local, &records).await;
         Ok(())
     }
 }
--- a/crates/foldhaven-gateway/src/suspects.rs
+++ b/crates/foldhaven-gateway/src/suspects.rs
@@ -1,5 +1,5 @@
-//! What this VM believes of requests under which upstreams ended, shared by both threads, with a log line for each
-//! change of it.
+//! Tracks suspected requests: requests that were in flight at upstreams that exited and may have
+//! crashed them. Shared by both threads. Changes are logged.
 
 use std::num::NonZeroUsize;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -21,29 +21,31 @@
 use crate::logging::LogQuota;
 use crate::metrics::GatewayMetrics;
 
-/// So long after its first description a process that nobody has told anything takes requests: it is the first one, or
-/// alone. Seeds are asked every 100 ms and answer within one round trip between regions.
+/// The time after its first description from which a process without records from other VMs accepts
+/// requests: it is the first process, or partitioned. Seeds are asked every 100 ms and answer
+/// within one round trip between regions.
 const INFORMED_AFTER: Duration = Duration::from_millis(300);
 
-/// How many routes of requests that were held back are remembered, for operators.
+/// Maximum number of refused requests whose routes are remembered for operators.
 const MAX_ROUTES: NonZeroUsize = NonZeroUsize::new(1_024).expect("not zero");
 
-/// The suspected requests.
+/// The suspected requests that this VM knows.
 pub struct SuspectTracker {
     table: Mutex<SuspectTable>,
-    /// The routes of requests that were held back here.
+    /// The routes of requests that this VM refused.
     routes: Mutex<LruCache<RequestFingerprint, RouteName>>,
-    /// Limits how many lines on changes are logged.
+    /// Limits the number of log lines about changes.
     quota: LogQuota,
-    /// Told when there is something to tell other VMs.
+    /// Notified when there are updates to send to other VMs.
     updates: Notify,
-    /// Told when a request is refused from now on.
+    /// Notified when a request starts to be refused.
     refused: watch::Sender<()>,
-    /// Whether another VM has told what it knows since this process started.
+    /// Whether another VM has sent its records since this process started, or since
+    /// [`SuspectTracker::mark_uninformed`] was called.
     is_informed: AtomicBool,
 }
 
-/// Counts and logs of a change.
+/// The metrics in which a change is counted, and the time at which it occurs.
 pub struct ChangeContext<'a> {
     pub metrics: &'a GatewayMetrics,
     pub now: MonoTime,
@@ -61,83 +63,88 @@
         }
     }
 
-    /// How many upstreams ended under a request.
-    pub fn exit_count(&self, print: &RequestFingerprint) -> usize {
-        self.table.lock().exit_count(print)
+    /// Returns the number of upstreams known to have exited under a request since it was last
+    /// exonerated.
+    pub fn exit_count(&self, fingerprint: &RequestFingerprint) -> usize {
+        self.table.lock().exit_count(fingerprint)
     }
 
-    /// What would be done with a request.
-    pub fn peek_verdict(&self, print: &RequestFingerprint, now: MonoTime) -> SuspectVerdict {
-        self.table.lock().peek_verdict(print, now)
+    /// Returns the decision on a request without starting a probe.
+    pub fn peek_verdict(&self, fingerprint: &RequestFingerprint, now: MonoTime) -> SuspectVerdict {
+        self.table.lock().peek_verdict(fingerprint, now)
     }
 
-    /// What is done with a request that is about to be sent to an upstream.
+    /// Returns the decision on a request that is about to be sent to an upstream. If it is
+    /// [`SuspectVerdict::Probe`], the probe has started.
     pub fn decide(
         &self,
-        print: &RequestFingerprint,
+        fingerprint: &RequestFingerprint,
         context: &ChangeContext<'_>,
     ) -> SuspectVerdict {
-        let verdict = self.table.lock().decide(print, context.now);
+        let verdict = self.table.lock().decide(fingerprint, context.now);
         if verdict == SuspectVerdict::Probe {
             context.metrics.count_event("suspect_tried");
-            tracing::info!(%print, "a suspected request is tried");
+            tracing::info!(print = %fingerprint, "probing a suspected request");
             self.updates.notify_one();
         }
         verdict
     }
 
-    /// Waits until a request is refused that was not before.
-    pub async fn wait_until_refused(&self, print: &RequestFingerprint) {
+    /// Waits until a request starts to be refused.
+    pub async fn wait_until_refused(&self, fingerprint: &RequestFingerprint) {
         let mut refused = self.refused.subscribe();
-        // The sender lives as long as this desk.
+        // The sender exists as long as this tracker.
         while refused.changed().await.is_ok() {
-            if self.exit_count(print) >= REFUSE_EXITS {
+            if self.exit_count(fingerprint) >= REFUSE_EXITS {
                 return;
             }
         }
     }
 
-    /// Notes which route a request is of that is held back.
-    pub fn remember_route(&self, print: RequestFingerprint, route: &RouteName) {
-        self.routes.lock().get_or_insert(print, || route.clone());
+    /// Remembers the route of a request that is refused.
+    pub fn remember_route(&self, fingerprint: RequestFingerprint, route: &RouteName) {
+        self.routes.lock().get_or_insert(fingerprint, || route.clone());
     }
 
-    /// The route of a request that was held back here.
-    pub fn route_of(&self, print: &RequestFingerprint) -> Option<RouteName> {
-        self.routes.lock().peek(print).cloned()
+    /// Returns the route of a request that this VM refused. `None` if it refused none with this
+    /// fingerprint recently.
+    pub fn route_of(&self, fingerprint: &RequestFingerprint) -> Option<RouteName> {
+        self.routes.lock().peek(fingerprint).cloned()
     }
 
-    /// Clears a request as a whole answer does. Returns whether anything was held against it.
-    pub fn clear(&self, print: RequestFingerprint, context: &ChangeContext<'_>) -> bool {
-        let change = self.table.lock().clear(print, context.now);
+    /// Clears a request on behalf of an operator, as a complete answer would. Returns whether the
+    /// request had any exits.
+    pub fn clear(&self, fingerprint: RequestFingerprint, context: &ChangeContext<'_>) -> bool {
+        let change = self.table.lock().clear(fingerprint, context.now);
         let is_cleared = change.is_some();
         self.record_change(change, "operator", context);
         is_cleared
     }
 
-    /// Notes that a trial of this VM is over, and whether an upstream may have got it.
-    pub fn finish_probe(&self, print: &RequestFingerprint, was_sent: bool, now: MonoTime) {
-        self.table.lock().finish_probe(print, was_sent, now);
+    /// Records that a probe of this VM is over. `was_sent` tells whether an upstream may have
+    /// received it.
+    pub fn finish_probe(&self, fingerprint: &RequestFingerprint, was_sent: bool, now: MonoTime) {
+        self.table.lock().finish_probe(fingerprint, was_sent, now);
     }
 
-    /// Notes that an upstream ended under a request of this VM.
+    /// Records that an upstream exited under a request of this VM.
     pub fn record_exit(
         &self,
-        print: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         upstream: UpstreamTag,
         context: &ChangeContext<'_>,
     ) {
-        let change = self.table.lock().record_exit(print, upstream, context.now);
+        let change = self.table.lock().record_exit(fingerprint, upstream, context.now);
         self.record_change(change, "own", context);
     }
 
-    /// Notes that a request was answered whole.
-    pub fn record_success(&self, print: RequestFingerprint, context: &ChangeContext<'_>) {
-        let change = self.table.lock().record_success(print, context.now);
+    /// Records that a request was answered completely.
+    pub fn record_success(&self, fingerprint: RequestFingerprint, context: &ChangeContext<'_>) {
+        let change = self.table.lock().record_success(fingerprint, context.now);
         self.record_change(change, "own", context);
     }
 
-    /// Takes in what another VM told.
+    /// Merges the records that another VM sent.
     pub fn merge_records(
         &self,
         records: &[SuspectRecord],
@@ -146,60 +153,62 @@
     ) {
         self.is_informed.store(true, Ordering::Relaxed);
         for record in records {
-            let heard = self.table.lock().merge_record(record, source, context.now);
-            match heard {
+            let result = self.table.lock().merge_record(record, source, context.now);
+            match result {
                 Ok(change) => self.record_change(change, "told", context),
                 Err(fault) => {
                     context.metrics.count_event("suspect_record_dropped");
                     if self.quota.take(false) {
-                        tracing::warn!(print = %record.fingerprint, error = %fault, "a record was dropped");
+                        tracing::warn!(print = %record.fingerprint, error = %fault, "dropped the invalid record of a suspected request");
                     }
                 }
             }
         }
     }
 
-    /// Whether what other VMs know is known here, as far as there are any to tell it.
+    /// Returns whether this VM has the records of other VMs, or has waited long enough to conclude
+    /// that none can send them. `described_for` is the time since the first description.
     pub fn is_informed(&self, described_for: Duration) -> bool {
         self.has_received_records() || described_for >= INFORMED_AFTER
     }
 
-    /// Whether another VM has told what it knows, since the start or since it was asked again.
+    /// Returns whether another VM has sent its records since startup, or since
+    /// [`SuspectTracker::mark_uninformed`] was called.
     pub fn has_received_records(&self) -> bool {
         self.is_informed.load(Ordering::Relaxed)
     }
 
-    /// Takes what was told so far for out of date.
+    /// Marks the records received so far as outdated, so that they are requested again.
     pub fn mark_uninformed(&self) {
         self.is_informed.store(false, Ordering::Relaxed);
     }
 
-    /// Waits until there may be something to tell.
+    /// Waits until there may be updates to send.
     pub async fn wait_for_updates(&self) {
         self.updates.notified().await;
     }
 
-    /// What is to be told at once.
+    /// Removes and returns the updates that are to be sent at once.
     pub fn take_updates(&self) -> Vec<SuspectUpdate> {
         self.table.lock().take_updates()
     }
 
-    /// What other VMs may be about to tell as well.
+    /// Removes and returns the updates that other VMs may be about to send as well.
     pub fn take_shared_updates(&self) -> Vec<SuspectUpdate> {
         self.table.lock().take_shared_updates()
     }
 
-    /// What is told again and again.
+    /// Returns the records that are resent in the next round.
     pub fn next_resent(&self, now: MonoTime) -> Vec<SuspectRecord> {
         self.table.lock().next_resent(now)
     }
 
-    /// What a VM that has just started is told.
+    /// Returns the records for a VM that has just started.
     pub fn startup_records(&self) -> Vec<SuspectRecord> {
         self.table.lock().startup_records()
     }
 
-    /// All suspected requests, with the time since the last change of each.
+    /// Returns the records of all suspected requests, each with the time since its last change.
     pub fn records_with_age(&self, now: MonoTime) -> Vec<(SuspectRecord, Duration)> {
         let table = self.table.lock();
         let records = table.records().into_iter();
@@ -208,14 +217,14 @@
             .collect()
     }
 
-    /// Drops what is too old to count.
+    /// Removes expired records.
     pub fn forget(&self, context: &ChangeContext<'_>) {
         let mut table = self.table.lock();
         table.forget(context.now);
         context.metrics.set_level("suspects_held_back", table.quarantined_count() as u64);
     }
 
-    /// Counts and logs a change, and has others told.
+    /// Counts and logs a change, and notifies the task that sends updates to other VMs.
     fn record_change(
         &self,
         change: Option<SuspectChange>,
@@ -224,29 +233,30 @@
     ) {
         let Some(SuspectChange { record, exits_before }) = change else { return };
         self.updates.notify_one();
-        let ends = record.exits.len();
-        let event = match ends {
+        let exits = record.exits.len();
+        let event = match exits {
             0 => "suspect_pardoned",
-            ends if ends >= REFUSE_EXITS && exits_before < REFUSE_EXITS => "suspect_refused",
-            ends if ends > exits_before => "suspect_ended",
+            exits if exits >= REFUSE_EXITS && exits_before < REFUSE_EXITS => "suspect_refused",
+            exits if exits > exits_before => "suspect_ended",
             _ => "suspect_changed",
         };
         context.metrics.count_event(event);
         if event == "suspect_refused" {
             self.refused.send_replace(());
         }
-        // One end each is what an upstream leaves of all that it had; more are a belief that others act by.
-        let is_plain = ends.max(exits_before) < PROBE_EXITS;
+        // Every request at an upstream that exits gets one exit. From the second one on, VMs act on
+        // the record.
+        let is_plain = exits.max(exits_before) < PROBE_EXITS;
         if self.quota.take(is_plain) {
             tracing::info!(
                 print = %record.fingerprint,
                 event,
-                ends,
+                ends = exits,
                 ends_before = exits_before,
                 trials = record.probes,
                 pardons = record.exonerations,
                 source,
-                "what is believed of a request changes"
+                "suspected request changed"
             );
         }
     }
--- a/crates/foldhaven-gateway/src/told_change.rs
+++ b/crates/foldhaven-gateway/src/told_change.rs
@@ -1,7 +1,8 @@
-//! Changes of the platform as VMs write them to each other.
+//! The serialized form of platform changes that VMs send to each other.
 //!
-//! Descriptions with accounts are kinds of their own, at the end: daemons that know of none read all others as before, and drop
-//! these whole in place of taking routes without the keys that guard them.
+//! Descriptions with accounts are separate variants at the end: daemons that do not know them read
+//! all other variants as before, and reject these as a whole, instead of adopting routes without
+//! the keys that protect them.
 
 use std::sync::Arc;
 
@@ -14,7 +15,8 @@
 
 use crate::feed::FeedChange;
 
-/// One change as it is written. A kind is known by its place: new ones go to the end.
+/// The serialized form of one change. A variant is identified by its position: new ones are added
+/// at the end.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) enum ToldChange {
     Description(Box<RouteDescription>),
@@ -49,8 +51,8 @@
 }
 
 impl From<ToldChange> for FeedChange {
-    fn from(told: ToldChange) -> Self {
-        match told {
+    fn from(change: ToldChange) -> Self {
+        match change {
             ToldChange::Description(it) => Self::Description(it),
             ToldChange::DescriptionDelta(it) => Self::DescriptionDelta(it),
             ToldChange::UpstreamWritten(record) => Self::UpstreamWritten(record),
