--- a/crates/foldhaven-gateway/src/control/rate_shares.rs
+++ b/crates/foldhaven-gateway/src/control/rate_shares.rs
@@ -101,7 +101,7 @@
         // A service without a description permits no requests.
         let described = service.map_or(0.0, |service| service.cold_rate);
         let cold = upstream.is_cold(now).then(|| SharedRate::of_cold(described));
-        let named = self.shared.limits.limit(upstream).map(SharedRate::of_limit);
+        let named = self.shared.upstream_limits.limit(upstream).map(SharedRate::of_limit);
         cold.into_iter().chain(named).reduce(SharedRate::stricter)
     }
 
--- a/crates/foldhaven-gateway/src/control/traffic_view.rs
+++ b/crates/foldhaven-gateway/src/control/traffic_view.rs
@@ -98,7 +98,7 @@
             }
             let Some(upstream) = self.upstream_of(entry, routes) else { continue };
             upstream.set_cold(entry.cold_until);
-            self.shared.limits.apply(&upstream);
+            self.shared.upstream_limits.apply(&upstream);
             self.shared.leaving_upstreams.apply(&upstream);
             let service = routes.service(&upstream.identity.service);
             let limit = service.map_or(0, |service| service.connection_limit);
--- a/crates/foldhaven-gateway/src/control/upstream_signals.rs
+++ b/crates/foldhaven-gateway/src/control/upstream_signals.rs
@@ -22,10 +22,12 @@
         let now = self.now();
         let mut has_changed = false;
         for notice in &message.limits {
-            let Some(change) = self.shared.limits.apply_notice(notice, now) else { continue };
+            let Some(change) = self.shared.upstream_limits.apply_notice(notice, now) else {
+                continue;
+            };
             // The limit of an upstream that is not listed yet is applied once it is.
             let Some(upstream) = self.by_tag.get(&notice.upstream) else { continue };
-            self.shared.limits.apply(upstream);
+            self.shared.upstream_limits.apply(upstream);
             record_limit_change(&self.shared, upstream, &change, "peer");
             has_changed = true;
         }
@@ -81,7 +83,7 @@
     /// Removes the signals of upstreams that are no longer listed.
     pub(super) fn forget_signals(&self) {
         let is_listed = |tag| self.by_tag.contains_key(&tag);
-        self.shared.limits.forget(is_listed, &self.shared);
+        self.shared.upstream_limits.forget(is_listed, &self.shared);
         self.shared.leaving_upstreams.forget(is_listed, &self.shared);
     }
 }
--- a/crates/foldhaven-gateway/src/daemon.rs
+++ b/crates/foldhaven-gateway/src/daemon.rs
@@ -184,8 +184,8 @@
     }
 }
 
-/// Returns the incarnation of a process that starts now. Between two starts of a VM, the clock may
-/// be set back by less than the duration of a start.
+/// Returns the incarnation of a process that starts now. It is later than that of the previous
+/// process of this VM, provided that the clock was set back in between by less than a start takes.
 fn new_incarnation() -> IncarnationId {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     IncarnationId(since_epoch.as_millis() as u64)
--- a/crates/foldhaven-gateway/src/directory.rs
+++ b/crates/foldhaven-gateway/src/directory.rs
@@ -17,7 +17,7 @@
 
 /// How long callers may use an answer. A shorter time moves callers sooner but costs more requests.
 const ANSWER_LIFETIME: Duration = Duration::from_secs(2);
-/// Uptime before which a process names no VMs, because it has not yet heard from all of them.
+/// Uptime before which a process names no VMs, because it has not had time to hear from the others.
 const NAMING_DELAY: Duration = Duration::from_millis(1_200);
 
 /// A query of a caller.
@@ -31,7 +31,7 @@
 
 /// The format of queries and answers.
 pub trait DirectoryCodec: Send + Sync {
-    /// Parses a query. `None` if the path and query string are not a valid one.
+    /// Parses a query. `None` if the path and the query string are not a directory query.
     fn read(&self, path: &str, query: &str) -> Option<DirectoryQuery>;
 
     /// Serializes an answer.
--- a/crates/foldhaven-gateway/src/metrics.rs
+++ b/crates/foldhaven-gateway/src/metrics.rs
@@ -12,7 +12,7 @@
 
 const QUANTILES: [f64; 3] = [0.5, 0.95, 0.99];
 /// Maximum time that a histogram distinguishes, in microseconds.
-const LONGEST_MICROS: u64 = 60_000_000;
+const MAX_MICROS: u64 = 60_000_000;
 
 /// The outcome of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -59,7 +59,7 @@
 #[derive(Default)]
 struct RouteCounts {
     ends: BTreeMap<RequestEnd, u64>,
-    first: Option<Histogram<u64>>,
+    time_to_first: Option<Histogram<u64>>,
     burn: Option<BurnRing>,
 }
 
@@ -99,8 +99,8 @@
     /// Records the time until the answer began or the first event arrived.
     pub fn record_time_to_first(&self, route: &RouteName, span: Duration) {
         let mut inner = self.inner.lock();
-        let first = &mut counts_of(&mut inner, route).first;
-        record(first.get_or_insert_with(new_histogram), span);
+        let time_to_first = &mut counts_of(&mut inner, route).time_to_first;
+        record(time_to_first.get_or_insert_with(new_histogram), span);
     }
 
     /// Records the duration of an operation or condition of the control state, such as lagging
@@ -132,24 +132,29 @@
         for (route, counts) in &inner.routes {
             for (end, count) in &counts.ends {
                 let labels = format!("route=\"{route}\",end=\"{}\"", end.label());
-                put_line(&mut page, "foldhaven_opaque_requests_total", &labels, *count as f64);
+                write_line(&mut page, "foldhaven_opaque_requests_total", &labels, *count as f64);
             }
-            if let Some(first) = &counts.first {
+            if let Some(time_to_first) = &counts.time_to_first {
                 let labels = format!("route=\"{route}\"");
-                put_quantiles(&mut page, "foldhaven_opaque_first_seconds", &labels, first);
+                write_quantiles(
+                    &mut page,
+                    "foldhaven_opaque_first_seconds",
+                    &labels,
+                    time_to_first,
+                );
             }
         }
         for (span, histogram) in &inner.spans {
             let labels = format!("span=\"{span}\"");
-            put_quantiles(&mut page, "foldhaven_opaque_span_seconds", &labels, histogram);
+            write_quantiles(&mut page, "foldhaven_opaque_span_seconds", &labels, histogram);
         }
         for (level, value) in &inner.levels {
             let labels = format!("level=\"{level}\"");
-            put_line(&mut page, "foldhaven_opaque_level", &labels, *value as f64);
+            write_line(&mut page, "foldhaven_opaque_level", &labels, *value as f64);
         }
         for (event, count) in &inner.events {
             let labels = format!("event=\"{event}\"");
-            put_line(&mut page, "foldhaven_opaque_events_total", &labels, *count as f64);
+            write_line(&mut page, "foldhaven_opaque_events_total", &labels, *count as f64);
         }
         page
     }
@@ -163,22 +168,22 @@
 }
 
 fn new_histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, LONGEST_MICROS, 2).expect("the bounds are valid")
+    Histogram::new_with_bounds(1, MAX_MICROS, 2).expect("the bounds are valid")
 }
 
 fn record(histogram: &mut Histogram<u64>, span: Duration) {
-    let micros = u64::try_from(span.as_micros()).unwrap_or(LONGEST_MICROS);
+    let micros = u64::try_from(span.as_micros()).unwrap_or(MAX_MICROS);
     histogram.saturating_record(micros.max(1));
 }
 
-fn put_quantiles(page: &mut String, name: &str, labels: &str, histogram: &Histogram<u64>) {
+fn write_quantiles(page: &mut String, name: &str, labels: &str, histogram: &Histogram<u64>) {
     for quantile in QUANTILES {
         let seconds = histogram.value_at_quantile(quantile) as f64 / 1e6;
-        put_line(page, name, &format!("{labels},quantile=\"{quantile}\""), seconds);
+        write_line(page, name, &format!("{labels},quantile=\"{quantile}\""), seconds);
     }
 }
 
-fn put_line(page: &mut String, name: &str, labels: &str, value: f64) {
+fn write_line(page: &mut String, name: &str, labels: &str, value: f64) {
     // Writing to a string cannot fail.
     let _ = writeln!(page, "{name}{{{labels}}} {value}");
 }
--- a/crates/foldhaven-gateway/src/operator_front/mod.rs
+++ b/crates/foldhaven-gateway/src/operator_front/mod.rs
@@ -53,8 +53,8 @@
     fn metrics_page(&self) -> String {
         let usages = self.shared.accounts.usages(self.shared.now());
         let mut page = self.shared.metrics.page();
-        for used in usages.iter().take(MAX_METRIC_ACCOUNTS) {
-            write_account(&mut page, used);
+        for usage in usages.iter().take(MAX_METRIC_ACCOUNTS) {
+            write_account(&mut page, usage);
         }
         page
     }
--- a/crates/foldhaven-gateway/src/operator_front/status.rs
+++ b/crates/foldhaven-gateway/src/operator_front/status.rs
@@ -74,7 +74,7 @@
             busy: upstream.queue().in_flight,
             slots: upstream.identity.slots,
             leaving: upstream.is_leaving(),
-            limit: self.shared.limits.limit(upstream).map(|limit| limit.to_string()),
+            limit: self.shared.upstream_limits.limit(upstream).map(|limit| limit.to_string()),
         };
         local.map(status).collect()
     }
--- a/crates/foldhaven-gateway/src/operator_front/suspects.rs
+++ b/crates/foldhaven-gateway/src/operator_front/suspects.rs
@@ -16,7 +16,7 @@
         let now = self.shared.now();
         let suspects = &self.shared.suspects;
         let rows = suspects.records_with_age(now).into_iter().map(|(record, age)| {
-            let (state, opens) = match suspects.peek_verdict(&record.fingerprint, now) {
+            let (state, probe_wait) = match suspects.peek_verdict(&record.fingerprint, now) {
                 SuspectVerdict::Allowed => ("noted", None),
                 SuspectVerdict::Probe => ("on trial", None),
                 SuspectVerdict::Refused { wait } => ("refused", Some(wait)),
@@ -25,11 +25,11 @@
                 print: record.fingerprint.to_string(),
                 route: suspects.route_of(&record.fingerprint).map(|route| route.to_string()),
                 state: state.to_owned(),
-                upstreams: record.exits.iter().map(|end| format!("{:08x}", end.0)).collect(),
+                upstreams: record.exits.iter().map(|exit| format!("{:08x}", exit.0)).collect(),
                 trials: record.probes,
                 pardons: record.exonerations,
                 since_ms: age.as_millis() as u64,
-                opens_ms: opens.map(|wait| wait.as_millis() as u64),
+                opens_ms: probe_wait.map(|wait| wait.as_millis() as u64),
             }
         });
         SuspectsAnswer { vm: self.shared.settings.vm.clone(), rows: rows.collect() }
--- a/crates/foldhaven-gateway/src/peer_front.rs
+++ b/crates/foldhaven-gateway/src/peer_front.rs
@@ -115,7 +115,7 @@
     let waited = Duration::from_millis(waited.ok_or(Refusal::NotPermitted)?);
     let terms = CallerTerms { waited, ..read_terms(&head, &shared.names)? };
     let credential = take_forwarded(&mut head.headers);
-    // In the description of this VM, the key may be missing already, or still.
+    // The description of this VM may already lack the key, or not have it yet.
     let account = find_account(&view.routes, &route, credential);
     let account = account.map_err(|_| Refusal::NotPermitted)?;
     let request = ReadRequest { head, body, started };
--- a/crates/foldhaven-gateway/src/peer_state.rs
+++ b/crates/foldhaven-gateway/src/peer_state.rs
@@ -128,19 +128,21 @@
     }
 }
 
-/// Waits until another VM says that it knows more, but no longer than this. What it said since the last wait counts.
+/// Waits until another VM announces a newer revision, but no longer than `limit`. An announcement
+/// since the last wait ends it at once.
 async fn wait_for_newer_revision(shared: &GatewayShared, limit: Duration) {
-    // Without news it is looked all the same.
+    // After a timeout, the caller checks for newer revisions as well.
     let _ = timeout(limit, shared.newer_revision_notify.notified()).await;
 }
 
-/// What a peer told, and how large it was.
+/// The state that a peer sent, and its serialized size.
 struct FetchedState {
     state: PeerState,
     bytes: usize,
 }
 
-/// Asks a peer, and another one beside it where the first says nothing. Returns whose answer it is.
+/// Fetches state from a peer, and from a second one as well if the first does not answer in time.
+/// Returns the address of the peer whose result it is.
 async fn fetch_hedged(
     control: &ControlAddress,
     first: SocketAddr,
--- a/crates/foldhaven-gateway/src/shared.rs
+++ b/crates/foldhaven-gateway/src/shared.rs
@@ -81,7 +81,7 @@
     /// The destinations of long prompts since the last report to other VMs.
     pub placements: Mutex<Vec<PromptPlacement>>,
     /// The measured performance of each service's upstreams.
-    performance: Mutex<HashMap<ServiceName, ServicePerformance>>,
+    performance_by_service: Mutex<HashMap<ServiceName, ServicePerformance>>,
     /// The longest remaining times that callers of each route announce.
     caller_timeouts: Mutex<HashMap<RouteName, CallerTimeouts>>,
     /// The statistics of each route's requests.
@@ -109,7 +109,7 @@
     /// Requests that were in flight at upstreams that exited.
     pub suspects: SuspectTracker,
     /// The rate limits that upstreams announce.
-    pub limits: RateLimitTracker,
+    pub upstream_limits: RateLimitTracker,
     /// The upstreams that have announced that they are leaving.
     pub leaving_upstreams: LeavingTracker,
     /// The usage of accounts with limits.
@@ -122,7 +122,7 @@
     pub fn new(settings: GatewaySettings, names: HeaderNames) -> Arc<Self> {
         Arc::new(Self {
             wake: WakeWatch::default(),
-            limits: RateLimitTracker::default(),
+            upstream_limits: RateLimitTracker::default(),
             leaving_upstreams: LeavingTracker::default(),
             suspects: SuspectTracker::new(VmTag::of(&settings.vm)),
             accounts: AccountLimiter::new(settings.region_count(), settings.limits.accounts()),
@@ -133,7 +133,7 @@
             stage: watch::Sender::new(StopStage::Serving),
             prefix_caches: Mutex::default(),
             placements: Mutex::default(),
-            performance: Mutex::default(),
+            performance_by_service: Mutex::default(),
             caller_timeouts: Mutex::default(),
             route_histories: Mutex::default(),
             clock: MonoClock::start(),
@@ -254,14 +254,14 @@
     /// Returns the measured performance of a service's upstreams, with the fetch rate from the
     /// description (0 if the description has none).
     pub fn performance(&self, service: &ServiceName, view: &GatewayView) -> ServicePerformance {
-        let measured = self.performance.lock().get(service).copied().unwrap_or_default();
+        let measured = self.performance_by_service.lock().get(service).copied().unwrap_or_default();
         let described = view.routes.service(service).and_then(|service| service.fetch_rate);
         ServicePerformance { fetch_tokens_per_s: described.unwrap_or_default(), ..measured }
     }
 
     /// Returns the measured performance of a service's upstreams.
     pub fn measured_performance(&self, service: &ServiceName) -> ServicePerformance {
-        self.performance.lock().get(service).copied().unwrap_or_default()
+        self.performance_by_service.lock().get(service).copied().unwrap_or_default()
     }
 
     /// Records how long a request occupied a slot of an upstream.
@@ -274,11 +274,11 @@
         service: &ServiceName,
         act: impl FnOnce(&mut ServicePerformance) -> T,
     ) -> T {
-        let mut performance = self.performance.lock();
-        if let Some(performance) = performance.get_mut(service) {
+        let mut by_service = self.performance_by_service.lock();
+        if let Some(performance) = by_service.get_mut(service) {
             return act(performance);
         }
-        act(performance.entry(service.clone()).or_default())
+        act(by_service.entry(service.clone()).or_default())
     }
 
     /// Records the remaining time that a caller of a route announces. Returns how long the caller
--- a/crates/foldhaven-gateway/src/signal_sender.rs
+++ b/crates/foldhaven-gateway/src/signal_sender.rs
@@ -59,7 +59,7 @@
 impl UpdateSender for SignalSender {
     async fn wait_for_updates(&self) {
         tokio::select! {
-            () = self.shared.limits.wait_for_updates() => {}
+            () = self.shared.upstream_limits.wait_for_updates() => {}
             () = self.shared.leaving_upstreams.wait_for_updates() => {}
         }
     }
@@ -69,7 +69,7 @@
         let targets = self.control.send(PlanSignalTargets { reason }).await?;
         wait_for_other_senders().await;
         let now = self.shared.now();
-        let limits = self.shared.limits.take_updates(now);
+        let limits = self.shared.upstream_limits.take_updates(now);
         let batch =
             SignalBatch { limits, leaving: self.shared.leaving_upstreams.take_updates(now) };
         self.send(&targets, &batch).await;
@@ -78,7 +78,7 @@
 
     async fn resend(&self) -> Result<(), xtra::Error> {
         let now = self.shared.now();
-        let limits = self.shared.limits.all_notices(now);
+        let limits = self.shared.upstream_limits.all_notices(now);
         let batch = SignalBatch { limits, leaving: self.shared.leaving_upstreams.all_notices(now) };
         if batch.is_empty() {
             return Ok(());
--- a/crates/foldhaven-gateway/src/suspect_sender.rs
+++ b/crates/foldhaven-gateway/src/suspect_sender.rs
@@ -23,7 +23,7 @@
 }
 
 impl SuspectSender {
-    async fn tell(&self, updates: Vec<SuspectUpdate>) -> Result<(), xtra::Error> {
+    async fn send_by_scope(&self, updates: Vec<SuspectUpdate>) -> Result<(), xtra::Error> {
         if updates.is_empty() {
             return Ok(());
         }
@@ -59,11 +59,11 @@
     }
 
     async fn send_updates(&self) -> Result<(), xtra::Error> {
-        self.tell(self.shared.suspects.take_updates()).await?;
+        self.send_by_scope(self.shared.suspects.take_updates()).await?;
         wait_for_other_senders().await;
         // Updates that came up during the delay are sent first.
-        self.tell(self.shared.suspects.take_updates()).await?;
-        self.tell(self.shared.suspects.take_shared_updates()).await
+        self.send_by_scope(self.shared.suspects.take_updates()).await?;
+        self.send_by_scope(self.shared.suspects.take_shared_updates()).await
     }
 
     /// Sends nothing while no request is held back.
--- a/crates/foldhaven-gateway/src/told_change.rs
+++ b/crates/foldhaven-gateway/src/told_change.rs
@@ -15,8 +15,8 @@
 
 use crate::feed::FeedChange;
 
-/// The serialized form of one change. A variant is identified by its position: new ones are added
-/// at the end.
+/// The serialized form of a [`FeedChange`]. A variant is identified by its position: new ones are
+/// added at the end.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) enum ToldChange {
     Description(Box<RouteDescription>),
--- a/crates/foldhaven-gateway/src/upstream_listener.rs
+++ b/crates/foldhaven-gateway/src/upstream_listener.rs
@@ -104,7 +104,7 @@
         }
         let moment = AnswerMoment { sent: self.sent, heard: self.shared.now() };
         let limit = self.rate_limit(head);
-        self.shared.limits.record_answer(&self.shared, &self.upstream, limit, moment);
+        self.shared.upstream_limits.record_answer(&self.shared, &self.upstream, limit, moment);
         if let Some(backoff) = self.backoff(head) {
             self.note_backoff(backoff);
         }
