--- a/crates/foldhaven-gateway/src/attempts/retries.rs
+++ b/crates/foldhaven-gateway/src/attempts/retries.rs
@@ -50,7 +50,7 @@
     /// Takes one retry out of this VM's part of the budget.
     fn take_retry(&self) -> bool {
         let Some(view) = self.shared.view() else { return false };
-        let is_granted = self.shared.take_retry(&self.job.service, &view);
+        let is_granted = self.shared.try_withdraw_retry(&self.job.service, &view);
         self.shared.metrics.count_event(if is_granted { "retry" } else { "retry_denied" });
         is_granted
     }
--- a/crates/foldhaven-gateway/src/directory.rs
+++ b/crates/foldhaven-gateway/src/directory.rs
@@ -1,4 +1,4 @@
-//! Answers callers who ask which VMs to use.
+//! The directory: tells callers which VMs to use.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,68 +15,70 @@
 use crate::front::FrontHandler;
 use crate::shared::GatewayShared;
 
-/// How long callers may use an answer. Shorter answers move callers sooner and cost more questions.
+/// How long callers may use an answer. A shorter time moves callers sooner but costs more requests.
 const ANSWER_LIFETIME: Duration = Duration::from_secs(2);
-/// A process that has just started names nobody until it had time to hear of the others.
+/// Uptime before which a process names no VMs, because it has not had time to hear from the others.
 const NAMING_DELAY: Duration = Duration::from_millis(1_200);
 
-/// What a caller asks.
+/// A query of a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DirectoryQuery {
-    /// The host that its requests will name.
-    pub host: String,
-    /// Its region.
-    pub region: RegionName,
+/// The host of the requests that the caller is going to send.
+pub host: String,
+/// The region of the caller.
+pub region: RegionName,
 }
 
-/// The form in which callers ask and are answered.
+/// The format of queries and answers.
 pub trait DirectoryCodec: Send + Sync {
-    /// Reads a question; nothing when it is none.
-    fn read(&self, path: &str, query: &str) -> Option<DirectoryQuery>;
+/// Parses a query. `None` if the path and the query string are not a directory query.
+fn read(&self, path: &str, query: &str) -> Option<DirectoryQuery>;
 
-    /// Writes an answer.
-    fn write(&self, addresses: &[SocketAddr], lifetime: Duration) -> Bytes;
+/// Serializes an answer.
+fn write(&self, addresses: &[SocketAddr], lifetime: Duration) -> Bytes;
 }
 
-/// Answers at the directory's address.
+/// Handles requests at the directory's address.
 pub(crate) struct DirectoryHandler {
-    pub shared: Arc<GatewayShared>,
-    pub codec: Arc<dyn DirectoryCodec>,
+pub shared: Arc<GatewayShared>,
+pub codec: Arc<dyn DirectoryCodec>,
 }
 
 impl DirectoryHandler {
-    fn addresses(&self, query: &DirectoryQuery) -> Option<Vec<SocketAddr>> {
-        let view = self.shared.view()?;
-        if self.shared.uptime() < NAMING_DELAY {
-            return None;
-        }
-        let bound = |region: &RegionName| view.routes.bound_routes_in(&query.host, region);
-        let has_bound = view.routes.has_bound_routes(&query.host);
-        let settings = &self.shared.settings;
-        let near = LocalService {
-            responder: &settings.vm,
-            region: settings.region(),
-            demand: view.demand,
-            unresponsive: &view.unresponsive_vms,
-        };
-        Some(select_vms(&view.heartbeats, &query.region, &near, bound, has_bound))
-    }
+/// Returns the addresses of the VMs to use. `None` if this VM does not know them yet.
+fn addresses(&self, query: &DirectoryQuery) -> Option<Vec<SocketAddr>> {
+let view = self.shared.view()?;
+if self.shared.uptime() < NAMING_DELAY {
+return None;
+}
+let bound = |region: &RegionName| view.routes.bound_routes_in(&query.host, region);
+let has_bound = view.routes.has_bound_routes(&query.host);
+let settings = &self.shared.settings;
+let local = LocalService {
+responder: &settings.vm,
+region: settings.region(),
+demand: view.demand,
+unresponsive: &view.unresponsive_vms,
+};
+Some(select_vms(&view.heartbeats, &query.region, &local, bound, has_bound))
+}
 }
 
 #[async_trait]
 impl FrontHandler for DirectoryHandler {
-    async fn handle(&self, request: Request<Incoming>) -> Answer {
-        let uri = request.uri();
-        let query = self.codec.read(uri.path(), uri.query().unwrap_or_default());
-        let Some(query) = query else { return Refusal::Malformed.answer() };
-        // After a stand-still the VMs that are known may have ended long ago; callers ask another directory.
-        let addresses = self.shared.is_awake().then(|| self.addresses(&query)).flatten();
-        match addresses {
-            Some(addresses) if !addresses.is_empty() => {
-                let body = self.codec.write(&addresses, ANSWER_LIFETIME);
-                body_answer(StatusCode::OK, "application/json", body)
-            }
-            _ => Refusal::NoDescription.answer(),
-        }
-    }
+async fn handle(&self, request: Request<Incoming>) -> Answer {
+let uri = request.uri();
+let query = self.codec.read(uri.path(), uri.query().unwrap_or_default());
+let Some(query) = query else { return Refusal::Malformed.answer() };
+// After a suspension, the known VMs may have exited long ago. The caller then asks another
+// directory.
+let addresses = self.shared.is_awake().then(|| self.addresses(&query)).flatten();
+match addresses {
+Some(addresses) if !addresses.is_empty() => {
+let body = self.codec.write(&addresses, ANSWER_LIFETIME);
+body_answer(StatusCode::OK, "application/json", body)
+}
+_ => Refusal::NoDescription.answer(),
+}
+}
 }
--- a/crates/foldhaven-gateway/src/events.rs
+++ b/crates/foldhaven-gateway/src/events.rs
@@ -270,7 +270,7 @@
         }
         if !std::mem::replace(&mut self.has_first, true) {
             let took = driver.job.note_first();
-            driver.shared.metrics.note_first(&driver.job.route.name, took);
+            driver.shared.metrics.record_time_to_first(&driver.job.route.name, took);
         }
     }
 
@@ -290,7 +290,7 @@
             // A prompt that came within the pause stretched it as much as one that was there before.
             let unread_now = upstream.queue().prefill_backlog.ahead_of(QueueRank::Timely);
             let unread = reading.unread_before.max(unread_now);
-            driver.shared.note_pause(&driver.job.service, unread, is_long);
+            driver.shared.record_pause(&driver.job.service, unread, is_long);
         }
     }
 
--- a/crates/foldhaven-gateway/src/operator_front/accounts.rs
+++ b/crates/foldhaven-gateway/src/operator_front/accounts.rs
@@ -1,4 +1,4 @@
-//! What operators are told of accounts with limits.
+//! Reports accounts and the usage of their limits to operators.
 
 use std::fmt::Write;
 
@@ -6,31 +6,31 @@
 use foldhaven_wire::operator::{AccountRow, AccountsAnswer};
 
 use super::OperatorHandler;
-use crate::account_desk::AccountUse;
+use crate::account_limiter::AccountUsage;
 
 impl OperatorHandler {
-    /// The accounts that are described, and what those with limits use at this VM.
+    /// Returns the accounts of the description, and the usage at this VM of those with limits.
     pub(super) fn accounts(&self) -> AccountsAnswer {
         let view = self.shared.view();
-        let described = view.as_ref().and_then(|it| it.routes.description().accounts.clone());
-        let uses = self.shared.accounts.uses(self.shared.now());
-        let accounts = described.iter().flat_map(|described| described.accounts.values());
+        let description = view.as_ref().and_then(|it| it.routes.description().accounts.clone());
+        let usages = self.shared.accounts.usages(self.shared.now());
+        let accounts = description.iter().flat_map(|description| description.accounts.values());
         let rows = accounts.map(|account| {
-            let held = uses.iter().find(|held| held.account == account.name);
+            let usage = usages.iter().find(|usage| usage.account == account.name);
             let limit = account.limit;
             AccountRow {
                 account: account.name.to_string(),
                 keys: account.keys.len(),
                 homes: account.homes.iter().map(ToString::to_string).collect(),
-                unit: limit.map(|limit| unit_of(&limit).to_owned()),
+                unit: limit.map(|limit| unit_name(&limit).to_owned()),
                 per_s: limit.map(|limit| limit.per_s),
                 burst: limit.map(|limit| limit.burst),
-                part_per_s: held.map(|held| held.part.per_s),
-                part_age_ms: held.map(|held| held.part_age.as_millis() as u64),
-                level: held.map(|held| held.level),
-                want_per_s: held.map(|held| held.want),
-                let_through: held.map_or(0.0, |held| held.let_through),
-                refused: held.map_or(0, |held: &AccountUse| held.refused),
+                part_per_s: usage.map(|usage| usage.share.per_s),
+                part_age_ms: usage.map(|usage| usage.share_age.as_millis() as u64),
+                level: usage.map(|usage| usage.level),
+                want_per_s: usage.map(|usage| usage.demand),
+                let_through: usage.map_or(0.0, |usage| usage.let_through),
+                refused: usage.map_or(0, |usage: &AccountUsage| usage.refused),
             }
         });
         let sharers = self.shared.accounts.view();
@@ -46,14 +46,14 @@
     }
 }
 
-/// The lines of one account in the metrics.
-pub(super) fn put_account(page: &mut String, used: &AccountUse) {
-    let account = &used.account;
+/// Writes the metrics of one account.
+pub(super) fn write_account(page: &mut String, usage: &AccountUsage) {
+    let account = &usage.account;
     let lines = [
-        ("foldhaven_opaque_account_let_through_total", used.let_through),
-        ("foldhaven_opaque_account_refused_total", used.refused as f64),
-        ("foldhaven_opaque_account_part_per_second", used.part.per_s),
-        ("foldhaven_opaque_account_wanted_per_second", used.want),
+        ("foldhaven_opaque_account_let_through_total", usage.let_through),
+        ("foldhaven_opaque_account_refused_total", usage.refused as f64),
+        ("foldhaven_opaque_account_part_per_second", usage.share.per_s),
+        ("foldhaven_opaque_account_wanted_per_second", usage.demand),
     ];
     for (name, value) in lines {
         // Writing to a string cannot fail.
@@ -61,7 +61,7 @@
     }
 }
 
-fn unit_of(limit: &AccountLimit) -> &'static str {
+fn unit_name(limit: &AccountLimit) -> &'static str {
     match limit.unit {
         LimitUnit::Requests => "requests",
         LimitUnit::Tokens { .. } => "tokens",
--- a/crates/foldhaven-gateway/src/operator_front/suspects.rs
+++ b/crates/foldhaven-gateway/src/operator_front/suspects.rs
@@ -1,4 +1,4 @@
-//! What operators are told of requests under which upstreams ended, and how one is cleared.
+//! Reports suspected requests to operators, and clears them.
 
 use foldhaven_core::opaque::request_fingerprint::RequestFingerprint;
 use foldhaven_core::opaque::suspects::SuspectVerdict;
@@ -7,16 +7,16 @@
 use super::OperatorHandler;
 use crate::answer::Refusal;
 
-/// What goes before the fingerprint in the query.
-const PRINT_FIELD: &str = "print=";
+/// The text before the fingerprint in the query.
+const FINGERPRINT_PREFIX: &str = "print=";
 
 impl OperatorHandler {
-    /// The suspected requests, those with the most ends first.
+    /// Returns the suspected requests, those with the most exits first.
     pub(super) fn suspects(&self) -> SuspectsAnswer {
         let now = self.shared.now();
         let suspects = &self.shared.suspects;
-        let rows = suspects.rows(now).into_iter().map(|(record, age)| {
-            let (state, opens) = match suspects.look(&record.fingerprint, now) {
+        let rows = suspects.records_with_age(now).into_iter().map(|(record, age)| {
+            let (state, probe_wait) = match suspects.peek_verdict(&record.fingerprint, now) {
                 SuspectVerdict::Allowed => ("noted", None),
                 SuspectVerdict::Probe => ("on trial", None),
                 SuspectVerdict::Refused { wait } => ("refused", Some(wait)),
@@ -25,23 +25,25 @@
                 print: record.fingerprint.to_string(),
                 route: suspects.route_of(&record.fingerprint).map(|route| route.to_string()),
                 state: state.to_owned(),
-                upstreams: record.exits.iter().map(|end| format!("{:08x}", end.0)).collect(),
+                upstreams: record.exits.iter().map(|exit| format!("{:08x}", exit.0)).collect(),
                 trials: record.probes,
                 pardons: record.exonerations,
                 since_ms: age.as_millis() as u64,
-                opens_ms: opens.map(|wait| wait.as_millis() as u64),
+                opens_ms: probe_wait.map(|wait| wait.as_millis() as u64),
             }
         });
         SuspectsAnswer { vm: self.shared.settings.vm.clone(), rows: rows.collect() }
     }
 
-    /// Clears a request as a whole answer to it would: here, and at all VMs that are told.
+    /// Clears a request, as a complete answer to it would. This VM also sends the change to the
+    /// other VMs.
     pub(super) fn clear_suspect(&self, query: Option<&str>) -> Result<ClearAnswer, Refusal> {
-        let print = query.and_then(|query| query.strip_prefix(PRINT_FIELD));
-        let print: RequestFingerprint =
-            print.and_then(|print| print.parse().ok()).ok_or(Refusal::Malformed)?;
-        let is_cleared = self.shared.suspects.clear(print, &self.shared.change_context());
-        tracing::info!(%print, is_cleared, "an operator clears a request");
-        Ok(ClearAnswer { print: print.to_string(), is_cleared })
+        let fingerprint = query.and_then(|query| query.strip_prefix(FINGERPRINT_PREFIX));
+        let fingerprint: RequestFingerprint = fingerprint
+            .and_then(|fingerprint| fingerprint.parse().ok())
+            .ok_or(Refusal::Malformed)?;
+        let is_cleared = self.shared.suspects.clear(fingerprint, &self.shared.change_context());
+        tracing::info!(print = %fingerprint, is_cleared, "request cleared by an operator");
+        Ok(ClearAnswer { print: fingerprint.to_string(), is_cleared })
     }
 }
--- a/crates/foldhaven-gateway/src/peer_state.rs
+++ b/crates/foldhaven-gateway/src/peer_state.rs
@@ -1,4 +1,5 @@
-//! Asks another VM what the platform published, when this one cannot read it or reads it later.
+//! Fetches platform state from another VM if this one cannot read it from the platform or reads it
+//! later.
 
 use std::net::SocketAddr;
 use std::pin::pin;
@@ -23,65 +24,66 @@
 use crate::feed::PeerState;
 use crate::shared::GatewayShared;
 
-/// Where peers tell what the platform published.
+/// The path at which VMs serve the platform state to each other.
 pub const PEER_STATE_PATH: &str = "/peer/v1/state";
-/// What goes before the revision that the asker knows, in the query.
-pub const PEER_STATE_AFTER: &str = "after=";
-/// How often it is looked whether another VM knows more, where none says so.
+/// The text before the revision that the requesting VM knows, in the query.
+pub const PEER_STATE_REVISION_PREFIX: &str = "after=";
+/// Interval between two checks whether another VM has a newer revision, if none announces one.
 const CHECK_INTERVAL: Duration = Duration::from_millis(150);
-/// For how long a peer may be silent, before its answer and within it. There is no limit on the whole: it would
-/// be met again and again by an answer that is larger than a narrow link carries in that time.
-const SILENT_LIMIT: Duration = Duration::from_millis(1_500);
-/// The largest state that is taken.
+/// Maximum time without data from a peer, before and within its answer. There is no limit on the
+/// whole answer: one that takes a narrow link longer than the limit would fail again and again.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Maximum size of a received state in bytes.
 const MAX_STATE_BYTES: usize = 16 << 20;
-/// After this time without the beginning of an answer another peer is asked too, and who begins first is heard: one that is
-/// frozen or cut off costs no more than this.
+/// Time without the beginning of an answer after which a second peer is asked as well. The first
+/// answer that begins is used, so a peer that is frozen or partitioned delays the fetch by no more
+/// than this.
 const HEDGE_AFTER: Duration = Duration::from_millis(300);
-/// After a peer could not be asked.
-const RETRY_PAUSE: Duration = Duration::from_millis(250);
+/// Delay after a failed fetch.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Why a peer could not be asked.
+/// Why fetching the state from a peer failed.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
-enum AskError {
+enum FetchError {
     /// connecting: {0}
     Connect(std::io::Error),
-    /// asking: {0}
+    /// sending the request: {0}
     Http(hyper::Error),
     /// status {0}
     Status(StatusCode),
-    /// the answer: {0}
+    /// deserializing the answer: {0}
     Content(bincode::Error),
-    /// silent after {0} bytes
-    Silent(usize),
-    /// too large
+    /// timed out after {0} bytes
+    TimedOut(usize),
+    /// answer too large
     TooLarge,
 }
 
-/// Takes over from peers what this daemon has not read itself.
-pub async fn follow_peers(shared: Arc<GatewayShared>, control: ControlAddress) {
+/// Fetches platform state from peers that have a newer revision, until the control thread ends.
+pub async fn sync_with_peers(shared: Arc<GatewayShared>, control: ControlAddress) {
     let mut avoided = None;
     loop {
         let Ok(next) = control.send(FindNewerPeer { avoided }).await else { return };
-        let NewerPeer { peer, base_revision: known } = match next {
+        let NewerPeer { peer, base_revision: known_revision } = match next {
             CatchUpStep::Ask(ahead) => ahead,
             CatchUpStep::Wait(pause) => {
-                await_news(&shared, pause.min(CHECK_INTERVAL)).await;
+                wait_for_newer_revision(&shared, pause.min(CHECK_INTERVAL)).await;
                 continue;
             }
             CatchUpStep::UpToDate => {
-                await_news(&shared, CHECK_INTERVAL).await;
+                wait_for_newer_revision(&shared, CHECK_INTERVAL).await;
                 continue;
             }
         };
         let started = BootInstant::now();
-        let (peer, asked) = ask_hedged(&control, peer, known).await;
-        match asked {
-            Ok(TakenState { state, bytes }) => {
+        let (peer, result) = fetch_hedged(&control, peer, known_revision).await;
+        match result {
+            Ok(FetchedState { state, bytes }) => {
                 avoided = None;
-                shared.metrics.note_span("state_asked", started.elapsed());
+                shared.metrics.record_span("state_asked", started.elapsed());
                 shared.metrics.add_events("state_taken_bytes", bytes as u64);
-                let leads_on = leads_beyond(&state, known);
-                let taken = match state {
+                let is_newer = is_newer_than(&state, known_revision);
+                let applied = match state {
                     PeerState::Snapshot(snapshot) => {
                         control.send(ApplySnapshot { snapshot, peer }).await
                     }
@@ -97,11 +99,11 @@
                         control.send(ApplyChanges { changes, peer }).await
                     }
                 };
-                if taken.is_err() {
+                if applied.is_err() {
                     return;
                 }
-                // A peer that had nothing new is not asked again at once.
-                if !leads_on {
+                // Peers are not asked again at once if the answer had nothing new.
+                if !is_newer {
                     sleep(CHECK_INTERVAL).await;
                 }
             }
@@ -109,109 +111,119 @@
                 avoided = Some(peer);
                 shared.metrics.count_event("state_not_taken");
                 let ms = started.elapsed().as_millis() as u64;
-                tracing::warn!(vm = %shared.settings.vm, peer = %peer, error = %error, ms, "asking a peer failed");
-                sleep(RETRY_PAUSE).await;
+                tracing::warn!(vm = %shared.settings.vm, peer = %peer, error = %error, ms, "fetching platform state from a peer failed");
+                sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Whether a state holds changes that lead on from a revision.
-fn leads_beyond(state: &PeerState, known: Option<u64>) -> bool {
+/// Returns whether a state contains changes that lead beyond a revision.
+fn is_newer_than(state: &PeerState, known_revision: Option<u64>) -> bool {
     match state {
-        PeerState::Changes(set) | PeerState::SpanningChanges(set, _) => Some(set.revision) > known,
+        PeerState::Changes(set) | PeerState::SpanningChanges(set, _) => {
+            Some(set.revision) > known_revision
+        }
         PeerState::Snapshot(_) | PeerState::KeyedSnapshot(..) => false,
     }
 }
 
-/// Waits until another VM says that it knows more, but no longer than this. What it said since the last wait counts.
-async fn await_news(shared: &GatewayShared, limit: Duration) {
-    // Without news it is looked all the same.
-    let _ = timeout(limit, shared.ahead_news.notified()).await;
+/// Waits until another VM announces a newer revision, but no longer than `limit`. An announcement
+/// since the last wait ends it at once.
+async fn wait_for_newer_revision(shared: &GatewayShared, limit: Duration) {
+    // After a timeout, the caller checks for newer revisions as well.
+    let _ = timeout(limit, shared.newer_revision_notify.notified()).await;
 }
 
-/// What a peer told, and how large it was.
-struct TakenState {
+/// The state that a peer sent, and its serialized size.
+struct FetchedState {
     state: PeerState,
     bytes: usize,
 }
 
-/// Asks a peer, and another one beside it where the first says nothing. Returns whose answer it is.
-async fn ask_hedged(
+/// Fetches state from a peer, and from a second one as well if the first does not answer in time.
+/// Returns the address of the peer whose result it is.
+async fn fetch_hedged(
     control: &ControlAddress,
     first: SocketAddr,
-    known: Option<u64>,
-) -> (SocketAddr, Result<TakenState, AskError>) {
-    let mut begun = pin!(begin_asking(first, known));
+    known_revision: Option<u64>,
+) -> (SocketAddr, Result<FetchedState, FetchError>) {
+    let mut primary = pin!(start_fetch(first, known_revision));
     tokio::select! {
-        answer = &mut begun => return (first, read_answer(answer).await),
+        answer = &mut primary => return (first, read_answer(answer).await),
         () = sleep(HEDGE_AFTER) => {}
     }
     let other = match control.send(FindNewerPeer { avoided: Some(first) }).await {
         Ok(CatchUpStep::Ask(other)) if other.peer != first => other,
-        _ => return (first, read_answer(begun.await).await),
+        _ => return (first, read_answer(primary.await).await),
     };
-    let (second, known) = (other.peer, other.base_revision);
-    tracing::info!(peer = %first, other = %second, "a peer says nothing, another one is asked too");
-    let mut hedge = pin!(begin_asking(second, known));
+    let (second, known_revision) = (other.peer, other.base_revision);
+    tracing::info!(peer = %first, other = %second, "a peer does not answer, asking another one as well");
+    let mut hedge = pin!(start_fetch(second, known_revision));
     let (peer, answer) = tokio::select! {
-        answer = &mut begun => (first, answer),
+        answer = &mut primary => (first, answer),
         answer = &mut hedge => (second, answer),
     };
     if answer.is_ok() {
         return (peer, read_answer(answer).await);
     }
-    // The one that is left may still answer.
+    // The remaining one may still answer.
     match peer == first {
         true => (second, read_answer(hedge.await).await),
-        false => (first, read_answer(begun.await).await),
+        false => (first, read_answer(primary.await).await),
     }
 }
 
-/// An answer that has begun, with the connection that it comes by.
-struct BegunAnswer {
+/// An answer that has begun, with its connection.
+struct StartedAnswer {
     response: Response<Incoming>,
     _connection: Connection,
 }
 
-async fn begin_asking(peer: SocketAddr, known: Option<u64>) -> Result<BegunAnswer, AskError> {
+async fn start_fetch(
+    peer: SocketAddr,
+    known_revision: Option<u64>,
+) -> Result<StartedAnswer, FetchError> {
     let mut connection =
-        Connection::open(peer, FAR_CONNECT_LIMIT).await.map_err(AskError::Connect)?;
-    let after = known.map(|known| format!("?{PEER_STATE_AFTER}{known}"));
+        Connection::open(peer, FAR_CONNECT_LIMIT).await.map_err(FetchError::Connect)?;
+    let after = known_revision
+        .map(|known_revision| format!("?{PEER_STATE_REVISION_PREFIX}{known_revision}"));
     let path = format!("{PEER_STATE_PATH}{}", after.unwrap_or_default());
     let request = Request::get(path)
         .header(HOST, peer.to_string())
         .header(SPANS, "1")
         .body(Full::<Bytes>::default())
         .expect("a constant path makes a request");
-    let response = timeout(SILENT_LIMIT, connection.sender.send_request(request)).await;
-    let response = response.map_err(|_| AskError::Silent(0))?.map_err(AskError::Http)?;
+    let response = timeout(IDLE_TIMEOUT, connection.sender.send_request(request)).await;
+    let response = response.map_err(|_| FetchError::TimedOut(0))?.map_err(FetchError::Http)?;
     if response.status() != StatusCode::OK {
-        return Err(AskError::Status(response.status()));
+        return Err(FetchError::Status(response.status()));
     }
-    Ok(BegunAnswer { response, _connection: connection })
+    Ok(StartedAnswer { response, _connection: connection })
 }
 
-async fn read_answer(begun: Result<BegunAnswer, AskError>) -> Result<TakenState, AskError> {
-    let begun = begun?;
-    let body = read_state(begun.response.into_body()).await?;
-    let state = peer_codec().deserialize(&body).map_err(AskError::Content)?;
-    Ok(TakenState { state, bytes: body.len() })
+async fn read_answer(
+    answer: Result<StartedAnswer, FetchError>,
+) -> Result<FetchedState, FetchError> {
+    let answer = answer?;
+    let body = read_state(answer.response.into_body()).await?;
+    let state = peer_codec().deserialize(&body).map_err(FetchError::Content)?;
+    Ok(FetchedState { state, bytes: body.len() })
 }
 
-/// Reads an answer for as long as more of it comes.
-async fn read_state(mut body: Incoming) -> Result<Vec<u8>, AskError> {
+/// Reads an answer to its end. Only the time between two pieces of it is limited.
+async fn read_state(mut body: Incoming) -> Result<Vec<u8>, FetchError> {
     let mut bytes = Vec::new();
     loop {
-        let frame = timeout(SILENT_LIMIT, body.frame()).await;
-        let Some(frame) = frame.map_err(|_| AskError::Silent(bytes.len()))? else {
+        let frame = timeout(IDLE_TIMEOUT, body.frame()).await;
+        let Some(frame) = frame.map_err(|_| FetchError::TimedOut(bytes.len()))? else {
             return Ok(bytes);
         };
-        if let Some(data) = frame.map_err(AskError::Http)?.data_ref() {
+        if let Some(data) = frame.map_err(FetchError::Http)?.data_ref() {
             bytes.extend_from_slice(data);
         }
         if bytes.len() > MAX_STATE_BYTES {
-            return Err(AskError::TooLarge);
+            return Err(FetchError::TooLarge);
         }
     }
 }
