--- a/crates/foldhaven-gateway/src/attempts/notes.rs
+++ b/crates/foldhaven-gateway/src/attempts/notes.rs
@@ -22,220 +22,221 @@
 const LEAST_EVENTS: u32 = 4;
 
 impl RequestDriver {
-/// Remembers, and tells others, where the parts of a prompt will be held.
-pub(super) fn note_placement(&self, place: &RequestDestination) {
-let (RequestDestination::Upstream(upstream), Some(outline)) = (place, &self.job.outline)
-else {
-return;
-};
-let placement = PromptPlacement {
-upstream: upstream.tag,
-shared: outline.shared.clone(),
-own_tokens: outline.own_tokens,
-};
-self.shared.prefix_caches.lock().record(&placement);
-if outline.shared_tokens() >= MIN_ANNOUNCED_TOKENS {
-self.shared.placements.lock().push(placement);
-}
-}
-
-/// Notes whether an upstream with such a queue took the request.
-pub(super) fn note_room(
-&self,
-upstream: &Upstream,
-queue: QueueState,
-opened: &Result<OpenAnswer, CallFault>,
-) {
-let service = &self.job.service;
-match opened {
-Ok(_) => {
-self.shared.update_queue_capacity(service, |room| room.record_accepted(queue));
-}
-Err(fault) if fault.is_full() => {
-let room =
-self.shared.update_queue_capacity(service, |room| room.record_refused(queue));
-upstream
-.pace
-.lock()
-.record_queue_full(room.full_queue_load(queue), self.shared.now());
-}
-Err(_) => {}
-}
-}
-
-/// Notes that a place has begun its answer.
-pub fn note_first(
-&self,
-place: &RequestDestination,
-expected: ExpectedFirst,
-sent: BootInstant,
-) {
-if let RequestDestination::Upstream(upstream) = place
-&& expected.rank == QueueRank::Timely
-{
-let took = sent.elapsed();
-upstream.pace.lock().record_time_to_first(expected.time, took, self.shared.now());
-if let Some(tokens) = expected.prefill_before_answer {
-self.shared.record_prefill(&self.job.service, tokens, took);
-}
-}
-}
-
-/// Notes that a place answered whole.
-pub fn note_success(&self, place: &RequestDestination, sent: BootInstant) {
-if let RequestDestination::Upstream(upstream) = place {
-let usual = self.note_route_end(false);
-upstream.pace.lock().record_end(false, usual, self.shared.now());
-upstream.health.lock().record_success();
-self.shared.record_slot_time(&self.job.service, sent.elapsed());
-}
-}
-
-/// Notes that a place answered with a failure of its own.
-pub(super) fn note_failed_answer(&mut self, place: &RequestDestination, status: StatusCode) {
-self.last_fault = Some(format!("the upstream answered {status}"));
-if let RequestDestination::Upstream(upstream) = place {
-self.note_failure(upstream);
-}
-}
-
-/// Notes that a request failed at an upstream after it may have run.
-pub fn note_failure(&self, upstream: &Upstream) {
-upstream.note_failure(self.note_route_end(true), self.shared.now());
-}
-
-/// Notes that the connection to an upstream ended while the request was there.
-pub fn note_broken(&self, upstream: &Arc<Upstream>, cause: &str) {
-self.note_failure(upstream);
-look_into_end(&self.shared, upstream);
-self.shared.metrics.count_event("connection_broke");
-if self.shared.quota.take(false) {
-tracing::info!(
-upstream = %upstream.name(),
-request = self.job.id(),
-print = %self.job.print,
-cause,
-tries = self.arrivals,
-others = upstream.load.share().in_flight,
-ms = self.job.started.elapsed().as_millis() as u64,
-"a connection broke under a request"
-);
-}
-}
-
-/// Notes how a request of this route ended at an upstream. Returns the share that usually fails.
-fn note_route_end(&self, has_failed: bool) -> f64 {
-let route = &self.job.route.name;
-self.shared
-.update_route_history(route, |history| history.record_outcome(has_failed))
-.failure_share()
-}
-
-/// Notes a whole stream: how many events it had, in what time from the first to the last, and how many
-/// requests its upstream had meanwhile.
-pub fn note_stream(&self, events: u32, time: Duration, load: f64) {
-self.shared
-.update_route_history(&self.job.route.name, |history| history.record_event_count(events));
-if events >= LEAST_EVENTS {
-self.shared.record_event_interval(&self.job.service, time / (events - 1), load);
-}
-}
-
-/// What the ids of this request's events are judged by.
-pub fn event_order(&self) -> EventSequenceChecker {
-let usual = self.shared.route_history(&self.job.route.name).usual_numbering();
-let resumed_after = self.job.headers.get(&self.shared.names.last_event);
-EventSequenceChecker::new(usual, resumed_after.and_then(|id| id.to_str().ok()))
-}
-
-/// Notes how the events of a whole stream were numbered.
-pub fn note_event_order(&self, order: &EventSequenceChecker) {
-if order.is_informative() {
-let name = &self.job.route.name;
-self.shared.update_route_history(name, |history| {
-history.numbering_mut().record_stream(order.numbering())
-});
-}
-}
-
-/// Notes that an event of a stream was missing.
-pub fn note_event_gap(&self) {
-self.shared.metrics.count_event("event_gaps");
-let name = &self.job.route.name;
-self.shared.update_route_history(name, |history| history.numbering_mut().reset());
-}
-
-/// Notes what a fault says of its place.
-pub(super) fn note_fault(&mut self, place: &RequestDestination, fault: &CallFault) {
-self.last_fault = Some(fault.to_string());
-self.may_have_run |= fault.may_have_run();
-self.breaks += u32::from(matches!(fault, CallFault::Broken(_)));
-let RequestDestination::Upstream(upstream) = place else { return };
-let now = self.shared.now();
-match fault {
-CallFault::NotSent(_) => upstream.note_unreachable(now),
-// Another process has the address now.
-CallFault::Declined { .. } if fault.is_misdirected() => upstream.note_unreachable(now),
-CallFault::Broken(cause) => self.note_broken(upstream, cause),
-CallFault::Silent | CallFault::TimedOut => self.note_failure(upstream),
-// The upstream did nothing wrong.
-CallFault::CalledBack => self.shared.metrics.count_event("suspect_called_back"),
-// A full upstream says nothing of what is usual for the route.
-CallFault::Declined { .. } => upstream.pace.lock().record_end(true, 0.0, now),
-}
-}
-
-/// Whether the request was served on time.
-fn burn_event(&self, end: RequestEnd) -> BurnEvent {
-let is_timely = self.job.first_after.is_some_and(|first| first <= self.job.route.target);
-match end {
-RequestEnd::Served if is_timely => BurnEvent::Good,
-RequestEnd::Refused(_) if !self.may_have_run => BurnEvent::Refused,
-_ => BurnEvent::Bad,
-}
-}
-
-/// Counts and logs how the request ended.
-pub fn note_end(&self, end: RequestEnd) {
-let job = &self.job;
-let shared = &self.shared;
-if !job.is_forwarded {
-let burn = RequestBurn {
-event: self.burn_event(end),
-worth: f64::from(job.size()),
-now: shared.now(),
-};
-shared.metrics.count_end(&job.route.name, end, burn);
-}
-let is_plain = end == RequestEnd::Served && self.last_fault.is_none();
-if !shared.quota.take(is_plain) {
-return;
-}
-let expected = self.last_expected;
-let view = shared.view();
-tracing::info!(
-request = job.id(),
-print = %job.print,
-route = %job.route.name,
-account = job.account_label(),
-priority = job.priority(),
-service = %job.service,
-end = end.label(),
-tries = self.arrivals,
-place = self.last_place.as_deref().unwrap_or("-"),
-expected_ms = expected.map_or(0, |it| it.first_ms),
-first_ms = job.first_after.map_or(0, |first| first.as_millis() as u64),
-read_tokens = expected.map_or(0, |it| it.read_tokens),
-load = expected.map_or(0, |it| it.load),
-rank = expected.map_or("-", |it| it.rank.label()),
-weighed = self.weighed.as_deref().unwrap_or("-"),
-fault = self.last_fault.as_deref().unwrap_or("-"),
-forwarded = job.is_forwarded,
-version = view.as_ref().map_or(0, |view| view.routes.version().0),
-news_ms = view.as_ref().map_or(0, |view| view.report_age().as_millis() as u64),
-ms = job.started.elapsed().as_millis() as u64,
-left_ms = job.deadline.saturating_duration_since(BootInstant::now()).as_millis() as u64,
-"request ended"
-);
-}
+    /// Remembers, and tells others, where the parts of a prompt will be held.
+    pub(super) fn note_placement(&self, place: &RequestDestination) {
+        let (RequestDestination::Upstream(upstream), Some(outline)) = (place, &self.job.outline)
+        else {
+            return;
+        };
+        let placement = PromptPlacement {
+            upstream: upstream.tag,
+            shared: outline.shared.clone(),
+            own_tokens: outline.own_tokens,
+        };
+        self.shared.prefix_caches.lock().record(&placement);
+        if outline.shared_tokens() >= MIN_ANNOUNCED_TOKENS {
+            self.shared.placements.lock().push(placement);
+        }
+    }
+
+    /// Notes whether an upstream with such a queue took the request.
+    pub(super) fn note_room(
+        &self,
+        upstream: &Upstream,
+        queue: QueueState,
+        opened: &Result<OpenAnswer, CallFault>,
+    ) {
+        let service = &self.job.service;
+        match opened {
+            Ok(_) => {
+                self.shared.update_queue_capacity(service, |room| room.record_accepted(queue));
+            }
+            Err(fault) if fault.is_full() => {
+                let room =
+                    self.shared.update_queue_capacity(service, |room| room.record_refused(queue));
+                upstream
+                    .pace
+                    .lock()
+                    .record_queue_full(room.full_queue_load(queue), self.shared.now());
+            }
+            Err(_) => {}
+        }
+    }
+
+    /// Notes that a place has begun its answer.
+    pub fn note_first(
+        &self,
+        place: &RequestDestination,
+        expected: ExpectedFirst,
+        sent: BootInstant,
+    ) {
+        if let RequestDestination::Upstream(upstream) = place
+            && expected.rank == QueueRank::Timely
+        {
+            let took = sent.elapsed();
+            upstream.pace.lock().record_time_to_first(expected.time, took, self.shared.now());
+            if let Some(tokens) = expected.prefill_before_answer {
+                self.shared.record_prefill(&self.job.service, tokens, took);
+            }
+        }
+    }
+
+    /// Notes that a place answered whole.
+    pub fn note_success(&self, place: &RequestDestination, sent: BootInstant) {
+        if let RequestDestination::Upstream(upstream) = place {
+            let usual = self.note_route_end(false);
+            upstream.pace.lock().record_end(false, usual, self.shared.now());
+            upstream.health.lock().record_success();
+            self.shared.record_slot_time(&self.job.service, sent.elapsed());
+        }
+    }
+
+    /// Notes that a place answered with a failure of its own.
+    pub(super) fn note_failed_answer(&mut self, place: &RequestDestination, status: StatusCode) {
+        self.last_fault = Some(format!("the upstream answered {status}"));
+        if let RequestDestination::Upstream(upstream) = place {
+            self.note_failure(upstream);
+        }
+    }
+
+    /// Notes that a request failed at an upstream after it may have run.
+    pub fn note_failure(&self, upstream: &Upstream) {
+        upstream.note_failure(self.note_route_end(true), self.shared.now());
+    }
+
+    /// Notes that the connection to an upstream ended while the request was there.
+    pub fn note_broken(&self, upstream: &Arc<Upstream>, cause: &str) {
+        self.note_failure(upstream);
+        look_into_end(&self.shared, upstream);
+        self.shared.metrics.count_event("connection_broke");
+        if self.shared.quota.take(false) {
+            tracing::info!(
+            upstream = %upstream.name(),
+            request = self.job.id(),
+            print = %self.job.print,
+            cause,
+            tries = self.arrivals,
+            others = upstream.load.share().in_flight,
+            ms = self.job.started.elapsed().as_millis() as u64,
+            "a connection broke under a request"
+            );
+        }
+    }
+
+    /// Notes how a request of this route ended at an upstream. Returns the share that usually fails.
+    fn note_route_end(&self, has_failed: bool) -> f64 {
+        let route = &self.job.route.name;
+        self.shared
+            .update_route_history(route, |history| history.record_outcome(has_failed))
+            .failure_share()
+    }
+
+    /// Notes a whole stream: how many events it had, in what time from the first to the last, and how many
+    /// requests its upstream had meanwhile.
+    pub fn note_stream(&self, events: u32, time: Duration, load: f64) {
+        self.shared.update_route_history(&self.job.route.name, |history| {
+            history.record_event_count(events)
+        });
+        if events >= LEAST_EVENTS {
+            self.shared.record_event_interval(&self.job.service, time / (events - 1), load);
+        }
+    }
+
+    /// What the ids of this request's events are judged by.
+    pub fn event_order(&self) -> EventSequenceChecker {
+        let usual = self.shared.route_history(&self.job.route.name).usual_numbering();
+        let resumed_after = self.job.headers.get(&self.shared.names.last_event);
+        EventSequenceChecker::new(usual, resumed_after.and_then(|id| id.to_str().ok()))
+    }
+
+    /// Notes how the events of a whole stream were numbered.
+    pub fn note_event_order(&self, order: &EventSequenceChecker) {
+        if order.is_informative() {
+            let name = &self.job.route.name;
+            self.shared.update_route_history(name, |history| {
+                history.numbering_mut().record_stream(order.numbering())
+            });
+        }
+    }
+
+    /// Notes that an event of a stream was missing.
+    pub fn note_event_gap(&self) {
+        self.shared.metrics.count_event("event_gaps");
+        let name = &self.job.route.name;
+        self.shared.update_route_history(name, |history| history.numbering_mut().reset());
+    }
+
+    /// Notes what a fault says of its place.
+    pub(super) fn note_fault(&mut self, place: &RequestDestination, fault: &CallFault) {
+        self.last_fault = Some(fault.to_string());
+        self.may_have_run |= fault.may_have_run();
+        self.breaks += u32::from(matches!(fault, CallFault::Broken(_)));
+        let RequestDestination::Upstream(upstream) = place else { return };
+        let now = self.shared.now();
+        match fault {
+            CallFault::NotSent(_) => upstream.note_unreachable(now),
+            // Another process has the address now.
+            CallFault::Declined { .. } if fault.is_misdirected() => upstream.note_unreachable(now),
+            CallFault::Broken(cause) => self.note_broken(upstream, cause),
+            CallFault::Silent | CallFault::TimedOut => self.note_failure(upstream),
+            // The upstream did nothing wrong.
+            CallFault::CalledBack => self.shared.metrics.count_event("suspect_called_back"),
+            // A full upstream says nothing of what is usual for the route.
+            CallFault::Declined { .. } => upstream.pace.lock().record_end(true, 0.0, now),
+        }
+    }
+
+    /// Whether the request was served on time.
+    fn burn_event(&self, end: RequestEnd) -> BurnEvent {
+        let is_timely = self.job.first_after.is_some_and(|first| first <= self.job.route.target);
+        match end {
+            RequestEnd::Served if is_timely => BurnEvent::Good,
+            RequestEnd::Refused(_) if !self.may_have_run => BurnEvent::Refused,
+            _ => BurnEvent::Bad,
+        }
+    }
+
+    /// Counts and logs how the request ended.
+    pub fn note_end(&self, end: RequestEnd) {
+        let job = &self.job;
+        let shared = &self.shared;
+        if !job.is_forwarded {
+            let burn = RequestBurn {
+                event: self.burn_event(end),
+                worth: f64::from(job.size()),
+                now: shared.now(),
+            };
+            shared.metrics.count_end(&job.route.name, end, burn);
+        }
+        let is_plain = end == RequestEnd::Served && self.last_fault.is_none();
+        if !shared.quota.take(is_plain) {
+            return;
+        }
+        let expected = self.last_expected;
+        let view = shared.view();
+        tracing::info!(
+        request = job.id(),
+        print = %job.print,
+        route = %job.route.name,
+        account = job.account_label(),
+        priority = job.priority(),
+        service = %job.service,
+        end = end.label(),
+        tries = self.arrivals,
+        place = self.last_place.as_deref().unwrap_or("-"),
+        expected_ms = expected.map_or(0, |it| it.first_ms),
+        first_ms = job.first_after.map_or(0, |first| first.as_millis() as u64),
+        read_tokens = expected.map_or(0, |it| it.read_tokens),
+        load = expected.map_or(0, |it| it.load),
+        rank = expected.map_or("-", |it| it.rank.label()),
+        weighed = self.weighed.as_deref().unwrap_or("-"),
+        fault = self.last_fault.as_deref().unwrap_or("-"),
+        forwarded = job.is_forwarded,
+        version = view.as_ref().map_or(0, |view| view.routes.version().0),
+        news_ms = view.as_ref().map_or(0, |view| view.report_age().as_millis() as u64),
+        ms = job.started.elapsed().as_millis() as u64,
+        left_ms = job.deadline.saturating_duration_since(BootInstant::now()).as_millis() as u64,
+        "request ended"
+        );
+    }
 }
--- a/crates/foldhaven-gateway/src/directory.rs
+++ b/crates/foldhaven-gateway/src/directory.rs
@@ -23,62 +23,62 @@
 /// A query of a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DirectoryQuery {
-/// The host of the requests that the caller is going to send.
-pub host: String,
-/// The region of the caller.
-pub region: RegionName,
+    /// The host of the requests that the caller is going to send.
+    pub host: String,
+    /// The region of the caller.
+    pub region: RegionName,
 }
 
 /// The format of queries and answers.
 pub trait DirectoryCodec: Send + Sync {
-/// Parses a query. `None` if the path and the query string are not a directory query.
-fn read(&self, path: &str, query: &str) -> Option<DirectoryQuery>;
+    /// Parses a query. `None` if the path and the query string are not a directory query.
+    fn read(&self, path: &str, query: &str) -> Option<DirectoryQuery>;
 
-/// Serializes an answer.
-fn write(&self, addresses: &[SocketAddr], lifetime: Duration) -> Bytes;
+    /// Serializes an answer.
+    fn write(&self, addresses: &[SocketAddr], lifetime: Duration) -> Bytes;
 }
 
 /// Handles requests at the directory's address.
 pub(crate) struct DirectoryHandler {
-pub shared: Arc<GatewayShared>,
-pub codec: Arc<dyn DirectoryCodec>,
+    pub shared: Arc<GatewayShared>,
+    pub codec: Arc<dyn DirectoryCodec>,
 }
 
 impl DirectoryHandler {
-/// Returns the addresses of the VMs to use. `None` if this VM does not know them yet.
-fn addresses(&self, query: &DirectoryQuery) -> Option<Vec<SocketAddr>> {
-let view = self.shared.view()?;
-if self.shared.uptime() < NAMING_DELAY {
-return None;
-}
-let bound = |region: &RegionName| view.routes.bound_routes_in(&query.host, region);
-let has_bound = view.routes.has_bound_routes(&query.host);
-let settings = &self.shared.settings;
-let local = LocalService {
-responder: &settings.vm,
-region: settings.region(),
-demand: view.demand,
-unresponsive: &view.unresponsive_vms,
-};
-Some(select_vms(&view.heartbeats, &query.region, &local, bound, has_bound))
-}
+    /// Returns the addresses of the VMs to use. `None` if this VM does not know them yet.
+    fn addresses(&self, query: &DirectoryQuery) -> Option<Vec<SocketAddr>> {
+        let view = self.shared.view()?;
+        if self.shared.uptime() < NAMING_DELAY {
+            return None;
+        }
+        let bound = |region: &RegionName| view.routes.bound_routes_in(&query.host, region);
+        let has_bound = view.routes.has_bound_routes(&query.host);
+        let settings = &self.shared.settings;
+        let local = LocalService {
+            responder: &settings.vm,
+            region: settings.region(),
+            demand: view.demand,
+            unresponsive: &view.unresponsive_vms,
+        };
+        Some(select_vms(&view.heartbeats, &query.region, &local, bound, has_bound))
+    }
 }
 
 #[async_trait]
 impl FrontHandler for DirectoryHandler {
-async fn handle(&self, request: Request<Incoming>) -> Answer {
-let uri = request.uri();
-let query = self.codec.read(uri.path(), uri.query().unwrap_or_default());
-let Some(query) = query else { return Refusal::Malformed.answer() };
-// After a suspension, the known VMs may have exited long ago. The caller then asks another
-// directory.
-let addresses = self.shared.is_awake().then(|| self.addresses(&query)).flatten();
-match addresses {
-Some(addresses) if !addresses.is_empty() => {
-let body = self.codec.write(&addresses, ANSWER_LIFETIME);
-body_answer(StatusCode::OK, "application/json", body)
-}
-_ => Refusal::NoDescription.answer(),
-}
-}
+    async fn handle(&self, request: Request<Incoming>) -> Answer {
+        let uri = request.uri();
+        let query = self.codec.read(uri.path(), uri.query().unwrap_or_default());
+        let Some(query) = query else { return Refusal::Malformed.answer() };
+        // After a suspension, the known VMs may have exited long ago. The caller then asks another
+        // directory.
+        let addresses = self.shared.is_awake().then(|| self.addresses(&query)).flatten();
+        match addresses {
+            Some(addresses) if !addresses.is_empty() => {
+                let body = self.codec.write(&addresses, ANSWER_LIFETIME);
+                body_answer(StatusCode::OK, "application/json", body)
+            }
+            _ => Refusal::NoDescription.answer(),
+        }
+    }
 }
