--- a/crates/foldhaven-gateway/src/answer.rs
+++ b/crates/foldhaven-gateway/src/answer.rs
@@ -1,4 +1,4 @@
-//! The bodies of answers, and the answers that the gateway makes itself.
+//! The bodies of answers, and the refusals that the gateway sends itself.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -12,19 +12,20 @@
 
 use crate::events::{EventRelay, RelayBroken};
 
-/// When the caller of a request comes back whose homes leave no region: not before operators have changed them.
+/// Retry delay for a request whose residency rules permit no region. A retry fails until operators
+/// have changed the rules.
 const NO_HOME_PAUSE: Duration = Duration::from_secs(5);
 
 /// The body of an answer.
 pub enum AnswerBody {
-    /// All of it.
+    /// A complete body. `None` once it was sent.
     Whole(Option<Bytes>),
-    /// Events that are passed on as they come.
+    /// Events that are relayed as they arrive.
     Events(Box<EventRelay>),
 }
 
 impl AnswerBody {
-    /// A body that is there.
+    /// Creates a body from bytes.
     pub fn whole(bytes: impl Into<Bytes>) -> Self {
         Self::Whole(Some(bytes.into()))
     }
@@ -59,15 +60,15 @@
     }
 }
 
-/// The shortest time after which callers come back whose upstreams want nothing more for now.
+/// Minimum retry delay while all upstreams are throttled.
 const SHORTEST_HELD_BACK: Duration = Duration::from_millis(250);
-/// By how much they are spread.
+/// Range over which these retries are spread.
 const HELD_BACK_SPREAD: Duration = Duration::from_millis(500);
 
-/// An answer.
+/// An answer to a request.
 pub type Answer = Response<AnswerBody>;
 
-/// Why the gateway itself answers a request.
+/// Why the gateway refuses a request. The text of each variant is the body of the answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display)]
 pub enum Refusal {
     /// no description yet
@@ -84,7 +85,7 @@
     NoKey,
     /// the account is over its limit
     OverLimit {
-        /// When it probably is not.
+        /// The time until the account is probably below its limit.
         wait: Duration,
     },
     /// its homes leave no region to run in
@@ -95,21 +96,21 @@
     NoUpstream,
     /// the upstreams want nothing more for now
     HeldBack {
-        /// When one of them probably does.
+        /// The time until one of them probably accepts requests.
         wait: Duration,
     },
     /// the upstreams are full
     Full,
     /// the upstreams are overloaded
     Overloaded {
-        /// Why it was not sent to the best of them.
+        /// Why the request was not sent to the best of them.
         cause: AdmissionError,
-        /// After which time one probably could.
+        /// The time until it probably can be.
         wait: Duration,
     },
     /// upstreams ended under this request
     Suspect {
-        /// When it may be tried here.
+        /// The time until the request may be sent here.
         wait: Duration,
     },
     /// this VM is leaving
@@ -125,7 +126,8 @@
 }
 
 impl Refusal {
-    /// The status that goes with it. 408, 421, 429 and 503 promise that nothing has run.
+    /// Returns the status of the answer. 408, 421, 429 and 503 guarantee that the request did not
+    /// run.
     pub fn status(self) -> StatusCode {
         match self {
             Self::Malformed => StatusCode::BAD_REQUEST,
@@ -150,12 +152,12 @@
         }
     }
 
-    /// Whether its status promises that nothing has run.
+    /// Whether the status guarantees that the request did not run.
     pub fn promises_unrun(self) -> bool {
         matches!(self.status().as_u16(), 408 | 421 | 429 | 503)
     }
 
-    /// The name in logs and metrics.
+    /// Returns the name in logs and metrics.
     pub fn label(self) -> &'static str {
         match self {
             Self::NoDescription => "no_description",
@@ -183,12 +185,13 @@
         }
     }
 
-    /// When the caller should come back, spread over callers by `draw` in 0..1.
+    /// Returns the delay after which the caller should retry, spread over callers by `draw` in
+    /// 0..1. `None` if a retry is of no use.
     fn come_back(self, draw: f64) -> Option<Duration> {
         let shortest = match self {
             Self::NoDescription | Self::Behind | Self::NoUpstream => Duration::from_millis(400),
             Self::Full => Duration::from_millis(250),
-            // The time is known, so that callers are spread a little only.
+            // The end of the back-off is known, so callers are spread by a fixed range only.
             Self::HeldBack { wait } => {
                 return Some(wait.max(SHORTEST_HELD_BACK) + HELD_BACK_SPREAD.mul_f64(draw));
             }
@@ -201,7 +204,7 @@
         Some(shortest.mul_f64(1.0 + draw))
     }
 
-    /// The answer.
+    /// Returns the answer for the caller.
     pub fn answer(self) -> Answer {
         let mut answer = Response::new(AnswerBody::whole(self.to_string()));
         *answer.status_mut() = self.status();
@@ -218,12 +221,12 @@
     }
 }
 
-/// Asks the caller to close the connection after an answer.
+/// Asks the caller to close the connection after this answer.
 pub fn close_after(answer: &mut Answer) {
     answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
 }
 
-/// An answer with a body of a content type.
+/// Creates an answer with a body of the given content type.
 pub fn body_answer(
     status: StatusCode,
     content_type: &'static str,
--- a/crates/foldhaven-gateway/src/attempts/mod.rs
+++ b/crates/foldhaven-gateway/src/attempts/mod.rs
@@ -1,5 +1,5 @@
-//! Tries a request at one place after another, as far as its kind, its time and the retry budget
-//! permit. Only the VM that took the request from its caller tries again.
+//! Sends a request to one destination after another, within the limits of its route, its deadline
+//! and the retry budget. Only the VM that received the request from its caller retries.
 
 mod notes;
 mod requests;
@@ -29,34 +29,35 @@
 use crate::upstream::{GuestSeat, LoadSeat};
 use crate::view::GatewayView;
 
-/// So long after its first description a process has heard of the VMs that live: seeds answer within one
+/// Time after its first description by which a process knows the live VMs. Seeds answer within one
 /// round trip between regions, and are asked again every 100 ms.
 const PEERS_KNOWN_AFTER: Duration = Duration::from_millis(600);
-/// How often it is looked whether a VM of another region was heard.
+/// Interval at which a request without a destination checks for VMs of other regions.
 const PEER_POLL: Duration = Duration::from_millis(40);
-/// The content type of a stream of events.
+/// The content type of an event stream.
 const EVENT_STREAM: &[u8] = b"text/event-stream";
 
-/// What was expected of a place until its first answer.
+/// The estimate for the first response of a destination, made when the request was sent.
 #[derive(Debug, Clone, Copy)]
 pub struct ExpectedFirst {
+    /// The expected time to the answer, or to its first event.
     pub time: Duration,
-    /// The rank that it had there.
+    /// The rank of the request at the destination.
     pub rank: QueueRank,
-    /// The prompt tokens that it had to read until then, where nothing but reading takes time.
+    /// The prompt tokens to prefill before the answer, if prefill accounts for the whole time.
     pub prefill_before_answer: Option<u32>,
 }
 
-/// What the log tells of the choice of a place.
+/// The properties of a chosen destination that are logged.
 #[derive(Debug, Clone, Copy)]
 pub struct LoggedChoice {
     /// The expected time to the first answer, in milliseconds.
     pub first_ms: u64,
-    /// The prompt tokens that were to be read.
+    /// The prompt tokens to prefill.
     pub read_tokens: u32,
-    /// The requests that the place had.
+    /// The requests in flight at the destination.
     pub load: u32,
-    /// Its rank there.
+    /// The rank of the request at the destination.
     pub rank: QueueRank,
 }
 
@@ -71,15 +72,15 @@
     }
 }
 
-/// An answer that is being read, with the place that gives it.
+/// An answer whose body is being read, with the destination that sends it.
 pub struct PlacedAnswer {
     pub answer: OpenAnswer,
     pub place: RequestDestination,
-    /// Counts the request at its place until the answer ends.
+    /// Counts the request at its destination until the answer ends.
     pub seat: LoadSeat,
-    /// Notes it at its upstream, where it is at one.
+    /// Registers the request at its upstream. `None` if the destination is another VM.
     pub guest: Option<GuestSeat>,
-    /// What was expected of the place when the request was sent.
+    /// The estimate for the destination when the request was sent.
     pub expected: ExpectedFirst,
     /// When the request was sent.
     pub sent: BootInstant,
@@ -94,14 +95,14 @@
     }
 }
 
-/// A whole answer of an upstream.
+/// An answer of an upstream with its complete body.
 pub struct WholeAnswer {
     pub head: Parts,
     pub body: Bytes,
 }
 
 impl WholeAnswer {
-    /// Whether the upstream says that it failed.
+    /// Whether the upstream reports a failure (a 5xx status).
     pub fn is_failure(&self) -> bool {
         self.head.status.is_server_error()
     }
@@ -109,44 +110,44 @@
 
 /// How a request was answered.
 pub enum AnswerStart {
-    /// With events, of which the first are yet to come.
+    /// An event stream, of which no event was read yet.
     Events(PlacedAnswer),
-    /// With a whole answer; where events were due, it tells of a failure or of a bad request.
+    /// A complete answer. On a streaming route it reports a failure or a bad request.
     Whole(WholeAnswer),
 }
 
-/// What follows a try whose answer was read.
+/// How to go on after an attempt whose answer was read.
 enum TryEnd {
-    /// The caller gets this answer.
+    /// Pass this answer to the caller.
     Answered(WholeAnswer),
-    /// The caller is refused, unless an earlier try gave an answer.
+    /// Refuse the request, unless an earlier attempt got an answer.
     Refused(Refusal),
-    /// Another try, in place of an answer that tells of a failure or of none.
+    /// Retry, since there was no answer or the given one, which reports a failure.
     Repeat(Option<WholeAnswer>),
 }
 
-/// Drives one request.
+/// Runs one request through its attempts.
 pub struct RequestDriver {
     pub shared: Arc<GatewayShared>,
     pub job: GatewayJob,
     tried: TriedDestinations,
-    /// How many tries may have reached an upstream or another VM.
+    /// The number of attempts that may have reached an upstream or another VM.
     pub arrivals: u32,
-    /// How many tries ended with their connection.
+    /// The number of attempts whose connection broke.
     breaks: u32,
-    /// Whether the request is suspected, and sent on once to see whether it is rightly.
+    /// Whether the request is under suspicion and is sent once as a probe, to test the suspicion.
     is_trial: bool,
-    /// Whether an upstream may have got it on trial.
+    /// Whether an upstream may have received the probe.
     is_trial_sent: bool,
-    /// Whether any of it may have run.
+    /// Whether any attempt may have run.
     pub may_have_run: bool,
-    /// The last fault, for the log.
+    /// The fault of the last failed attempt, for the log.
     pub last_fault: Option<String>,
-    /// The place of the last try, for the log.
+    /// The destination of the last attempt, for the log.
     pub last_place: Option<String>,
-    /// What was expected of it, for the log.
+    /// The properties of that destination when it was chosen, for the log.
     pub last_expected: Option<LoggedChoice>,
-    /// What there was to choose among when no place was found, for the log.
+    /// The candidates when no destination could be chosen, for the log.
     pub weighed: Option<String>,
 }
 
@@ -168,15 +169,15 @@
         }
     }
 
-    /// Runs the request until an upstream has answered: with a whole answer, or for a streaming route
-    /// with the beginning of its events.
+    /// Runs the request until an upstream has sent a complete answer or, on a streaming route, the
+    /// head of an event stream.
     pub async fn run(&mut self) -> Result<AnswerStart, Refusal> {
         let mut failed: Option<WholeAnswer> = None;
         loop {
             let placed = match self.open(None).await {
                 Ok(placed) if self.is_relayed(&placed) => return Ok(AnswerStart::Events(placed)),
                 Ok(placed) => placed,
-                // An answer that tells of a failure is better than none.
+                // An answer that reports a failure tells the caller more than a refusal.
                 Err(refusal) => return failed.map(AnswerStart::Whole).ok_or(refusal),
             };
             match self.finish(placed).await {
@@ -189,12 +190,12 @@
         }
     }
 
-    /// Whether an answer's events are passed on as they come.
+    /// Whether the events of an answer are relayed as they arrive.
     fn is_relayed(&self, placed: &PlacedAnswer) -> bool {
         self.job.route.repeat.is_stream() && placed.is_event_stream()
     }
 
-    /// Reads an answer to its end, and notes what it says of its place.
+    /// Reads an answer to its end, and records the outcome for its destination.
     async fn finish(&mut self, placed: PlacedAnswer) -> TryEnd {
         let PlacedAnswer { answer, place, seat, mut guest, expected, sent } = placed;
         let read = read_whole(answer, place.pool(), self.job.deadline).await;
@@ -220,7 +221,7 @@
                 false => TryEnd::Answered(whole),
             };
         }
-        // Only an answer of the kind that the route expects counts as a success of its place.
+        // Only an answer of the kind that the route expects counts as a success of its destination.
         if !self.job.route.repeat.is_stream() {
             self.note_first(&place, expected, sent);
             self.note_success(&place, sent);
@@ -228,7 +229,8 @@
         TryEnd::Answered(whole)
     }
 
-    /// Opens an answer at some place. With `resume_after` it goes on after that event.
+    /// Sends the request until a destination starts to answer. With `resume_after`, the stream
+    /// continues after the event of that id.
     pub async fn open(&mut self, resume_after: Option<&str>) -> Result<PlacedAnswer, Refusal> {
         loop {
             if BootInstant::now() >= self.job.deadline {
@@ -251,8 +253,9 @@
         }
     }
 
-    /// Chooses the place of the next try, and notes it; nothing while a VM that could run the request may
-    /// still be heard of, or what is believed is not of now.
+    /// Chooses and records the destination of the next attempt. Returns `None` while a VM that
+    /// could run the request may still be discovered, or while the platform state may be outdated
+    /// after a suspension.
     fn choose(&mut self) -> Result<Option<DestinationChoice>, Refusal> {
         if !self.shared.is_awake() {
             return Ok(None);
@@ -277,7 +280,8 @@
         Ok(Some(chosen))
     }
 
-    /// Whether the request still is of the account that it came under: no try begins under a key that is gone.
+    /// Checks that the key of the request still belongs to its account. No attempt starts with a
+    /// revoked key.
     fn check_key(&self, view: &GatewayView) -> Result<(), Refusal> {
         match key_state(&view.routes, &self.job.route, self.job.account.as_ref()) {
             KeyState::InForce => Ok(()),
@@ -286,8 +290,8 @@
         }
     }
 
-    /// Whether this process has just started and may still hear of a VM of a region that can run the
-    /// request. After a loss of all VMs their callers come back in the first tenths of a second.
+    /// Whether this process started recently and may still discover a VM of another region that can
+    /// run the request. After a loss of all VMs, callers retry within the first tenths of a second.
     fn awaits_peers(&self, view: &GatewayView) -> bool {
         let own_region = self.shared.settings.region();
         let is_elsewhere = view.expected_waits.keys().any(|(region, service)| {
--- a/crates/foldhaven-gateway/src/attempts/notes.rs
+++ b/crates/foldhaven-gateway/src/attempts/notes.rs
@@ -1,4 +1,4 @@
-//! Notes what tries say of their places, and how requests ended.
+//! Records the outcomes of attempts for their destinations, and how requests ended.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,11 +18,11 @@
 use crate::upstream::Upstream;
 use crate::upstream_ends::look_into_end;
 
-/// The fewest events of a stream that tell how fast events are written.
+/// Minimum number of events of a stream for measuring the interval between events.
 const LEAST_EVENTS: u32 = 4;
 
 impl RequestDriver {
-    /// Remembers, and tells others, where the parts of a prompt will be held.
+    /// Records which upstream will cache the segments of the prompt, and queues this for other VMs.
     pub(super) fn note_placement(&self, place: &RequestDestination) {
         let (RequestDestination::Upstream(upstream), Some(outline)) = (place, &self.job.outline)
         else {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Notes whether an upstream with such a queue took the request.
+    /// Records whether an upstream with the given queue accepted the request.
     pub(super) fn note_room(
         &self,
         upstream: &Upstream,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Notes that a place has begun its answer.
+    /// Records the time to the first response of a destination.
     pub fn note_first(
         &self,
         place: &RequestDestination,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Notes that a place answered whole.
+    /// Records that a destination answered completely.
     pub fn note_success(&self, place: &RequestDestination, sent: BootInstant) {
         if let RequestDestination::Upstream(upstream) = place {
             let usual = self.note_route_end(false);
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Notes that a place answered with a failure of its own.
+    /// Records that a destination answered with a failure status.
     pub(super) fn note_failed_answer(&mut self, place: &RequestDestination, status: StatusCode) {
         self.last_fault = Some(format!("the upstream answered {status}"));
         if let RequestDestination::Upstream(upstream) = place {
@@ -98,12 +98,12 @@
         }
     }
 
-    /// Notes that a request failed at an upstream after it may have run.
+    /// Records that a request failed at an upstream after it may have run.
     pub fn note_failure(&self, upstream: &Upstream) {
         upstream.note_failure(self.note_route_end(true), self.shared.now());
     }
 
-    /// Notes that the connection to an upstream ended while the request was there.
+    /// Records that the connection to an upstream broke while the request was in flight.
     pub fn note_broken(&self, upstream: &Arc<Upstream>, cause: &str) {
         self.note_failure(upstream);
         look_into_end(&self.shared, upstream);
@@ -117,19 +117,20 @@
             tries = self.arrivals,
             others = upstream.load.share().in_flight,
             ms = self.job.started.elapsed().as_millis() as u64,
-            "a connection broke under a request"
+            "connection to an upstream broke during a request"
             );
         }
     }
 
-    /// Notes how a request of this route ended at an upstream. Returns the share that usually fails.
+    /// Records whether a request of this route failed at an upstream. Returns the usual failure
+    /// share of the route.
     fn note_route_end(&self, has_failed: bool) -> f64 {
         let route = &self.job.route.name;
         self.shared.note_history(route, |history| history.note_end(has_failed)).failure_share()
     }
 
-    /// Notes a whole stream: how many events it had, in what time from the first to the last, and how many
-    /// requests its upstream had meanwhile.
+    /// Records a complete stream: its number of events, the time from the first to the last one,
+    /// and the mean number of requests at its upstream meanwhile.
     pub fn note_stream(&self, events: u32, time: Duration, load: f64) {
         self.shared.note_history(&self.job.route.name, |history| history.note_events(events));
         if events >= LEAST_EVENTS {
@@ -137,14 +138,14 @@
         }
     }
 
-    /// What the ids of this request's events are judged by.
+    /// Returns the checker for the event ids of this request.
     pub fn event_order(&self) -> EventSequenceChecker {
         let usual = self.shared.route_history(&self.job.route.name).usual_steps();
         let resumed_after = self.job.headers.get(&self.shared.names.last_event);
         EventSequenceChecker::new(usual, resumed_after.and_then(|id| id.to_str().ok()))
     }
 
-    /// Notes how the events of a whole stream were numbered.
+    /// Records how the events of a complete stream were numbered.
     pub fn note_event_order(&self, order: &EventSequenceChecker) {
         if order.is_informative() {
             let name = &self.job.route.name;
@@ -153,14 +154,14 @@
         }
     }
 
-    /// Notes that an event of a stream was missing.
+    /// Records that an event of a stream was missing.
     pub fn note_event_gap(&self) {
         self.shared.metrics.count_event("event_gaps");
         let name = &self.job.route.name;
         self.shared.note_history(name, |history| history.steps_mut().reset());
     }
 
-    /// Notes what a fault says of its place.
+    /// Records a fault of a destination.
     pub(super) fn note_fault(&mut self, place: &RequestDestination, fault: &CallFault) {
         self.last_fault = Some(fault.to_string());
         self.may_have_run |= fault.may_have_run();
@@ -173,14 +174,14 @@
             CallFault::Declined { .. } if fault.is_misdirected() => upstream.note_unreachable(now),
             CallFault::Broken(cause) => self.note_broken(upstream, cause),
             CallFault::Silent | CallFault::TimedOut => self.note_failure(upstream),
-            // The upstream did nothing wrong.
+            // The upstream is not at fault.
             CallFault::CalledBack => self.shared.metrics.count_event("suspect_called_back"),
-            // A full upstream says nothing of what is usual for the route.
+            // A refusal by a full upstream is no evidence about the failures of the route.
             CallFault::Declined { .. } => upstream.pace.lock().record_end(true, 0.0, now),
         }
     }
 
-    /// Whether the request was served on time.
+    /// Returns how the request counts for the error budget of its route.
     fn burn_event(&self, end: RequestEnd) -> BurnEvent {
         let is_timely = self.job.first_after.is_some_and(|first| first <= self.job.route.target);
         match end {
@@ -190,7 +191,7 @@
         }
     }
 
-    /// Counts and logs how the request ended.
+    /// Counts and logs the end of the request.
     pub fn note_end(&self, end: RequestEnd) {
         let job = &self.job;
         let shared = &self.shared;
--- a/crates/foldhaven-gateway/src/attempts/requests.rs
+++ b/crates/foldhaven-gateway/src/attempts/requests.rs
@@ -1,4 +1,4 @@
-//! Makes the request of one try, sends it, and waits for the head of its answer.
+//! Builds the request of one attempt, sends it, and waits for the head of the answer.
 
 use std::time::Duration;
 
@@ -19,14 +19,14 @@
 use crate::upstream::{GuestSeat, Upstream};
 use crate::upstream_listener::{DeafListener, UpstreamListener};
 
-/// After this time without an answer it is looked whether anything is heard of an upstream. Answers
-/// of a model that reads a long prompt take some hundred milliseconds.
+/// Minimum time without an answer after which an upstream is checked for any sign of life. A model
+/// that prefills a long prompt takes some hundred milliseconds to answer.
 const LEAST_PATIENCE: Duration = Duration::from_millis(600);
-/// The same as a multiple of the expected time.
+/// The same limit as a multiple of the expected time; the longer of the two applies.
 const PATIENCE: u32 = 2;
 
 impl RequestDriver {
-    /// Sends the request to a place and waits for the head of the answer.
+    /// Sends the request to a destination and waits for the head of the answer.
     pub(super) async fn call(
         &mut self,
         chosen: DestinationChoice,
@@ -52,7 +52,8 @@
         let listener = self.listener(&place);
         let target = place.call_target(listener.as_ref());
         self.arrivals += 1;
-        // Noted before it leaves: its caller may leave at any moment from then on.
+        // Set before sending, since the caller may disconnect (and drop this future) at any later
+        // await.
         self.is_trial_sent = self.is_trial;
         let sent = BootInstant::now();
         let opening = open_call(&target, request, &self.shared.names, self.job.deadline);
@@ -78,8 +79,8 @@
         Ok(PlacedAnswer { answer, place, seat, guest, expected, sent })
     }
 
-    /// Hears what the place says in its answer. Another VM passes on what an upstream of its region says, which that VM
-    /// hears itself.
+    /// Returns the listener for the signals in the head of the answer. The signals of an upstream
+    /// behind another VM are handled by that VM.
     fn listener(&self, place: &RequestDestination) -> Box<dyn HeadListener> {
         match place {
             RequestDestination::Upstream(upstream) => {
@@ -89,7 +90,7 @@
         }
     }
 
-    /// The request with the headers that are set for each try.
+    /// Builds the request, with the headers that are specific to the attempt.
     fn make_request(
         &self,
         place: &RequestDestination,
@@ -129,9 +130,9 @@
         request.body(Full::new(job.body.clone())).expect("the parts were read from a request")
     }
 
-    /// Waits for the head of an answer, and doubts an upstream of which nothing at all is heard: one
-    /// that lost its power or was cut off says nothing. A long queue is no reason for doubt, as the
-    /// answers to earlier requests go on.
+    /// Waits for the head of an answer, and marks the upstream as unreachable if nothing at all
+    /// arrives from it, as after a power failure or a network partition. A long queue does not lead
+    /// to that, since the answers to earlier requests continue to arrive.
     async fn watch(
         &self,
         upstream: &Upstream,
@@ -158,7 +159,7 @@
         opened
     }
 
-    /// Notes that an upstream has answered. The end of a connection is no answer.
+    /// Records that an upstream has answered. A connection that ended is no answer.
     fn note_heard(&self, upstream: &Upstream, opened: &Result<OpenAnswer, CallFault>) {
         if matches!(opened, Ok(_) | Err(CallFault::Declined { .. })) {
             upstream.note_heard(self.shared.now());
--- a/crates/foldhaven-gateway/src/attempts/retries.rs
+++ b/crates/foldhaven-gateway/src/attempts/retries.rs
@@ -1,4 +1,4 @@
-//! Decides whether a request is tried once more, and how it is refused if not.
+//! Decides whether a request is retried, and which refusal its caller gets otherwise.
 
 use http::StatusCode;
 
@@ -8,16 +8,17 @@
 use crate::clock::BootInstant;
 use crate::destinations::throttled_wait;
 
-/// How many places are tried at most, those included that could not be reached.
+/// Maximum number of destinations per request, including those that could not be reached.
 const MAX_TRIES: usize = 4;
 
 impl RequestDriver {
-    /// The refusal with which to end after a fault; nothing when another try may follow.
+    /// Returns the refusal that ends the request after a fault, or `None` if another attempt may
+    /// follow.
     pub(super) fn end_of_tries(&mut self, fault: &CallFault) -> Option<Refusal> {
         let may_repeat = match fault {
             CallFault::NotSent(_) => self.may_choose_again(),
             CallFault::Declined { .. } if fault.is_misdirected() => {
-                // Another process has the address: no upstream of the service got the request.
+                // Another process has the address: no upstream of the service received the request.
                 self.may_choose_again() && self.take_retry()
             }
             CallFault::Declined { .. } => self.may_send_again(),
@@ -30,24 +31,25 @@
         }
     }
 
-    /// Whether the request may run a second time, and may be sent to one more place.
+    /// Whether the request may run a second time and be sent to one more destination.
     pub fn may_repeat(&mut self) -> bool {
         self.job.route.repeat.is_repeatable() && self.may_send_again()
     }
 
-    /// Whether another place may be chosen for a request that no upstream has got. So may the VM that a
-    /// request was forwarded to, among the upstreams of its region.
+    /// Whether another destination may be chosen for a request that no upstream received. This
+    /// includes a VM that a request was forwarded to, which chooses among the upstreams of its
+    /// region.
     fn may_choose_again(&self) -> bool {
         self.tried.count() < MAX_TRIES && BootInstant::now() < self.job.deadline
     }
 
-    /// Whether the request may be sent to one more place that counts it as arrived.
+    /// Whether the request may be sent again after an attempt that reached its destination.
     fn may_send_again(&mut self) -> bool {
         let is_open = self.arrivals < self.job.route.max_attempts && !self.job.is_forwarded;
         is_open && !self.may_be_harmful() && self.may_choose_again() && self.take_retry()
     }
 
-    /// Takes one retry out of this VM's part of the budget.
+    /// Takes one retry from this VM's share of the retry budget.
     fn take_retry(&self) -> bool {
         let Some(view) = self.shared.view() else { return false };
         let is_granted = self.shared.take_retry(&self.job.service, &view);
@@ -55,7 +57,8 @@
         is_granted
     }
 
-    /// How the caller is refused after a fault: a try that may have run must not be denied.
+    /// Returns the refusal for the caller after a fault. If an attempt may have run, the refusal
+    /// must not claim that none did.
     fn refusal_for(&self, fault: &CallFault) -> Refusal {
         if self.may_have_run {
             return match fault {
@@ -73,12 +76,12 @@
         }
     }
 
-    /// A refusal is only true while nothing may have run.
+    /// Replaces a refusal by `Broken` if an attempt may have run.
     pub(super) fn after_tries(&self, refusal: Refusal) -> Refusal {
         if self.may_have_run { Refusal::Broken } else { refusal }
     }
 
-    /// How the caller is refused when its time has passed.
+    /// Returns the refusal for a request whose deadline has passed.
     pub(super) fn out_of_time(&self) -> Refusal {
         if self.may_have_run { Refusal::TimedOut } else { Refusal::NotReached }
     }
--- a/crates/foldhaven-gateway/src/attempts/suspicion.rs
+++ b/crates/foldhaven-gateway/src/attempts/suspicion.rs
@@ -1,4 +1,4 @@
-//! Holds back requests under which upstreams ended.
+//! Quarantines requests that may have crashed upstreams.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use crate::upstream::GuestSeat;
 
 impl RequestDriver {
-    /// Refuses a request that must not be sent on now.
+    /// Refuses a request that is quarantined.
     pub(super) fn check_suspicion(&self) -> Result<(), Refusal> {
         if self.is_trial {
             return Ok(());
@@ -23,8 +23,8 @@
         }
     }
 
-    /// Begins a trial where one is due. Only the VM that sends to the upstream itself does: the others are told before
-    /// the request is there.
+    /// Makes this attempt a probe if one is due. Only the VM that sends to the upstream itself
+    /// starts a probe: it informs the other VMs before the request reaches the upstream.
     pub(super) fn begin_trial(&mut self, place: &RequestDestination) -> Result<(), Refusal> {
         if self.is_trial || matches!(place, RequestDestination::Peer(_)) {
             return Ok(());
@@ -43,8 +43,9 @@
         Refusal::Suspect { wait }
     }
 
-    /// Waits for the head of an answer, and gives up when the request is refused meanwhile: of what waits at upstreams when
-    /// the third one ends, each copy that begins to run would end one more.
+    /// Waits for the head of an answer, and withdraws the request if it is quarantined meanwhile.
+    /// Of the copies that wait at upstreams when the third upstream exits, each one that starts to
+    /// run would crash another upstream.
     pub(super) async fn unless_called_back(
         &self,
         answered: impl Future<Output = Result<OpenAnswer, CallFault>>,
@@ -59,25 +60,25 @@
         }
     }
 
-    /// Whether another try would be a bet with another upstream that is likely to be lost: connections ended under the
-    /// request twice, here or as other VMs tell, or it is on trial.
+    /// Whether another attempt would probably crash another upstream: connections broke during the
+    /// request twice, at this VM or as reported by other VMs, or the request is a probe.
     pub(super) fn may_be_harmful(&self) -> bool {
         let known = self.shared.suspects.ends(&self.job.print);
         self.is_trial || known.max(self.breaks as usize) >= PROBE_EXITS
     }
 
-    /// Counts a try that ended with its connection after its answer had begun.
+    /// Counts an attempt whose connection broke after the answer had started.
     pub fn count_break(&mut self) {
         self.breaks += 1;
     }
 
-    /// Notes the request at an upstream, until the guard is dropped.
+    /// Registers the request at an upstream until the guard is dropped. `None` for another VM.
     pub(super) fn admit(&self, place: &RequestDestination) -> Option<GuestSeat> {
         let RequestDestination::Upstream(upstream) = place else { return None };
         Some(Arc::clone(upstream).admit(self.job.print, self.shared.clock))
     }
 
-    /// Notes that the request was answered whole, and so has not ended its upstream.
+    /// Records that the request was answered completely, so it did not crash its upstream.
     pub fn note_answered(&mut self, guest: Option<&mut GuestSeat>) {
         if let Some(guest) = guest {
             guest.note_harmless();
--- a/crates/foldhaven-gateway/src/call.rs
+++ b/crates/foldhaven-gateway/src/call.rs
@@ -1,4 +1,5 @@
-//! One call to an upstream or another VM, and what its end says of the work behind it.
+//! Sends one call to an upstream or another VM, and classifies how it ended: whether the request
+//! may have run.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,72 +16,74 @@
 use crate::connection::{Connection, ConnectionPool};
 use crate::names::HeaderNames;
 
-/// The largest answer that is taken whole, in bytes.
+/// Maximum size of an answer that is read into memory, in bytes.
 const MAX_WHOLE_BYTES: usize = 16 << 20;
-/// How much shorter than its peer says a connection is kept, so that both do not act at once.
+/// Share of the keep-alive timeout of the peer for which a connection is kept. A request sent at
+/// the moment at which the peer closes the connection would fail.
 const KEPT_SHARE: f64 = 0.8;
-/// How many kept connections are tried before a new one is opened.
+/// Maximum number of pooled connections that are tried before a new one is opened.
 const KEPT_TRIES: usize = 3;
 
-/// How a call failed, by what that says of the work behind it.
+/// How a call failed. The variants differ in whether the request may have run.
 #[derive(Debug, Clone, displaydoc::Display, thiserror::Error)]
 pub enum CallFault {
     /// not sent: {0}
     NotSent(String),
     /// declined with status {status}
     Declined {
-        /// The status of the answer that says so.
+        /// The status of the answer.
         status: StatusCode,
     },
     /// broken after it may have started: {0}
     Broken(String),
-    /// nothing at all was heard of the upstream
+    /// nothing was received from the upstream
     Silent,
     /// no answer in time
     TimedOut,
-    /// called back, since upstreams ended under it meanwhile
+    /// withdrawn, since the request was quarantined meanwhile
     CalledBack,
 }
 
 impl CallFault {
-    /// Whether no upstream of the service got the request: nobody did, or another process at the address
-    /// of the one that was meant.
+    /// Whether no upstream of the service received the request: it was not sent, or it reached
+    /// another process at the address of the intended one.
     pub fn is_unmet(&self) -> bool {
         matches!(self, Self::NotSent(_)) || self.is_misdirected()
     }
 
-    /// Whether another process at the address of the one that was meant got the request, and declined.
+    /// Whether the request reached another process at the address of the intended one, which
+    /// declined it.
     pub fn is_misdirected(&self) -> bool {
         matches!(self, Self::Declined { status } if *status == StatusCode::MISDIRECTED_REQUEST)
     }
 
-    /// Whether the upstream said that it has as many requests as it takes.
+    /// Whether the upstream declined the request because it is full.
     pub fn is_full(&self) -> bool {
         matches!(self, Self::Declined { status } if *status == StatusCode::SERVICE_UNAVAILABLE)
     }
 
-    /// Whether the work behind the call may have been done.
+    /// Whether the request may have run.
     pub fn may_have_run(&self) -> bool {
         matches!(self, Self::Broken(_) | Self::Silent | Self::TimedOut | Self::CalledBack)
     }
 }
 
-/// Hears the head of each answer that a call brings, whatever becomes of it.
+/// Receives the head of each answer, also if the answer is then rejected.
 pub trait HeadListener: Send + Sync {
-    /// Takes in the head of an answer.
+    /// Processes the head of an answer.
     fn hear(&self, head: &Parts);
 }
 
-/// Where a call goes.
+/// The target of a call.
 pub struct CallTarget<'a> {
     pub address: SocketAddr,
     pub pool: &'a ConnectionPool,
     pub connect_limit: Duration,
-    /// Hears what the peer says in its answers.
+    /// Receives the heads of the answers.
     pub listener: &'a dyn HeadListener,
 }
 
-/// An answer whose head has come and belongs to the request.
+/// An answer whose head was received and checked, with its unread body.
 pub struct OpenAnswer {
     pub head: Parts,
     pub body: Incoming,
@@ -89,21 +92,21 @@
 }
 
 impl OpenAnswer {
-    /// Splits the answer for passing its body on; the lease gives the connection back.
+    /// Splits the answer into head, body, and the lease that returns its connection to the pool.
     pub fn into_parts(self) -> (Parts, Incoming, ConnectionLease) {
         let lease = ConnectionLease { connection: self.connection, keep_for: self.keep_for };
         (self.head, self.body, lease)
     }
 }
 
-/// A connection whose answer is being read. Dropping it closes the connection.
+/// A connection whose answer is being read. Dropping the lease closes the connection.
 pub struct ConnectionLease {
     connection: Connection,
     keep_for: Option<Duration>,
 }
 
 impl ConnectionLease {
-    /// Keeps the connection for further requests, after the answer was read to its end.
+    /// Returns the connection to the pool, after the answer was read to its end.
     pub fn give_back(self, pool: &ConnectionPool) {
         pool.put(self.connection, self.keep_for);
     }
@@ -136,7 +139,7 @@
         match connection.sender.try_send_request(request).await {
             Ok(response) => return Ok((response, connection)),
             Err(mut error) => match error.take_message() {
-                // The connection had ended before a byte of the request left.
+                // The connection was closed before any byte of the request was sent.
                 Some(unsent) => request = unsent,
                 None => return Err(CallFault::Broken(error_text(error.error()))),
             },
@@ -153,7 +156,7 @@
     }
 }
 
-/// Checks that an answer belongs to the request, and whether it says that nothing ran.
+/// Checks that an answer belongs to the request and does not declare that the request did not run.
 fn judge_head(
     head: &Parts,
     attempt: Option<&HeaderValue>,
@@ -171,19 +174,20 @@
         return Err(CallFault::Declined { status: head.status });
     }
     if echoed.is_none() {
-        return Err(CallFault::Broken("an answer that names no request".to_owned()));
+        return Err(CallFault::Broken("the answer carries no attempt id".to_owned()));
     }
     Ok(())
 }
 
-/// How long the peer keeps the connection, where it says so.
+/// Returns how long to keep the connection, by the keep-alive timeout of the peer. `None` if it
+/// names none.
 fn keep_time(head: &Parts) -> Option<Duration> {
     let text = head.headers.get("keep-alive")?.to_str().ok()?;
     let seconds = text.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
     Some(Duration::from_secs_f64(seconds.parse::<f64>().ok()? * KEPT_SHARE))
 }
 
-/// Reads an answer to its end, and keeps its connection.
+/// Reads an answer to its end, and returns its connection to the pool.
 pub async fn read_whole(
     answer: OpenAnswer,
     pool: &ConnectionPool,
--- a/crates/foldhaven-gateway/src/caller_front.rs
+++ b/crates/foldhaven-gateway/src/caller_front.rs
@@ -1,4 +1,4 @@
-//! Takes the requests of callers, and tells the platform whether this daemon is ready.
+//! Handles the requests of callers, and reports to the platform whether this daemon is ready.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,13 +23,14 @@
 use crate::shared::GatewayShared;
 use crate::view::GatewayView;
 
-/// How long a connection may rest before anything is described; callers that came so early come back.
+/// Idle limit of connections before the first description. Callers that connect that early
+/// reconnect.
 const UNDESCRIBED_LIMIT: Duration = Duration::from_secs(20);
 
-/// The shortest time after which a caller over a limit is told to come back.
+/// Minimum retry delay for a caller over its limit.
 const LEAST_LIMIT_WAIT: Duration = Duration::from_millis(100);
 
-/// Answers callers.
+/// Answers the requests of callers.
 pub struct CallerHandler {
     pub shared: Arc<GatewayShared>,
 }
@@ -48,7 +49,7 @@
                 log_unread(&self.shared, attempt.as_ref(), refusal);
                 let mut answer = refusal.answer();
                 if matches!(refusal, Refusal::Malformed | Refusal::BodyTooLarge) {
-                    // What follows on the connection may belong to the refused request.
+                    // The next bytes on the connection may belong to the refused request.
                     close_after(&mut answer);
                 }
                 answer
@@ -62,9 +63,9 @@
     }
 }
 
-/// Logs why a request was refused before a place was looked for.
+/// Logs why a request was refused before a destination was chosen.
 fn log_unread(shared: &GatewayShared, attempt: Option<&HeaderValue>, refusal: Refusal) {
-    // Those over the limit of their account have a line of their own.
+    // Requests over the limit of their account are logged separately.
     let is_plain = matches!(refusal, Refusal::NoRoute | Refusal::NoKey);
     if matches!(refusal, Refusal::OverLimit { .. }) || !shared.quota.take(is_plain) {
         return;
@@ -79,11 +80,11 @@
         belief_age_ms = shared.belief_age().as_millis() as u64,
         behind_ms = behind.map(|it| shared.now().since(it.since).as_millis() as u64),
         behind_near = behind.map(|it| it.is_near),
-        "refused before a place was looked for"
+        "request refused before a destination was chosen"
     );
 }
 
-/// Reads a request of a caller.
+/// Reads and checks a request of a caller.
 async fn read_job(
     shared: &GatewayShared,
     request: Request<Incoming>,
@@ -97,7 +98,7 @@
     if shared.is_too_far_behind() || !shared.is_awake() {
         return Err(Refusal::Behind);
     }
-    // The description may have changed while the body came.
+    // The description may have changed while the body was read.
     let view = shared.view().ok_or(Refusal::NoDescription)?;
     let host = host_of(&head).ok_or(Refusal::Malformed)?;
     let route = view.routes.find(host, head.uri.path());
@@ -116,8 +117,8 @@
     Ok(request.into_job(place, terms, &shared.names))
 }
 
-/// Finds the account of a request, and takes its key out. A VM that knows that others know more, or that has not heard
-/// of the platform for long, cannot say that a key is of no account.
+/// Finds the account of a request, and removes the key from its headers. A VM that knows that other
+/// VMs have a newer revision, or whose platform state is stale, cannot tell that a key is unknown.
 fn identify(
     shared: &GatewayShared,
     view: &GatewayView,
@@ -134,7 +135,7 @@
     })
 }
 
-/// Counts a request for the limit of its account. One that is over it is refused at once.
+/// Charges a request to the limit of its account. A request over the limit is refused at once.
 fn charge(
     shared: &GatewayShared,
     account: JobAccount,
@@ -163,8 +164,8 @@
     Err(Refusal::OverLimit { wait: over.wait.max(LEAST_LIMIT_WAIT) })
 }
 
-/// What is said of a route that is not known. A VM that knows that others know more says no more than that
-/// nothing has run.
+/// Returns the refusal for an unknown route. A VM that may lack the route only guarantees that the
+/// request did not run.
 fn unknown_route(shared: &GatewayShared) -> Refusal {
     match shared.is_in_doubt() {
         true => Refusal::Behind,
@@ -172,7 +173,7 @@
     }
 }
 
-/// Runs a request and gives its answer.
+/// Runs a request and returns its answer.
 pub async fn run_job(shared: Arc<GatewayShared>, job: GatewayJob) -> Answer {
     let in_flight = shared.enter();
     let mut driver = EndNote { driver: Some(RequestDriver::new(shared, job)) };
@@ -197,7 +198,7 @@
     answer
 }
 
-/// Notes the end of a request, also when its caller leaves and the work on it is dropped.
+/// Records the end of a request, also if its caller disconnects and its future is dropped.
 struct EndNote {
     driver: Option<RequestDriver>,
 }
@@ -215,7 +216,8 @@
         let mut driver = self.release();
         let is_failure = whole.is_failure();
         let WholeAnswer { head, body } = whole;
-        // These promise that nothing ran, which only the gateway or a declining upstream can say.
+        // These statuses guarantee that the request did not run, which only the gateway or a
+        // declining upstream can know.
         let is_false_promise = matches!(head.status.as_u16(), 408 | 421 | 429 | 503);
         if is_false_promise {
             driver.note_end(RequestEnd::Refused(Refusal::Broken.label()));
@@ -243,7 +245,7 @@
     }
 }
 
-/// Gives back what a request counted for that has not run.
+/// Refunds the cost of a request that did not run to its account.
 fn give_back(driver: &RequestDriver) {
     let account = driver.job.account.as_ref();
     if let Some((account, cost)) = account.and_then(|it| Some((&it.account.name, it.cost?))) {
@@ -259,7 +261,7 @@
     }
 }
 
-/// Tells whether this daemon takes requests.
+/// Reports whether this daemon accepts requests.
 pub struct ReadyHandler {
     pub shared: Arc<GatewayShared>,
 }
--- a/crates/foldhaven-gateway/src/clock.rs
+++ b/crates/foldhaven-gateway/src/clock.rs
@@ -1,5 +1,6 @@
-//! The clock of this process. It counts the time for which the machine was suspended, as the clocks of the standard
-//! library and of the runtime do not: what was believed before is as old as it is for everybody else.
+//! The clock of this process. Unlike the clocks of the standard library and of the runtime, it
+//! includes the time for which the machine was suspended, so that the age of the state from before
+//! is correct.
 
 use std::ops::{Add, Sub};
 use std::pin::Pin;
@@ -10,18 +11,19 @@
 use rustix::time::{ClockId, Timespec, clock_gettime};
 use tokio::time::{Instant as TimerInstant, Sleep};
 
-/// Readings start well above zero, so that spans can be taken off early ones.
+/// Offset of the first reading, so that durations can be subtracted from early readings.
 const HEAD_START: Duration = Duration::from_secs(3_600);
-/// The runtime's timers stand still with the machine. A wait is cut into steps of this length, so that after a
-/// suspension it is over this much late at most. Most requests end within one.
+/// Maximum length of one timer step. The runtime's timers do not advance while the machine is
+/// suspended, so a long wait is split into steps and ends at most this much late after a
+/// suspension. Most requests finish within one step.
 const LONGEST_STEP: Duration = Duration::from_millis(500);
 
-/// A reading of the clock that counts suspension.
+/// A reading of the clock, including suspended time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BootInstant(Duration);
 
 impl BootInstant {
-    /// The time now.
+    /// Returns the current time.
     pub fn now() -> Self {
         let Timespec { tv_sec, tv_nsec } = clock_gettime(ClockId::Boottime);
         let seconds = u64::try_from(tv_sec).unwrap_or_default();
@@ -29,12 +31,12 @@
         Self(Duration::new(seconds, nanos))
     }
 
-    /// The time since this reading.
+    /// Returns the time since this reading.
     pub fn elapsed(&self) -> Duration {
         Self::now().saturating_duration_since(*self)
     }
 
-    /// The time since an earlier reading; zero when that is in fact later.
+    /// Returns the time since an earlier reading. Zero if that reading is later.
     pub fn saturating_duration_since(&self, earlier: Self) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
@@ -64,20 +66,20 @@
     }
 }
 
-/// A wait until a reading of the clock.
+/// A future that completes at a given reading of the clock.
 pub struct BootSleep {
     deadline: BootInstant,
     step: Pin<Box<Sleep>>,
 }
 
 impl BootSleep {
-    /// A wait until a moment.
+    /// Creates a future that completes at the deadline.
     pub fn until(deadline: BootInstant) -> Self {
         let step = Box::pin(tokio::time::sleep_until(next_step(deadline)));
         Self { deadline, step }
     }
 
-    /// Waits until another moment instead.
+    /// Changes the deadline.
     pub fn reset(&mut self, deadline: BootInstant) {
         self.deadline = deadline;
         self.step.as_mut().reset(next_step(deadline));
@@ -103,15 +105,15 @@
     TimerInstant::now() + (deadline - BootInstant::now()).min(LONGEST_STEP)
 }
 
-/// The time for something has passed
+/// The deadline has passed
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub struct TimePassed;
 
-/// Waits for something until a moment.
+/// Awaits a future until a deadline.
 ///
 /// # Errors
 ///
-/// When the moment comes first.
+/// If the deadline passes first.
 pub async fn timeout_at<T>(
     deadline: BootInstant,
     awaited: impl Future<Output = T>,
@@ -123,16 +125,16 @@
     }
 }
 
-/// Waits for something for some time.
+/// Awaits a future for a limited time.
 ///
 /// # Errors
 ///
-/// When that time passes first.
+/// If that time passes first.
 pub async fn timeout<T>(span: Duration, awaited: impl Future<Output = T>) -> Result<T, TimePassed> {
     timeout_at(BootInstant::now() + span, awaited).await
 }
 
-/// A clock that never steps back.
+/// A monotonic clock.
 #[derive(Debug, Clone, Copy)]
 pub struct MonoClock {
     /// The start of the process.
@@ -140,17 +142,17 @@
 }
 
 impl MonoClock {
-    /// A clock that starts now.
+    /// Creates a clock that starts now.
     pub fn start() -> Self {
         Self { zero: BootInstant::now() }
     }
 
-    /// The time.
+    /// Returns the current time.
     pub fn now(&self) -> MonoTime {
         MonoTime::default() + (self.uptime() + HEAD_START)
     }
 
-    /// How long it has run.
+    /// Returns how long the clock has run.
     pub fn uptime(&self) -> Duration {
         self.zero.elapsed()
     }
--- a/crates/foldhaven-gateway/src/codec.rs
+++ b/crates/foldhaven-gateway/src/codec.rs
@@ -1,9 +1,9 @@
-//! How VMs write what they tell each other.
+//! The binary encoding of messages between VMs.
 
 use bincode::Options;
 
-/// The codec of datagrams and of the platform's state: numbers take as many bytes as they need, since bytes
-/// between data centres are paid for.
+/// Returns the codec of datagrams and platform state. It encodes integers with variable length,
+/// since traffic between data centres is billed by the byte.
 pub fn peer_codec() -> impl Options {
     bincode::DefaultOptions::new()
 }
--- a/crates/foldhaven-gateway/src/connection.rs
+++ b/crates/foldhaven-gateway/src/connection.rs
@@ -1,4 +1,4 @@
-//! Connections to upstreams and other VMs, kept for further requests.
+//! Connections to upstreams and other VMs, pooled for reuse.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,23 +17,24 @@
 
 use crate::clock::{BootInstant, timeout};
 
-/// How long a connection may take to come up. Data centres of one region are a few milliseconds
-/// apart; other regions need longer and have [`FAR_CONNECT_LIMIT`].
+/// Connect timeout within a region, whose data centres are a few milliseconds apart. Connections to
+/// other regions have [`FAR_CONNECT_LIMIT`].
 pub const NEAR_CONNECT_LIMIT: Duration = Duration::from_millis(400);
-/// The same between regions, which are some 55 ms apart one way.
+/// Connect timeout between regions, which are about 55 ms apart one way.
 pub const FAR_CONNECT_LIMIT: Duration = Duration::from_millis(800);
-/// Sent bytes that are not acknowledged for this long end the connection: a VM that lost its power
-/// or was cut off says nothing.
+/// A connection is closed if sent bytes are not acknowledged for this long. A VM that lost its
+/// power or its network does not close its connections.
 const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_millis(2_000);
-/// Pause before and between probes of a silent connection.
+/// Interval before and between keep-alive probes on an idle connection.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// Probes that stay unanswered before the connection ends.
+/// Number of unanswered keep-alive probes after which the connection is closed.
 const PROBES: u32 = 2;
-/// A kept connection is not used again after this long, unless its peer named a shorter time.
+/// Maximum idle time of a connection to an upstream that is reused. A shorter keep-alive timeout of
+/// the peer takes precedence.
 pub const IDLE_LIMIT: Duration = Duration::from_secs(4);
-/// The same between VMs, whose fronts keep resting connections for 20 s.
+/// Maximum idle time of a reused connection between VMs, which keep idle connections open for 20 s.
 pub const PEER_IDLE_LIMIT: Duration = Duration::from_secs(15);
-/// How many unused connections are kept to one address, before a limit was set.
+/// Maximum number of idle connections to one address until a limit is set.
 const FIRST_KEPT: usize = 24;
 
 /// A connection on which one request at a time can be sent.
@@ -48,20 +49,20 @@
     ///
     /// # Errors
     ///
-    /// When it does not come up within the limit.
+    /// If it is not established within the limit.
     pub async fn open(address: SocketAddr, limit: Duration) -> io::Result<Self> {
         let connecting = timeout(limit, TcpStream::connect(address)).await;
         let stream = connecting.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
         prepare(&stream)?;
         let (sender, driver) = handshake(TokioIo::new(stream)).await.map_err(io::Error::other)?;
         tokio::spawn(async move {
-            // How a connection ends shows in the calls that were made on it.
+            // Connection errors are reported by the calls on the connection.
             let _ = driver.await;
         });
         Ok(Self { sender, idle_since: BootInstant::now(), idle_limit: IDLE_LIMIT })
     }
 
-    /// Whether its peer has ended it.
+    /// Whether the connection is closed.
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
@@ -71,7 +72,7 @@
     }
 }
 
-/// Sets the options by which a dead peer is noticed, and sends small messages at once.
+/// Sets the socket options that detect a dead peer, and disables Nagle's algorithm.
 pub fn prepare(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
@@ -83,19 +84,19 @@
     socket.set_tcp_keepalive(&probes)
 }
 
-/// The unused connections to one address.
+/// The idle connections to one address.
 pub struct ConnectionPool {
     idle: Mutex<Vec<Connection>>,
     most_kept: AtomicUsize,
-    /// How long an unused connection is kept, where its peer names no shorter time.
+    /// Maximum idle time of a reused connection, if its peer names no shorter one.
     idle_limit: Duration,
-    /// The way there and back, by how long connections took to come up.
+    /// The round-trip time, measured when connections are established.
     round_trip: Mutex<RoundTrip>,
     made: BootInstant,
 }
 
 impl ConnectionPool {
-    /// A pool that keeps unused connections for so long.
+    /// Creates a pool that reuses connections up to the given idle time.
     pub fn new(idle_limit: Duration) -> Self {
         Self {
             idle: Mutex::default(),
@@ -106,11 +107,11 @@
         }
     }
 
-    /// Opens a connection, and measures the way there and back.
+    /// Opens a connection, and measures the round-trip time.
     ///
     /// # Errors
     ///
-    /// When it does not come up within the limit.
+    /// If it is not established within the limit.
     pub async fn open(&self, address: SocketAddr, limit: Duration) -> io::Result<Connection> {
         let begun = BootInstant::now();
         let connection = Connection::open(address, limit).await?;
@@ -119,17 +120,17 @@
         Ok(connection)
     }
 
-    /// The shortest way there and back that was measured lately.
+    /// Returns the shortest recent round-trip time. `None` before the first measurement.
     pub fn round_trip(&self) -> Option<Duration> {
         self.round_trip.lock().shortest()
     }
 
-    /// Whether a request would find a connection that is open already.
+    /// Whether the pool has a usable connection.
     pub fn has_open(&self) -> bool {
         self.idle.lock().iter().any(Connection::is_usable)
     }
 
-    /// Takes the connection that was used last, if one is still usable.
+    /// Takes the most recently used connection that is still usable.
     pub fn take(&self) -> Option<Connection> {
         let mut idle = self.idle.lock();
         while let Some(connection) = idle.pop() {
@@ -140,7 +141,8 @@
         None
     }
 
-    /// Keeps a connection whose answer was read whole. `limit` is how long its peer keeps it.
+    /// Returns a connection to the pool, after its answer was read completely. `limit` is how long
+    /// it may stay idle by the keep-alive timeout of its peer.
     pub fn put(&self, mut connection: Connection, limit: Option<Duration>) {
         if connection.sender.is_closed() {
             return;
@@ -153,7 +155,7 @@
         }
     }
 
-    /// Limits how many unused connections are kept; those beyond are closed, the oldest first.
+    /// Sets the maximum number of idle connections, and closes those beyond it, the oldest first.
     pub fn keep_at_most(&self, count: usize) {
         self.most_kept.store(count, Ordering::Relaxed);
         let mut idle = self.idle.lock();
@@ -161,7 +163,7 @@
         idle.drain(..surplus);
     }
 
-    /// Closes all unused connections.
+    /// Closes all idle connections.
     pub fn clear(&self) {
         self.idle.lock().clear();
     }
--- a/crates/foldhaven-gateway/src/credential.rs
+++ b/crates/foldhaven-gateway/src/credential.rs
@@ -1,4 +1,5 @@
-//! The keys of callers: read from their requests, matched to accounts, and taken out before anything goes on.
+//! The keys of callers: reads them from requests, finds their accounts, and removes them from the
+//! headers before a request is passed on.
 
 use std::sync::Arc;
 
@@ -11,43 +12,43 @@
 
 use crate::names::HeaderNames;
 
-/// The account of a request, and the key by which it is that account's.
+/// The account of a request, and the key that identified it.
 #[derive(Debug, Clone)]
 pub struct JobAccount {
     pub account: Arc<ClientAccount>,
     pub key: KeyFingerprint,
-    /// What it counted for where the account is limited.
+    /// The cost that was charged to the account. `None` if the account has no limit.
     pub cost: Option<f64>,
 }
 
 impl JobAccount {
-    /// Whether its requests may run in a region.
+    /// Whether requests of the account may run in a region.
     pub fn permits(&self, region: &RegionName) -> bool {
         self.account.permits(region)
     }
 }
 
-/// What a request shows of its caller.
+/// The credential in a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Credential {
     /// No key.
     Absent,
-    /// Something that is no key.
+    /// A credential that cannot be parsed as a key.
     Malformed,
     /// A key.
     Key(KeyFingerprint),
 }
 
-/// Why a request belongs to no account.
+/// Why no account was found for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyFault {
-    /// It shows no key, or something that is none.
+    /// The request has no key, or a malformed one.
     Absent,
-    /// Its key is of no account that is known here.
+    /// The key belongs to no account that this VM knows.
     Unknown,
 }
 
-/// Takes what names the caller out of the headers of a request.
+/// Removes the caller's credential from the headers of a request, and returns it.
 pub fn take_credential(map: &mut HeaderMap, names: &HeaderNames) -> Credential {
     let mut values = map.get_all(AUTHORIZATION).iter();
     let credential = match (values.next(), values.next()) {
@@ -70,7 +71,8 @@
     }
 }
 
-/// Finds the account of a request; none where its route needs none and it shows no key that is known.
+/// Finds the account of a request. `None` if its route needs no key and the request has no known
+/// one.
 pub fn find_account(
     routes: &RouteTable,
     route: &OpaqueRoute,
@@ -90,7 +92,8 @@
     }
 }
 
-/// Takes the print of the caller's key out of the headers of a forwarded request.
+/// Removes the fingerprint of the caller's key from the headers of a forwarded request, and returns
+/// it.
 pub fn take_forwarded(map: &mut HeaderMap) -> Credential {
     match map.remove(headers::KEY_FINGERPRINT) {
         None => Credential::Absent,
@@ -101,23 +104,24 @@
     }
 }
 
-/// What another VM is told of the caller's key in its place.
+/// Returns the header value with the fingerprint of the caller's key, which other VMs get instead
+/// of the key.
 pub fn print_value(key: &KeyFingerprint) -> HeaderValue {
     HeaderValue::from_str(&key.to_string()).expect("hexadecimal digits")
 }
 
-/// What has become of the key of a request since it was read.
+/// The state of the key of a request, checked again after the request was read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyState {
-    /// It is that of the same account, or none is needed.
+    /// The key belongs to the same account, or none is needed.
     InForce,
-    /// It is that of another account.
+    /// The key belongs to another account.
     Moved,
-    /// It is that of none.
+    /// The key belongs to no account, and the route needs one.
     Gone,
 }
 
-/// Looks up the key of a request again.
+/// Checks the key of a request again.
 pub fn key_state(routes: &RouteTable, route: &OpaqueRoute, held: Option<&JobAccount>) -> KeyState {
     let Some(held) = held else {
         return match routes.needs_key(&route.name) {
--- a/crates/foldhaven-gateway/src/events.rs
+++ b/crates/foldhaven-gateway/src/events.rs
@@ -1,5 +1,5 @@
-//! Passes the events of a stream on as they come, whole events only, and goes on at another upstream
-//! where the kind of request permits that.
+//! Relays the events of a stream as they arrive, complete events only, and resumes the stream at
+//! another upstream if the route permits that.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -24,12 +24,14 @@
 use crate::shared::InFlightGuard;
 use crate::upstream::{GuestSeat, LoadSeat, Upstream};
 
-/// A stream that can be resumed is resumed elsewhere after a silence of this many wanted pauses.
+/// A resumable stream is resumed at another upstream after this many target event gaps without
+/// data.
 const STALL_GAPS: u32 = 3;
-/// The same at least; shorter silences are usual when an upstream reads a long prompt.
+/// Minimum of that time. Shorter pauses are usual while an upstream prefills a long prompt.
 const LEAST_STALL: Duration = Duration::from_millis(1_200);
 
-/// An upstream was heard from at the last event of the stream itself, which is noted a moment later.
+/// Tolerance when checking whether an upstream has sent data on other requests. The data of the
+/// stream itself is recorded slightly later than its arrival.
 const HEARD_MARGIN: Duration = Duration::from_millis(20);
 
 /// The stream ended before its last event
@@ -40,11 +42,11 @@
     Pin<Box<dyn Future<Output = (RequestDriver, Result<PlacedAnswer, Refusal>)> + Send>>;
 
 enum RelayState {
-    /// Events of an upstream are passed on.
+    /// Events of an upstream are relayed.
     Reading(Box<ReadingState>),
-    /// Another upstream is looked for.
+    /// Another upstream is being opened.
     Resuming(Resumption),
-    /// The caller has everything that it will get.
+    /// The stream to the caller has ended.
     Ended,
 }
 
@@ -57,11 +59,11 @@
     expected: ExpectedFirst,
     sent: BootInstant,
     has_begun: bool,
-    /// When its first event came, and how many had been passed on before.
+    /// When the first event of this upstream arrived, and how many events the stream had by then.
     begun: Option<(BootInstant, u32)>,
-    /// The requests that its upstream had at each of its events, and how often that was looked at.
+    /// The sum of the requests at the upstream over all samples, and the number of samples.
     loads: (u64, u32),
-    /// The prompt tokens that its upstream had to read at its last event.
+    /// The prefill backlog of the upstream at its last event, in prompt tokens.
     unread_before: u32,
 }
 
@@ -85,13 +87,13 @@
     }
 }
 
-/// What a poll of the upstream gave.
+/// The result of polling the upstream.
 enum RelayStep {
-    /// Whole events.
+    /// Complete events.
     Events(Bytes),
-    /// No whole event yet.
+    /// No complete event yet.
     Nothing,
-    /// The end of the stream, after a whole event.
+    /// The end of the stream, after a complete event.
     Whole,
     /// A failure, with its cause.
     Broken(&'static str),
@@ -100,24 +102,25 @@
 /// The body of a streamed answer.
 pub struct EventRelay {
     state: RelayState,
-    /// Absent while it looks for another upstream.
+    /// `None` while another upstream is being opened.
     driver: Option<RequestDriver>,
     blocks: EventBlocks,
-    /// Whether events are missing, by their ids.
+    /// Detects missing events by their ids.
     order: EventSequenceChecker,
     timer: Pin<Box<BootSleep>>,
-    /// When the upstream sent anything last.
+    /// When data was last received from the upstream.
     last_news: BootInstant,
-    /// The silence after which the stream is resumed elsewhere; absent where that is not permitted.
+    /// The time without data after which the stream is resumed elsewhere. `None` if that is not
+    /// permitted.
     stall: Option<Duration>,
     deadline: BootInstant,
-    /// Whether the caller has got an event.
+    /// Whether the caller was sent an event.
     has_first: bool,
     _in_flight: InFlightGuard,
 }
 
 impl EventRelay {
-    /// Passes on an answer whose head was taken already.
+    /// Creates the relay for an answer whose head was processed already.
     pub fn new(mut driver: RequestDriver, placed: PlacedAnswer, in_flight: InFlightGuard) -> Self {
         driver.job.is_begun = true;
         let route = &driver.job.route;
@@ -143,7 +146,7 @@
         }
     }
 
-    /// The next events.
+    /// Polls for the next events.
     pub fn poll_events(
         &mut self,
         context: &mut Context<'_>,
@@ -154,7 +157,7 @@
                 RelayState::Resuming(resumption) => {
                     let Poll::Ready((driver, result)) = resumption.as_mut().poll(context) else {
                         ready!(self.poll_deadline(context));
-                        return self.cut("the time for it has passed");
+                        return self.cut("the deadline has passed");
                     };
                     if let Err(cause) = self.take_resumed(driver, result) {
                         return self.cut(cause);
@@ -193,8 +196,8 @@
         let frame = ready!(Pin::new(&mut reading.body).poll_frame(context));
         Poll::Ready(match frame {
             None if self.blocks.is_at_boundary() => RelayStep::Whole,
-            None => RelayStep::Broken("it ended within an event"),
-            Some(Err(_)) => RelayStep::Broken("its connection broke"),
+            None => RelayStep::Broken("the stream ended within an event"),
+            Some(Err(_)) => RelayStep::Broken("the connection broke"),
             Some(Ok(frame)) => match frame.into_data() {
                 Err(_) => RelayStep::Nothing,
                 Ok(bytes) => self.take_bytes(bytes),
@@ -202,7 +205,7 @@
         })
     }
 
-    /// Takes in bytes of the upstream, and gives the events that they complete.
+    /// Processes bytes of the upstream, and returns the events that they complete.
     fn take_bytes(&mut self, bytes: Bytes) -> RelayStep {
         self.note_pause();
         self.last_news = BootInstant::now();
@@ -223,9 +226,11 @@
         }
     }
 
-    /// Whether an event is missing before or among these. None of them is passed on then: a caller cannot be told later.
+    /// Whether an event is missing before or among these events. None of them is relayed then,
+    /// since the gap could not be reported to the caller later.
     fn has_gap(&mut self, events: &[u8]) -> bool {
-        // An order that found a gap is not used again: the stream goes on elsewhere with what was passed on before.
+        // A checker that found a gap is discarded. The stream is resumed after the events that were
+        // relayed before.
         let mut order = self.order;
         let is_whole = event_ids(events).all(|id| order.check(id).is_ok());
         match is_whole {
@@ -235,7 +240,7 @@
         !is_whole
     }
 
-    /// Goes on with the answer of another upstream, or says why that is not possible.
+    /// Continues with the answer of another upstream, or returns why that is not possible.
     fn take_resumed(
         &mut self,
         driver: RequestDriver,
@@ -244,21 +249,21 @@
         self.driver = Some(driver);
         let placed = result.map_err(Refusal::label)?;
         if placed.answer.head.status != StatusCode::OK {
-            return Err("it could not be resumed");
+            return Err("the stream could not be resumed");
         }
         self.last_news = BootInstant::now();
         self.state = RelayState::Reading(ReadingState::of(placed));
         Ok(())
     }
 
-    /// Notes that something was received from the upstream.
+    /// Records that data was received from the upstream.
     fn note_heard(&self) {
         if let Some((driver, upstream)) = self.reading_from() {
             upstream.note_heard(driver.shared.now());
         }
     }
 
-    /// Notes the first event: of this upstream, and of the whole stream.
+    /// Records the first event of this upstream, and of the stream.
     fn note_first(&mut self) {
         let (RelayState::Reading(reading), Some(driver)) = (&mut self.state, &mut self.driver)
         else {
@@ -274,7 +279,7 @@
         }
     }
 
-    /// Notes whether the pause that ends now was longer than wanted.
+    /// Records whether the pause that ends now was longer than the target event gap.
     fn note_pause(&mut self) {
         let (RelayState::Reading(reading), Some(driver)) = (&mut self.state, &self.driver) else {
             return;
@@ -287,14 +292,14 @@
                 reading.seat.note_late();
             }
             upstream.pace.lock().record_pause(is_long, driver.shared.now());
-            // A prompt that came within the pause stretched it as much as one that was there before.
+            // A prompt that arrived during the pause lengthened it as much as an earlier one.
             let unread_now = upstream.queue().prefill_backlog.ahead_of(QueueRank::Timely);
             let unread = reading.unread_before.max(unread_now);
             driver.shared.note_pause(&driver.job.service, unread, is_long);
         }
     }
 
-    /// Notes how many requests the upstream has.
+    /// Samples the number of requests at the upstream and its prefill backlog.
     fn note_load(&mut self) {
         let RelayState::Reading(reading) = &mut self.state else { return };
         let RequestDestination::Upstream(upstream) = &reading.place else { return };
@@ -305,7 +310,7 @@
         reading.unread_before = queue.prefill_backlog.ahead_of(QueueRank::Timely);
     }
 
-    /// Waits until the deadline has passed.
+    /// Polls until the deadline has passed.
     fn poll_deadline(&mut self, context: &mut Context<'_>) -> Poll<()> {
         loop {
             ready!(self.timer.as_mut().poll(context));
@@ -316,9 +321,10 @@
         }
     }
 
-    /// Acts on a long silence. An upstream from which other requests hear is busy, and the stream waits on
-    /// for it; so does one that cannot be resumed. A forwarded stream whose upstream is silent for all is
-    /// given back to its origin, which may resume it. Returns whether the stream goes on.
+    /// Handles a stalled stream. If other requests receive data from the upstream, it is busy, and
+    /// the stream waits; a stream that cannot be resumed also waits. A forwarded stream whose
+    /// upstream sends no data at all is aborted, and its origin may resume it. Returns whether the
+    /// stream continues.
     fn leave_silent(&mut self, cause: &'static str) -> bool {
         if !self.is_upstream_dark() {
             self.last_news = BootInstant::now();
@@ -336,46 +342,47 @@
         true
     }
 
-    /// The upstream that events are read from.
+    /// Returns the driver and the upstream that events are read from. `None` for another VM.
     fn reading_from(&self) -> Option<(&RequestDriver, &Arc<Upstream>)> {
         let RelayState::Reading(reading) = &self.state else { return None };
         let RequestDestination::Upstream(upstream) = &reading.place else { return None };
         Some((self.driver.as_ref()?, upstream))
     }
 
-    /// Notes that the connection to the upstream ended before the stream did.
+    /// Records that the stream from the upstream broke.
     fn note_broken(&self, cause: &'static str) {
         if let Some((driver, upstream)) = self.reading_from() {
             driver.note_broken(upstream, cause);
         }
     }
 
-    /// Whether this VM has heard nothing at all from the stream's upstream since its last event.
+    /// Whether this VM has received no data at all from the upstream since the last data of the
+    /// stream.
     fn is_upstream_dark(&self) -> bool {
         let Some((driver, upstream)) = self.reading_from() else { return false };
         let last_news = driver.shared.now() - self.last_news.elapsed();
         upstream.is_silent_since(last_news + HEARD_MARGIN)
     }
 
-    /// Waits for the deadline or a long silence; gives which of them it was.
+    /// Polls until the deadline passes or the stream stalls. Returns which of them happened.
     fn poll_silence(&mut self, context: &mut Context<'_>) -> Poll<Option<&'static str>> {
         loop {
             ready!(self.timer.as_mut().poll(context));
             let now = BootInstant::now();
             if now >= self.deadline {
-                return Poll::Ready(Some("the time for it has passed"));
+                return Poll::Ready(Some("the deadline has passed"));
             }
             let silent_until = self.stall.map(|stall| self.last_news + stall);
             if silent_until.is_some_and(|until| now >= until) {
-                return Poll::Ready(Some("it was silent for too long"));
+                return Poll::Ready(Some("no data arrived for too long"));
             }
             let wake = silent_until.map_or(self.deadline, |until| until.min(self.deadline));
             self.timer.reset(wake);
         }
     }
 
-    /// Goes on at another upstream, if the request permits that. The connection to the earlier one
-    /// is closed first, so that it stops.
+    /// Resumes the stream at another upstream, if the request permits that. The connection to the
+    /// earlier upstream is closed first, so that it stops working on the request.
     fn resume(&mut self, cause: &'static str) -> bool {
         let Some(mut driver) = self.driver.take() else { return false };
         driver.may_have_run = true;
@@ -394,7 +401,7 @@
         true
     }
 
-    /// Ends a whole stream, and keeps the connection to its upstream.
+    /// Ends a complete stream, and returns the connection to its pool.
     fn finish(&mut self) -> Poll<Option<Result<Frame<Bytes>, RelayBroken>>> {
         if let RelayState::Reading(mut reading) =
             std::mem::replace(&mut self.state, RelayState::Ended)
@@ -404,7 +411,7 @@
                 driver.note_event_order(&self.order);
                 driver.note_success(&reading.place, reading.sent);
                 if let (Some((begun, before)), (load, looks)) = (reading.begun, reading.loads) {
-                    // The first event that came at `begun` is among those before.
+                    // `before` already counts the event that arrived at `begun`.
                     let events = self.blocks.count() - before + 1;
                     let load = load as f64 / f64::from(looks.max(1));
                     driver.note_stream(events, self.last_news - begun, load);
@@ -416,7 +423,7 @@
         Poll::Ready(None)
     }
 
-    /// Ends a stream that is not whole, by closing the connection to the caller.
+    /// Aborts an incomplete stream by closing the connection to the caller.
     fn cut(&mut self, cause: &'static str) -> Poll<Option<Result<Frame<Bytes>, RelayBroken>>> {
         self.state = RelayState::Ended;
         if let Some(driver) = &mut self.driver {
--- a/crates/foldhaven-gateway/src/explain.rs
+++ b/crates/foldhaven-gateway/src/explain.rs
@@ -1,4 +1,5 @@
-//! Explains to operators where an opaque request would go, by the same prices as for a real one.
+//! Explains to operators where an opaque request would be sent, with the same costs as for a real
+//! request.
 
 use std::time::Duration;
 
@@ -14,22 +15,21 @@
 use crate::job::GatewayJob;
 use crate::shared::GatewayShared;
 
-/// For a question that names no body.
+/// Body size if the query names none, in bytes.
 const USUAL_BODY: usize = 1_000;
 
-/// What operators ask about.
+/// The request to explain.
 struct ExplainQuery<'a> {
     host: &'a str,
     path: &'a str,
-    /// The parts of a prompt, as callers outline them.
+    /// The segments of the prompt, in the format of the prompt outline header.
     prompt: Option<&'a str>,
     output_tokens: u32,
     body_bytes: usize,
 }
 
 impl<'a> ExplainQuery<'a> {
-    /// Reads the query of a question. Values are taken as they stand: hosts, paths and outlines need no
-    /// escapes.
+    /// Parses the query. Values are not unescaped, since hosts, paths and outlines need no escapes.
     fn read(query: &'a str) -> Option<Self> {
         let field = |name: &str| {
             let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
@@ -46,11 +46,11 @@
     }
 }
 
-/// Explains a request that is described by the query of a question.
+/// Explains the request described by a query.
 ///
 /// # Errors
 ///
-/// When the query cannot be read, nothing is in force here, or no route is found.
+/// If the query cannot be parsed, no description is in force, or no route is found.
 pub fn explain(shared: &GatewayShared, query: &str) -> Result<RouteExplanation, Refusal> {
     let query = ExplainQuery::read(query).ok_or(Refusal::Malformed)?;
     let view = shared.view().ok_or(Refusal::NoDescription)?;
--- a/crates/foldhaven-gateway/src/front.rs
+++ b/crates/foldhaven-gateway/src/front.rs
@@ -1,4 +1,4 @@
-//! Listens at an address and serves HTTP connections, until a planned stop.
+//! Accepts HTTP connections at an address and serves them until a planned stop.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -17,26 +17,27 @@
 use crate::connection::prepare;
 use crate::shared::StopStage;
 
-/// How long a connection may rest and a head may take to come, where nothing else is described.
+/// Default limit for the idle time of a connection and the receipt of a request head, together.
 const HEAD_LIMIT: Duration = Duration::from_secs(20);
-/// The largest head that is read, in bytes; smaller limits are checked by the handlers.
+/// Maximum size of a request head, in bytes. The handlers check smaller limits.
 const MAX_HEAD_BYTES: usize = 128 << 10;
-/// The pause after a failed accept, such as for want of descriptors.
+/// Delay after a failed accept, for example if no file descriptors are left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Handles the requests of one front.
+/// Handles the requests at one listening address.
 #[async_trait]
 pub trait FrontHandler: Send + Sync + 'static {
     /// Answers a request.
     async fn handle(&self, request: Request<Incoming>) -> Answer;
 
-    /// How long a new connection may rest and the head of a request may take to come, together.
+    /// Returns the limit for the idle time of a new connection and the receipt of a request head,
+    /// together.
     fn head_limit(&self) -> Duration {
         HEAD_LIMIT
     }
 }
 
-/// Serves connections until the daemon closes; those that are open then finish what is under way.
+/// Serves connections until the daemon closes. Open connections then finish their current request.
 pub async fn serve_front(
     listener: TcpListener,
     handler: Arc<dyn FrontHandler>,
@@ -65,7 +66,7 @@
     mut stage: watch::Receiver<StopStage>,
 ) {
     if prepare(&stream).is_err() {
-        // The peer has gone already.
+        // The peer has already disconnected.
         return;
     }
     let head_limit = handler.head_limit();
@@ -88,7 +89,7 @@
         .auto_date_header(false)
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
-    // How a connection ends shows in the requests that were made on it.
+    // Connection errors are visible in the requests on the connection.
     tokio::select! {
         _ = connection.as_mut() => return,
         _ = stage.wait_for(|stage| *stage == StopStage::Closing) => {}
--- a/crates/foldhaven-gateway/src/job.rs
+++ b/crates/foldhaven-gateway/src/job.rs
@@ -1,4 +1,4 @@
-//! A request of a caller, read and checked.
+//! Reads and checks the requests of callers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,57 +23,58 @@
 use crate::credential::JobAccount;
 use crate::names::HeaderNames;
 
-/// For a caller who does not say how long it waits.
+/// The time a request is given if its caller names none.
 const DEFAULT_REMAINING: Duration = Duration::from_secs(30);
-/// The longest time that a caller may ask for.
+/// Maximum time that a caller may ask for.
 const LONGEST_REMAINING: Duration = Duration::from_secs(600);
-/// The smallest time that an upstream is given, in milliseconds; 0 would stand for a late request.
+/// Minimum remaining time sent to an upstream, in milliseconds. 0 would mean a late request.
 const LEAST_REMAINING_MS: u128 = 1;
 
-/// A request that is to be run.
+/// A request to run.
 #[derive(Clone)]
 pub struct GatewayJob {
-    /// The id by which the caller tells its tries apart; upstreams repeat it.
+    /// The id of the caller's attempt. Upstreams repeat it in their answers.
     pub attempt: HeaderValue,
-    /// What it has in common with every other sending of the same request.
+    /// The fingerprint of the request, equal for all copies of the same request.
     pub print: RequestFingerprint,
     pub route: Arc<OpaqueRoute>,
-    /// The account that it came under; none where its route needs none.
+    /// The account that sent the request. `None` if the route needs none and no known key was sent.
     pub account: Option<JobAccount>,
     pub service: ServiceName,
     pub method: Method,
     pub target: Uri,
-    /// The headers that upstreams get, without those that are set for each try.
+    /// The headers for upstreams, without those that are specific to an attempt.
     pub headers: HeaderMap,
     pub body: Bytes,
     pub started: BootInstant,
-    /// How long the caller had waited before, as far as the time that it still gives shows.
+    /// How long the caller had waited before this request, estimated from the remaining time it
+    /// names.
     pub waited_before: Duration,
-    /// How long the caller had waited when it got the answer, or its first event; from then on no
-    /// target is missed by waiting.
+    /// How long the caller had waited when it got the answer or its first event. Further waiting
+    /// does not count against the latency target. `None` until then.
     pub first_after: Option<Duration>,
-    /// Whether the caller has got the beginning of an answer. It is then gone on with at any price: nothing
-    /// else would keep the answer whole.
+    /// Whether the caller has received the beginning of an answer. The request then continues at
+    /// any cost, since the answer would otherwise be truncated.
     pub is_begun: bool,
-    /// When the caller gives up, or the operators want it given up.
+    /// When the caller gives up or the timeout of the route ends, whichever is first.
     pub deadline: BootInstant,
-    /// The parts of the prompt, where the caller names them and the route uses them.
+    /// The segments of the prompt. `None` unless the caller names them and the route uses them.
     pub outline: Option<PromptOutline>,
-    /// The longest answer in tokens, where the caller names it.
+    /// The maximum length of the answer in tokens. 0 if the caller names none.
     pub output_tokens: u32,
-    /// Whether another VM sent it here; then it runs here or not at all.
+    /// Whether another VM forwarded the request. It then runs in this region or not at all.
     pub is_forwarded: bool,
 }
 
 impl GatewayJob {
-    /// The time left, as upstreams are told.
+    /// Returns the remaining time as a header value for upstreams.
     pub fn remaining_ms(&self) -> HeaderValue {
         let left = self.deadline.saturating_duration_since(BootInstant::now()).as_millis();
         let left = u64::try_from(left.max(LEAST_REMAINING_MS)).unwrap_or(u64::MAX);
         HeaderValue::from(left)
     }
 
-    /// How long the caller has waited for a first answer.
+    /// Returns how long the caller has waited for a first response. Zero once it has got one.
     pub fn waited(&self) -> Duration {
         match self.first_after {
             Some(_) => Duration::ZERO,
@@ -81,56 +82,57 @@
         }
     }
 
-    /// Notes that the caller gets the answer, or its first event, now. Returns how long this VM took.
+    /// Records that the caller gets the answer or its first event now. Returns how long this VM
+    /// took.
     pub fn note_first(&mut self) -> Duration {
         let took = self.started.elapsed();
         self.first_after = Some(self.waited_before + took);
         took
     }
 
-    /// The parts of the prompt that other requests may share.
+    /// Returns the segments of the prompt that other requests may share.
     pub fn shared_parts(&self) -> &[PromptSegment] {
         self.outline.as_ref().map_or(&[], |outline| &outline.shared)
     }
 
-    /// Its work in tokens, to which what it is worth is in proportion.
+    /// Returns the work of the request in tokens. Its worth is proportional to this.
     pub fn size(&self) -> u32 {
         let Some(outline) = &self.outline else { return DEFAULT_SIZE };
         let prompt = outline.shared_tokens() + outline.own_tokens;
         prompt.saturating_add(self.output_tokens.saturating_mul(OUTPUT_WEIGHT)).max(1)
     }
 
-    /// Whether it may run in a region, by the homes of its route and of its account.
+    /// Whether the request may run in a region, by the rules of its route and of its account.
     pub fn permits(&self, region: &RegionName) -> bool {
         let by_account = self.account.as_ref().is_none_or(|account| account.permits(region));
         by_account && self.route.permits(region)
     }
 
-    /// Its rank against others of its service; 0 goes first.
+    /// Returns the priority among the requests of its service. 0 goes first.
     pub fn priority(&self) -> u8 {
         let by_account = self.account.as_ref().and_then(|it| it.account.priority);
         by_account.unwrap_or(self.route.priority)
     }
 
-    /// The account in logs.
+    /// Returns the name of the account for logs, `-` if there is none.
     pub fn account_label(&self) -> &str {
         self.account.as_ref().map_or("-", |it| it.account.name.as_str())
     }
 
-    /// The id in logs.
+    /// Returns the attempt id for logs.
     pub fn id(&self) -> &str {
         self.attempt.to_str().unwrap_or("unreadable")
     }
 }
 
-/// What a request was matched to.
+/// The route, service and account of a request.
 pub struct RoutedPlace {
     pub route: Arc<OpaqueRoute>,
     pub service: ServiceName,
     pub account: Option<JobAccount>,
 }
 
-/// A request whose body was read to its end.
+/// A request with its complete body.
 pub struct ReadRequest {
     pub head: Parts,
     pub body: Bytes,
@@ -138,7 +140,7 @@
 }
 
 impl ReadRequest {
-    /// Makes the job of a request that came from a caller.
+    /// Creates the job for a request of a caller.
     pub fn into_job(
         self,
         place: RoutedPlace,
@@ -169,7 +171,7 @@
     }
 }
 
-/// The fingerprint of a request.
+/// Returns the fingerprint of a request.
 fn print_of(head: &Parts, body: &[u8]) -> RequestFingerprint {
     RequestFingerprint::of(&FingerprintParts {
         host: host_of(head).unwrap_or_default(),
@@ -179,7 +181,7 @@
     })
 }
 
-/// The host that a request names.
+/// Returns the host of a request, from its URI or its `Host` header.
 pub fn host_of(head: &Parts) -> Option<&str> {
     if let Some(host) = head.uri.host() {
         return Some(host);
@@ -187,7 +189,7 @@
     head.headers.get(HOST)?.to_str().ok()
 }
 
-/// Checks what can be checked before the body is read.
+/// Checks the head of a request before its body is read.
 pub fn check_head(head: &Parts, limits: &CallerLimits) -> Result<(), Refusal> {
     let size: usize =
         head.headers.iter().map(|(name, value)| name.as_str().len() + value.len() + 4).sum();
@@ -204,7 +206,7 @@
     }
 }
 
-/// Reads the body to its end.
+/// Reads the complete body.
 pub async fn read_body(body: Incoming, limits: &CallerLimits) -> Result<Bytes, Refusal> {
     match Limited::new(body, limits.body_bytes).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
@@ -213,15 +215,15 @@
     }
 }
 
-/// The id of a request and how long its caller waits.
+/// The attempt id of a request and the waiting time of its caller.
 pub struct CallerTerms {
     pub attempt: HeaderValue,
     pub remaining: Duration,
-    /// How long it has waited already.
+    /// How long the caller has waited already.
     pub waited: Duration,
 }
 
-/// Reads the terms of a request.
+/// Reads the attempt id and the remaining time of a request. `waited` is zero.
 pub fn read_terms(head: &Parts, names: &HeaderNames) -> Result<CallerTerms, Refusal> {
     let attempt = head.headers.get(&names.attempt).ok_or(Refusal::Malformed)?.clone();
     let remaining = match head.headers.get(&names.remaining_ms) {
@@ -235,7 +237,8 @@
     Ok(CallerTerms { attempt, remaining: remaining.min(LONGEST_REMAINING), waited })
 }
 
-/// Reads the outline of the prompt, if the route wants requests that share one to meet.
+/// Reads the outline of the prompt, if the route sends requests with a shared prompt to the same
+/// upstream.
 fn read_outline(head: &Parts, route: &OpaqueRoute, names: &HeaderNames) -> Option<PromptOutline> {
     if !route.affinity {
         return None;
@@ -243,7 +246,8 @@
     PromptOutline::parse(head.headers.get(&names.prompt_outline)?.to_str().ok()?)
 }
 
-/// All tokens that a caller names: those of the prompt and those of the longest answer; nothing where it names none.
+/// Reads the sum of the prompt tokens and the maximum answer tokens that a caller names. `None` if
+/// it names none.
 pub fn read_token_sum(head: &Parts, names: &HeaderNames) -> Option<u64> {
     let named = head.headers.get(&names.token_counts)?.to_str().ok()?;
     let (prompt, output) = named.split_once(',')?;
@@ -252,15 +256,15 @@
     Some(u64::from(prompt) + u64::from(output))
 }
 
-/// Reads the longest answer from the numbers of tokens that a caller names: those of the prompt, and
-/// those of the longest answer. Nothing depends on it but the choice of a place.
+/// Reads the maximum answer tokens from the header that names the prompt tokens and the maximum
+/// answer tokens. Only the choice of a destination depends on it. 0 if the caller names none.
 fn read_output_tokens(head: &Parts, names: &HeaderNames) -> u32 {
     let named = head.headers.get(&names.token_counts).and_then(|value| value.to_str().ok());
     let output = named.and_then(|text| text.split_once(',')).map(|(_, output)| output.trim());
     output.and_then(|output| output.parse().ok()).unwrap_or_default()
 }
 
-/// The headers that go on to an upstream: all but those of the connection and reserved ones.
+/// Returns the headers to pass to an upstream: all except connection headers and reserved ones.
 fn forwarded_headers(
     mut headers: HeaderMap,
     account: Option<&JobAccount>,
@@ -282,7 +286,7 @@
     headers
 }
 
-/// Takes out the headers that belong to one connection.
+/// Removes the headers that apply to one connection only.
 pub fn remove_connection_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
--- a/crates/foldhaven-gateway/src/lib.rs
+++ b/crates/foldhaven-gateway/src/lib.rs
@@ -1,8 +1,8 @@
-//! Serves opaque requests: routes them by host and path, passes them on to upstreams as they are,
-//! and answers only with what an upstream gave whole, or says that it did not.
+//! The gateway for opaque requests. It routes requests by host and path, passes them to upstreams
+//! unchanged, and returns only complete answers of upstreams, or a refusal or an aborted stream.
 //!
-//! The words of the surrounding platform (header names, paths, formats) come in through
-//! [`names::HeaderNames`], [`directory::DirectoryCodec`] and [`feed::PlatformFeed`].
+//! The names and formats of the surrounding platform (headers, paths, encodings) are supplied
+//! through [`names::HeaderNames`], [`directory::DirectoryCodec`] and [`feed::PlatformFeed`].
 
 mod account_desk;
 pub mod answer;
--- a/crates/foldhaven-gateway/src/names.rs
+++ b/crates/foldhaven-gateway/src/names.rs
@@ -1,43 +1,45 @@
-//! The names of the headers by which callers, this system and upstreams understand each other.
+//! The names of the headers used between callers, this system and upstreams.
 
 use foldhaven_core::opaque::queue_rank::QueueRank;
 use http::HeaderName;
 
-/// The header names that a platform prescribes.
+/// The header names prescribed by a platform.
 #[derive(Debug, Clone)]
 pub struct HeaderNames {
-    /// Names a request; upstreams repeat it in their answers.
+    /// The id of a caller's attempt. Upstreams repeat it in their answers.
     pub attempt: HeaderName,
-    /// The milliseconds for which the caller goes on waiting.
+    /// How long the caller will still wait, in milliseconds.
     pub remaining_ms: HeaderName,
-    /// Tells an upstream which process is meant, so that another one at its address declines.
+    /// Names the intended upstream, so that another process at its address declines the request.
     pub expected_upstream: HeaderName,
     /// Set by an upstream that did not run the request and never will.
     pub not_run: HeaderName,
-    /// Names how many requests a second an upstream takes from all VMs together, as a decimal number.
+    /// The rate limit of an upstream for all VMs together, as a decimal number of requests per
+    /// second.
     pub rate_limit: HeaderName,
-    /// Set to 1 by an upstream that leaves and takes nothing new.
+    /// Set to 1 by an upstream that is leaving and accepts no new requests.
     pub leaving: HeaderName,
-    /// Outlines the parts of the prompt, each an id and its tokens.
+    /// Lists the segments of the prompt, each with its id and its number of tokens.
     pub prompt_outline: HeaderName,
-    /// The tokens of the prompt and of the longest answer.
+    /// The number of prompt tokens and the maximum number of answer tokens.
     pub token_counts: HeaderName,
-    /// Names the upstream from which another one takes over what it keeps of a prompt.
+    /// Names the upstream from which another one fetches the cached segments of a prompt.
     pub fetch_from: HeaderName,
-    /// The event after which a stream goes on.
+    /// The id of the event after which a stream is resumed.
     pub last_event: HeaderName,
-    /// The rank of a request at an upstream: 0 goes first; see [`HeaderNames::rank_value`].
+    /// The rank of a request at an upstream. 0 goes first; see [`HeaderNames::rank_value`].
     pub rank: HeaderName,
-    /// Names the account of a request to upstreams; only this system sets it.
+    /// Names the account of a request to upstreams. Only this system sets it.
     pub account: HeaderName,
     /// The scheme of the authorization header that carries a caller's key.
     pub key_scheme: &'static str,
-    /// Headers that only this system may send to upstreams; taken out of callers' requests.
+    /// Headers that only this system may send to upstreams. They are removed from callers'
+    /// requests.
     pub reserved: Vec<HeaderName>,
 }
 
 impl HeaderNames {
-    /// What upstreams are told of a request's rank; none stands for 5.
+    /// Returns the header value for a rank. `None`, for no header, means rank 5.
     pub fn rank_value(rank: QueueRank) -> Option<u16> {
         match rank {
             QueueRank::Timely => None,
--- a/crates/foldhaven-gateway/src/stop.rs
+++ b/crates/foldhaven-gateway/src/stop.rs
@@ -1,5 +1,5 @@
-//! A planned stop: others are told, what is under way is finished, and nothing is cut that could
-//! still end in time.
+//! Planned stop: announces that this VM is leaving, and finishes the requests in flight within the
+//! grace time.
 
 use std::io;
 use std::sync::Arc;
@@ -10,20 +10,21 @@
 
 use crate::shared::{GatewayShared, StopStage};
 
-/// How long requests that still come are served after others were told: callers hold the addresses
-/// that they were given for some seconds. The platform excuses work that the end of the grace time cuts
-/// only for requests sent up to three seconds after the signal.
+/// How long new requests are accepted after the stop was announced, since callers use cached
+/// addresses for some seconds. The platform tolerates requests aborted by the end of the grace time
+/// only if they were sent up to three seconds after the signal.
 const LEAVING_TIME: Duration = Duration::from_millis(2_900);
-/// How long before the platform ends the process by force it ends by itself.
+/// How long before the end of the platform's grace time the process exits, so that it is not
+/// killed.
 const MARGIN: Duration = Duration::from_millis(400);
-/// For the last answers to reach their callers.
+/// Time for the last answers to reach their callers.
 const FLUSH_TIME: Duration = Duration::from_millis(100);
 
-/// Waits for the signal to stop, then stops.
+/// Waits for SIGTERM or SIGINT, then performs a planned stop.
 ///
 /// # Errors
 ///
-/// When signals cannot be watched.
+/// If the signal handlers cannot be installed.
 pub async fn stop_when_told(shared: Arc<GatewayShared>) -> io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -38,7 +39,10 @@
     sleep(leaving).await;
     shared.enter_stage(StopStage::Closing);
     if timeout(grace - leaving, shared.wait_settled()).await.is_err() {
-        tracing::warn!(in_flight = shared.in_flight(), "the end of the grace time cuts requests");
+        tracing::warn!(
+            in_flight = shared.in_flight(),
+            "requests are aborted at the end of the grace time"
+        );
     }
     sleep(FLUSH_TIME).await;
     tracing::info!(vm = %shared.settings.vm, "ended after a planned stop");
--- a/crates/foldhaven-gateway/src/upstream.rs
+++ b/crates/foldhaven-gateway/src/upstream.rs
@@ -1,4 +1,5 @@
-//! The upstreams as traffic sees them: what is listed of each, and what calls to it have shown.
+//! The state of each upstream for request handling: its listed properties, and what the calls to it
+//! have shown.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,51 +24,52 @@
 use crate::clock::MonoClock;
 use crate::connection::{ConnectionPool, IDLE_LIMIT};
 
-/// One process of an upstream. It lives as long as the process is listed; views share it.
+/// One process of an upstream. Shared by all views for as long as the process is listed.
 pub struct Upstream {
     pub identity: UpstreamIdentity,
-    /// What it is called in messages between VMs.
+    /// Its identifier in messages between VMs.
     pub tag: UpstreamTag,
     pub pool: ConnectionPool,
-    /// Whether it is ejected after failures.
+    /// Its recent failures, which decide whether it is ejected.
     pub health: Mutex<TargetHealth>,
-    /// How far its times were off lately, and how often it failed.
+    /// The recent errors of its time estimates, and its failures.
     pub pace: Mutex<UpstreamPerformance>,
-    /// Spaces the requests that this VM sends while it is cold or names a limit.
+    /// Paces the requests of this VM while the upstream is cold or announces a rate limit.
     pub pacer: Mutex<RatePacer>,
-    /// The requests of this VM.
+    /// The requests of this VM at the upstream.
     pub load: Arc<LoadCounter>,
-    /// The requests of the other VMs of the region, as they reported them.
+    /// The requests of the other VMs of the region, as reported by them.
     others_in_flight: AtomicU32,
-    /// Those of them that can still be answered as wanted.
+    /// Those of them that can still meet their targets.
     others_whole: AtomicU32,
-    /// Those that go behind all others, and were not answered yet.
+    /// Those that are deferred behind all timely requests and not answered yet.
     others_behind: AtomicU32,
-    /// The prompt tokens of those that were not answered yet.
+    /// The prompt tokens of the requests of other VMs that are not answered yet.
     others_unread: Mutex<PrefillBacklog>,
-    /// The requests of this VM there, by which it is known under which ones it ended.
+    /// The in-flight requests of this VM, from which the suspects are taken if the upstream
+    /// crashes.
     guests: Mutex<InFlightRequests>,
-    /// Whether it is being found out whether it has ended.
+    /// Whether a check for the exit of the upstream is running.
     is_probed: AtomicBool,
-    /// When anything was received from it last.
+    /// When data was last received from the upstream.
     heard: AtomicU64,
-    /// Until when it is cold.
+    /// The time until which the upstream is cold.
     cold_until: AtomicU64,
-    /// Until when this VM is to back off.
+    /// The time until which this VM backs off.
     backoff_until: AtomicU64,
-    /// Whether it has said that it leaves.
+    /// Whether the upstream has announced that it is leaving.
     is_leaving: AtomicBool,
-    /// Whether it names a limit.
+    /// Whether the upstream announces a rate limit.
     is_limited: AtomicBool,
-    /// The rate at which this VM may send while it is cold or names a limit, as the bits of a number.
+    /// This VM's share of the rate while the upstream is cold or limited, as the bits of an `f64`.
     part_rate: AtomicU64,
-    /// Until when that rate may be used.
+    /// The time until which that share is valid.
     part_until: AtomicU64,
-    /// How many requests this VM has sent at that rate.
+    /// The number of requests that this VM has sent under that share.
     bounded_sent: AtomicU32,
 }
 
-/// What is listed of an upstream and stays the same during its life.
+/// The listed properties of an upstream, which do not change while its process runs.
 pub struct UpstreamIdentity {
     pub name: UpstreamName,
     pub birth: UpstreamStartTime,
@@ -75,14 +77,14 @@
     pub address: SocketAddr,
     pub data_centre: DataCentreName,
     pub region: RegionName,
-    /// How many requests it runs at once.
+    /// The number of requests that it runs concurrently.
     pub slots: u32,
-    /// The tokens that its prompt memory holds; 0 when it keeps none.
+    /// The capacity of its prompt cache in tokens. 0 if it has none.
     pub prompt_memory: u64,
 }
 
 impl UpstreamIdentity {
-    /// Whether a record is still of the same process at the same place.
+    /// Whether a record describes the same process with unchanged properties.
     pub fn is_of(&self, record: &UpstreamRecord) -> bool {
         (self.birth, self.address, self.slots) == (record.birth, record.address, record.slots)
             && self.service == record.service
@@ -121,49 +123,50 @@
         &self.identity.name
     }
 
-    /// Takes in until when it is cold.
+    /// Sets the time until which the upstream is cold.
     pub fn set_cold(&self, until: MonoTime) {
         self.cold_until.store(until.0, Ordering::Relaxed);
     }
 
-    /// Whether it is cold.
+    /// Whether the upstream is cold.
     pub fn is_cold(&self, now: MonoTime) -> bool {
         now.0 < self.cold_until.load(Ordering::Relaxed)
     }
 
-    /// Takes in until when this VM is to back off; a longer back-off that was asked for before stands. Returns whether it was not backing off
-    /// before.
+    /// Sets the time until which this VM backs off. A longer earlier back-off stays in effect.
+    /// Returns whether this VM was not backing off before.
     pub fn back_off_until(&self, until: MonoTime, now: MonoTime) -> bool {
         let before = self.backoff_until.fetch_max(until.0, Ordering::Relaxed);
         before <= now.0
     }
 
-    /// For how much longer this VM is to back off.
+    /// Returns the remaining back-off time of this VM.
     pub fn backoff_left(&self, now: MonoTime) -> Duration {
         MonoTime(self.backoff_until.load(Ordering::Relaxed)).since(now)
     }
 
-    /// Takes in that it has said that it leaves.
+    /// Records that the upstream has announced that it is leaving.
     pub fn set_leaving(&self) {
         self.is_leaving.store(true, Ordering::Relaxed);
     }
 
-    /// Whether it has said that it leaves.
+    /// Whether the upstream has announced that it is leaving.
     pub fn is_leaving(&self) -> bool {
         self.is_leaving.load(Ordering::Relaxed)
     }
 
-    /// Takes in whether it names a limit.
+    /// Sets whether the upstream announces a rate limit.
     pub fn set_limited(&self, is_limited: bool) {
         self.is_limited.store(is_limited, Ordering::Relaxed);
     }
 
-    /// Whether it names a limit.
+    /// Whether the upstream announces a rate limit.
     pub fn is_limited(&self) -> bool {
         self.is_limited.load(Ordering::Relaxed)
     }
 
-    /// Takes in this VM's part of what it may get while it is cold or names a limit, and until when that may be used.
+    /// Sets this VM's share of the upstream's rate while it is cold or limited, and the time until
+    /// which the share is valid. `None`: it is not valid.
     pub fn set_part(&self, part: RateShare, until: Option<MonoTime>, now: MonoTime) {
         let has_part = now.0 < self.part_until.load(Ordering::Relaxed) && self.noted_part() > 0.0;
         let mut pacer = self.pacer.lock();
@@ -178,73 +181,77 @@
         self.part_until.store(until.map_or(0, |until| until.0), Ordering::Relaxed);
     }
 
-    /// The rate to keep to now; nothing when it is neither cold nor names a limit.
+    /// Returns the rate that applies to this VM now: zero without a valid share, `None` if the
+    /// upstream is neither cold nor limited.
     pub fn bound_rate(&self, now: MonoTime) -> Option<f64> {
         let is_bounded = self.is_cold(now) || self.is_limited();
         let may_send = now.0 < self.part_until.load(Ordering::Relaxed);
         is_bounded.then(|| if may_send { self.noted_part() } else { 0.0 })
     }
 
-    /// The rate of [`Upstream::set_part`] that was taken in last.
+    /// Returns the rate that was last set by [`Upstream::set_part`].
     pub fn noted_part(&self) -> f64 {
         f64::from_bits(self.part_rate.load(Ordering::Relaxed))
     }
 
-    /// Counts a request that this VM sends at its part of a rate.
+    /// Counts a request that this VM sends under its share of the rate.
     pub fn count_bounded(&self) {
         self.bounded_sent.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// How many those are.
+    /// Returns the number of requests counted by [`Upstream::count_bounded`].
     pub fn bounded_sent(&self) -> u32 {
         self.bounded_sent.load(Ordering::Relaxed)
     }
 
-    /// Notes that something was received from it.
+    /// Records that data was received from the upstream.
     pub fn note_heard(&self, now: MonoTime) {
         self.heard.store(now.0, Ordering::Relaxed);
     }
 
-    /// Whether nothing was received from it since a moment.
+    /// Whether no data was received from the upstream since the given time.
     pub fn is_silent_since(&self, moment: MonoTime) -> bool {
         self.heard.load(Ordering::Relaxed) < moment.0
     }
 
-    /// Begins to find out whether it has ended, unless somebody does already.
+    /// Marks a check for the exit of the upstream as running. Returns `false` if one is running
+    /// already.
     pub fn begin_probe(&self) -> bool {
         !self.is_probed.swap(true, Ordering::Relaxed)
     }
 
-    /// Ends that.
+    /// Marks the check for the exit of the upstream as finished.
     pub fn end_probe(&self) {
         self.is_probed.store(false, Ordering::Relaxed);
     }
 
-    /// The requests of this VM that it may have ended under, when a connection to it broke at this time.
+    /// Takes the requests of this VM that may have crashed the upstream, given the time at which a
+    /// connection to it broke.
     pub fn take_victims(&self, broke: MonoTime) -> Vec<RequestFingerprint> {
         self.guests.lock().take_affected(broke)
     }
 
-    /// Notes a request of this VM there until the guard is dropped.
+    /// Registers a request of this VM until the guard is dropped.
     pub fn admit(self: &Arc<Self>, print: RequestFingerprint, clock: MonoClock) -> GuestSeat {
         let id = self.guests.lock().insert(print);
         GuestSeat { upstream: self.clone(), id, clock, is_harmless: false }
     }
 
-    /// Notes that it cannot be reached or says nothing: it is ejected at once, and connections to it
-    /// are closed.
+    /// Records that the upstream is unreachable or unresponsive: it is ejected at once, and the
+    /// idle connections to it are closed.
     pub fn note_unreachable(&self, now: MonoTime) {
         self.health.lock().record_failure(true, now);
         self.pool.clear();
     }
 
-    /// Notes that a request failed there after it may have run, of a route of which a share usually fails.
+    /// Records that a request failed after it may have run. `usual` is the usual failure share of
+    /// its route.
     pub fn note_failure(&self, usual: f64, now: MonoTime) {
         self.health.lock().record_failure(false, now);
         self.pace.lock().record_end(true, usual, now);
     }
 
-    /// Takes in the requests that other VMs have there.
+    /// Sets the requests of the other VMs of the region.
     pub fn set_others(&self, share: UpstreamShare) {
         self.others_in_flight.store(share.in_flight.into(), Ordering::Relaxed);
         self.others_whole.store(share.whole.into(), Ordering::Relaxed);
@@ -252,7 +259,7 @@
         *self.others_unread.lock() = share.unread;
     }
 
-    /// The queue that all VMs of the region make.
+    /// Returns the queue of the upstream, with the requests of all VMs of the region.
     pub fn queue(&self) -> QueueState {
         let own = self.load.share();
         let others = self.others_in_flight.load(Ordering::Relaxed);
@@ -266,7 +273,7 @@
     }
 }
 
-/// One request at an upstream.
+/// Keeps one request registered at an upstream until dropped.
 pub struct GuestSeat {
     upstream: Arc<Upstream>,
     id: InFlightId,
@@ -275,7 +282,8 @@
 }
 
 impl GuestSeat {
-    /// Notes that it has not harmed the upstream: it was answered whole, declined or never sent.
+    /// Records that the request did not crash the upstream: it was answered completely, declined or
+    /// never sent.
     pub fn note_harmless(&mut self) {
         self.is_harmless = true;
     }
@@ -291,22 +299,22 @@
     }
 }
 
-/// The requests of this VM at one place.
+/// Counts the requests of this VM at one destination.
 #[derive(Debug, Default)]
 pub struct LoadCounter {
     in_flight: AtomicU32,
-    /// Those of them that can still be answered as wanted.
+    /// Those of them that can still meet their targets.
     whole: AtomicU32,
-    /// Those that go behind all others, and were not answered yet.
+    /// Those that are deferred behind all timely requests and not answered yet.
     behind: AtomicU32,
-    /// The prompt tokens of timely requests that were not answered yet.
+    /// The prompt tokens of timely requests that are not answered yet.
     unread_timely: AtomicU32,
-    /// Those of requests that go behind them.
+    /// The prompt tokens of deferred requests that are not answered yet.
     unread_behind: AtomicU32,
 }
 
 impl LoadCounter {
-    /// What is counted now.
+    /// Returns the current counts, saturated at the limits of the message format.
     pub fn share(&self) -> UpstreamShare {
         let read =
             |count: &AtomicU32| u16::try_from(count.load(Ordering::Relaxed)).unwrap_or(u16::MAX);
@@ -321,7 +329,8 @@
         }
     }
 
-    /// Counts a request of a rank with so many prompt tokens to read until the guard is dropped.
+    /// Counts a request with the given rank and prompt tokens to prefill until the guard is
+    /// dropped.
     pub fn enter(self: &Arc<Self>, tokens: u32, rank: QueueRank) -> LoadSeat {
         let is_whole = rank == QueueRank::Timely;
         self.in_flight.fetch_add(1, Ordering::Relaxed);
@@ -340,20 +349,20 @@
     }
 }
 
-/// One request at a place.
+/// Counts one request at a destination until dropped.
 pub struct LoadSeat {
     counter: Arc<LoadCounter>,
-    /// The prompt tokens still counted as to be read.
+    /// The prompt tokens still counted as waiting for prefill.
     unread: u32,
     rank: QueueRank,
-    /// Whether it can still be answered as wanted.
+    /// Whether the request can still meet its targets.
     is_whole: bool,
-    /// Whether it goes behind all others, and was not answered yet.
+    /// Whether the request is deferred and not answered yet.
     is_behind: bool,
 }
 
 impl LoadSeat {
-    /// Notes that the answer has begun: the prompt was read.
+    /// Records that the answer has started, so prefill is finished.
     pub fn note_answered(&mut self) {
         let unread = std::mem::take(&mut self.unread);
         self.counter.unread(self.rank).fetch_sub(unread, Ordering::Relaxed);
@@ -361,7 +370,7 @@
         self.counter.behind.fetch_sub(was_behind.into(), Ordering::Relaxed);
     }
 
-    /// Notes that it cannot be answered as wanted any more.
+    /// Records that the request has missed its targets.
     pub fn note_late(&mut self) {
         let was_whole = std::mem::replace(&mut self.is_whole, false);
         self.counter.whole.fetch_sub(was_whole.into(), Ordering::Relaxed);
--- a/crates/foldhaven-gateway/src/upstream_ends.rs
+++ b/crates/foldhaven-gateway/src/upstream_ends.rs
@@ -1,4 +1,5 @@
-//! Tells the end of an upstream from the end of one connection to it, and blames the requests that were there.
+//! Distinguishes the exit of an upstream from the end of a single connection to it, and reports the
+//! requests that were in flight as suspects.
 
 use std::io;
 use std::sync::Arc;
@@ -11,16 +12,17 @@
 use crate::shared::GatewayShared;
 use crate::upstream::Upstream;
 
-/// An upstream may close connections a moment before its port is closed. A new one that has come up is looked at again
-/// after this time.
+/// Delay between checks. An upstream that exits may close its connections shortly before its
+/// listening port, so a new connection is checked again after this time.
 const SECOND_LOOK: Duration = Duration::from_millis(200);
-/// How often an upstream that takes no new connections is looked at, while something is still heard on old ones.
+/// Maximum number of checks of an upstream that refuses new connections but still sends data on old
+/// ones.
 const LOOKS: u32 = 5;
-/// How many fingerprints a log line names.
+/// Maximum number of fingerprints in a log line.
 const LOGGED_PRINTS: usize = 8;
 
-/// Finds out whether an upstream has ended, after a connection to it ended under a request. Several that end at once are
-/// looked into once.
+/// Starts a check whether an upstream has exited, after a connection to it broke during a request.
+/// Only one check per upstream runs at a time.
 pub fn look_into_end(shared: &Arc<GatewayShared>, upstream: &Arc<Upstream>) {
     if !upstream.begin_probe() {
         return;
@@ -35,11 +37,13 @@
     });
 }
 
-/// Whether the process behind the address is gone: new connections are refused and nothing more is heard on old ones. One
-/// that cannot be reached at all may live behind a cut, and one that is alive resets what goes beyond its limit.
+/// Whether the process has exited: it refuses new connections and no more data arrives on old ones.
+/// An unreachable upstream may be alive behind a network partition, and a live one may reset
+/// connections beyond its limit.
 ///
-/// What is read after the first connection broke may have been sent before the end, and one that leaves may serve its old
-/// connections on. So it is looked again until nothing was heard between two looks.
+/// Data that is read after the first connection broke may have been sent before the exit, and a
+/// leaving upstream may continue to serve its old connections. The check is repeated until no data
+/// arrived between two checks.
 async fn has_ended(shared: &GatewayShared, upstream: &Upstream, broke: MonoTime) -> bool {
     let mut looked = broke;
     for _ in 0..LOOKS {
@@ -55,7 +59,7 @@
     false
 }
 
-/// Whether nothing listens at its address.
+/// Whether no process listens at the address of the upstream.
 async fn refuses_connections(upstream: &Upstream) -> bool {
     let connection = match connect(upstream).await {
         Ok(connection) => connection,
@@ -77,7 +81,8 @@
     error.kind() == io::ErrorKind::ConnectionRefused
 }
 
-/// Blames the requests that this VM had at an upstream when its end began to show.
+/// Reports the requests that this VM had at an upstream when its first connection broke as
+/// suspects.
 fn note_ended(shared: &GatewayShared, upstream: &Upstream, broke: MonoTime) {
     let victims = upstream.take_victims(broke);
     shared.metrics.count_event("upstream_ended");
@@ -89,7 +94,7 @@
             birth = upstream.identity.birth.0,
             requests = victims.len(),
             prints = prints.join(" "),
-            "an upstream ended under requests"
+            "an upstream exited during requests"
         );
     }
     for print in victims {
--- a/crates/foldhaven-gateway/src/upstream_listener.rs
+++ b/crates/foldhaven-gateway/src/upstream_listener.rs
@@ -1,4 +1,4 @@
-//! Reads the signals in the answers of an upstream: its rate limit, that it leaves, and its back-off.
+//! Reads the signals in the answers of an upstream: its rate limit, its leaving and its back-off.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,14 +14,14 @@
 use crate::shared::GatewayShared;
 use crate::upstream::Upstream;
 
-/// The longest back-off. An upstream that asked for more is tried again after it.
+/// Maximum back-off. An upstream that requested a longer one is tried again after this time.
 const MAX_BACKOFF: Duration = Duration::from_secs(600);
-/// A back-off is up to this share longer than asked for.
+/// Maximum jitter of a back-off, as a share of the requested time.
 const BACKOFF_JITTER: f64 = 0.15;
-/// The value that an upstream sets that leaves.
+/// The header value of an upstream that is leaving.
 const IS_LEAVING: &str = "1";
 
-/// Hears an upstream.
+/// Processes the heads of the answers of an upstream.
 pub struct UpstreamListener {
     shared: Arc<GatewayShared>,
     upstream: Arc<Upstream>,
@@ -30,13 +30,13 @@
 }
 
 impl UpstreamListener {
-    /// A listener for the answer to a request that is sent now.
+    /// Creates a listener for the answer to a request that is sent now.
     pub fn new(shared: Arc<GatewayShared>, upstream: Arc<Upstream>) -> Self {
         let sent = shared.now();
         Self { shared, upstream, sent }
     }
 
-    /// Counts and logs a value that cannot be read; the answer counts as one without it.
+    /// Counts and logs a header value that cannot be parsed. The header is ignored.
     fn note_unreadable(&self, header: &str, value: &HeaderValue) {
         self.shared.metrics.count_event("upstream_signal_unreadable");
         if self.shared.quota.take(false) {
@@ -55,7 +55,7 @@
         is_leaving
     }
 
-    /// The back-off that an upstream asks for as it turns a request away.
+    /// Returns the back-off that an upstream requests when it declines a request with status 503.
     fn backoff(&self, head: &Parts) -> Option<Duration> {
         if head.status != StatusCode::SERVICE_UNAVAILABLE {
             return None;
@@ -68,7 +68,7 @@
         backoff
     }
 
-    /// Backs off. VMs that were turned away at one moment come back at different ones.
+    /// Starts a back-off. The jitter spreads the VMs that were declined at the same time.
     fn note_backoff(&self, asked: Duration) {
         let span = asked.min(MAX_BACKOFF).mul_f64(1.0 + BACKOFF_JITTER * rand::random::<f64>());
         let is_new = self.upstream.back_off_until(self.shared.now() + span, self.shared.now());
@@ -80,7 +80,7 @@
                 asked_ms = asked.as_millis() as u64,
                 given_ms = span.as_millis() as u64,
                 requests = self.upstream.load.share().in_flight,
-                "an upstream asks this VM to back off"
+                "an upstream requested a back-off"
             );
         }
     }
@@ -114,20 +114,21 @@
     }
 }
 
-/// Reads a rate as upstreams write it: a decimal number of requests a second.
+/// Parses the rate in an upstream's header: a decimal number of requests per second.
 fn read_rate(value: &HeaderValue) -> Option<RequestRate> {
     let per_s: f64 = value.to_str().ok()?.trim().parse().ok()?;
     RequestRate::from_per_s(per_s).ok()
 }
 
-/// Reads a span as upstreams write it: a number of seconds. A date is none: clocks differ.
+/// Parses the duration in an upstream's header: a number of seconds. Dates are not accepted, since
+/// clocks differ.
 fn read_span(value: &HeaderValue) -> Option<Duration> {
     let seconds: f64 = value.to_str().ok()?.trim().parse().ok()?;
     let is_span = seconds.is_finite() && seconds >= 0.0;
     is_span.then(|| Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX))
 }
 
-/// Hears nothing.
+/// Ignores the heads of answers.
 pub struct DeafListener;
 
 impl HeadListener for DeafListener {
--- a/crates/foldhaven-gateway/src/wake.rs
+++ b/crates/foldhaven-gateway/src/wake.rs
@@ -1,5 +1,5 @@
-//! Notices that this process stood still, because its machine was suspended or it was stopped itself, and holds requests
-//! back until other VMs have told what happened meanwhile.
+//! Detects that this process was suspended, alone or with its machine, and holds requests back
+//! until other VMs have sent the changes that were made meanwhile.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -8,26 +8,28 @@
 use parking_lot::Mutex;
 use tokio::sync::Notify;
 
-/// A process whose control thread did nothing for so long stood still. What is published is to be in force within
-/// three seconds and more; the thread looks four times a second, also on a busy machine.
+/// A process whose control thread did not run for this long counts as suspended. Published changes
+/// must be in force within a little over three seconds. The thread checks four times a second, also
+/// on a busy machine.
 const STILL_LIMIT: Duration = Duration::from_millis(2_000);
-/// So long after waking a process takes requests even if nobody has told it anything: it may be cut off, and then goes on
-/// with what it knows.
+/// Time after a suspension at which a process accepts requests even if it received no updates. It
+/// may be partitioned from the other VMs, and then continues with the state it has.
 const ALONE_AFTER: Duration = Duration::from_millis(1_200);
 
-/// Whether what this process believes is of now.
+/// Tracks whether the state of this process may be outdated after a suspension.
 #[derive(Debug, Default)]
 pub struct WakeWatch {
-    /// When the control thread looked last.
+    /// The time of the last check by the control thread.
     looked: AtomicU64,
-    /// When it was found that the process had stood still, until it knows what happened meanwhile.
+    /// When a suspension was detected. `None` once the process has caught up.
     woken: Mutex<Option<MonoTime>>,
-    /// Told when that is found.
+    /// Notified when a suspension is detected.
     found: Notify,
 }
 
 impl WakeWatch {
-    /// Notes that the control thread looks. Returns for how long the process stood still, if it did.
+    /// Records a check by the control thread. Returns the time since the previous check if the
+    /// process was suspended.
     pub fn look(&self, now: MonoTime) -> Option<Duration> {
         let looked = MonoTime(self.looked.swap(now.0, Ordering::Relaxed));
         let still = now.since(looked);
@@ -39,15 +41,16 @@
         Some(still)
     }
 
-    /// Whether requests may be decided by what is believed. Asked by traffic, which may run before the control thread after
-    /// a stand-still.
+    /// Whether the state may be used for requests. Request handling may call this after a
+    /// suspension before the control thread has run.
     pub fn is_awake(&self, now: MonoTime) -> bool {
         let looked = MonoTime(self.looked.load(Ordering::Relaxed));
         let is_looking = looked == MonoTime::default() || now.since(looked) <= STILL_LIMIT;
         is_looking && self.woken.lock().is_none()
     }
 
-    /// Notes whether what happened meanwhile is known. Returns how long that took, once it is.
+    /// Records whether the process has caught up after a suspension. Returns the time since its
+    /// detection once requests are accepted again.
     pub fn note_known(&self, is_known: bool, now: MonoTime) -> Option<Duration> {
         let mut woken = self.woken.lock();
         let span = now.since((*woken)?);
@@ -58,7 +61,7 @@
         Some(span)
     }
 
-    /// Waits until it is found that the process stood still.
+    /// Waits until a suspension is detected.
     pub async fn await_found(&self) {
         self.found.notified().await;
     }
--- a/crates/foldhaven-gateway/src/warm_links.rs
+++ b/crates/foldhaven-gateway/src/warm_links.rs
@@ -1,5 +1,5 @@
-//! Keeps connections to VMs of the other regions open, so that a request that is forwarded there does not
-//! wait for one, and measures the way there.
+//! Keeps connections to VMs of other regions open, so that a forwarded request need not wait for
+//! one, and measures the round-trip time.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,12 +12,12 @@
 use crate::shared::GatewayShared;
 use crate::view::{GatewayView, PeerLink};
 
-/// To how many VMs of each other region a connection is kept open.
+/// Number of VMs in each other region to which a connection is kept open.
 const LINKS_PER_REGION: usize = 2;
-/// How often it is looked whether they still are.
+/// Interval at which these connections are checked.
 const LOOK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Opens connections for as long as the process runs.
+/// Replaces closed connections for as long as the process runs.
 pub async fn keep_links_warm(shared: Arc<GatewayShared>) {
     let mut looks = interval(LOOK_INTERVAL);
     looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -30,7 +30,7 @@
     }
 }
 
-/// One link of each region to which too few connections are open.
+/// Returns one link to open for each region that has too few open connections.
 fn cold_links(view: &GatewayView, own_region: &RegionName) -> Vec<Arc<PeerLink>> {
     let mut by_region: BTreeMap<&RegionName, (usize, Vec<&Arc<PeerLink>>)> = BTreeMap::new();
     for link in view.remote_in_service.values().flatten().filter(|link| link.region != *own_region)
@@ -51,7 +51,7 @@
 }
 
 async fn warm(link: Arc<PeerLink>) {
-    // A VM that cannot be reached shows in the heartbeats.
+    // An unreachable VM is detected by heartbeats.
     if let Ok(connection) = link.pool.open(link.address, FAR_CONNECT_LIMIT).await {
         link.pool.put(connection, None);
     }
