--- a/crates/foldhaven-gateway/src/answer.rs
+++ b/crates/foldhaven-gateway/src/answer.rs
@@ -95,7 +95,7 @@
     /// no upstream can take it
     NoUpstream,
     /// the upstreams want nothing more for now
-    HeldBack {
+    Throttled {
         /// The time until one of them probably accepts requests.
         wait: Duration,
     },
@@ -139,7 +139,7 @@
             Self::NoDescription
             | Self::Behind
             | Self::NoUpstream
-            | Self::HeldBack { .. }
+            | Self::Throttled { .. }
             | Self::Full
             | Self::Overloaded { .. }
             | Self::Suspect { .. }
@@ -170,7 +170,7 @@
             Self::NoHome => "no_home",
             Self::Behind => "behind",
             Self::NoUpstream => "no_upstream",
-            Self::HeldBack { .. } => "held_back",
+            Self::Throttled { .. } => "held_back",
             Self::Full => "full",
             Self::Overloaded { cause: AdmissionError::TooLate, .. } => "overloaded",
             Self::Overloaded { cause: AdmissionError::TooMuchInterference, .. } => "too_harmful",
@@ -192,7 +192,7 @@
             Self::NoDescription | Self::Behind | Self::NoUpstream => Duration::from_millis(400),
             Self::Full => Duration::from_millis(250),
             // The end of the back-off is known, so callers are spread by a fixed range only.
-            Self::HeldBack { wait } => {
+            Self::Throttled { wait } => {
                 return Some(wait.max(SHORTEST_HELD_BACK) + HELD_BACK_SPREAD.mul_f64(draw));
             }
             Self::Overloaded { wait, .. } => wait.max(Duration::from_millis(250)),
--- a/crates/foldhaven-gateway/src/attempts/mod.rs
+++ b/crates/foldhaven-gateway/src/attempts/mod.rs
@@ -26,7 +26,7 @@
 };
 use crate::job::GatewayJob;
 use crate::shared::GatewayShared;
-use crate::upstream::{GuestSeat, LoadSeat};
+use crate::upstream::{GuestSeat, LoadGuard};
 use crate::view::GatewayView;
 
 /// Time after its first description by which a process knows the live VMs. Seeds answer within one
@@ -77,7 +77,7 @@
     pub answer: OpenAnswer,
     pub place: RequestDestination,
     /// Counts the request at its destination until the answer ends.
-    pub seat: LoadSeat,
+    pub seat: LoadGuard,
     /// Registers the request at its upstream. `None` if the destination is another VM.
     pub guest: Option<GuestSeat>,
     /// The estimate for the destination when the request was sent.
@@ -265,7 +265,7 @@
         self.check_suspicion().map_err(|refusal| self.after_tries(refusal))?;
         let chosen = match choose_destination(&self.shared, &view, &self.job, &self.tried) {
             Ok(chosen) => chosen,
-            Err(Refusal::NoUpstream | Refusal::HeldBack { .. }) if self.awaits_peers(&view) => {
+            Err(Refusal::NoUpstream | Refusal::Throttled { .. }) if self.awaits_peers(&view) => {
                 return Ok(None);
             }
             Err(refusal) => {
--- a/crates/foldhaven-gateway/src/attempts/notes.rs
+++ b/crates/foldhaven-gateway/src/attempts/notes.rs
@@ -16,7 +16,7 @@
 use crate::destinations::{MIN_ANNOUNCED_TOKENS, RequestDestination};
 use crate::metrics::{RequestBurn, RequestEnd};
 use crate::upstream::Upstream;
-use crate::upstream_ends::look_into_end;
+use crate::upstream_exits::look_into_end;
 
 /// Minimum number of events of a stream for measuring the interval between events.
 const LEAST_EVENTS: u32 = 4;
@@ -54,7 +54,7 @@
             Err(fault) if fault.is_full() => {
                 let room = self.shared.note_room(service, |room| room.record_refused(queue));
                 upstream
-                    .pace
+                    .performance
                     .lock()
                     .record_queue_full(room.full_queue_load(queue), self.shared.now());
             }
@@ -73,7 +73,11 @@
             && expected.rank == QueueRank::Timely
         {
             let took = sent.elapsed();
-            upstream.pace.lock().record_time_to_first(expected.time, took, self.shared.now());
+            upstream.performance.lock().record_time_to_first(
+                expected.time,
+                took,
+                self.shared.now(),
+            );
             if let Some(tokens) = expected.prefill_before_answer {
                 self.shared.note_reading(&self.job.service, tokens, took);
             }
@@ -84,7 +88,7 @@
     pub fn note_success(&self, place: &RequestDestination, sent: BootInstant) {
         if let RequestDestination::Upstream(upstream) = place {
             let usual = self.note_route_end(false);
-            upstream.pace.lock().record_end(false, usual, self.shared.now());
+            upstream.performance.lock().record_end(false, usual, self.shared.now());
             upstream.health.lock().record_success();
             self.shared.note_hold(&self.job.service, sent.elapsed());
         }
@@ -177,7 +181,7 @@
             // The upstream is not at fault.
             CallFault::CalledBack => self.shared.metrics.count_event("suspect_called_back"),
             // A refusal by a full upstream is no evidence about the failures of the route.
-            CallFault::Declined { .. } => upstream.pace.lock().record_end(true, 0.0, now),
+            CallFault::Declined { .. } => upstream.performance.lock().record_end(true, 0.0, now),
         }
     }
 
--- a/crates/foldhaven-gateway/src/attempts/requests.rs
+++ b/crates/foldhaven-gateway/src/attempts/requests.rs
@@ -120,7 +120,7 @@
                 if let Some(account) = &job.account {
                     map.insert(headers::KEY_FINGERPRINT, print_value(&account.key));
                 }
-                if job.is_begun {
+                if job.has_partial_answer {
                     map.insert(headers::BEGUN, HeaderValue::from_static("1"));
                 }
                 let waited = job.waited().as_millis();
--- a/crates/foldhaven-gateway/src/attempts/retries.rs
+++ b/crates/foldhaven-gateway/src/attempts/retries.rs
@@ -70,7 +70,7 @@
             CallFault::Declined { status } if *status == StatusCode::SERVICE_UNAVAILABLE => {
                 let view = self.shared.view();
                 let wait = view.and_then(|view| throttled_wait(&self.shared, &view, &self.job));
-                wait.map_or(Refusal::Full, |wait| Refusal::HeldBack { wait })
+                wait.map_or(Refusal::Full, |wait| Refusal::Throttled { wait })
             }
             _ => Refusal::NoUpstream,
         }
--- a/crates/foldhaven-gateway/src/caller_front.rs
+++ b/crates/foldhaven-gateway/src/caller_front.rs
@@ -16,7 +16,7 @@
 use crate::events::EventRelay;
 use crate::front::FrontHandler;
 use crate::job::{
-    CallerTerms, GatewayJob, ReadRequest, RoutedPlace, check_head, host_of, read_body, read_terms,
+    CallerTerms, GatewayJob, ReadRequest, RouteMatch, check_head, host_of, read_body, read_terms,
     read_token_sum, remove_connection_headers,
 };
 use crate::metrics::RequestEnd;
@@ -113,7 +113,7 @@
         None => None,
     };
     let request = ReadRequest { head, body, started };
-    let place = RoutedPlace { route, service, account };
+    let place = RouteMatch { route, service, account };
     Ok(request.into_job(place, terms, &shared.names))
 }
 
--- a/crates/foldhaven-gateway/src/connection.rs
+++ b/crates/foldhaven-gateway/src/connection.rs
@@ -18,10 +18,10 @@
 use crate::clock::{BootInstant, timeout};
 
 /// Connect timeout within a region, whose data centres are a few milliseconds apart. Connections to
-/// other regions have [`FAR_CONNECT_LIMIT`].
-pub const NEAR_CONNECT_LIMIT: Duration = Duration::from_millis(400);
+/// other regions have [`REMOTE_CONNECT_TIMEOUT`].
+pub const LOCAL_CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Connect timeout between regions, which are about 55 ms apart one way.
-pub const FAR_CONNECT_LIMIT: Duration = Duration::from_millis(800);
+pub const REMOTE_CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 /// A connection is closed if sent bytes are not acknowledged for this long. A VM that lost its
 /// power or its network does not close its connections.
 const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_millis(2_000);
@@ -126,7 +126,7 @@
     }
 
     /// Whether the pool has a usable connection.
-    pub fn has_open(&self) -> bool {
+    pub fn has_usable_connection(&self) -> bool {
         self.idle.lock().iter().any(Connection::is_usable)
     }
 
@@ -156,7 +156,7 @@
     }
 
     /// Sets the maximum number of idle connections, and closes those beyond it, the oldest first.
-    pub fn keep_at_most(&self, count: usize) {
+    pub fn set_max_idle(&self, count: usize) {
         self.most_kept.store(count, Ordering::Relaxed);
         let mut idle = self.idle.lock();
         let surplus = idle.len().saturating_sub(count);
--- a/crates/foldhaven-gateway/src/control/load_reports.rs
+++ b/crates/foldhaven-gateway/src/control/load_reports.rs
@@ -30,7 +30,7 @@
         let (vm, incarnation) = (report.vm, report.incarnation);
         let Some(touched) = self.loads.apply(report, now) else { return };
         for upstream in touched.iter().filter_map(|tag| self.by_tag.get(tag)) {
-            upstream.set_others(self.loads.total(upstream.tag));
+            upstream.set_peer_load(self.loads.total(upstream.tag));
         }
         self.peers.record_load_report(vm, incarnation, now);
         self.record_placements(&placements);
@@ -214,7 +214,7 @@
         let interval = report_interval(self.local_peers().len());
         self.loads.remove_stale(interval, self.now());
         for upstream in self.upstreams.values() {
-            upstream.set_others(self.loads.total(upstream.tag));
+            upstream.set_peer_load(self.loads.total(upstream.tag));
         }
     }
 }
--- a/crates/foldhaven-gateway/src/control/rate_shares.rs
+++ b/crates/foldhaven-gateway/src/control/rate_shares.rs
@@ -83,14 +83,14 @@
                 None => RateShare::default(),
             };
             log_rate_share(&upstream, share, others.len() + 1);
-            upstream.set_part(share, until, now);
+            upstream.set_rate_share(share, until, now);
         }
     }
 
     fn bounded_upstreams(&self, now: MonoTime) -> Vec<Arc<Upstream>> {
         let own_region = self.shared.settings.region();
         let local = self.upstreams.values().filter(|it| it.identity.region == *own_region);
-        local.filter(|upstream| upstream.bound_rate(now).is_some()).cloned().collect()
+        local.filter(|upstream| upstream.allowed_rate(now).is_some()).cloned().collect()
     }
 
     /// Returns the rate at which all VMs of the region together may send to an upstream. `None` if
@@ -124,14 +124,14 @@
 
 /// Logs this VM's share of an upstream's rate if it has changed.
 fn log_rate_share(upstream: &Upstream, share: RateShare, senders: usize) {
-    let before = upstream.noted_part();
+    let before = upstream.last_rate_share();
     if before != share.per_s {
         tracing::info!(
         upstream = %upstream.name(),
         per_s = share.per_s,
         before,
         senders,
-        sent = upstream.bounded_sent(),
+        sent = upstream.rate_limited_sent(),
         is_limited = upstream.is_limited(),
         "share of an upstream rate"
         );
--- a/crates/foldhaven-gateway/src/control/region_waits.rs
+++ b/crates/foldhaven-gateway/src/control/region_waits.rs
@@ -24,15 +24,15 @@
         let own_region = self.shared.settings.region();
         let local = self.upstreams.values().filter(|it| it.identity.region == *own_region);
         let is_open = |it: &&Arc<Upstream>| {
-            let is_accepting = it.backoff_left(now).is_zero() && !it.is_leaving();
-            is_accepting && it.bound_rate(now).is_none() && !it.health.lock().is_ejected(now)
+            let is_accepting = it.remaining_backoff(now).is_zero() && !it.is_leaving();
+            is_accepting && it.allowed_rate(now).is_none() && !it.health.lock().is_ejected(now)
         };
         let open = local.filter(is_open);
         let mut by_service: BTreeMap<&ServiceName, Vec<ExpectedQueue>> = BTreeMap::new();
         for upstream in open {
             let service = &upstream.identity.service;
             let wait = expected_wait(upstream, &self.shared.measured_pace(service), now);
-            let long_pauses = upstream.pace.lock().long_pause_share(now);
+            let long_pauses = upstream.performance.lock().long_pause_share(now);
             let expected = ExpectedQueue { wait, load: upstream.queue().in_flight, long_pauses };
             by_service.entry(service).or_default().push(expected);
         }
--- a/crates/foldhaven-gateway/src/control/suspension.rs
+++ b/crates/foldhaven-gateway/src/control/suspension.rs
@@ -8,7 +8,7 @@
     /// again, and pooled connections may have been closed unnoticed.
     pub(super) fn check_suspension(&mut self) {
         let now = self.now();
-        let Some(suspended_for) = self.shared.wake.look(now) else { return };
+        let Some(suspended_for) = self.shared.wake.check(now) else { return };
         let still_ms = suspended_for.as_millis() as u64;
         let (revision, version) = (self.platform.revision(), self.version().0);
         tracing::warn!(still_ms, revision, version, "the process was suspended");
@@ -23,7 +23,7 @@
     /// none has newer platform state.
     pub(super) fn check_resumed(&mut self) {
         let is_known = self.shared.suspects.was_told() && self.lag_time().is_zero();
-        if let Some(span) = self.shared.wake.note_known(is_known, self.now()) {
+        if let Some(span) = self.shared.wake.record_caught_up(is_known, self.now()) {
             let ms = span.as_millis() as u64;
             tracing::info!(
                 ms,
--- a/crates/foldhaven-gateway/src/control/traffic_view.rs
+++ b/crates/foldhaven-gateway/src/control/traffic_view.rs
@@ -102,7 +102,7 @@
             self.shared.leavers.apply(&upstream);
             let service = routes.service(&upstream.identity.service);
             let limit = service.map_or(0, |service| service.connection_limit);
-            upstream.pool.keep_at_most(max_idle_connections(limit, vms));
+            upstream.pool.set_max_idle(max_idle_connections(limit, vms));
             by_service.entry(upstream.identity.service.clone()).or_default().push(upstream.clone());
             kept.insert(upstream.name().clone(), upstream);
         }
@@ -124,7 +124,7 @@
     fn upstream_of(&self, entry: &UpstreamEntry, routes: &RouteTable) -> Option<Arc<Upstream>> {
         let record = &entry.record;
         if let Some(known) = self.upstreams.get(&record.name)
-            && known.identity.is_of(record)
+            && known.identity.matches_record(record)
         {
             return Some(known.clone());
         }
--- a/crates/foldhaven-gateway/src/credential.rs
+++ b/crates/foldhaven-gateway/src/credential.rs
@@ -94,7 +94,7 @@
 
 /// Removes the fingerprint of the caller's key from the headers of a forwarded request, and returns
 /// it.
-pub fn take_forwarded(map: &mut HeaderMap) -> Credential {
+pub fn take_forwarded_key(map: &mut HeaderMap) -> Credential {
     match map.remove(headers::KEY_FINGERPRINT) {
         None => Credential::Absent,
         Some(value) => {
--- a/crates/foldhaven-gateway/src/daemon.rs
+++ b/crates/foldhaven-gateway/src/daemon.rs
@@ -32,7 +32,7 @@
 use crate::settings::GatewaySettings;
 use crate::shared::GatewayShared;
 use crate::signal_news::SignalTeller;
-use crate::stop::stop_when_told;
+use crate::stop::stop_on_signal;
 use crate::suspect_news::SuspectTeller;
 use crate::warm_links::keep_links_warm;
 
@@ -113,7 +113,7 @@
         caller = %addresses.caller,
         "serving"
     );
-    let stopping = stop_when_told(shared).await;
+    let stopping = stop_on_signal(shared).await;
     stopping.map_err(|source| DaemonError::Setup { step: "the signals", source })
 }
 
--- a/crates/foldhaven-gateway/src/datagrams.rs
+++ b/crates/foldhaven-gateway/src/datagrams.rs
@@ -291,7 +291,7 @@
         let to_all = tokio::select! {
         () = sleep(pause) => false,
         Ok(()) = stage.changed() => true,
-        () = shared.wake.await_found() => false,
+        () = shared.wake.wait_for_suspension() => false,
         };
         let Ok(round) = control.send(PlanHeartbeats { to_all }).await else { return };
         pause = round.next_in;
--- a/crates/foldhaven-gateway/src/destinations/local.rs
+++ b/crates/foldhaven-gateway/src/destinations/local.rs
@@ -51,12 +51,12 @@
     /// does not permit one now.
     pub(super) fn reserve(self, shared: &GatewayShared) -> Result<DestinationChoice, Refusal> {
         let now = shared.now();
-        if let Some(rate) = self.upstream.bound_rate(now) {
+        if let Some(rate) = self.upstream.allowed_rate(now) {
             if !self.upstream.pacer.lock().try_acquire(rate, now) {
                 shared.metrics.count_event("bounded_place_lost");
                 return Err(Refusal::NoUpstream);
             }
-            self.upstream.count_bounded();
+            self.upstream.count_rate_limited();
             let event = if self.upstream.is_cold(now) { "cold_sent" } else { "limited_sent" };
             shared.metrics.count_event(event);
         }
@@ -91,8 +91,8 @@
 /// Returns for how much longer this VM sends nothing to an upstream, because the upstream asked it
 /// to back off or its share of the upstream's rate is used up. `None` if it may send now.
 fn throttled_for(upstream: &Upstream, now: MonoTime) -> Option<Duration> {
-    let backoff = upstream.backoff_left(now);
-    let part = upstream.bound_rate(now).map_or(Duration::ZERO, |rate| {
+    let backoff = upstream.remaining_backoff(now);
+    let part = upstream.allowed_rate(now).map_or(Duration::ZERO, |rate| {
         let pacer = *upstream.pacer.lock();
         pacer.wait(rate, now).unwrap_or(NO_SHARE_WAIT)
     });
@@ -115,7 +115,7 @@
 ) -> Option<Duration> {
     let now = shared.now();
     let local = local_upstreams(shared, view, job).into_iter();
-    let has_said = |it: &&Arc<Upstream>| it.is_limited() || !it.backoff_left(now).is_zero();
+    let has_said = |it: &&Arc<Upstream>| it.is_limited() || !it.remaining_backoff(now).is_zero();
     let wait = |it: &Arc<Upstream>| throttled_for(it, now).unwrap_or_default();
     local.filter(has_said).map(wait).min()
 }
@@ -164,12 +164,12 @@
     hold: Duration,
     now: MonoTime,
 ) -> UpstreamCandidate<'a> {
-    let pace = *upstream.pace.lock();
+    let pace = *upstream.performance.lock();
     let transfer_cost = match upstream.identity.data_centre == shared.settings.data_centre {
         true => 0.0,
         false => RequestCost::of_bytes(job.body.len(), CENTRE_BYTE_PRICE, job.size()).0,
     };
-    let cached_tokens = match job.shared_parts() {
+    let cached_tokens = match job.shared_segments() {
         [] => 0,
         parts => {
             shared.hints.lock().cached_tokens(upstream.tag, parts, upstream.identity.prompt_memory)
@@ -192,5 +192,5 @@
 /// Returns the wait that this VM expects for a timely request at an upstream.
 pub fn expected_wait(upstream: &Upstream, pace: &ServicePerformance, now: MonoTime) -> Duration {
     let wait = pace.wait(upstream.queue(), QueueRank::Timely);
-    wait.mul_f64(upstream.pace.lock().latency_factor(now))
+    wait.mul_f64(upstream.performance.lock().latency_factor(now))
 }
--- a/crates/foldhaven-gateway/src/destinations/mod.rs
+++ b/crates/foldhaven-gateway/src/destinations/mod.rs
@@ -22,10 +22,10 @@
 use crate::answer::Refusal;
 use crate::call::{CallTarget, HeadListener};
 use crate::clock::BootInstant;
-use crate::connection::{ConnectionPool, FAR_CONNECT_LIMIT, NEAR_CONNECT_LIMIT};
+use crate::connection::{ConnectionPool, LOCAL_CONNECT_TIMEOUT, REMOTE_CONNECT_TIMEOUT};
 use crate::job::GatewayJob;
 use crate::shared::GatewayShared;
-use crate::upstream::{LoadSeat, Upstream};
+use crate::upstream::{LoadGuard, Upstream};
 use crate::view::{GatewayView, PeerLink};
 
 /// How much cheaper another region must be to be preferred, since reports of it are up to a second
@@ -67,14 +67,14 @@
     /// Returns the target of calls. Connecting to another region may take longer.
     pub fn call_target<'a>(&'a self, listener: &'a dyn HeadListener) -> CallTarget<'a> {
         let (address, connect_limit) = match self {
-            Self::Upstream(upstream) => (upstream.identity.address, NEAR_CONNECT_LIMIT),
-            Self::Peer(peer) => (peer.address, FAR_CONNECT_LIMIT),
+            Self::Upstream(upstream) => (upstream.identity.address, LOCAL_CONNECT_TIMEOUT),
+            Self::Peer(peer) => (peer.address, REMOTE_CONNECT_TIMEOUT),
         };
         CallTarget { address, pool: self.pool(), connect_limit, listener }
     }
 
     /// Counts a request of a service at the destination until the returned guard is dropped.
-    pub fn enter(&self, service: &ServiceName, tokens: u32, rank: QueueRank) -> LoadSeat {
+    pub fn enter(&self, service: &ServiceName, tokens: u32, rank: QueueRank) -> LoadGuard {
         match self {
             Self::Upstream(upstream) => upstream.load.enter(tokens, rank),
             Self::Peer(peer) => peer.enter(service, tokens, rank),
@@ -176,7 +176,7 @@
 /// Returns the reason why a request has no destination.
 fn no_destination_refusal(shared: &GatewayShared, view: &GatewayView, job: &GatewayJob) -> Refusal {
     match signalled_wait(shared, view, job).filter(|_| job.permits(shared.settings.region())) {
-        Some(wait) => Refusal::HeldBack { wait },
+        Some(wait) => Refusal::Throttled { wait },
         None => Refusal::NoUpstream,
     }
 }
@@ -204,7 +204,7 @@
 /// Refuses a request that should not be sent even to its best destination. A request whose answer
 /// has begun is always admitted.
 fn admit_choice(job: &GatewayJob, estimate: &DestinationEstimate) -> Result<(), Refusal> {
-    if job.is_begun {
+    if job.has_partial_answer {
         return Ok(());
     }
     let limits = TimeLimits {
--- a/crates/foldhaven-gateway/src/destinations/remote.rs
+++ b/crates/foldhaven-gateway/src/destinations/remote.rs
@@ -128,7 +128,7 @@
     /// Returns the round trip to the region, doubled if a connection has to be opened first.
     fn network_time(&self, peer: &PeerLink) -> Duration {
         let round_trip = self.view.round_trip(self.region).unwrap_or(DEFAULT_ROUND_TRIP);
-        match peer.pool.has_open() {
+        match peer.pool.has_usable_connection() {
             true => round_trip,
             false => round_trip * 2,
         }
@@ -154,7 +154,7 @@
         if shared_tokens < MIN_ANNOUNCED_TOKENS {
             return (f64::from(shared_tokens) * REMOTE_MISSING_SHARE) as u32;
         }
-        let parts = self.job.shared_parts();
+        let parts = self.job.shared_segments();
         let hints = self.shared.hints.lock();
         let upstreams = self.view.upstreams_of(&self.job.service).iter();
         let there = upstreams.filter(|upstream| upstream.identity.region == *self.region);
@@ -180,7 +180,7 @@
         open = there.filter(is_untried).collect();
     }
     let warm: Vec<&Arc<PeerLink>> =
-        open.iter().copied().filter(|peer| peer.pool.has_open()).collect();
+        open.iter().copied().filter(|peer| peer.pool.has_usable_connection()).collect();
     let open = if warm.is_empty() { open } else { warm };
     let at = (rand::random::<f64>() * open.len() as f64) as usize;
     open.get(at).map(|peer| Arc::clone(peer))
--- a/crates/foldhaven-gateway/src/events.rs
+++ b/crates/foldhaven-gateway/src/events.rs
@@ -22,7 +22,7 @@
 use crate::destinations::RequestDestination;
 use crate::metrics::RequestEnd;
 use crate::shared::InFlightGuard;
-use crate::upstream::{GuestSeat, LoadSeat, Upstream};
+use crate::upstream::{GuestSeat, LoadGuard, Upstream};
 
 /// A resumable stream is resumed at another upstream after this many target event gaps without
 /// data.
@@ -54,7 +54,7 @@
     body: Incoming,
     lease: ConnectionLease,
     place: RequestDestination,
-    seat: LoadSeat,
+    seat: LoadGuard,
     guest: Option<GuestSeat>,
     expected: ExpectedFirst,
     sent: BootInstant,
@@ -122,7 +122,7 @@
 impl EventRelay {
     /// Creates the relay for an answer whose head was processed already.
     pub fn new(mut driver: RequestDriver, placed: PlacedAnswer, in_flight: InFlightGuard) -> Self {
-        driver.job.is_begun = true;
+        driver.job.has_partial_answer = true;
         let route = &driver.job.route;
         let stall = route.repeat.is_repeatable().then(|| {
             let gaps = route.event_gap.unwrap_or_default() * STALL_GAPS;
@@ -291,7 +291,7 @@
             if is_long {
                 reading.seat.note_late();
             }
-            upstream.pace.lock().record_pause(is_long, driver.shared.now());
+            upstream.performance.lock().record_pause(is_long, driver.shared.now());
             // A prompt that arrived during the pause lengthened it as much as an earlier one.
             let unread_now = upstream.queue().prefill_backlog.ahead_of(QueueRank::Timely);
             let unread = reading.unread_before.max(unread_now);
--- a/crates/foldhaven-gateway/src/job.rs
+++ b/crates/foldhaven-gateway/src/job.rs
@@ -55,7 +55,7 @@
     pub first_after: Option<Duration>,
     /// Whether the caller has received the beginning of an answer. The request then continues at
     /// any cost, since the answer would otherwise be truncated.
-    pub is_begun: bool,
+    pub has_partial_answer: bool,
     /// When the caller gives up or the timeout of the route ends, whichever is first.
     pub deadline: BootInstant,
     /// The segments of the prompt. `None` unless the caller names them and the route uses them.
@@ -91,7 +91,7 @@
     }
 
     /// Returns the segments of the prompt that other requests may share.
-    pub fn shared_parts(&self) -> &[PromptSegment] {
+    pub fn shared_segments(&self) -> &[PromptSegment] {
         self.outline.as_ref().map_or(&[], |outline| &outline.shared)
     }
 
@@ -126,7 +126,7 @@
 }
 
 /// The route, service and account of a request.
-pub struct RoutedPlace {
+pub struct RouteMatch {
     pub route: Arc<OpaqueRoute>,
     pub service: ServiceName,
     pub account: Option<JobAccount>,
@@ -143,12 +143,12 @@
     /// Creates the job for a request of a caller.
     pub fn into_job(
         self,
-        place: RoutedPlace,
+        place: RouteMatch,
         terms: CallerTerms,
         names: &HeaderNames,
     ) -> GatewayJob {
         let Self { head, body, started } = self;
-        let RoutedPlace { route, service, account } = place;
+        let RouteMatch { route, service, account } = place;
         GatewayJob {
             attempt: terms.attempt,
             print: print_of(&head, &body),
@@ -164,7 +164,7 @@
             started,
             waited_before: terms.waited,
             first_after: None,
-            is_begun: false,
+            has_partial_answer: false,
             deadline: started + terms.remaining,
             is_forwarded: false,
         }
--- a/crates/foldhaven-gateway/src/lib.rs
+++ b/crates/foldhaven-gateway/src/lib.rs
@@ -42,12 +42,12 @@
 mod stop;
 mod suspect_news;
 mod suspects;
+mod suspension;
 mod told_change;
 mod upstream;
-mod upstream_ends;
+mod upstream_exits;
 mod upstream_listener;
 mod view;
-mod wake;
 mod warm_links;
 
 pub use self::daemon::{DaemonError, GatewayParts, run_gateway};
--- a/crates/foldhaven-gateway/src/peer_front.rs
+++ b/crates/foldhaven-gateway/src/peer_front.rs
@@ -12,10 +12,10 @@
 use crate::answer::{Answer, Refusal, body_answer};
 use crate::caller_front::run_job;
 use crate::clock::BootInstant;
-use crate::credential::{find_account, take_forwarded};
+use crate::credential::{find_account, take_forwarded_key};
 use crate::front::FrontHandler;
 use crate::job::{
-    CallerTerms, GatewayJob, ReadRequest, RoutedPlace, host_of, read_body, read_terms,
+    CallerTerms, GatewayJob, ReadRequest, RouteMatch, host_of, read_body, read_terms,
 };
 use crate::peer_state::{PEER_STATE_AFTER, PEER_STATE_PATH};
 use crate::platform_state::{AnswerCache, StateRequest};
@@ -108,20 +108,20 @@
         // The descriptions of the two VMs differ; the origin may ask elsewhere.
         return Err(Refusal::NotPermitted);
     }
-    let is_begun = head.headers.remove(headers::BEGUN).is_some();
+    let has_partial_answer = head.headers.remove(headers::BEGUN).is_some();
     let waited = head.headers.remove(headers::WAITED_MS);
     let waited = waited.and_then(|value| value.to_str().ok()?.parse().ok());
     let waited = Duration::from_millis(waited.ok_or(Refusal::NotPermitted)?);
     let terms = CallerTerms { waited, ..read_terms(&head, &shared.names)? };
-    let credential = take_forwarded(&mut head.headers);
+    let credential = take_forwarded_key(&mut head.headers);
     // The key may have gone, or not have come yet, by the description of this VM.
     let account = find_account(&view.routes, &route, credential);
     let account = account.map_err(|_| Refusal::NotPermitted)?;
     let request = ReadRequest { head, body, started };
-    let place = RoutedPlace { route, service, account };
+    let place = RouteMatch { route, service, account };
     let job = request.into_job(place, terms, &shared.names);
     if !job.permits(shared.settings.region()) {
         return Err(Refusal::NotPermitted);
     }
-    Ok(GatewayJob { is_forwarded: true, is_begun, ..job })
+    Ok(GatewayJob { is_forwarded: true, has_partial_answer, ..job })
 }
--- a/crates/foldhaven-gateway/src/peer_state.rs
+++ b/crates/foldhaven-gateway/src/peer_state.rs
@@ -16,7 +16,7 @@
 
 use crate::clock::{BootInstant, timeout};
 use crate::codec::peer_codec;
-use crate::connection::{Connection, FAR_CONNECT_LIMIT};
+use crate::connection::{Connection, REMOTE_CONNECT_TIMEOUT};
 use crate::control::{
     ApplyChanges, ApplySnapshot, CatchUpStep, ControlAddress, FindNewerPeer, NewerPeer,
 };
@@ -176,7 +176,7 @@
 
 async fn begin_asking(peer: SocketAddr, known: Option<u64>) -> Result<BegunAnswer, AskError> {
     let mut connection =
-        Connection::open(peer, FAR_CONNECT_LIMIT).await.map_err(AskError::Connect)?;
+        Connection::open(peer, REMOTE_CONNECT_TIMEOUT).await.map_err(AskError::Connect)?;
     let after = known.map(|known| format!("?{PEER_STATE_AFTER}{known}"));
     let path = format!("{PEER_STATE_PATH}{}", after.unwrap_or_default());
     let request = Request::get(path)
--- a/crates/foldhaven-gateway/src/shared.rs
+++ b/crates/foldhaven-gateway/src/shared.rs
@@ -28,8 +28,8 @@
 use crate::names::HeaderNames;
 use crate::settings::GatewaySettings;
 use crate::suspects::{ChangeContext, SuspectDesk};
+use crate::suspension::SuspensionDetector;
 use crate::view::GatewayView;
-use crate::wake::WakeWatch;
 
 /// From when on a VM that others are ahead of does not rule out what it does not know. Changes are in force
 /// everywhere within five seconds, by the operators' word; asking for them takes well under one.
@@ -110,13 +110,13 @@
     /// What limited accounts use.
     pub accounts: AccountDesk,
     /// Whether what is believed is of now.
-    pub wake: WakeWatch,
+    pub wake: SuspensionDetector,
 }
 
 impl GatewayShared {
     pub fn new(settings: GatewaySettings, names: HeaderNames) -> Arc<Self> {
         Arc::new(Self {
-            wake: WakeWatch::default(),
+            wake: SuspensionDetector::default(),
             limits: LimitDesk::default(),
             leavers: LeavingDesk::default(),
             suspects: SuspectDesk::new(VmTag::of(&settings.vm)),
--- a/crates/foldhaven-gateway/src/stop.rs
+++ b/crates/foldhaven-gateway/src/stop.rs
@@ -25,7 +25,7 @@
 /// # Errors
 ///
 /// If the signal handlers cannot be installed.
-pub async fn stop_when_told(shared: Arc<GatewayShared>) -> io::Result<()> {
+pub async fn stop_on_signal(shared: Arc<GatewayShared>) -> io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     tokio::select! {
--- a/crates/foldhaven-gateway/src/wake.rs
+++ b/crates/foldhaven-gateway/src/suspension.rs
@@ -18,7 +18,7 @@
 
 /// Tracks whether the state of this process may be outdated after a suspension.
 #[derive(Debug, Default)]
-pub struct WakeWatch {
+pub struct SuspensionDetector {
     /// The time of the last check by the control thread.
     looked: AtomicU64,
     /// When a suspension was detected. `None` once the process has caught up.
@@ -27,10 +27,10 @@
     found: Notify,
 }
 
-impl WakeWatch {
+impl SuspensionDetector {
     /// Records a check by the control thread. Returns the time since the previous check if the
     /// process was suspended.
-    pub fn look(&self, now: MonoTime) -> Option<Duration> {
+    pub fn check(&self, now: MonoTime) -> Option<Duration> {
         let looked = MonoTime(self.looked.swap(now.0, Ordering::Relaxed));
         let still = now.since(looked);
         if looked == MonoTime::default() || still <= STILL_LIMIT {
@@ -51,7 +51,7 @@
 
     /// Records whether the process has caught up after a suspension. Returns the time since its
     /// detection once requests are accepted again.
-    pub fn note_known(&self, is_known: bool, now: MonoTime) -> Option<Duration> {
+    pub fn record_caught_up(&self, is_known: bool, now: MonoTime) -> Option<Duration> {
         let mut woken = self.woken.lock();
         let span = now.since((*woken)?);
         if !is_known && span < ALONE_AFTER {
@@ -62,7 +62,7 @@
     }
 
     /// Waits until a suspension is detected.
-    pub async fn await_found(&self) {
+    pub async fn wait_for_suspension(&self) {
         self.found.notified().await;
     }
 }
--- a/crates/foldhaven-gateway/src/upstream.rs
+++ b/crates/foldhaven-gateway/src/upstream.rs
@@ -33,7 +33,7 @@
     /// Its recent failures, which decide whether it is ejected.
     pub health: Mutex<TargetHealth>,
     /// The recent errors of its time estimates, and its failures.
-    pub pace: Mutex<UpstreamPerformance>,
+    pub performance: Mutex<UpstreamPerformance>,
     /// Paces the requests of this VM while the upstream is cold or announces a rate limit.
     pub pacer: Mutex<RatePacer>,
     /// The requests of this VM at the upstream.
@@ -66,7 +66,7 @@
     /// The time until which that share is valid.
     part_until: AtomicU64,
     /// The number of requests that this VM has sent under that share.
-    bounded_sent: AtomicU32,
+    rate_limited_sent: AtomicU32,
 }
 
 /// The listed properties of an upstream, which do not change while its process runs.
@@ -85,7 +85,7 @@
 
 impl UpstreamIdentity {
     /// Whether a record describes the same process with unchanged properties.
-    pub fn is_of(&self, record: &UpstreamRecord) -> bool {
+    pub fn matches_record(&self, record: &UpstreamRecord) -> bool {
         (self.birth, self.address, self.slots) == (record.birth, record.address, record.slots)
             && self.service == record.service
             && self.data_centre == record.data_centre
@@ -99,7 +99,7 @@
             identity,
             pool: ConnectionPool::new(IDLE_LIMIT),
             health: Mutex::default(),
-            pace: Mutex::default(),
+            performance: Mutex::default(),
             pacer: Mutex::default(),
             load: Arc::default(),
             others_in_flight: AtomicU32::new(0),
@@ -115,7 +115,7 @@
             is_limited: AtomicBool::new(false),
             part_rate: AtomicU64::new(0),
             part_until: AtomicU64::new(0),
-            bounded_sent: AtomicU32::new(0),
+            rate_limited_sent: AtomicU32::new(0),
         })
     }
 
@@ -141,7 +141,7 @@
     }
 
     /// Returns the remaining back-off time of this VM.
-    pub fn backoff_left(&self, now: MonoTime) -> Duration {
+    pub fn remaining_backoff(&self, now: MonoTime) -> Duration {
         MonoTime(self.backoff_until.load(Ordering::Relaxed)).since(now)
     }
 
@@ -167,10 +167,11 @@
 
     /// Sets this VM's share of the upstream's rate while it is cold or limited, and the time until
     /// which the share is valid. `None`: it is not valid.
-    pub fn set_part(&self, part: RateShare, until: Option<MonoTime>, now: MonoTime) {
-        let has_part = now.0 < self.part_until.load(Ordering::Relaxed) && self.noted_part() > 0.0;
+    pub fn set_rate_share(&self, part: RateShare, until: Option<MonoTime>, now: MonoTime) {
+        let has_part =
+            now.0 < self.part_until.load(Ordering::Relaxed) && self.last_rate_share() > 0.0;
         let mut pacer = self.pacer.lock();
-        if part.per_s > self.noted_part() {
+        if part.per_s > self.last_rate_share() {
             pacer.raise_rate(part.per_s, now);
         }
         if !has_part {
@@ -183,25 +184,25 @@
 
     /// Returns the rate that applies to this VM now: zero without a valid share, `None` if the
     /// upstream is neither cold nor limited.
-    pub fn bound_rate(&self, now: MonoTime) -> Option<f64> {
+    pub fn allowed_rate(&self, now: MonoTime) -> Option<f64> {
         let is_bounded = self.is_cold(now) || self.is_limited();
         let may_send = now.0 < self.part_until.load(Ordering::Relaxed);
-        is_bounded.then(|| if may_send { self.noted_part() } else { 0.0 })
+        is_bounded.then(|| if may_send { self.last_rate_share() } else { 0.0 })
     }
 
-    /// Returns the rate that was last set by [`Upstream::set_part`].
-    pub fn noted_part(&self) -> f64 {
+    /// Returns the rate that was last set by [`Upstream::set_rate_share`].
+    pub fn last_rate_share(&self) -> f64 {
         f64::from_bits(self.part_rate.load(Ordering::Relaxed))
     }
 
     /// Counts a request that this VM sends under its share of the rate.
-    pub fn count_bounded(&self) {
-        self.bounded_sent.fetch_add(1, Ordering::Relaxed);
+    pub fn count_rate_limited(&self) {
+        self.rate_limited_sent.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Returns the number of requests counted by [`Upstream::count_bounded`].
-    pub fn bounded_sent(&self) -> u32 {
-        self.bounded_sent.load(Ordering::Relaxed)
+    /// Returns the number of requests counted by [`Upstream::count_rate_limited`].
+    pub fn rate_limited_sent(&self) -> u32 {
+        self.rate_limited_sent.load(Ordering::Relaxed)
     }
 
     /// Records that data was received from the upstream.
@@ -248,11 +249,11 @@
     /// its route.
     pub fn note_failure(&self, usual: f64, now: MonoTime) {
         self.health.lock().record_failure(false, now);
-        self.pace.lock().record_end(true, usual, now);
+        self.performance.lock().record_end(true, usual, now);
     }
 
     /// Sets the requests of the other VMs of the region.
-    pub fn set_others(&self, share: UpstreamShare) {
+    pub fn set_peer_load(&self, share: UpstreamShare) {
         self.others_in_flight.store(share.in_flight.into(), Ordering::Relaxed);
         self.others_whole.store(share.whole.into(), Ordering::Relaxed);
         self.others_behind.store(share.behind.into(), Ordering::Relaxed);
@@ -331,14 +332,14 @@
 
     /// Counts a request with the given rank and prompt tokens to prefill until the guard is
     /// dropped.
-    pub fn enter(self: &Arc<Self>, tokens: u32, rank: QueueRank) -> LoadSeat {
+    pub fn enter(self: &Arc<Self>, tokens: u32, rank: QueueRank) -> LoadGuard {
         let is_whole = rank == QueueRank::Timely;
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         let is_behind = rank == QueueRank::Deferred;
         self.whole.fetch_add(is_whole.into(), Ordering::Relaxed);
         self.behind.fetch_add(is_behind.into(), Ordering::Relaxed);
         self.unread(rank).fetch_add(tokens, Ordering::Relaxed);
-        LoadSeat { counter: self.clone(), unread: tokens, rank, is_whole, is_behind }
+        LoadGuard { counter: self.clone(), unread: tokens, rank, is_whole, is_behind }
     }
 
     fn unread(&self, rank: QueueRank) -> &AtomicU32 {
@@ -350,7 +351,7 @@
 }
 
 /// Counts one request at a destination until dropped.
-pub struct LoadSeat {
+pub struct LoadGuard {
     counter: Arc<LoadCounter>,
     /// The prompt tokens still counted as waiting for prefill.
     unread: u32,
@@ -361,7 +362,7 @@
     is_behind: bool,
 }
 
-impl LoadSeat {
+impl LoadGuard {
     /// Records that the answer has started, so prefill is finished.
     pub fn note_answered(&mut self) {
         let unread = std::mem::take(&mut self.unread);
@@ -377,7 +378,7 @@
     }
 }
 
-impl Drop for LoadSeat {
+impl Drop for LoadGuard {
     fn drop(&mut self) {
         self.note_answered();
         self.note_late();
--- a/crates/foldhaven-gateway/src/upstream_ends.rs
+++ b/crates/foldhaven-gateway/src/upstream_exits.rs
@@ -8,7 +8,7 @@
 use foldhaven_core::time::MonoTime;
 use tokio::time::sleep;
 
-use crate::connection::{Connection, NEAR_CONNECT_LIMIT};
+use crate::connection::{Connection, LOCAL_CONNECT_TIMEOUT};
 use crate::shared::GatewayShared;
 use crate::upstream::Upstream;
 
@@ -74,7 +74,7 @@
 }
 
 async fn connect(upstream: &Upstream) -> io::Result<Connection> {
-    upstream.pool.open(upstream.identity.address, NEAR_CONNECT_LIMIT).await
+    upstream.pool.open(upstream.identity.address, LOCAL_CONNECT_TIMEOUT).await
 }
 
 fn is_refusal(error: io::Error) -> bool {
--- a/crates/foldhaven-gateway/src/view.rs
+++ b/crates/foldhaven-gateway/src/view.rs
@@ -17,7 +17,7 @@
 
 use crate::connection::{ConnectionPool, PEER_IDLE_LIMIT};
 use crate::platform_state::StateOffer;
-use crate::upstream::{LoadCounter, LoadSeat, Upstream};
+use crate::upstream::{LoadCounter, LoadGuard, Upstream};
 
 /// Another VM that takes forwarded requests.
 pub struct PeerLink {
@@ -41,7 +41,7 @@
     }
 
     /// Counts a forwarded request of a service until the returned guard is dropped.
-    pub fn enter(&self, service: &ServiceName, tokens: u32, rank: QueueRank) -> LoadSeat {
+    pub fn enter(&self, service: &ServiceName, tokens: u32, rank: QueueRank) -> LoadGuard {
         self.loads.lock().entry(service.clone()).or_default().enter(tokens, rank)
     }
 
--- a/crates/foldhaven-gateway/src/warm_links.rs
+++ b/crates/foldhaven-gateway/src/warm_links.rs
@@ -8,7 +8,7 @@
 use foldhaven_core::ids::RegionName;
 use tokio::time::{MissedTickBehavior, interval};
 
-use crate::connection::FAR_CONNECT_LIMIT;
+use crate::connection::REMOTE_CONNECT_TIMEOUT;
 use crate::shared::GatewayShared;
 use crate::view::{GatewayView, PeerLink};
 
@@ -36,7 +36,7 @@
     for link in view.remote_in_service.values().flatten().filter(|link| link.region != *own_region)
     {
         let (warm, cold) = by_region.entry(&link.region).or_default();
-        match link.pool.has_open() {
+        match link.pool.has_usable_connection() {
             true => *warm += 1,
             false => cold.push(link),
         }
@@ -52,7 +52,7 @@
 
 async fn warm(link: Arc<PeerLink>) {
     // An unreachable VM is detected by heartbeats.
-    if let Ok(connection) = link.pool.open(link.address, FAR_CONNECT_LIMIT).await {
+    if let Ok(connection) = link.pool.open(link.address, REMOTE_CONNECT_TIMEOUT).await {
         link.pool.put(connection, None);
     }
 }
