--- a/crates/foldhaven-gateway/src/answer.rs
+++ b/crates/foldhaven-gateway/src/answer.rs
@@ -14,7 +14,7 @@
 
 /// Retry delay for a request whose residency rules permit no region. A retry fails until operators
 /// have changed the rules.
-const NO_HOME_PAUSE: Duration = Duration::from_secs(5);
+const NO_REGION_RETRY_DELAY: Duration = Duration::from_secs(5);
 
 /// The body of an answer.
 pub enum AnswerBody {
@@ -61,9 +61,9 @@
 }
 
 /// Minimum retry delay while all upstreams are throttled.
-const SHORTEST_HELD_BACK: Duration = Duration::from_millis(250);
+const MIN_THROTTLED_RETRY_DELAY: Duration = Duration::from_millis(250);
 /// Range over which these retries are spread.
-const HELD_BACK_SPREAD: Duration = Duration::from_millis(500);
+const THROTTLED_RETRY_SPREAD: Duration = Duration::from_millis(500);
 
 /// An answer to a request.
 pub type Answer = Response<AnswerBody>;
@@ -153,7 +153,7 @@
     }
 
     /// Whether the status guarantees that the request did not run.
-    pub fn promises_unrun(self) -> bool {
+    pub fn guarantees_not_run(self) -> bool {
         matches!(self.status().as_u16(), 408 | 421 | 429 | 503)
     }
 
@@ -187,17 +187,19 @@
 
     /// Returns the delay after which the caller should retry, spread over callers by `draw` in
     /// 0..1. `None` if a retry is of no use.
-    fn come_back(self, draw: f64) -> Option<Duration> {
+    fn retry_after(self, draw: f64) -> Option<Duration> {
         let shortest = match self {
             Self::NoDescription | Self::Behind | Self::NoUpstream => Duration::from_millis(400),
             Self::Full => Duration::from_millis(250),
             // The end of the back-off is known, so callers are spread by a fixed range only.
             Self::Throttled { wait } => {
-                return Some(wait.max(SHORTEST_HELD_BACK) + HELD_BACK_SPREAD.mul_f64(draw));
+                return Some(
+                    wait.max(MIN_THROTTLED_RETRY_DELAY) + THROTTLED_RETRY_SPREAD.mul_f64(draw),
+                );
             }
             Self::Overloaded { wait, .. } => wait.max(Duration::from_millis(250)),
             Self::Suspect { wait } | Self::OverLimit { wait } => wait,
-            Self::NoHome => NO_HOME_PAUSE,
+            Self::NoHome => NO_REGION_RETRY_DELAY,
             Self::Leaving | Self::NotReached | Self::NotPermitted => Duration::from_millis(50),
             _ => return None,
         };
@@ -213,7 +215,7 @@
         if self == Self::NoKey {
             headers.insert(WWW_AUTHENTICATE, HeaderValue::from_static("Bearer"));
         }
-        if let Some(span) = self.come_back(rand::random()) {
+        if let Some(span) = self.retry_after(rand::random()) {
             let text = format!("{:.2}", span.as_secs_f64());
             headers.insert(RETRY_AFTER, HeaderValue::from_str(&text).expect("digits and a dot"));
         }
--- a/crates/foldhaven-gateway/src/attempts/mod.rs
+++ b/crates/foldhaven-gateway/src/attempts/mod.rs
@@ -1,7 +1,7 @@
 //! Sends a request to one destination after another, within the limits of its route, its deadline
 //! and the retry budget. Only the VM that received the request from its caller retries.
 
-mod notes;
+mod outcomes;
 mod requests;
 mod retries;
 mod suspicion;
@@ -26,20 +26,20 @@
 };
 use crate::job::GatewayJob;
 use crate::shared::GatewayShared;
-use crate::upstream::{GuestSeat, LoadGuard};
+use crate::upstream::{LoadGuard, UpstreamRequestGuard};
 use crate::view::GatewayView;
 
 /// Time after its first description by which a process knows the live VMs. Seeds answer within one
 /// round trip between regions, and are asked again every 100 ms.
-const PEERS_KNOWN_AFTER: Duration = Duration::from_millis(600);
+const PEER_DISCOVERY_TIME: Duration = Duration::from_millis(600);
 /// Interval at which a request without a destination checks for VMs of other regions.
-const PEER_POLL: Duration = Duration::from_millis(40);
+const PEER_POLL_INTERVAL: Duration = Duration::from_millis(40);
 /// The content type of an event stream.
 const EVENT_STREAM: &[u8] = b"text/event-stream";
 
 /// The estimate for the first response of a destination, made when the request was sent.
 #[derive(Debug, Clone, Copy)]
-pub struct ExpectedFirst {
+pub struct FirstResponseEstimate {
     /// The expected time to the answer, or to its first event.
     pub time: Duration,
     /// The rank of the request at the destination.
@@ -52,9 +52,9 @@
 #[derive(Debug, Clone, Copy)]
 pub struct LoggedChoice {
     /// The expected time to the first answer, in milliseconds.
-    pub first_ms: u64,
+    pub time_to_first_ms: u64,
     /// The prompt tokens to prefill.
-    pub read_tokens: u32,
+    pub prefill_tokens: u32,
     /// The requests in flight at the destination.
     pub load: u32,
     /// The rank of the request at the destination.
@@ -64,8 +64,8 @@
 impl LoggedChoice {
     fn of(chosen: &DestinationChoice) -> Self {
         Self {
-            first_ms: chosen.time_to_first.as_millis() as u64,
-            read_tokens: chosen.prefill_tokens,
+            time_to_first_ms: chosen.time_to_first.as_millis() as u64,
+            prefill_tokens: chosen.prefill_tokens,
             load: chosen.queue.in_flight,
             rank: chosen.rank,
         }
@@ -73,20 +73,20 @@
 }
 
 /// An answer whose body is being read, with the destination that sends it.
-pub struct PlacedAnswer {
+pub struct DestinationAnswer {
     pub answer: OpenAnswer,
-    pub place: RequestDestination,
+    pub destination: RequestDestination,
     /// Counts the request at its destination until the answer ends.
-    pub seat: LoadGuard,
+    pub load_guard: LoadGuard,
     /// Registers the request at its upstream. `None` if the destination is another VM.
-    pub guest: Option<GuestSeat>,
+    pub request_guard: Option<UpstreamRequestGuard>,
     /// The estimate for the destination when the request was sent.
-    pub expected: ExpectedFirst,
+    pub expected: FirstResponseEstimate,
     /// When the request was sent.
     pub sent: BootInstant,
 }
 
-impl PlacedAnswer {
+impl DestinationAnswer {
     fn is_event_stream(&self) -> bool {
         let head = &self.answer.head;
         let content_type = head.headers.get(CONTENT_TYPE).map(HeaderValue::as_bytes);
@@ -111,19 +111,19 @@
 /// How a request was answered.
 pub enum AnswerStart {
     /// An event stream, of which no event was read yet.
-    Events(PlacedAnswer),
+    Events(DestinationAnswer),
     /// A complete answer. On a streaming route it reports a failure or a bad request.
     Whole(WholeAnswer),
 }
 
 /// How to go on after an attempt whose answer was read.
-enum TryEnd {
+enum AttemptOutcome {
     /// Pass this answer to the caller.
     Answered(WholeAnswer),
     /// Refuse the request, unless an earlier attempt got an answer.
     Refused(Refusal),
     /// Retry, since there was no answer or the given one, which reports a failure.
-    Repeat(Option<WholeAnswer>),
+    Retry(Option<WholeAnswer>),
 }
 
 /// Runs one request through its attempts.
@@ -132,23 +132,23 @@
     pub job: GatewayJob,
     tried: TriedDestinations,
     /// The number of attempts that may have reached an upstream or another VM.
-    pub arrivals: u32,
+    pub delivered_attempts: u32,
     /// The number of attempts whose connection broke.
-    breaks: u32,
+    broken_connections: u32,
     /// Whether the request is under suspicion and is sent once as a probe, to test the suspicion.
-    is_trial: bool,
+    is_probe: bool,
     /// Whether an upstream may have received the probe.
-    is_trial_sent: bool,
+    is_probe_sent: bool,
     /// Whether any attempt may have run.
     pub may_have_run: bool,
     /// The fault of the last failed attempt, for the log.
     pub last_fault: Option<String>,
     /// The destination of the last attempt, for the log.
-    pub last_place: Option<String>,
+    pub last_destination: Option<String>,
     /// The properties of that destination when it was chosen, for the log.
-    pub last_expected: Option<LoggedChoice>,
+    pub last_choice: Option<LoggedChoice>,
     /// The candidates when no destination could be chosen, for the log.
-    pub weighed: Option<String>,
+    pub candidates_summary: Option<String>,
 }
 
 impl RequestDriver {
@@ -157,15 +157,15 @@
             shared,
             job,
             tried: TriedDestinations::default(),
-            arrivals: 0,
-            breaks: 0,
-            is_trial: false,
-            is_trial_sent: false,
+            delivered_attempts: 0,
+            broken_connections: 0,
+            is_probe: false,
+            is_probe_sent: false,
             may_have_run: false,
             last_fault: None,
-            last_place: None,
-            last_expected: None,
-            weighed: None,
+            last_destination: None,
+            last_choice: None,
+            candidates_summary: None,
         }
     }
 
@@ -181,71 +181,78 @@
                 Err(refusal) => return failed.map(AnswerStart::Whole).ok_or(refusal),
             };
             match self.finish(placed).await {
-                TryEnd::Answered(whole) => return Ok(AnswerStart::Whole(whole)),
-                TryEnd::Refused(refusal) => {
+                AttemptOutcome::Answered(whole) => return Ok(AnswerStart::Whole(whole)),
+                AttemptOutcome::Refused(refusal) => {
                     return failed.map(AnswerStart::Whole).ok_or(refusal);
                 }
-                TryEnd::Repeat(answer) => failed = answer.or(failed),
+                AttemptOutcome::Retry(answer) => failed = answer.or(failed),
             }
         }
     }
 
     /// Whether the events of an answer are relayed as they arrive.
-    fn is_relayed(&self, placed: &PlacedAnswer) -> bool {
+    fn is_relayed(&self, placed: &DestinationAnswer) -> bool {
         self.job.route.repeat.is_stream() && placed.is_event_stream()
     }
 
     /// Reads an answer to its end, and records the outcome for its destination.
-    async fn finish(&mut self, placed: PlacedAnswer) -> TryEnd {
-        let PlacedAnswer { answer, place, seat, mut guest, expected, sent } = placed;
-        let read = read_whole(answer, place.pool(), self.job.deadline).await;
-        drop(seat);
+    async fn finish(&mut self, placed: DestinationAnswer) -> AttemptOutcome {
+        let DestinationAnswer {
+            answer,
+            destination,
+            load_guard,
+            mut request_guard,
+            expected,
+            sent,
+        } = placed;
+        let read = read_whole(answer, destination.pool(), self.job.deadline).await;
+        drop(load_guard);
         if read.is_ok() {
-            self.note_answered(guest.as_mut());
+            self.record_answered(request_guard.as_mut());
         }
-        drop(guest);
+        drop(request_guard);
         let (head, body) = match read {
             Ok(whole) => whole,
             Err(fault) => {
-                self.note_fault(&place, &fault);
-                let end = self.end_of_tries(&fault);
-                return end.map_or(TryEnd::Repeat(None), TryEnd::Refused);
+                self.record_fault(&destination, &fault);
+                let end = self.final_refusal(&fault);
+                return end.map_or(AttemptOutcome::Retry(None), AttemptOutcome::Refused);
             }
         };
         self.may_have_run = true;
         let whole = WholeAnswer { head, body };
         if whole.is_failure() {
-            self.note_failed_answer(&place, whole.head.status);
+            self.record_failed_answer(&destination, whole.head.status);
             return match self.may_repeat() {
-                true => TryEnd::Repeat(Some(whole)),
-                false => TryEnd::Answered(whole),
+                true => AttemptOutcome::Retry(Some(whole)),
+                false => AttemptOutcome::Answered(whole),
             };
         }
         // Only an answer of the kind that the route expects counts as a success of its destination.
         if !self.job.route.repeat.is_stream() {
-            self.note_first(&place, expected, sent);
-            self.note_success(&place, sent);
+            self.record_time_to_first(&destination, expected, sent);
+            self.record_success(&destination, sent);
         }
-        TryEnd::Answered(whole)
+        AttemptOutcome::Answered(whole)
     }
 
     /// Sends the request until a destination starts to answer. With `resume_after`, the stream
     /// continues after the event of that id.
-    pub async fn open(&mut self, resume_after: Option<&str>) -> Result<PlacedAnswer, Refusal> {
+    pub async fn open(&mut self, resume_after: Option<&str>) -> Result<DestinationAnswer, Refusal> {
         loop {
             if BootInstant::now() >= self.job.deadline {
-                return Err(self.out_of_time());
+                return Err(self.deadline_refusal());
             }
             let Some(chosen) = self.choose()? else {
-                sleep(PEER_POLL).await;
+                sleep(PEER_POLL_INTERVAL).await;
                 continue;
             };
-            let place = chosen.destination.clone();
+            let destination = chosen.destination.clone();
             match self.call(chosen, resume_after).await {
                 Ok(placed) => return Ok(placed),
                 Err(fault) => {
-                    self.note_fault(&place, &fault);
-                    if let Some(refusal) = self.end_of_tries(&fault) {
+                    self.record_fault(&destination, &fault);
+                    if let Some(refusal) = self.final_refusal(&fault) {
                         return Err(refusal);
                     }
                 }
@@ -261,22 +268,23 @@
             return Ok(None);
         }
         let Some(view) = self.shared.view() else { return Err(Refusal::NoDescription) };
-        self.check_key(&view).map_err(|refusal| self.after_tries(refusal))?;
-        self.check_suspicion().map_err(|refusal| self.after_tries(refusal))?;
+        self.check_key(&view).map_err(|refusal| self.refusal_after_attempts(refusal))?;
+        self.check_suspicion().map_err(|refusal| self.refusal_after_attempts(refusal))?;
         let chosen = match choose_destination(&self.shared, &view, &self.job, &self.tried) {
             Ok(chosen) => chosen,
             Err(Refusal::NoUpstream | Refusal::Throttled { .. }) if self.awaits_peers(&view) => {
                 return Ok(None);
             }
             Err(refusal) => {
-                self.weighed = Some(describe_candidates(&self.shared, &view, &self.job));
-                return Err(self.after_tries(refusal));
+                self.candidates_summary = Some(describe_candidates(&self.shared, &view, &self.job));
+                return Err(self.refusal_after_attempts(refusal));
             }
         };
-        self.begin_trial(&chosen.destination).map_err(|refusal| self.after_tries(refusal))?;
+        self.begin_probe(&chosen.destination)
+            .map_err(|refusal| self.refusal_after_attempts(refusal))?;
         self.tried.record(&chosen.destination);
-        self.last_place = Some(chosen.destination.name().to_owned());
-        self.last_expected = Some(LoggedChoice::of(&chosen));
+        self.last_destination = Some(chosen.destination.name().to_owned());
+        self.last_choice = Some(LoggedChoice::of(&chosen));
         Ok(Some(chosen))
     }
 
@@ -284,9 +292,9 @@
     /// revoked key.
     fn check_key(&self, view: &GatewayView) -> Result<(), Refusal> {
         match key_state(&view.routes, &self.job.route, self.job.account.as_ref()) {
-            KeyState::InForce => Ok(()),
-            KeyState::Moved => Err(Refusal::Behind),
-            KeyState::Gone => Err(Refusal::NoKey),
+            KeyState::Valid => Ok(()),
+            KeyState::Reassigned => Err(Refusal::Behind),
+            KeyState::Revoked => Err(Refusal::NoKey),
         }
     }
 
@@ -297,6 +305,6 @@
         let is_elsewhere = view.expected_waits.keys().any(|(region, service)| {
             *service == self.job.service && region != own_region && self.job.permits(region)
         });
-        is_elsewhere && !self.job.is_forwarded && self.shared.viewed_for() < PEERS_KNOWN_AFTER
+        is_elsewhere && !self.job.is_forwarded && self.shared.viewed_for() < PEER_DISCOVERY_TIME
     }
 }
--- a/crates/foldhaven-gateway/src/attempts/notes.rs
+++ b/crates/foldhaven-gateway/src/attempts/outcomes.rs
@@ -10,21 +10,22 @@
 use foldhaven_core::opaque::queue_rank::QueueRank;
 use http::StatusCode;
 
-use super::{ExpectedFirst, RequestDriver};
+use super::{FirstResponseEstimate, RequestDriver};
 use crate::call::{CallFault, OpenAnswer};
 use crate::clock::BootInstant;
 use crate::destinations::{MIN_ANNOUNCED_TOKENS, RequestDestination};
 use crate::metrics::{RequestBurn, RequestEnd};
 use crate::upstream::Upstream;
-use crate::upstream_exits::look_into_end;
+use crate::upstream_exits::start_exit_check;
 
 /// Minimum number of events of a stream for measuring the interval between events.
-const LEAST_EVENTS: u32 = 4;
+const MIN_EVENTS: u32 = 4;
 
 impl RequestDriver {
     /// Records which upstream will cache the segments of the prompt, and queues this for other VMs.
-    pub(super) fn note_placement(&self, place: &RequestDestination) {
-        let (RequestDestination::Upstream(upstream), Some(outline)) = (place, &self.job.outline)
+    pub(super) fn record_placement(&self, destination: &RequestDestination) {
+        let (RequestDestination::Upstream(upstream), Some(outline)) =
+            (destination, &self.job.outline)
         else {
             return;
         };
@@ -40,7 +41,7 @@
     }
 
     /// Records whether an upstream with the given queue accepted the request.
-    pub(super) fn note_room(
+    pub(super) fn update_queue_capacity(
         &self,
         upstream: &Upstream,
         queue: QueueState,
@@ -63,13 +64,13 @@
     }
 
     /// Records the time to the first response of a destination.
-    pub fn note_first(
+    pub fn record_time_to_first(
         &self,
-        place: &RequestDestination,
-        expected: ExpectedFirst,
+        destination: &RequestDestination,
+        expected: FirstResponseEstimate,
         sent: BootInstant,
     ) {
-        if let RequestDestination::Upstream(upstream) = place
+        if let RequestDestination::Upstream(upstream) = destination
             && expected.rank == QueueRank::Timely
         {
             let took = sent.elapsed();
@@ -85,9 +86,9 @@
     }
 
     /// Records that a destination answered completely.
-    pub fn note_success(&self, place: &RequestDestination, sent: BootInstant) {
-        if let RequestDestination::Upstream(upstream) = place {
-            let usual = self.note_route_end(false);
+    pub fn record_success(&self, destination: &RequestDestination, sent: BootInstant) {
+        if let RequestDestination::Upstream(upstream) = destination {
+            let usual = self.record_route_end(false);
             upstream.performance.lock().record_end(false, usual, self.shared.now());
             upstream.health.lock().record_success();
             self.shared.note_hold(&self.job.service, sent.elapsed());
@@ -95,30 +96,34 @@
     }
 
     /// Records that a destination answered with a failure status.
-    pub(super) fn note_failed_answer(&mut self, place: &RequestDestination, status: StatusCode) {
+    pub(super) fn record_failed_answer(
+        &mut self,
+        destination: &RequestDestination,
+        status: StatusCode,
+    ) {
         self.last_fault = Some(format!("the upstream answered {status}"));
-        if let RequestDestination::Upstream(upstream) = place {
-            self.note_failure(upstream);
+        if let RequestDestination::Upstream(upstream) = destination {
+            self.record_failure(upstream);
         }
     }
 
     /// Records that a request failed at an upstream after it may have run.
-    pub fn note_failure(&self, upstream: &Upstream) {
-        upstream.note_failure(self.note_route_end(true), self.shared.now());
+    pub fn record_failure(&self, upstream: &Upstream) {
+        upstream.record_failure(self.record_route_end(true), self.shared.now());
     }
 
     /// Records that the connection to an upstream broke while the request was in flight.
-    pub fn note_broken(&self, upstream: &Arc<Upstream>, cause: &str) {
-        self.note_failure(upstream);
-        look_into_end(&self.shared, upstream);
+    pub fn record_broken(&self, upstream: &Arc<Upstream>, cause: &str) {
+        self.record_failure(upstream);
+        start_exit_check(&self.shared, upstream);
         self.shared.metrics.count_event("connection_broke");
         if self.shared.quota.take(false) {
             tracing::info!(
             upstream = %upstream.name(),
             request = self.job.id(),
-            print = %self.job.print,
+            print = %self.job.fingerprint,
             cause,
-            tries = self.arrivals,
+            tries = self.delivered_attempts,
             others = upstream.load.share().in_flight,
             ms = self.job.started.elapsed().as_millis() as u64,
             "connection to an upstream broke during a request"
@@ -128,58 +133,61 @@
 
     /// Records whether a request of this route failed at an upstream. Returns the usual failure
     /// share of the route.
-    fn note_route_end(&self, has_failed: bool) -> f64 {
+    fn record_route_end(&self, has_failed: bool) -> f64 {
         let route = &self.job.route.name;
         self.shared.note_history(route, |history| history.note_end(has_failed)).failure_share()
     }
 
     /// Records a complete stream: its number of events, the time from the first to the last one,
     /// and the mean number of requests at its upstream meanwhile.
-    pub fn note_stream(&self, events: u32, time: Duration, load: f64) {
+    pub fn record_complete_stream(&self, events: u32, time: Duration, load: f64) {
         self.shared.note_history(&self.job.route.name, |history| history.note_events(events));
-        if events >= LEAST_EVENTS {
+        if events >= MIN_EVENTS {
             self.shared.note_event_pace(&self.job.service, time / (events - 1), load);
         }
     }
 
     /// Returns the checker for the event ids of this request.
-    pub fn event_order(&self) -> EventSequenceChecker {
+    pub fn event_sequence_checker(&self) -> EventSequenceChecker {
         let usual = self.shared.route_history(&self.job.route.name).usual_steps();
         let resumed_after = self.job.headers.get(&self.shared.names.last_event);
         EventSequenceChecker::new(usual, resumed_after.and_then(|id| id.to_str().ok()))
     }
 
     /// Records how the events of a complete stream were numbered.
-    pub fn note_event_order(&self, order: &EventSequenceChecker) {
-        if order.is_informative() {
+    pub fn record_event_numbering(&self, checker: &EventSequenceChecker) {
+        if checker.is_informative() {
             let name = &self.job.route.name;
-            self.shared
-                .note_history(name, |history| history.steps_mut().record_stream(order.numbering()));
+            self.shared.note_history(name, |history| {
+                history.steps_mut().record_stream(checker.numbering())
+            });
         }
     }
 
     /// Records that an event of a stream was missing.
-    pub fn note_event_gap(&self) {
+    pub fn record_event_gap(&self) {
         self.shared.metrics.count_event("event_gaps");
         let name = &self.job.route.name;
         self.shared.note_history(name, |history| history.steps_mut().reset());
     }
 
     /// Records a fault of a destination.
-    pub(super) fn note_fault(&mut self, place: &RequestDestination, fault: &CallFault) {
+    pub(super) fn record_fault(&mut self, destination: &RequestDestination, fault: &CallFault) {
         self.last_fault = Some(fault.to_string());
         self.may_have_run |= fault.may_have_run();
-        self.breaks += u32::from(matches!(fault, CallFault::Broken(_)));
-        let RequestDestination::Upstream(upstream) = place else { return };
+        self.broken_connections += u32::from(matches!(fault, CallFault::Broken(_)));
+        let RequestDestination::Upstream(upstream) = destination else { return };
         let now = self.shared.now();
         match fault {
-            CallFault::NotSent(_) => upstream.note_unreachable(now),
+            CallFault::NotSent(_) => upstream.record_unreachable(now),
             // Another process has the address now.
-            CallFault::Declined { .. } if fault.is_misdirected() => upstream.note_unreachable(now),
-            CallFault::Broken(cause) => self.note_broken(upstream, cause),
-            CallFault::Silent | CallFault::TimedOut => self.note_failure(upstream),
+            CallFault::Declined { .. } if fault.is_misdirected() => {
+                upstream.record_unreachable(now)
+            }
+            CallFault::Broken(cause) => self.record_broken(upstream, cause),
+            CallFault::Unresponsive | CallFault::TimedOut => self.record_failure(upstream),
             // The upstream is not at fault.
-            CallFault::CalledBack => self.shared.metrics.count_event("suspect_called_back"),
+            CallFault::Withdrawn => self.shared.metrics.count_event("suspect_called_back"),
             // A refusal by a full upstream is no evidence about the failures of the route.
             CallFault::Declined { .. } => upstream.performance.lock().record_end(true, 0.0, now),
         }
@@ -187,7 +195,7 @@
 
     /// Returns how the request counts for the error budget of its route.
     fn burn_event(&self, end: RequestEnd) -> BurnEvent {
-        let is_timely = self.job.first_after.is_some_and(|first| first <= self.job.route.target);
+        let is_timely = self.job.time_to_first.is_some_and(|first| first <= self.job.route.target);
         match end {
             RequestEnd::Served if is_timely => BurnEvent::Good,
             RequestEnd::Refused(_) if !self.may_have_run => BurnEvent::Refused,
@@ -196,7 +204,7 @@
     }
 
     /// Counts and logs the end of the request.
-    pub fn note_end(&self, end: RequestEnd) {
+    pub fn record_end(&self, end: RequestEnd) {
         let job = &self.job;
         let shared = &self.shared;
         if !job.is_forwarded {
@@ -211,24 +219,24 @@
         if !shared.quota.take(is_plain) {
             return;
         }
-        let expected = self.last_expected;
+        let expected = self.last_choice;
         let view = shared.view();
         tracing::info!(
         request = job.id(),
-        print = %job.print,
+        print = %job.fingerprint,
         route = %job.route.name,
         account = job.account_label(),
         priority = job.priority(),
         service = %job.service,
         end = end.label(),
-        tries = self.arrivals,
-        place = self.last_place.as_deref().unwrap_or("-"),
-        expected_ms = expected.map_or(0, |it| it.first_ms),
-        first_ms = job.first_after.map_or(0, |first| first.as_millis() as u64),
-        read_tokens = expected.map_or(0, |it| it.read_tokens),
+        tries = self.delivered_attempts,
+        place = self.last_destination.as_deref().unwrap_or("-"),
+        expected_ms = expected.map_or(0, |it| it.time_to_first_ms),
+        first_ms = job.time_to_first.map_or(0, |first| first.as_millis() as u64),
+        read_tokens = expected.map_or(0, |it| it.prefill_tokens),
         load = expected.map_or(0, |it| it.load),
         rank = expected.map_or("-", |it| it.rank.label()),
-        weighed = self.weighed.as_deref().unwrap_or("-"),
+        weighed = self.candidates_summary.as_deref().unwrap_or("-"),
         fault = self.last_fault.as_deref().unwrap_or("-"),
         forwarded = job.is_forwarded,
         version = view.as_ref().map_or(0, |view| view.routes.version().0),
--- a/crates/foldhaven-gateway/src/attempts/requests.rs
+++ b/crates/foldhaven-gateway/src/attempts/requests.rs
@@ -10,20 +10,20 @@
 use http::{HeaderValue, Request};
 use http_body_util::Full;
 
-use super::{ExpectedFirst, PlacedAnswer, RequestDriver};
+use super::{DestinationAnswer, FirstResponseEstimate, RequestDriver};
 use crate::call::{CallFault, HeadListener, OpenAnswer, open_call};
 use crate::clock::{BootInstant, timeout};
-use crate::credential::print_value;
+use crate::credential::fingerprint_value;
 use crate::destinations::{DestinationChoice, RequestDestination};
 use crate::names::HeaderNames;
-use crate::upstream::{GuestSeat, Upstream};
-use crate::upstream_listener::{DeafListener, UpstreamListener};
+use crate::upstream::{Upstream, UpstreamRequestGuard};
+use crate::upstream_listener::{NoopListener, UpstreamListener};
 
 /// Minimum time without an answer after which an upstream is checked for any sign of life. A model
 /// that prefills a long prompt takes some hundred milliseconds to answer.
-const LEAST_PATIENCE: Duration = Duration::from_millis(600);
+const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(600);
 /// The same limit as a multiple of the expected time; the longer of the two applies.
-const PATIENCE: u32 = 2;
+const RESPONSE_TIMEOUT_FACTOR: u32 = 2;
 
 impl RequestDriver {
     /// Sends the request to a destination and waits for the head of the answer.
@@ -31,69 +31,69 @@
         &mut self,
         chosen: DestinationChoice,
         resume_after: Option<&str>,
-    ) -> Result<PlacedAnswer, CallFault> {
+    ) -> Result<DestinationAnswer, CallFault> {
         let DestinationChoice {
-            destination: place,
-            time_to_first: first,
-            prefill_tokens: read_tokens,
+            destination,
+            time_to_first,
+            prefill_tokens,
             queue,
             rank,
             prefill_before_answer,
             fetch_from,
         } = chosen;
-        let mut request = self.make_request(&place, resume_after, rank);
+        let mut request = self.make_request(&destination, resume_after, rank);
         if let Some(holder) = fetch_from {
             let name = self.shared.names.fetch_from.clone();
             request.headers_mut().insert(name, text_value(&holder.to_string()));
         }
-        let seat = place.enter(&self.job.service, read_tokens, rank);
-        let mut guest = self.admit(&place);
-        self.note_placement(&place);
-        let listener = self.listener(&place);
-        let target = place.call_target(listener.as_ref());
-        self.arrivals += 1;
+        let load_guard = destination.enter(&self.job.service, prefill_tokens, rank);
+        let mut request_guard = self.admit(&destination);
+        self.record_placement(&destination);
+        let listener = self.listener(&destination);
+        let target = destination.call_target(listener.as_ref());
+        self.delivered_attempts += 1;
         // Set before sending, since the caller may disconnect (and drop this future) at any later
         // await.
-        self.is_trial_sent = self.is_trial;
+        self.is_probe_sent = self.is_probe;
         let sent = BootInstant::now();
         let opening = open_call(&target, request, &self.shared.names, self.job.deadline);
-        let opened = match &place {
+        let opened = match &destination {
             RequestDestination::Upstream(upstream) => {
-                let answered = self.watch(upstream, first, opening);
-                self.unless_called_back(answered).await
+                let answered = self.wait_for_head(upstream, time_to_first, opening);
+                self.unless_quarantined(answered).await
             }
             RequestDestination::Peer(_) => opening.await,
         };
-        if opened.as_ref().is_err_and(CallFault::is_unmet) {
-            self.arrivals -= 1;
+        if opened.as_ref().is_err_and(CallFault::is_undelivered) {
+            self.delivered_attempts -= 1;
         }
-        if let RequestDestination::Upstream(upstream) = &place {
-            self.note_room(upstream, queue, &opened);
+        if let RequestDestination::Upstream(upstream) = &destination {
+            self.update_queue_capacity(upstream, queue, &opened);
         }
         if opened.as_ref().is_err_and(|fault| !fault.may_have_run()) {
-            self.is_trial_sent = false;
-            guest.iter_mut().for_each(GuestSeat::note_harmless);
+            self.is_probe_sent = false;
+            request_guard.iter_mut().for_each(UpstreamRequestGuard::mark_harmless);
         }
         let answer = opened?;
-        let expected = ExpectedFirst { time: first, rank, prefill_before_answer };
-        Ok(PlacedAnswer { answer, place, seat, guest, expected, sent })
+        let expected = FirstResponseEstimate { time: time_to_first, rank, prefill_before_answer };
+        Ok(DestinationAnswer { answer, destination, load_guard, request_guard, expected, sent })
     }
 
     /// Returns the listener for the signals in the head of the answer. The signals of an upstream
     /// behind another VM are handled by that VM.
-    fn listener(&self, place: &RequestDestination) -> Box<dyn HeadListener> {
-        match place {
+    fn listener(&self, destination: &RequestDestination) -> Box<dyn HeadListener> {
+        match destination {
             RequestDestination::Upstream(upstream) => {
                 Box::new(UpstreamListener::new(self.shared.clone(), upstream.clone()))
             }
-            RequestDestination::Peer(_) => Box::new(DeafListener),
+            RequestDestination::Peer(_) => Box::new(NoopListener),
         }
     }
 
     /// Builds the request, with the headers that are specific to the attempt.
     fn make_request(
         &self,
-        place: &RequestDestination,
+        destination: &RequestDestination,
         resume_after: Option<&str>,
         rank: QueueRank,
     ) -> Request<Full<Bytes>> {
@@ -106,7 +106,7 @@
         if let Some(event) = resume_after.and_then(|event| HeaderValue::from_str(event).ok()) {
             map.insert(&names.last_event, event);
         }
-        match place {
+        match destination {
             RequestDestination::Upstream(upstream) => {
                 if let Some(value) = HeaderNames::rank_value(rank) {
                     map.insert(&names.rank, HeaderValue::from(value));
@@ -118,7 +118,7 @@
                 map.insert(headers::VISITED, text_value(centre.as_str()));
                 map.insert(headers::SERVICE, text_value(job.service.as_str()));
                 if let Some(account) = &job.account {
-                    map.insert(headers::KEY_FINGERPRINT, print_value(&account.key));
+                    map.insert(headers::KEY_FINGERPRINT, fingerprint_value(&account.key));
                 }
                 if job.has_partial_answer {
                     map.insert(headers::BEGUN, HeaderValue::from_static("1"));
@@ -133,7 +133,7 @@
     /// Waits for the head of an answer, and marks the upstream as unreachable if nothing at all
     /// arrives from it, as after a power failure or a network partition. A long queue does not lead
     /// to that, since the answers to earlier requests continue to arrive.
-    async fn watch(
+    async fn wait_for_head(
         &self,
         upstream: &Upstream,
         expected: Duration,
@@ -142,27 +142,27 @@
         let shared = &self.shared;
         let sent = shared.now();
         let mut opening = std::pin::pin!(opening);
-        let patience = LEAST_PATIENCE.max(expected * PATIENCE);
-        if let Ok(opened) = timeout(patience, opening.as_mut()).await {
-            self.note_heard(upstream, &opened);
+        let response_timeout = MIN_RESPONSE_TIMEOUT.max(expected * RESPONSE_TIMEOUT_FACTOR);
+        if let Ok(opened) = timeout(response_timeout, opening.as_mut()).await {
+            self.record_received(upstream, &opened);
             return opened;
         }
-        if upstream.is_silent_since(sent) {
-            upstream.note_unreachable(shared.now());
+        if upstream.is_unresponsive_since(sent) {
+            upstream.record_unreachable(shared.now());
             shared.metrics.count_event("upstream_silent");
             if self.job.route.repeat.is_repeatable() {
-                return Err(CallFault::Silent);
+                return Err(CallFault::Unresponsive);
             }
         }
         let opened = opening.await;
-        self.note_heard(upstream, &opened);
+        self.record_received(upstream, &opened);
         opened
     }
 
     /// Records that an upstream has answered. A connection that ended is no answer.
-    fn note_heard(&self, upstream: &Upstream, opened: &Result<OpenAnswer, CallFault>) {
+    fn record_received(&self, upstream: &Upstream, opened: &Result<OpenAnswer, CallFault>) {
         if matches!(opened, Ok(_) | Err(CallFault::Declined { .. })) {
-            upstream.note_heard(self.shared.now());
+            upstream.record_received(self.shared.now());
         }
     }
 }
--- a/crates/foldhaven-gateway/src/attempts/retries.rs
+++ b/crates/foldhaven-gateway/src/attempts/retries.rs
@@ -9,21 +9,23 @@
 use crate::destinations::throttled_wait;
 
 /// Maximum number of destinations per request, including those that could not be reached.
-const MAX_TRIES: usize = 4;
+const MAX_DESTINATIONS: usize = 4;
 
 impl RequestDriver {
     /// Returns the refusal that ends the request after a fault, or `None` if another attempt may
     /// follow.
-    pub(super) fn end_of_tries(&mut self, fault: &CallFault) -> Option<Refusal> {
+    pub(super) fn final_refusal(&mut self, fault: &CallFault) -> Option<Refusal> {
         let may_repeat = match fault {
             CallFault::NotSent(_) => self.may_choose_again(),
             CallFault::Declined { .. } if fault.is_misdirected() => {
                 // Another process has the address: no upstream of the service received the request.
-                self.may_choose_again() && self.take_retry()
+                self.may_choose_again() && self.try_withdraw_retry()
             }
             CallFault::Declined { .. } => self.may_send_again(),
-            CallFault::Broken(_) | CallFault::Silent | CallFault::TimedOut => self.may_repeat(),
-            CallFault::CalledBack => false,
+            CallFault::Broken(_) | CallFault::Unresponsive | CallFault::TimedOut => {
+                self.may_repeat()
+            }
+            CallFault::Withdrawn => false,
         };
         match may_repeat {
             true => None,
@@ -40,17 +42,18 @@
     /// includes a VM that a request was forwarded to, which chooses among the upstreams of its
     /// region.
     fn may_choose_again(&self) -> bool {
-        self.tried.count() < MAX_TRIES && BootInstant::now() < self.job.deadline
+        self.tried.count() < MAX_DESTINATIONS && BootInstant::now() < self.job.deadline
     }
 
     /// Whether the request may be sent again after an attempt that reached its destination.
     fn may_send_again(&mut self) -> bool {
-        let is_open = self.arrivals < self.job.route.max_attempts && !self.job.is_forwarded;
-        is_open && !self.may_be_harmful() && self.may_choose_again() && self.take_retry()
+        let is_open =
+            self.delivered_attempts < self.job.route.max_attempts && !self.job.is_forwarded;
+        is_open && !self.is_likely_poison() && self.may_choose_again() && self.try_withdraw_retry()
     }
 
     /// Takes one retry from this VM's share of the retry budget.
-    fn take_retry(&self) -> bool {
+    fn try_withdraw_retry(&self) -> bool {
         let Some(view) = self.shared.view() else { return false };
         let is_granted = self.shared.take_retry(&self.job.service, &view);
         self.shared.metrics.count_event(if is_granted { "retry" } else { "retry_denied" });
@@ -77,12 +80,12 @@
     }
 
     /// Replaces a refusal by `Broken` if an attempt may have run.
-    pub(super) fn after_tries(&self, refusal: Refusal) -> Refusal {
+    pub(super) fn refusal_after_attempts(&self, refusal: Refusal) -> Refusal {
         if self.may_have_run { Refusal::Broken } else { refusal }
     }
 
     /// Returns the refusal for a request whose deadline has passed.
-    pub(super) fn out_of_time(&self) -> Refusal {
+    pub(super) fn deadline_refusal(&self) -> Refusal {
         if self.may_have_run { Refusal::TimedOut } else { Refusal::NotReached }
     }
 }
--- a/crates/foldhaven-gateway/src/call.rs
+++ b/crates/foldhaven-gateway/src/call.rs
@@ -20,9 +20,9 @@
 const MAX_WHOLE_BYTES: usize = 16 << 20;
 /// Share of the keep-alive timeout of the peer for which a connection is kept. A request sent at
 /// the moment at which the peer closes the connection would fail.
-const KEPT_SHARE: f64 = 0.8;
+const KEEP_ALIVE_SHARE: f64 = 0.8;
 /// Maximum number of pooled connections that are tried before a new one is opened.
-const KEPT_TRIES: usize = 3;
+const MAX_REUSE_ATTEMPTS: usize = 3;
 
 /// How a call failed. The variants differ in whether the request may have run.
 #[derive(Debug, Clone, displaydoc::Display, thiserror::Error)]
@@ -37,17 +37,17 @@
     /// broken after it may have started: {0}
     Broken(String),
     /// nothing was received from the upstream
-    Silent,
+    Unresponsive,
     /// no answer in time
     TimedOut,
     /// withdrawn, since the request was quarantined meanwhile
-    CalledBack,
+    Withdrawn,
 }
 
 impl CallFault {
     /// Whether no upstream of the service received the request: it was not sent, or it reached
     /// another process at the address of the intended one.
-    pub fn is_unmet(&self) -> bool {
+    pub fn is_undelivered(&self) -> bool {
         matches!(self, Self::NotSent(_)) || self.is_misdirected()
     }
 
@@ -64,14 +64,14 @@
 
     /// Whether the request may have run.
     pub fn may_have_run(&self) -> bool {
-        matches!(self, Self::Broken(_) | Self::Silent | Self::TimedOut | Self::CalledBack)
+        matches!(self, Self::Broken(_) | Self::Unresponsive | Self::TimedOut | Self::Withdrawn)
     }
 }
 
 /// Receives the head of each answer, also if the answer is then rejected.
 pub trait HeadListener: Send + Sync {
     /// Processes the head of an answer.
-    fn hear(&self, head: &Parts);
+    fn on_head(&self, head: &Parts);
 }
 
 /// The target of a call.
@@ -107,7 +107,7 @@
 
 impl ConnectionLease {
     /// Returns the connection to the pool, after the answer was read to its end.
-    pub fn give_back(self, pool: &ConnectionPool) {
+    pub fn return_to_pool(self, pool: &ConnectionPool) {
         pool.put(self.connection, self.keep_for);
     }
 }
@@ -124,9 +124,9 @@
     let (response, connection) =
         timeout_at(deadline, opening).await.map_err(|_| CallFault::TimedOut)??;
     let (head, body) = response.into_parts();
-    target.listener.hear(&head);
-    judge_head(&head, attempt.as_ref(), names)?;
-    let keep_for = keep_time(&head);
+    target.listener.on_head(&head);
+    validate_head(&head, attempt.as_ref(), names)?;
+    let keep_for = keep_alive_time(&head);
     Ok(OpenAnswer { head, body, connection, keep_for })
 }
 
@@ -134,7 +134,7 @@
     target: &CallTarget<'_>,
     mut request: Request<Full<Bytes>>,
 ) -> Result<(http::Response<Incoming>, Connection), CallFault> {
-    for _ in 0..KEPT_TRIES {
+    for _ in 0..MAX_REUSE_ATTEMPTS {
         let Some(mut connection) = target.pool.take() else { break };
         match connection.sender.try_send_request(request).await {
             Ok(response) => return Ok((response, connection)),
@@ -157,7 +157,7 @@
 }
 
 /// Checks that an answer belongs to the request and does not declare that the request did not run.
-fn judge_head(
+fn validate_head(
     head: &Parts,
     attempt: Option<&HeaderValue>,
     names: &HeaderNames,
@@ -181,10 +181,10 @@
 
 /// Returns how long to keep the connection, by the keep-alive timeout of the peer. `None` if it
 /// names none.
-fn keep_time(head: &Parts) -> Option<Duration> {
+fn keep_alive_time(head: &Parts) -> Option<Duration> {
     let text = head.headers.get("keep-alive")?.to_str().ok()?;
     let seconds = text.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
-    Some(Duration::from_secs_f64(seconds.parse::<f64>().ok()? * KEPT_SHARE))
+    Some(Duration::from_secs_f64(seconds.parse::<f64>().ok()? * KEEP_ALIVE_SHARE))
 }
 
 /// Reads an answer to its end, and returns its connection to the pool.
@@ -198,6 +198,6 @@
     let collected = timeout_at(deadline, collecting).await;
     let collected = collected.map_err(|_| CallFault::TimedOut)?;
     let bytes = collected.map_err(|error| CallFault::Broken(error.to_string()))?.to_bytes();
-    lease.give_back(pool);
+    lease.return_to_pool(pool);
     Ok((head, bytes))
 }
--- a/crates/foldhaven-gateway/src/caller_front.rs
+++ b/crates/foldhaven-gateway/src/caller_front.rs
@@ -17,7 +17,7 @@
 use crate::front::FrontHandler;
 use crate::job::{
     CallerTerms, GatewayJob, ReadRequest, RouteMatch, check_head, host_of, read_body, read_terms,
-    read_token_sum, remove_connection_headers,
+    read_total_tokens, remove_connection_headers,
 };
 use crate::metrics::RequestEnd;
 use crate::shared::GatewayShared;
@@ -25,10 +25,10 @@
 
 /// Idle limit of connections before the first description. Callers that connect that early
 /// reconnect.
-const UNDESCRIBED_LIMIT: Duration = Duration::from_secs(20);
+const HEAD_LIMIT_WITHOUT_DESCRIPTION: Duration = Duration::from_secs(20);
 
 /// Minimum retry delay for a caller over its limit.
-const LEAST_LIMIT_WAIT: Duration = Duration::from_millis(100);
+const MIN_LIMIT_WAIT: Duration = Duration::from_millis(100);
 
 /// Answers the requests of callers.
 pub struct CallerHandler {
@@ -46,7 +46,7 @@
             }
             Err(refusal) => {
                 self.shared.metrics.count_event(refusal.label());
-                log_unread(&self.shared, attempt.as_ref(), refusal);
+                log_early_refusal(&self.shared, attempt.as_ref(), refusal);
                 let mut answer = refusal.answer();
                 if matches!(refusal, Refusal::Malformed | Refusal::BodyTooLarge) {
                     // The next bytes on the connection may belong to the refused request.
@@ -59,12 +59,13 @@
 
     fn head_limit(&self) -> Duration {
         let described = self.shared.view().map(|view| view.routes.description().limits);
-        described.map_or(UNDESCRIBED_LIMIT, |limits| limits.idle_time + limits.header_time)
+        described
+            .map_or(HEAD_LIMIT_WITHOUT_DESCRIPTION, |limits| limits.idle_time + limits.header_time)
     }
 }
 
 /// Logs why a request was refused before a destination was chosen.
-fn log_unread(shared: &GatewayShared, attempt: Option<&HeaderValue>, refusal: Refusal) {
+fn log_early_refusal(shared: &GatewayShared, attempt: Option<&HeaderValue>, refusal: Refusal) {
     // Requests over the limit of their account are logged separately.
     let is_plain = matches!(refusal, Refusal::NoRoute | Refusal::NoKey);
     if matches!(refusal, Refusal::OverLimit { .. }) || !shared.quota.take(is_plain) {
@@ -102,8 +103,8 @@
     let view = shared.view().ok_or(Refusal::NoDescription)?;
     let host = host_of(&head).ok_or(Refusal::Malformed)?;
     let route = view.routes.find(host, head.uri.path());
-    let route = route.ok_or_else(|| unknown_route(shared))?.clone();
-    let account = identify(shared, &view, &route, &mut head)?;
+    let route = route.ok_or_else(|| unknown_route_refusal(shared))?.clone();
+    let account = identify_account(shared, &view, &route, &mut head)?;
     let terms = read_terms(&head, &shared.names)?;
     let waited = shared.note_patience(&route.name, terms.remaining);
     let terms = CallerTerms { remaining: terms.remaining.min(route.timeout), waited, ..terms };
@@ -113,13 +114,13 @@
         None => None,
     };
     let request = ReadRequest { head, body, started };
-    let place = RouteMatch { route, service, account };
-    Ok(request.into_job(place, terms, &shared.names))
+    let route_match = RouteMatch { route, service, account };
+    Ok(request.into_job(route_match, terms, &shared.names))
 }
 
 /// Finds the account of a request, and removes the key from its headers. A VM that knows that other
 /// VMs have a newer revision, or whose platform state is stale, cannot tell that a key is unknown.
-fn identify(
+fn identify_account(
     shared: &GatewayShared,
     view: &GatewayView,
     route: &OpaqueRoute,
@@ -142,7 +143,7 @@
     head: &Parts,
 ) -> Result<JobAccount, Refusal> {
     let Some(limit) = account.account.limit else { return Ok(account) };
-    let cost = limit.cost(read_token_sum(head, &shared.names));
+    let cost = limit.cost(read_total_tokens(head, &shared.names));
     let asked = shared.accounts.ask(&account.account, &limit, cost, shared.started(), shared.now());
     let Err(over) = asked else { return Ok(JobAccount { cost: Some(cost), ..account }) };
     if shared.quota.take(false) {
@@ -161,12 +162,12 @@
             "over the limit of its account"
         );
     }
-    Err(Refusal::OverLimit { wait: over.wait.max(LEAST_LIMIT_WAIT) })
+    Err(Refusal::OverLimit { wait: over.wait.max(MIN_LIMIT_WAIT) })
 }
 
 /// Returns the refusal for an unknown route. A VM that may lack the route only guarantees that the
 /// request did not run.
-fn unknown_route(shared: &GatewayShared) -> Refusal {
+fn unknown_route_refusal(shared: &GatewayShared) -> Refusal {
     match shared.is_in_doubt() {
         true => Refusal::Behind,
         false => Refusal::NoRoute,
@@ -176,7 +177,7 @@
 /// Runs a request and returns its answer.
 pub async fn run_job(shared: Arc<GatewayShared>, job: GatewayJob) -> Answer {
     let in_flight = shared.enter();
-    let mut driver = EndNote { driver: Some(RequestDriver::new(shared, job)) };
+    let mut driver = EndRecorder { driver: Some(RequestDriver::new(shared, job)) };
     let placed = match driver.get().run().await {
         Ok(AnswerStart::Events(placed)) => placed,
         Ok(AnswerStart::Whole(whole)) => return driver.end_whole(whole),
@@ -199,11 +200,11 @@
 }
 
 /// Records the end of a request, also if its caller disconnects and its future is dropped.
-struct EndNote {
+struct EndRecorder {
     driver: Option<RequestDriver>,
 }
 
-impl EndNote {
+impl EndRecorder {
     fn get(&mut self) -> &mut RequestDriver {
         self.driver.as_mut().expect("it was not released")
     }
@@ -218,18 +219,18 @@
         let WholeAnswer { head, body } = whole;
         // These statuses guarantee that the request did not run, which only the gateway or a
         // declining upstream can know.
-        let is_false_promise = matches!(head.status.as_u16(), 408 | 421 | 429 | 503);
-        if is_false_promise {
-            driver.note_end(RequestEnd::Refused(Refusal::Broken.label()));
+        let claims_not_run = matches!(head.status.as_u16(), 408 | 421 | 429 | 503);
+        if claims_not_run {
+            driver.record_end(RequestEnd::Refused(Refusal::Broken.label()));
             return Refusal::Broken.answer();
         }
         let end = match is_failure {
             true => RequestEnd::FailedUpstream,
             false => RequestEnd::Served,
         };
-        let took = driver.job.note_first();
+        let took = driver.job.record_time_to_first();
         driver.shared.metrics.note_first(&driver.job.route.name, took);
-        driver.note_end(end);
+        driver.record_end(end);
         let mut answer = answer_with(head.status, head.headers);
         *answer.body_mut() = AnswerBody::whole(body);
         answer
@@ -237,26 +238,26 @@
 
     fn end_refused(&mut self, refusal: Refusal) -> Answer {
         let driver = self.release();
-        if refusal.promises_unrun() {
-            give_back(&driver);
+        if refusal.guarantees_not_run() {
+            refund(&driver);
         }
-        driver.note_end(RequestEnd::Refused(refusal.label()));
+        driver.record_end(RequestEnd::Refused(refusal.label()));
         refusal.answer()
     }
 }
 
 /// Refunds the cost of a request that did not run to its account.
-fn give_back(driver: &RequestDriver) {
+fn refund(driver: &RequestDriver) {
     let account = driver.job.account.as_ref();
     if let Some((account, cost)) = account.and_then(|it| Some((&it.account.name, it.cost?))) {
         driver.shared.accounts.give_back(account, cost);
     }
 }
 
-impl Drop for EndNote {
+impl Drop for EndRecorder {
     fn drop(&mut self) {
         if let Some(driver) = self.driver.take() {
-            driver.note_end(RequestEnd::CallerLeft);
+            driver.record_end(RequestEnd::CallerLeft);
         }
     }
 }
--- a/crates/foldhaven-gateway/src/clock.rs
+++ b/crates/foldhaven-gateway/src/clock.rs
@@ -12,11 +12,11 @@
 use tokio::time::{Instant as TimerInstant, Sleep};
 
 /// Offset of the first reading, so that durations can be subtracted from early readings.
-const HEAD_START: Duration = Duration::from_secs(3_600);
+const CLOCK_OFFSET: Duration = Duration::from_secs(3_600);
 /// Maximum length of one timer step. The runtime's timers do not advance while the machine is
 /// suspended, so a long wait is split into steps and ends at most this much late after a
 /// suspension. Most requests finish within one step.
-const LONGEST_STEP: Duration = Duration::from_millis(500);
+const MAX_TIMER_STEP: Duration = Duration::from_millis(500);
 
 /// A reading of the clock, including suspended time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -102,12 +102,12 @@
 }
 
 fn next_step(deadline: BootInstant) -> TimerInstant {
-    TimerInstant::now() + (deadline - BootInstant::now()).min(LONGEST_STEP)
+    TimerInstant::now() + (deadline - BootInstant::now()).min(MAX_TIMER_STEP)
 }
 
 /// The deadline has passed
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
-pub struct TimePassed;
+pub struct DeadlinePassed;
 
 /// Awaits a future until a deadline.
 ///
@@ -117,11 +117,11 @@
 pub async fn timeout_at<T>(
     deadline: BootInstant,
     awaited: impl Future<Output = T>,
-) -> Result<T, TimePassed> {
+) -> Result<T, DeadlinePassed> {
     tokio::select! {
         biased;
         outcome = awaited => Ok(outcome),
-        () = BootSleep::until(deadline) => Err(TimePassed),
+        () = BootSleep::until(deadline) => Err(DeadlinePassed),
     }
 }
 
@@ -130,7 +130,10 @@
 /// # Errors
 ///
 /// If that time passes first.
-pub async fn timeout<T>(span: Duration, awaited: impl Future<Output = T>) -> Result<T, TimePassed> {
+pub async fn timeout<T>(
+    span: Duration,
+    awaited: impl Future<Output = T>,
+) -> Result<T, DeadlinePassed> {
     timeout_at(BootInstant::now() + span, awaited).await
 }
 
@@ -149,7 +152,7 @@
 
     /// Returns the current time.
     pub fn now(&self) -> MonoTime {
-        MonoTime::default() + (self.uptime() + HEAD_START)
+        MonoTime::default() + (self.uptime() + CLOCK_OFFSET)
     }
 
     /// Returns how long the clock has run.
--- a/crates/foldhaven-gateway/src/connection.rs
+++ b/crates/foldhaven-gateway/src/connection.rs
@@ -24,18 +24,18 @@
 pub const REMOTE_CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 /// A connection is closed if sent bytes are not acknowledged for this long. A VM that lost its
 /// power or its network does not close its connections.
-const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_millis(2_000);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// Interval before and between keep-alive probes on an idle connection.
-const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// Number of unanswered keep-alive probes after which the connection is closed.
-const PROBES: u32 = 2;
+const KEEPALIVE_PROBES: u32 = 2;
 /// Maximum idle time of a connection to an upstream that is reused. A shorter keep-alive timeout of
 /// the peer takes precedence.
 pub const IDLE_LIMIT: Duration = Duration::from_secs(4);
 /// Maximum idle time of a reused connection between VMs, which keep idle connections open for 20 s.
 pub const PEER_IDLE_LIMIT: Duration = Duration::from_secs(15);
 /// Maximum number of idle connections to one address until a limit is set.
-const FIRST_KEPT: usize = 24;
+const INITIAL_MAX_IDLE: usize = 24;
 
 /// A connection on which one request at a time can be sent.
 pub struct Connection {
@@ -53,7 +53,7 @@
     pub async fn open(address: SocketAddr, limit: Duration) -> io::Result<Self> {
         let connecting = timeout(limit, TcpStream::connect(address)).await;
         let stream = connecting.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-        prepare(&stream)?;
+        configure_socket(&stream)?;
         let (sender, driver) = handshake(TokioIo::new(stream)).await.map_err(io::Error::other)?;
         tokio::spawn(async move {
             // Connection errors are reported by the calls on the connection.
@@ -73,26 +73,26 @@
 }
 
 /// Sets the socket options that detect a dead peer, and disables Nagle's algorithm.
-pub fn prepare(stream: &TcpStream) -> io::Result<()> {
+pub fn configure_socket(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_LIMIT))?;
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
     let probes = TcpKeepalive::new()
-        .with_time(PROBE_INTERVAL)
-        .with_interval(PROBE_INTERVAL)
-        .with_retries(PROBES);
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
     socket.set_tcp_keepalive(&probes)
 }
 
 /// The idle connections to one address.
 pub struct ConnectionPool {
     idle: Mutex<Vec<Connection>>,
-    most_kept: AtomicUsize,
+    max_idle: AtomicUsize,
     /// Maximum idle time of a reused connection, if its peer names no shorter one.
     idle_limit: Duration,
     /// The round-trip time, measured when connections are established.
     round_trip: Mutex<RoundTrip>,
-    made: BootInstant,
+    created: BootInstant,
 }
 
 impl ConnectionPool {
@@ -100,10 +100,10 @@
     pub fn new(idle_limit: Duration) -> Self {
         Self {
             idle: Mutex::default(),
-            most_kept: AtomicUsize::new(FIRST_KEPT),
+            max_idle: AtomicUsize::new(INITIAL_MAX_IDLE),
             idle_limit,
             round_trip: Mutex::default(),
-            made: BootInstant::now(),
+            created: BootInstant::now(),
         }
     }
 
@@ -113,10 +113,10 @@
     ///
     /// If it is not established within the limit.
     pub async fn open(&self, address: SocketAddr, limit: Duration) -> io::Result<Connection> {
-        let begun = BootInstant::now();
+        let started = BootInstant::now();
         let connection = Connection::open(address, limit).await?;
-        let now = MonoTime::default() + self.made.elapsed();
-        self.round_trip.lock().record(begun.elapsed(), now);
+        let now = MonoTime::default() + self.created.elapsed();
+        self.round_trip.lock().record(started.elapsed(), now);
         Ok(connection)
     }
 
@@ -150,14 +150,14 @@
         connection.idle_since = BootInstant::now();
         connection.idle_limit = limit.map_or(self.idle_limit, |limit| limit.min(self.idle_limit));
         let mut idle = self.idle.lock();
-        if idle.len() < self.most_kept.load(Ordering::Relaxed) {
+        if idle.len() < self.max_idle.load(Ordering::Relaxed) {
             idle.push(connection);
         }
     }
 
     /// Sets the maximum number of idle connections, and closes those beyond it, the oldest first.
     pub fn set_max_idle(&self, count: usize) {
-        self.most_kept.store(count, Ordering::Relaxed);
+        self.max_idle.store(count, Ordering::Relaxed);
         let mut idle = self.idle.lock();
         let surplus = idle.len().saturating_sub(count);
         idle.drain(..surplus);
--- a/crates/foldhaven-gateway/src/credential.rs
+++ b/crates/foldhaven-gateway/src/credential.rs
@@ -98,15 +98,15 @@
     match map.remove(headers::KEY_FINGERPRINT) {
         None => Credential::Absent,
         Some(value) => {
-            let print = value.to_str().ok().and_then(|text| text.parse().ok());
-            print.map_or(Credential::Malformed, Credential::Key)
+            let fingerprint = value.to_str().ok().and_then(|text| text.parse().ok());
+            fingerprint.map_or(Credential::Malformed, Credential::Key)
         }
     }
 }
 
 /// Returns the header value with the fingerprint of the caller's key, which other VMs get instead
 /// of the key.
-pub fn print_value(key: &KeyFingerprint) -> HeaderValue {
+pub fn fingerprint_value(key: &KeyFingerprint) -> HeaderValue {
     HeaderValue::from_str(&key.to_string()).expect("hexadecimal digits")
 }
 
@@ -114,25 +114,25 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyState {
     /// The key belongs to the same account, or none is needed.
-    InForce,
+    Valid,
     /// The key belongs to another account.
-    Moved,
+    Reassigned,
     /// The key belongs to no account, and the route needs one.
-    Gone,
+    Revoked,
 }
 
 /// Checks the key of a request again.
 pub fn key_state(routes: &RouteTable, route: &OpaqueRoute, held: Option<&JobAccount>) -> KeyState {
     let Some(held) = held else {
         return match routes.needs_key(&route.name) {
-            true => KeyState::Gone,
-            false => KeyState::InForce,
+            true => KeyState::Revoked,
+            false => KeyState::Valid,
         };
     };
     match routes.accounts().find(&held.key) {
-        Some(account) if account.name == held.account.name => KeyState::InForce,
-        Some(_) => KeyState::Moved,
-        None if !routes.needs_key(&route.name) => KeyState::InForce,
-        None => KeyState::Gone,
+        Some(account) if account.name == held.account.name => KeyState::Valid,
+        Some(_) => KeyState::Reassigned,
+        None if !routes.needs_key(&route.name) => KeyState::Valid,
+        None => KeyState::Revoked,
     }
 }
--- a/crates/foldhaven-gateway/src/events.rs
+++ b/crates/foldhaven-gateway/src/events.rs
@@ -16,30 +16,30 @@
 use hyper::body::Incoming;
 
 use crate::answer::Refusal;
-use crate::attempts::{ExpectedFirst, PlacedAnswer, RequestDriver};
+use crate::attempts::{DestinationAnswer, FirstResponseEstimate, RequestDriver};
 use crate::call::ConnectionLease;
 use crate::clock::{BootInstant, BootSleep};
 use crate::destinations::RequestDestination;
 use crate::metrics::RequestEnd;
 use crate::shared::InFlightGuard;
-use crate::upstream::{GuestSeat, LoadGuard, Upstream};
+use crate::upstream::{LoadGuard, Upstream, UpstreamRequestGuard};
 
 /// A resumable stream is resumed at another upstream after this many target event gaps without
 /// data.
 const STALL_GAPS: u32 = 3;
 /// Minimum of that time. Shorter pauses are usual while an upstream prefills a long prompt.
-const LEAST_STALL: Duration = Duration::from_millis(1_200);
+const MIN_STALL: Duration = Duration::from_millis(1_200);
 
 /// Tolerance when checking whether an upstream has sent data on other requests. The data of the
 /// stream itself is recorded slightly later than its arrival.
-const HEARD_MARGIN: Duration = Duration::from_millis(20);
+const RECEIVE_MARGIN: Duration = Duration::from_millis(20);
 
 /// The stream ended before its last event
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub struct RelayBroken;
 
 type Resumption =
-    Pin<Box<dyn Future<Output = (RequestDriver, Result<PlacedAnswer, Refusal>)> + Send>>;
+    Pin<Box<dyn Future<Output = (RequestDriver, Result<DestinationAnswer, Refusal>)> + Send>>;
 
 enum RelayState {
     /// Events of an upstream are relayed.
@@ -53,36 +53,37 @@
 struct ReadingState {
     body: Incoming,
     lease: ConnectionLease,
-    place: RequestDestination,
-    seat: LoadGuard,
-    guest: Option<GuestSeat>,
-    expected: ExpectedFirst,
+    destination: RequestDestination,
+    load_guard: LoadGuard,
+    request_guard: Option<UpstreamRequestGuard>,
+    expected: FirstResponseEstimate,
     sent: BootInstant,
     has_begun: bool,
     /// When the first event of this upstream arrived, and how many events the stream had by then.
-    begun: Option<(BootInstant, u32)>,
+    first_event: Option<(BootInstant, u32)>,
     /// The sum of the requests at the upstream over all samples, and the number of samples.
-    loads: (u64, u32),
+    load_samples: (u64, u32),
     /// The prefill backlog of the upstream at its last event, in prompt tokens.
-    unread_before: u32,
+    backlog_before: u32,
 }
 
 impl ReadingState {
-    fn of(placed: PlacedAnswer) -> Box<Self> {
-        let PlacedAnswer { answer, place, seat, guest, expected, sent } = placed;
+    fn of(placed: DestinationAnswer) -> Box<Self> {
+        let DestinationAnswer { answer, destination, load_guard, request_guard, expected, sent } =
+            placed;
         let (_, body, lease) = answer.into_parts();
         Box::new(Self {
             body,
             lease,
-            place,
-            seat,
-            guest,
+            destination,
+            load_guard,
+            request_guard,
             expected,
             sent,
             has_begun: false,
-            begun: None,
-            loads: (0, 0),
-            unread_before: 0,
+            first_event: None,
+            load_samples: (0, 0),
+            backlog_before: 0,
         })
     }
 }
@@ -92,9 +93,9 @@
     /// Complete events.
     Events(Bytes),
     /// No complete event yet.
-    Nothing,
+    Incomplete,
     /// The end of the stream, after a complete event.
-    Whole,
+    Complete,
     /// A failure, with its cause.
     Broken(&'static str),
 }
@@ -106,13 +107,13 @@
     driver: Option<RequestDriver>,
     blocks: EventBlocks,
     /// Detects missing events by their ids.
-    order: EventSequenceChecker,
+    checker: EventSequenceChecker,
     timer: Pin<Box<BootSleep>>,
     /// When data was last received from the upstream.
-    last_news: BootInstant,
+    last_received: BootInstant,
     /// The time without data after which the stream is resumed elsewhere. `None` if that is not
     /// permitted.
-    stall: Option<Duration>,
+    stall_timeout: Option<Duration>,
     deadline: BootInstant,
     /// Whether the caller was sent an event.
     has_first: bool,
@@ -121,25 +122,30 @@
 
 impl EventRelay {
     /// Creates the relay for an answer whose head was processed already.
-    pub fn new(mut driver: RequestDriver, placed: PlacedAnswer, in_flight: InFlightGuard) -> Self {
+    pub fn new(
+        mut driver: RequestDriver,
+        placed: DestinationAnswer,
+        in_flight: InFlightGuard,
+    ) -> Self {
         driver.job.has_partial_answer = true;
         let route = &driver.job.route;
-        let stall = route.repeat.is_repeatable().then(|| {
+        let stall_timeout = route.repeat.is_repeatable().then(|| {
             let gaps = route.event_gap.unwrap_or_default() * STALL_GAPS;
-            gaps.max(LEAST_STALL)
+            gaps.max(MIN_STALL)
         });
         let deadline = driver.job.deadline;
-        let order = driver.event_order();
+        let checker = driver.event_sequence_checker();
         let now = BootInstant::now();
-        let wake = stall.map_or(deadline, |stall| deadline.min(now + stall));
+        let wake =
+            stall_timeout.map_or(deadline, |stall_timeout| deadline.min(now + stall_timeout));
         Self {
             state: RelayState::Reading(ReadingState::of(placed)),
             driver: Some(driver),
             blocks: EventBlocks::default(),
-            order,
+            checker,
             timer: Box::pin(BootSleep::until(wake)),
-            last_news: now,
-            stall,
+            last_received: now,
+            stall_timeout,
             deadline,
             has_first: false,
             _in_flight: in_flight,
@@ -157,30 +163,30 @@
                 RelayState::Resuming(resumption) => {
                     let Poll::Ready((driver, result)) = resumption.as_mut().poll(context) else {
                         ready!(self.poll_deadline(context));
-                        return self.cut("the deadline has passed");
+                        return self.abort("the deadline has passed");
                     };
-                    if let Err(cause) = self.take_resumed(driver, result) {
-                        return self.cut(cause);
+                    if let Err(cause) = self.apply_resumption(driver, result) {
+                        return self.abort(cause);
                     }
                 }
                 RelayState::Reading(_) => match self.poll_reading(context) {
                     Poll::Ready(RelayStep::Events(events)) => {
                         return Poll::Ready(Some(Ok(Frame::data(events))));
                     }
-                    Poll::Ready(RelayStep::Nothing) => {}
-                    Poll::Ready(RelayStep::Whole) => return self.finish(),
+                    Poll::Ready(RelayStep::Incomplete) => {}
+                    Poll::Ready(RelayStep::Complete) => return self.finish(),
                     Poll::Ready(RelayStep::Broken(cause)) => {
-                        self.note_broken(cause);
-                        self.driver.iter_mut().for_each(RequestDriver::count_break);
+                        self.record_broken(cause);
+                        self.driver.iter_mut().for_each(RequestDriver::record_broken_connection);
                         if !self.resume(cause) {
-                            return self.cut(cause);
+                            return self.abort(cause);
                         }
                     }
-                    Poll::Pending => match ready!(self.poll_silence(context)) {
+                    Poll::Pending => match ready!(self.poll_timer(context)) {
                         Some(cause) if BootInstant::now() >= self.deadline => {
-                            return self.cut(cause);
+                            return self.abort(cause);
                         }
-                        Some(cause) if !self.leave_silent(cause) => return self.cut(cause),
+                        Some(cause) if !self.handle_stall(cause) => return self.abort(cause),
                         Some(_) => {}
                         None => {}
                     },
@@ -191,35 +197,35 @@
 
     fn poll_reading(&mut self, context: &mut Context<'_>) -> Poll<RelayStep> {
         let RelayState::Reading(reading) = &mut self.state else {
-            return Poll::Ready(RelayStep::Nothing);
+            return Poll::Ready(RelayStep::Incomplete);
         };
         let frame = ready!(Pin::new(&mut reading.body).poll_frame(context));
         Poll::Ready(match frame {
-            None if self.blocks.is_at_boundary() => RelayStep::Whole,
+            None if self.blocks.is_at_boundary() => RelayStep::Complete,
             None => RelayStep::Broken("the stream ended within an event"),
             Some(Err(_)) => RelayStep::Broken("the connection broke"),
             Some(Ok(frame)) => match frame.into_data() {
-                Err(_) => RelayStep::Nothing,
-                Ok(bytes) => self.take_bytes(bytes),
+                Err(_) => RelayStep::Incomplete,
+                Ok(bytes) => self.push_bytes(bytes),
             },
         })
     }
 
     /// Processes bytes of the upstream, and returns the events that they complete.
-    fn take_bytes(&mut self, bytes: Bytes) -> RelayStep {
-        self.note_pause();
-        self.last_news = BootInstant::now();
-        self.note_heard();
+    fn push_bytes(&mut self, bytes: Bytes) -> RelayStep {
+        self.record_pause();
+        self.last_received = BootInstant::now();
+        self.record_received();
         let passed_on = self.blocks.last_id().map(str::to_owned);
         match self.blocks.push(bytes) {
-            Ok(events) if events.is_empty() => RelayStep::Nothing,
+            Ok(events) if events.is_empty() => RelayStep::Incomplete,
             Ok(events) if self.has_gap(&events) => {
                 self.blocks.take_back(passed_on);
                 RelayStep::Broken("an event was missing")
             }
             Ok(events) => {
-                self.note_first();
-                self.note_load();
+                self.record_time_to_first();
+                self.sample_load();
                 RelayStep::Events(events)
             }
             Err(_) => RelayStep::Broken("an event was too large"),
@@ -231,83 +237,83 @@
     fn has_gap(&mut self, events: &[u8]) -> bool {
         // A checker that found a gap is discarded. The stream is resumed after the events that were
         // relayed before.
-        let mut order = self.order;
-        let is_whole = event_ids(events).all(|id| order.check(id).is_ok());
-        match is_whole {
-            true => self.order = order,
-            false => self.driver.iter().for_each(RequestDriver::note_event_gap),
+        let mut checker = self.checker;
+        let is_complete = event_ids(events).all(|id| checker.check(id).is_ok());
+        match is_complete {
+            true => self.checker = checker,
+            false => self.driver.iter().for_each(RequestDriver::record_event_gap),
         }
-        !is_whole
+        !is_complete
     }
 
     /// Continues with the answer of another upstream, or returns why that is not possible.
-    fn take_resumed(
+    fn apply_resumption(
         &mut self,
         driver: RequestDriver,
-        result: Result<PlacedAnswer, Refusal>,
+        result: Result<DestinationAnswer, Refusal>,
     ) -> Result<(), &'static str> {
         self.driver = Some(driver);
         let placed = result.map_err(Refusal::label)?;
         if placed.answer.head.status != StatusCode::OK {
             return Err("the stream could not be resumed");
         }
-        self.last_news = BootInstant::now();
+        self.last_received = BootInstant::now();
         self.state = RelayState::Reading(ReadingState::of(placed));
         Ok(())
     }
 
     /// Records that data was received from the upstream.
-    fn note_heard(&self) {
+    fn record_received(&self) {
         if let Some((driver, upstream)) = self.reading_from() {
-            upstream.note_heard(driver.shared.now());
+            upstream.record_received(driver.shared.now());
         }
     }
 
     /// Records the first event of this upstream, and of the stream.
-    fn note_first(&mut self) {
+    fn record_time_to_first(&mut self) {
         let (RelayState::Reading(reading), Some(driver)) = (&mut self.state, &mut self.driver)
         else {
             return;
         };
         if !std::mem::replace(&mut reading.has_begun, true) {
-            reading.seat.note_answered();
-            driver.note_first(&reading.place, reading.expected, reading.sent);
+            reading.load_guard.record_answered();
+            driver.record_time_to_first(&reading.destination, reading.expected, reading.sent);
         }
         if !std::mem::replace(&mut self.has_first, true) {
-            let took = driver.job.note_first();
+            let took = driver.job.record_time_to_first();
             driver.shared.metrics.note_first(&driver.job.route.name, took);
         }
     }
 
     /// Records whether the pause that ends now was longer than the target event gap.
-    fn note_pause(&mut self) {
+    fn record_pause(&mut self) {
         let (RelayState::Reading(reading), Some(driver)) = (&mut self.state, &self.driver) else {
             return;
         };
-        if let (RequestDestination::Upstream(upstream), Some(wanted), true) =
-            (&reading.place, driver.job.route.event_gap, reading.has_begun)
+        if let (RequestDestination::Upstream(upstream), Some(target_gap), true) =
+            (&reading.destination, driver.job.route.event_gap, reading.has_begun)
         {
-            let is_long = self.last_news.elapsed() > wanted;
+            let is_long = self.last_received.elapsed() > target_gap;
             if is_long {
-                reading.seat.note_late();
+                reading.load_guard.record_late();
             }
             upstream.performance.lock().record_pause(is_long, driver.shared.now());
             // A prompt that arrived during the pause lengthened it as much as an earlier one.
-            let unread_now = upstream.queue().prefill_backlog.ahead_of(QueueRank::Timely);
-            let unread = reading.unread_before.max(unread_now);
-            driver.shared.note_pause(&driver.job.service, unread, is_long);
+            let backlog_now = upstream.queue().prefill_backlog.ahead_of(QueueRank::Timely);
+            let backlog = reading.backlog_before.max(backlog_now);
+            driver.shared.note_pause(&driver.job.service, backlog, is_long);
         }
     }
 
     /// Samples the number of requests at the upstream and its prefill backlog.
-    fn note_load(&mut self) {
+    fn sample_load(&mut self) {
         let RelayState::Reading(reading) = &mut self.state else { return };
-        let RequestDestination::Upstream(upstream) = &reading.place else { return };
-        reading.begun.get_or_insert_with(|| (BootInstant::now(), self.blocks.count()));
+        let RequestDestination::Upstream(upstream) = &reading.destination else { return };
+        reading.first_event.get_or_insert_with(|| (BootInstant::now(), self.blocks.count()));
         let queue = upstream.queue();
-        reading.loads.0 += u64::from(queue.in_flight);
-        reading.loads.1 += 1;
-        reading.unread_before = queue.prefill_backlog.ahead_of(QueueRank::Timely);
+        reading.load_samples.0 += u64::from(queue.in_flight);
+        reading.load_samples.1 += 1;
+        reading.backlog_before = queue.prefill_backlog.ahead_of(QueueRank::Timely);
     }
 
     /// Polls until the deadline has passed.
@@ -325,19 +331,19 @@
     /// the stream waits; a stream that cannot be resumed also waits. A forwarded stream whose
     /// upstream sends no data at all is aborted, and its origin may resume it. Returns whether the
     /// stream continues.
-    fn leave_silent(&mut self, cause: &'static str) -> bool {
-        if !self.is_upstream_dark() {
-            self.last_news = BootInstant::now();
+    fn handle_stall(&mut self, cause: &'static str) -> bool {
+        if !self.is_upstream_unresponsive() {
+            self.last_received = BootInstant::now();
             return true;
         }
         if self.driver.as_ref().is_some_and(|driver| driver.job.is_forwarded) {
             return false;
         }
         if let Some((driver, upstream)) = self.reading_from() {
-            driver.note_failure(upstream);
+            driver.record_failure(upstream);
         }
         if !self.resume(cause) {
-            self.stall = None;
+            self.stall_timeout = None;
         }
         true
     }
@@ -345,38 +351,39 @@
     /// Returns the driver and the upstream that events are read from. `None` for another VM.
     fn reading_from(&self) -> Option<(&RequestDriver, &Arc<Upstream>)> {
         let RelayState::Reading(reading) = &self.state else { return None };
-        let RequestDestination::Upstream(upstream) = &reading.place else { return None };
+        let RequestDestination::Upstream(upstream) = &reading.destination else { return None };
         Some((self.driver.as_ref()?, upstream))
     }
 
     /// Records that the stream from the upstream broke.
-    fn note_broken(&self, cause: &'static str) {
+    fn record_broken(&self, cause: &'static str) {
         if let Some((driver, upstream)) = self.reading_from() {
-            driver.note_broken(upstream, cause);
+            driver.record_broken(upstream, cause);
         }
     }
 
     /// Whether this VM has received no data at all from the upstream since the last data of the
     /// stream.
-    fn is_upstream_dark(&self) -> bool {
+    fn is_upstream_unresponsive(&self) -> bool {
         let Some((driver, upstream)) = self.reading_from() else { return false };
-        let last_news = driver.shared.now() - self.last_news.elapsed();
-        upstream.is_silent_since(last_news + HEARD_MARGIN)
+        let last_received = driver.shared.now() - self.last_received.elapsed();
+        upstream.is_unresponsive_since(last_received + RECEIVE_MARGIN)
     }
 
     /// Polls until the deadline passes or the stream stalls. Returns which of them happened.
-    fn poll_silence(&mut self, context: &mut Context<'_>) -> Poll<Option<&'static str>> {
+    fn poll_timer(&mut self, context: &mut Context<'_>) -> Poll<Option<&'static str>> {
         loop {
             ready!(self.timer.as_mut().poll(context));
             let now = BootInstant::now();
             if now >= self.deadline {
                 return Poll::Ready(Some("the deadline has passed"));
             }
-            let silent_until = self.stall.map(|stall| self.last_news + stall);
-            if silent_until.is_some_and(|until| now >= until) {
+            let stalled_at =
+                self.stall_timeout.map(|stall_timeout| self.last_received + stall_timeout);
+            if stalled_at.is_some_and(|until| now >= until) {
                 return Poll::Ready(Some("no data arrived for too long"));
             }
-            let wake = silent_until.map_or(self.deadline, |until| until.min(self.deadline));
+            let wake = stalled_at.map_or(self.deadline, |until| until.min(self.deadline));
             self.timer.reset(wake);
         }
     }
@@ -407,41 +414,43 @@
             std::mem::replace(&mut self.state, RelayState::Ended)
         {
             if let Some(driver) = &mut self.driver {
-                driver.note_answered(reading.guest.as_mut());
-                driver.note_event_order(&self.order);
-                driver.note_success(&reading.place, reading.sent);
-                if let (Some((begun, before)), (load, looks)) = (reading.begun, reading.loads) {
-                    // `before` already counts the event that arrived at `begun`.
+                driver.record_answered(reading.request_guard.as_mut());
+                driver.record_event_numbering(&self.checker);
+                driver.record_success(&reading.destination, reading.sent);
+                if let (Some((first_event, before)), (load, samples)) =
+                    (reading.first_event, reading.load_samples)
+                {
+                    // `before` already counts the event that arrived at `first_event`.
                     let events = self.blocks.count() - before + 1;
-                    let load = load as f64 / f64::from(looks.max(1));
-                    driver.note_stream(events, self.last_news - begun, load);
+                    let load = load as f64 / f64::from(samples.max(1));
+                    driver.record_complete_stream(events, self.last_received - first_event, load);
                 }
             }
-            reading.lease.give_back(reading.place.pool());
+            reading.lease.return_to_pool(reading.destination.pool());
         }
-        self.note_end(RequestEnd::Served);
+        self.record_end(RequestEnd::Served);
         Poll::Ready(None)
     }
 
     /// Aborts an incomplete stream by closing the connection to the caller.
-    fn cut(&mut self, cause: &'static str) -> Poll<Option<Result<Frame<Bytes>, RelayBroken>>> {
+    fn abort(&mut self, cause: &'static str) -> Poll<Option<Result<Frame<Bytes>, RelayBroken>>> {
         self.state = RelayState::Ended;
         if let Some(driver) = &mut self.driver {
             driver.last_fault = Some(cause.to_owned());
         }
-        self.note_end(RequestEnd::Cut);
+        self.record_end(RequestEnd::Cut);
         Poll::Ready(Some(Err(RelayBroken)))
     }
 
-    fn note_end(&mut self, end: RequestEnd) {
+    fn record_end(&mut self, end: RequestEnd) {
         if let Some(driver) = self.driver.take() {
-            driver.note_end(end);
+            driver.record_end(end);
         }
     }
 }
 
 impl Drop for EventRelay {
     fn drop(&mut self) {
-        self.note_end(RequestEnd::CallerLeft);
+        self.record_end(RequestEnd::CallerLeft);
     }
 }
--- a/crates/foldhaven-gateway/src/explain.rs
+++ b/crates/foldhaven-gateway/src/explain.rs
@@ -16,7 +16,7 @@
 use crate::shared::GatewayShared;
 
 /// Body size if the query names none, in bytes.
-const USUAL_BODY: usize = 1_000;
+const DEFAULT_BODY_BYTES: usize = 1_000;
 
 /// The request to explain.
 struct ExplainQuery<'a> {
@@ -41,7 +41,7 @@
             path: field("path")?,
             prompt: field("prompt"),
             output_tokens: number("output_tokens")?.unwrap_or_default(),
-            body_bytes: number("body_bytes")?.map_or(USUAL_BODY, |bytes| bytes as usize),
+            body_bytes: number("body_bytes")?.map_or(DEFAULT_BODY_BYTES, |bytes| bytes as usize),
         })
     }
 }
@@ -58,7 +58,7 @@
     let service = route.pick_service(0.0).ok_or(Refusal::NoRoute)?.clone();
     let job = GatewayJob {
         attempt: HeaderValue::from_static("explain"),
-        print: RequestFingerprint::of(&FingerprintParts {
+        fingerprint: RequestFingerprint::of(&FingerprintParts {
             host: query.host,
             method: "GET",
             target: query.path,
@@ -73,7 +73,7 @@
         body: Bytes::from(vec![0; query.body_bytes]),
         started: BootInstant::now(),
         waited_before: Duration::ZERO,
-        first_after: None,
+        time_to_first: None,
         has_partial_answer: false,
         deadline: BootInstant::now() + route.timeout,
         is_forwarded: false,
--- a/crates/foldhaven-gateway/src/front.rs
+++ b/crates/foldhaven-gateway/src/front.rs
@@ -14,7 +14,7 @@
 use tokio::sync::watch;
 
 use crate::answer::{Answer, close_after};
-use crate::connection::prepare;
+use crate::connection::configure_socket;
 use crate::shared::StopStage;
 
 /// Default limit for the idle time of a connection and the receipt of a request head, together.
@@ -65,7 +65,7 @@
     handler: Arc<dyn FrontHandler>,
     mut stage: watch::Receiver<StopStage>,
 ) {
-    if prepare(&stream).is_err() {
+    if configure_socket(&stream).is_err() {
         // The peer has already disconnected.
         return;
     }
--- a/crates/foldhaven-gateway/src/job.rs
+++ b/crates/foldhaven-gateway/src/job.rs
@@ -26,9 +26,9 @@
 /// The time a request is given if its caller names none.
 const DEFAULT_REMAINING: Duration = Duration::from_secs(30);
 /// Maximum time that a caller may ask for.
-const LONGEST_REMAINING: Duration = Duration::from_secs(600);
+const MAX_REMAINING: Duration = Duration::from_secs(600);
 /// Minimum remaining time sent to an upstream, in milliseconds. 0 would mean a late request.
-const LEAST_REMAINING_MS: u128 = 1;
+const MIN_REMAINING_MS: u128 = 1;
 
 /// A request to run.
 #[derive(Clone)]
@@ -36,7 +36,7 @@
     /// The id of the caller's attempt. Upstreams repeat it in their answers.
     pub attempt: HeaderValue,
     /// The fingerprint of the request, equal for all copies of the same request.
-    pub print: RequestFingerprint,
+    pub fingerprint: RequestFingerprint,
     pub route: Arc<OpaqueRoute>,
     /// The account that sent the request. `None` if the route needs none and no known key was sent.
     pub account: Option<JobAccount>,
@@ -52,7 +52,7 @@
     pub waited_before: Duration,
     /// How long the caller had waited when it got the answer or its first event. Further waiting
     /// does not count against the latency target. `None` until then.
-    pub first_after: Option<Duration>,
+    pub time_to_first: Option<Duration>,
     /// Whether the caller has received the beginning of an answer. The request then continues at
     /// any cost, since the answer would otherwise be truncated.
     pub has_partial_answer: bool,
@@ -70,13 +70,13 @@
     /// Returns the remaining time as a header value for upstreams.
     pub fn remaining_ms(&self) -> HeaderValue {
         let left = self.deadline.saturating_duration_since(BootInstant::now()).as_millis();
-        let left = u64::try_from(left.max(LEAST_REMAINING_MS)).unwrap_or(u64::MAX);
+        let left = u64::try_from(left.max(MIN_REMAINING_MS)).unwrap_or(u64::MAX);
         HeaderValue::from(left)
     }
 
     /// Returns how long the caller has waited for a first response. Zero once it has got one.
     pub fn waited(&self) -> Duration {
-        match self.first_after {
+        match self.time_to_first {
             Some(_) => Duration::ZERO,
             None => self.waited_before + self.started.elapsed(),
         }
@@ -84,9 +84,9 @@
 
     /// Records that the caller gets the answer or its first event now. Returns how long this VM
     /// took.
-    pub fn note_first(&mut self) -> Duration {
+    pub fn record_time_to_first(&mut self) -> Duration {
         let took = self.started.elapsed();
-        self.first_after = Some(self.waited_before + took);
+        self.time_to_first = Some(self.waited_before + took);
         took
     }
 
@@ -143,15 +143,15 @@
     /// Creates the job for a request of a caller.
     pub fn into_job(
         self,
-        place: RouteMatch,
+        route_match: RouteMatch,
         terms: CallerTerms,
         names: &HeaderNames,
     ) -> GatewayJob {
         let Self { head, body, started } = self;
-        let RouteMatch { route, service, account } = place;
+        let RouteMatch { route, service, account } = route_match;
         GatewayJob {
             attempt: terms.attempt,
-            print: print_of(&head, &body),
+            fingerprint: fingerprint_of(&head, &body),
             outline: read_outline(&head, &route, names),
             output_tokens: read_output_tokens(&head, names),
             route,
@@ -163,7 +163,7 @@
             body,
             started,
             waited_before: terms.waited,
-            first_after: None,
+            time_to_first: None,
             has_partial_answer: false,
             deadline: started + terms.remaining,
             is_forwarded: false,
@@ -172,7 +172,7 @@
 }
 
 /// Returns the fingerprint of a request.
-fn print_of(head: &Parts, body: &[u8]) -> RequestFingerprint {
+fn fingerprint_of(head: &Parts, body: &[u8]) -> RequestFingerprint {
     RequestFingerprint::of(&FingerprintParts {
         host: host_of(head).unwrap_or_default(),
         method: head.method.as_str(),
@@ -234,7 +234,7 @@
         }
     };
     let waited = Duration::ZERO;
-    Ok(CallerTerms { attempt, remaining: remaining.min(LONGEST_REMAINING), waited })
+    Ok(CallerTerms { attempt, remaining: remaining.min(MAX_REMAINING), waited })
 }
 
 /// Reads the outline of the prompt, if the route sends requests with a shared prompt to the same
@@ -248,7 +248,7 @@
 
 /// Reads the sum of the prompt tokens and the maximum answer tokens that a caller names. `None` if
 /// it names none.
-pub fn read_token_sum(head: &Parts, names: &HeaderNames) -> Option<u64> {
+pub fn read_total_tokens(head: &Parts, names: &HeaderNames) -> Option<u64> {
     let named = head.headers.get(&names.token_counts)?.to_str().ok()?;
     let (prompt, output) = named.split_once(',')?;
     let prompt: u32 = prompt.trim().parse().ok()?;
@@ -298,7 +298,7 @@
     for name in named {
         headers.remove(name);
     }
-    const OF_CONNECTION: [HeaderName; 7] = [
+    const CONNECTION_HEADERS: [HeaderName; 7] = [
         CONNECTION,
         PROXY_AUTHENTICATE,
         PROXY_AUTHORIZATION,
@@ -307,7 +307,7 @@
         TRANSFER_ENCODING,
         UPGRADE,
     ];
-    for name in OF_CONNECTION {
+    for name in CONNECTION_HEADERS {
         headers.remove(name);
     }
     headers.remove("keep-alive");
--- a/crates/foldhaven-gateway/src/stop.rs
+++ b/crates/foldhaven-gateway/src/stop.rs
@@ -16,7 +16,7 @@
 const LEAVING_TIME: Duration = Duration::from_millis(2_900);
 /// How long before the end of the platform's grace time the process exits, so that it is not
 /// killed.
-const MARGIN: Duration = Duration::from_millis(400);
+const EXIT_MARGIN: Duration = Duration::from_millis(400);
 /// Time for the last answers to reach their callers.
 const FLUSH_TIME: Duration = Duration::from_millis(100);
 
@@ -32,7 +32,7 @@
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
-    let grace = Duration::from_secs_f64(shared.settings.grace_s).saturating_sub(MARGIN);
+    let grace = Duration::from_secs_f64(shared.settings.grace_s).saturating_sub(EXIT_MARGIN);
     tracing::info!(vm = %shared.settings.vm, in_flight = shared.in_flight(), "leaving");
     shared.enter_stage(StopStage::Leaving);
     let leaving = LEAVING_TIME.min(grace / 2);
--- a/crates/foldhaven-gateway/src/suspension.rs
+++ b/crates/foldhaven-gateway/src/suspension.rs
@@ -11,58 +11,59 @@
 /// A process whose control thread did not run for this long counts as suspended. Published changes
 /// must be in force within a little over three seconds. The thread checks four times a second, also
 /// on a busy machine.
-const STILL_LIMIT: Duration = Duration::from_millis(2_000);
+const SUSPENSION_THRESHOLD: Duration = Duration::from_millis(2_000);
 /// Time after a suspension at which a process accepts requests even if it received no updates. It
 /// may be partitioned from the other VMs, and then continues with the state it has.
-const ALONE_AFTER: Duration = Duration::from_millis(1_200);
+const MAX_CATCH_UP_TIME: Duration = Duration::from_millis(1_200);
 
 /// Tracks whether the state of this process may be outdated after a suspension.
 #[derive(Debug, Default)]
 pub struct SuspensionDetector {
     /// The time of the last check by the control thread.
-    looked: AtomicU64,
+    last_check: AtomicU64,
     /// When a suspension was detected. `None` once the process has caught up.
-    woken: Mutex<Option<MonoTime>>,
+    resumed_at: Mutex<Option<MonoTime>>,
     /// Notified when a suspension is detected.
-    found: Notify,
+    suspension_detected: Notify,
 }
 
 impl SuspensionDetector {
     /// Records a check by the control thread. Returns the time since the previous check if the
     /// process was suspended.
     pub fn check(&self, now: MonoTime) -> Option<Duration> {
-        let looked = MonoTime(self.looked.swap(now.0, Ordering::Relaxed));
-        let still = now.since(looked);
-        if looked == MonoTime::default() || still <= STILL_LIMIT {
+        let last_check = MonoTime(self.last_check.swap(now.0, Ordering::Relaxed));
+        let gap = now.since(last_check);
+        if last_check == MonoTime::default() || gap <= SUSPENSION_THRESHOLD {
             return None;
         }
-        *self.woken.lock() = Some(now);
-        self.found.notify_waiters();
-        Some(still)
+        *self.resumed_at.lock() = Some(now);
+        self.suspension_detected.notify_waiters();
+        Some(gap)
     }
 
     /// Whether the state may be used for requests. Request handling may call this after a
     /// suspension before the control thread has run.
     pub fn is_awake(&self, now: MonoTime) -> bool {
-        let looked = MonoTime(self.looked.load(Ordering::Relaxed));
-        let is_looking = looked == MonoTime::default() || now.since(looked) <= STILL_LIMIT;
-        is_looking && self.woken.lock().is_none()
+        let last_check = MonoTime(self.last_check.load(Ordering::Relaxed));
+        let is_checked =
+            last_check == MonoTime::default() || now.since(last_check) <= SUSPENSION_THRESHOLD;
+        is_checked && self.resumed_at.lock().is_none()
     }
 
     /// Records whether the process has caught up after a suspension. Returns the time since its
     /// detection once requests are accepted again.
     pub fn record_caught_up(&self, is_known: bool, now: MonoTime) -> Option<Duration> {
-        let mut woken = self.woken.lock();
-        let span = now.since((*woken)?);
-        if !is_known && span < ALONE_AFTER {
+        let mut resumed_at = self.resumed_at.lock();
+        let span = now.since((*resumed_at)?);
+        if !is_known && span < MAX_CATCH_UP_TIME {
             return None;
         }
-        *woken = None;
+        *resumed_at = None;
         Some(span)
     }
 
     /// Waits until a suspension is detected.
     pub async fn wait_for_suspension(&self) {
-        self.found.notified().await;
+        self.suspension_detected.notified().await;
     }
 }
--- a/crates/foldhaven-gateway/src/upstream.rs
+++ b/crates/foldhaven-gateway/src/upstream.rs
@@ -41,18 +41,18 @@
     /// The requests of the other VMs of the region, as reported by them.
     others_in_flight: AtomicU32,
     /// Those of them that can still meet their targets.
-    others_whole: AtomicU32,
+    others_on_track: AtomicU32,
     /// Those that are deferred behind all timely requests and not answered yet.
-    others_behind: AtomicU32,
+    others_deferred: AtomicU32,
     /// The prompt tokens of the requests of other VMs that are not answered yet.
-    others_unread: Mutex<PrefillBacklog>,
+    others_prefill_backlog: Mutex<PrefillBacklog>,
     /// The in-flight requests of this VM, from which the suspects are taken if the upstream
     /// crashes.
-    guests: Mutex<InFlightRequests>,
+    in_flight_requests: Mutex<InFlightRequests>,
     /// Whether a check for the exit of the upstream is running.
-    is_probed: AtomicBool,
+    is_exit_check_running: AtomicBool,
     /// When data was last received from the upstream.
-    heard: AtomicU64,
+    last_received: AtomicU64,
     /// The time until which the upstream is cold.
     cold_until: AtomicU64,
     /// The time until which this VM backs off.
@@ -62,9 +62,9 @@
     /// Whether the upstream announces a rate limit.
     is_limited: AtomicBool,
     /// This VM's share of the rate while the upstream is cold or limited, as the bits of an `f64`.
-    part_rate: AtomicU64,
+    rate_share: AtomicU64,
     /// The time until which that share is valid.
-    part_until: AtomicU64,
+    rate_share_until: AtomicU64,
     /// The number of requests that this VM has sent under that share.
     rate_limited_sent: AtomicU32,
 }
@@ -103,18 +103,18 @@
             pacer: Mutex::default(),
             load: Arc::default(),
             others_in_flight: AtomicU32::new(0),
-            others_whole: AtomicU32::new(0),
-            others_behind: AtomicU32::new(0),
-            others_unread: Mutex::default(),
-            guests: Mutex::default(),
-            is_probed: AtomicBool::new(false),
-            heard: AtomicU64::new(0),
+            others_on_track: AtomicU32::new(0),
+            others_deferred: AtomicU32::new(0),
+            others_prefill_backlog: Mutex::default(),
+            in_flight_requests: Mutex::default(),
+            is_exit_check_running: AtomicBool::new(false),
+            last_received: AtomicU64::new(0),
             cold_until: AtomicU64::new(0),
             backoff_until: AtomicU64::new(0),
             is_leaving: AtomicBool::new(false),
             is_limited: AtomicBool::new(false),
-            part_rate: AtomicU64::new(0),
-            part_until: AtomicU64::new(0),
+            rate_share: AtomicU64::new(0),
+            rate_share_until: AtomicU64::new(0),
             rate_limited_sent: AtomicU32::new(0),
         })
     }
@@ -167,32 +167,32 @@
 
     /// Sets this VM's share of the upstream's rate while it is cold or limited, and the time until
     /// which the share is valid. `None`: it is not valid.
-    pub fn set_rate_share(&self, part: RateShare, until: Option<MonoTime>, now: MonoTime) {
-        let has_part =
-            now.0 < self.part_until.load(Ordering::Relaxed) && self.last_rate_share() > 0.0;
+    pub fn set_rate_share(&self, share: RateShare, until: Option<MonoTime>, now: MonoTime) {
+        let has_share =
+            now.0 < self.rate_share_until.load(Ordering::Relaxed) && self.last_rate_share() > 0.0;
         let mut pacer = self.pacer.lock();
-        if part.per_s > self.last_rate_share() {
-            pacer.raise_rate(part.per_s, now);
+        if share.per_s > self.last_rate_share() {
+            pacer.raise_rate(share.per_s, now);
         }
-        if !has_part {
-            pacer.delay_until(now + part.first_delay);
+        if !has_share {
+            pacer.delay_until(now + share.first_delay);
         }
         drop(pacer);
-        self.part_rate.store(part.per_s.to_bits(), Ordering::Relaxed);
-        self.part_until.store(until.map_or(0, |until| until.0), Ordering::Relaxed);
+        self.rate_share.store(share.per_s.to_bits(), Ordering::Relaxed);
+        self.rate_share_until.store(until.map_or(0, |until| until.0), Ordering::Relaxed);
     }
 
     /// Returns the rate that applies to this VM now: zero without a valid share, `None` if the
     /// upstream is neither cold nor limited.
     pub fn allowed_rate(&self, now: MonoTime) -> Option<f64> {
         let is_bounded = self.is_cold(now) || self.is_limited();
-        let may_send = now.0 < self.part_until.load(Ordering::Relaxed);
+        let may_send = now.0 < self.rate_share_until.load(Ordering::Relaxed);
         is_bounded.then(|| if may_send { self.last_rate_share() } else { 0.0 })
     }
 
     /// Returns the rate that was last set by [`Upstream::set_rate_share`].
     pub fn last_rate_share(&self) -> f64 {
-        f64::from_bits(self.part_rate.load(Ordering::Relaxed))
+        f64::from_bits(self.rate_share.load(Ordering::Relaxed))
     }
 
     /// Counts a request that this VM sends under its share of the rate.
@@ -206,48 +206,52 @@
     }
 
     /// Records that data was received from the upstream.
-    pub fn note_heard(&self, now: MonoTime) {
-        self.heard.store(now.0, Ordering::Relaxed);
+    pub fn record_received(&self, now: MonoTime) {
+        self.last_received.store(now.0, Ordering::Relaxed);
     }
 
     /// Whether no data was received from the upstream since the given time.
-    pub fn is_silent_since(&self, moment: MonoTime) -> bool {
-        self.heard.load(Ordering::Relaxed) < moment.0
+    pub fn is_unresponsive_since(&self, moment: MonoTime) -> bool {
+        self.last_received.load(Ordering::Relaxed) < moment.0
     }
 
     /// Marks a check for the exit of the upstream as running. Returns `false` if one is running
     /// already.
-    pub fn begin_probe(&self) -> bool {
-        !self.is_probed.swap(true, Ordering::Relaxed)
+    pub fn begin_exit_check(&self) -> bool {
+        !self.is_exit_check_running.swap(true, Ordering::Relaxed)
     }
 
     /// Marks the check for the exit of the upstream as finished.
-    pub fn end_probe(&self) {
-        self.is_probed.store(false, Ordering::Relaxed);
+    pub fn end_exit_check(&self) {
+        self.is_exit_check_running.store(false, Ordering::Relaxed);
     }
 
     /// Takes the requests of this VM that may have crashed the upstream, given the time at which a
     /// connection to it broke.
-    pub fn take_victims(&self, broke: MonoTime) -> Vec<RequestFingerprint> {
-        self.guests.lock().take_affected(broke)
+    pub fn take_affected(&self, broken_at: MonoTime) -> Vec<RequestFingerprint> {
+        self.in_flight_requests.lock().take_affected(broken_at)
     }
 
     /// Registers a request of this VM until the guard is dropped.
-    pub fn admit(self: &Arc<Self>, print: RequestFingerprint, clock: MonoClock) -> GuestSeat {
-        let id = self.guests.lock().insert(print);
-        GuestSeat { upstream: self.clone(), id, clock, is_harmless: false }
+    pub fn admit(
+        self: &Arc<Self>,
+        fingerprint: RequestFingerprint,
+        clock: MonoClock,
+    ) -> UpstreamRequestGuard {
+        let id = self.in_flight_requests.lock().insert(fingerprint);
+        UpstreamRequestGuard { upstream: self.clone(), id, clock, is_harmless: false }
     }
 
     /// Records that the upstream is unreachable or unresponsive: it is ejected at once, and the
     /// idle connections to it are closed.
-    pub fn note_unreachable(&self, now: MonoTime) {
+    pub fn record_unreachable(&self, now: MonoTime) {
         self.health.lock().record_failure(true, now);
         self.pool.clear();
     }
 
     /// Records that a request failed after it may have run. `usual` is the usual failure share of
     /// its route.
-    pub fn note_failure(&self, usual: f64, now: MonoTime) {
+    pub fn record_failure(&self, usual: f64, now: MonoTime) {
         self.health.lock().record_failure(false, now);
         self.performance.lock().record_end(true, usual, now);
     }
@@ -255,9 +259,9 @@
     /// Sets the requests of the other VMs of the region.
     pub fn set_peer_load(&self, share: UpstreamShare) {
         self.others_in_flight.store(share.in_flight.into(), Ordering::Relaxed);
-        self.others_whole.store(share.whole.into(), Ordering::Relaxed);
-        self.others_behind.store(share.behind.into(), Ordering::Relaxed);
-        *self.others_unread.lock() = share.unread;
+        self.others_on_track.store(share.whole.into(), Ordering::Relaxed);
+        self.others_deferred.store(share.behind.into(), Ordering::Relaxed);
+        *self.others_prefill_backlog.lock() = share.unread;
     }
 
     /// Returns the queue of the upstream, with the requests of all VMs of the region.
@@ -267,35 +271,35 @@
         QueueState {
             slots: self.identity.slots,
             in_flight: u32::from(own.in_flight) + others,
-            on_track: u32::from(own.whole) + self.others_whole.load(Ordering::Relaxed),
-            deferred: u32::from(own.behind) + self.others_behind.load(Ordering::Relaxed),
-            prefill_backlog: own.unread.plus(*self.others_unread.lock()),
+            on_track: u32::from(own.whole) + self.others_on_track.load(Ordering::Relaxed),
+            deferred: u32::from(own.behind) + self.others_deferred.load(Ordering::Relaxed),
+            prefill_backlog: own.unread.plus(*self.others_prefill_backlog.lock()),
         }
     }
 }
 
 /// Keeps one request registered at an upstream until dropped.
-pub struct GuestSeat {
+pub struct UpstreamRequestGuard {
     upstream: Arc<Upstream>,
     id: InFlightId,
     clock: MonoClock,
     is_harmless: bool,
 }
 
-impl GuestSeat {
+impl UpstreamRequestGuard {
     /// Records that the request did not crash the upstream: it was answered completely, declined or
     /// never sent.
-    pub fn note_harmless(&mut self) {
+    pub fn mark_harmless(&mut self) {
         self.is_harmless = true;
     }
 }
 
-impl Drop for GuestSeat {
+impl Drop for UpstreamRequestGuard {
     fn drop(&mut self) {
-        let mut guests = self.upstream.guests.lock();
+        let mut in_flight_requests = self.upstream.in_flight_requests.lock();
         match self.is_harmless {
-            true => guests.remove_harmless(self.id),
-            false => guests.remove(self.id, self.clock.now()),
+            true => in_flight_requests.remove_harmless(self.id),
+            false => in_flight_requests.remove(self.id, self.clock.now()),
         }
     }
 }
@@ -305,13 +309,13 @@
 pub struct LoadCounter {
     in_flight: AtomicU32,
     /// Those of them that can still meet their targets.
-    whole: AtomicU32,
+    on_track: AtomicU32,
     /// Those that are deferred behind all timely requests and not answered yet.
-    behind: AtomicU32,
+    deferred: AtomicU32,
     /// The prompt tokens of timely requests that are not answered yet.
-    unread_timely: AtomicU32,
+    timely_backlog: AtomicU32,
     /// The prompt tokens of deferred requests that are not answered yet.
-    unread_behind: AtomicU32,
+    deferred_backlog: AtomicU32,
 }
 
 impl LoadCounter {
@@ -321,11 +325,11 @@
             |count: &AtomicU32| u16::try_from(count.load(Ordering::Relaxed)).unwrap_or(u16::MAX);
         UpstreamShare {
             in_flight: read(&self.in_flight),
-            whole: read(&self.whole),
-            behind: read(&self.behind),
+            whole: read(&self.on_track),
+            behind: read(&self.deferred),
             unread: PrefillBacklog {
-                timely: self.unread_timely.load(Ordering::Relaxed),
-                deferred: self.unread_behind.load(Ordering::Relaxed),
+                timely: self.timely_backlog.load(Ordering::Relaxed),
+                deferred: self.deferred_backlog.load(Ordering::Relaxed),
             },
         }
     }
@@ -333,19 +337,19 @@
     /// Counts a request with the given rank and prompt tokens to prefill until the guard is
     /// dropped.
     pub fn enter(self: &Arc<Self>, tokens: u32, rank: QueueRank) -> LoadGuard {
-        let is_whole = rank == QueueRank::Timely;
+        let is_on_track = rank == QueueRank::Timely;
         self.in_flight.fetch_add(1, Ordering::Relaxed);
-        let is_behind = rank == QueueRank::Deferred;
-        self.whole.fetch_add(is_whole.into(), Ordering::Relaxed);
-        self.behind.fetch_add(is_behind.into(), Ordering::Relaxed);
-        self.unread(rank).fetch_add(tokens, Ordering::Relaxed);
-        LoadGuard { counter: self.clone(), unread: tokens, rank, is_whole, is_behind }
+        let is_deferred = rank == QueueRank::Deferred;
+        self.on_track.fetch_add(is_on_track.into(), Ordering::Relaxed);
+        self.deferred.fetch_add(is_deferred.into(), Ordering::Relaxed);
+        self.backlog(rank).fetch_add(tokens, Ordering::Relaxed);
+        LoadGuard { counter: self.clone(), pending_tokens: tokens, rank, is_on_track, is_deferred }
     }
 
-    fn unread(&self, rank: QueueRank) -> &AtomicU32 {
+    fn backlog(&self, rank: QueueRank) -> &AtomicU32 {
         match rank {
-            QueueRank::Timely => &self.unread_timely,
-            QueueRank::Deferred => &self.unread_behind,
+            QueueRank::Timely => &self.timely_backlog,
+            QueueRank::Deferred => &self.deferred_backlog,
         }
     }
 }
@@ -354,34 +358,34 @@
 pub struct LoadGuard {
     counter: Arc<LoadCounter>,
     /// The prompt tokens still counted as waiting for prefill.
-    unread: u32,
+    pending_tokens: u32,
     rank: QueueRank,
     /// Whether the request can still meet its targets.
-    is_whole: bool,
+    is_on_track: bool,
     /// Whether the request is deferred and not answered yet.
-    is_behind: bool,
+    is_deferred: bool,
 }
 
 impl LoadGuard {
     /// Records that the answer has started, so prefill is finished.
-    pub fn note_answered(&mut self) {
-        let unread = std::mem::take(&mut self.unread);
-        self.counter.unread(self.rank).fetch_sub(unread, Ordering::Relaxed);
-        let was_behind = std::mem::replace(&mut self.is_behind, false);
-        self.counter.behind.fetch_sub(was_behind.into(), Ordering::Relaxed);
+    pub fn record_answered(&mut self) {
+        let pending_tokens = std::mem::take(&mut self.pending_tokens);
+        self.counter.backlog(self.rank).fetch_sub(pending_tokens, Ordering::Relaxed);
+        let was_deferred = std::mem::replace(&mut self.is_deferred, false);
+        self.counter.deferred.fetch_sub(was_deferred.into(), Ordering::Relaxed);
     }
 
     /// Records that the request has missed its targets.
-    pub fn note_late(&mut self) {
-        let was_whole = std::mem::replace(&mut self.is_whole, false);
-        self.counter.whole.fetch_sub(was_whole.into(), Ordering::Relaxed);
+    pub fn record_late(&mut self) {
+        let was_on_track = std::mem::replace(&mut self.is_on_track, false);
+        self.counter.on_track.fetch_sub(was_on_track.into(), Ordering::Relaxed);
     }
 }
 
 impl Drop for LoadGuard {
     fn drop(&mut self) {
-        self.note_answered();
-        self.note_late();
+        self.record_answered();
+        self.record_late();
         self.counter.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 }
--- a/crates/foldhaven-gateway/src/upstream_exits.rs
+++ b/crates/foldhaven-gateway/src/upstream_exits.rs
@@ -14,26 +14,26 @@
 
 /// Delay between checks. An upstream that exits may close its connections shortly before its
 /// listening port, so a new connection is checked again after this time.
-const SECOND_LOOK: Duration = Duration::from_millis(200);
+const RECHECK_DELAY: Duration = Duration::from_millis(200);
 /// Maximum number of checks of an upstream that refuses new connections but still sends data on old
 /// ones.
-const LOOKS: u32 = 5;
+const MAX_CHECKS: u32 = 5;
 /// Maximum number of fingerprints in a log line.
-const LOGGED_PRINTS: usize = 8;
+const MAX_LOGGED_FINGERPRINTS: usize = 8;
 
 /// Starts a check whether an upstream has exited, after a connection to it broke during a request.
 /// Only one check per upstream runs at a time.
-pub fn look_into_end(shared: &Arc<GatewayShared>, upstream: &Arc<Upstream>) {
-    if !upstream.begin_probe() {
+pub fn start_exit_check(shared: &Arc<GatewayShared>, upstream: &Arc<Upstream>) {
+    if !upstream.begin_exit_check() {
         return;
     }
     let (shared, upstream) = (shared.clone(), upstream.clone());
-    let broke = shared.now();
+    let broken_at = shared.now();
     tokio::spawn(async move {
-        if has_ended(&shared, &upstream, broke).await {
-            note_ended(&shared, &upstream, broke);
+        if has_exited(&shared, &upstream, broken_at).await {
+            report_exit(&shared, &upstream, broken_at);
         }
-        upstream.end_probe();
+        upstream.end_exit_check();
     });
 }
 
@@ -44,17 +44,17 @@
 /// Data that is read after the first connection broke may have been sent before the exit, and a
 /// leaving upstream may continue to serve its old connections. The check is repeated until no data
 /// arrived between two checks.
-async fn has_ended(shared: &GatewayShared, upstream: &Upstream, broke: MonoTime) -> bool {
-    let mut looked = broke;
-    for _ in 0..LOOKS {
+async fn has_exited(shared: &GatewayShared, upstream: &Upstream, broken_at: MonoTime) -> bool {
+    let mut last_check = broken_at;
+    for _ in 0..MAX_CHECKS {
         if !refuses_connections(upstream).await {
             return false;
         }
-        if upstream.is_silent_since(looked) {
+        if upstream.is_unresponsive_since(last_check) {
             return true;
         }
-        looked = shared.now();
-        sleep(SECOND_LOOK).await;
+        last_check = shared.now();
+        sleep(RECHECK_DELAY).await;
     }
     false
 }
@@ -65,7 +65,7 @@
         Ok(connection) => connection,
         Err(error) => return is_refusal(error),
     };
-    sleep(SECOND_LOOK).await;
+    sleep(RECHECK_DELAY).await;
     if connection.is_closed() {
         return connect(upstream).await.is_err_and(is_refusal);
     }
@@ -83,21 +83,21 @@
 
 /// Reports the requests that this VM had at an upstream when its first connection broke as
 /// suspects.
-fn note_ended(shared: &GatewayShared, upstream: &Upstream, broke: MonoTime) {
-    let victims = upstream.take_victims(broke);
+fn report_exit(shared: &GatewayShared, upstream: &Upstream, broken_at: MonoTime) {
+    let affected = upstream.take_affected(broken_at);
     shared.metrics.count_event("upstream_ended");
-    if !victims.is_empty() && shared.quota.take(false) {
-        let prints: Vec<String> =
-            victims.iter().take(LOGGED_PRINTS).map(ToString::to_string).collect();
+    if !affected.is_empty() && shared.quota.take(false) {
+        let fingerprints: Vec<String> =
+            affected.iter().take(MAX_LOGGED_FINGERPRINTS).map(ToString::to_string).collect();
         tracing::info!(
             upstream = %upstream.name(),
             birth = upstream.identity.birth.0,
-            requests = victims.len(),
-            prints = prints.join(" "),
+            requests = affected.len(),
+            prints = fingerprints.join(" "),
             "an upstream exited during requests"
         );
     }
-    for print in victims {
-        shared.suspects.note_end(print, upstream.tag, &shared.change_context());
+    for fingerprint in affected {
+        shared.suspects.note_end(fingerprint, upstream.tag, &shared.change_context());
     }
 }
--- a/crates/foldhaven-gateway/src/upstream_listener.rs
+++ b/crates/foldhaven-gateway/src/upstream_listener.rs
@@ -19,7 +19,7 @@
 /// Maximum jitter of a back-off, as a share of the requested time.
 const BACKOFF_JITTER: f64 = 0.15;
 /// The header value of an upstream that is leaving.
-const IS_LEAVING: &str = "1";
+const LEAVING_VALUE: &str = "1";
 
 /// Processes the heads of the answers of an upstream.
 pub struct UpstreamListener {
@@ -37,7 +37,7 @@
     }
 
     /// Counts and logs a header value that cannot be parsed. The header is ignored.
-    fn note_unreadable(&self, header: &str, value: &HeaderValue) {
+    fn record_unreadable(&self, header: &str, value: &HeaderValue) {
         self.shared.metrics.count_event("upstream_signal_unreadable");
         if self.shared.quota.take(false) {
             let upstream = self.upstream.name();
@@ -48,9 +48,9 @@
     fn is_leaving(&self, head: &Parts) -> bool {
         let name = &self.shared.names.leaving;
         let Some(value) = head.headers.get(name) else { return false };
-        let is_leaving = value == IS_LEAVING;
+        let is_leaving = value == LEAVING_VALUE;
         if !is_leaving {
-            self.note_unreadable(name.as_str(), value);
+            self.record_unreadable(name.as_str(), value);
         }
         is_leaving
     }
@@ -61,15 +61,15 @@
             return None;
         }
         let value = head.headers.get(RETRY_AFTER)?;
-        let backoff = read_span(value);
+        let backoff = parse_seconds(value);
         if backoff.is_none() {
-            self.note_unreadable(RETRY_AFTER.as_str(), value);
+            self.record_unreadable(RETRY_AFTER.as_str(), value);
         }
         backoff
     }
 
     /// Starts a back-off. The jitter spreads the VMs that were declined at the same time.
-    fn note_backoff(&self, asked: Duration) {
+    fn start_backoff(&self, asked: Duration) {
         let span = asked.min(MAX_BACKOFF).mul_f64(1.0 + BACKOFF_JITTER * rand::random::<f64>());
         let is_new = self.upstream.back_off_until(self.shared.now() + span, self.shared.now());
         self.shared.metrics.count_event("upstream_backoff_asked");
@@ -88,16 +88,16 @@
     fn rate_limit(&self, head: &Parts) -> Option<RequestRate> {
         let name = &self.shared.names.rate_limit;
         let value = head.headers.get(name)?;
-        let limit = read_rate(value);
+        let limit = parse_rate(value);
         if limit.is_none() {
-            self.note_unreadable(name.as_str(), value);
+            self.record_unreadable(name.as_str(), value);
         }
         limit
     }
 }
 
 impl HeadListener for UpstreamListener {
-    fn hear(&self, head: &Parts) {
+    fn on_head(&self, head: &Parts) {
         // Another process has the address now.
         if head.status == StatusCode::MISDIRECTED_REQUEST {
             return;
@@ -106,7 +106,7 @@
         let limit = self.rate_limit(head);
         self.shared.limits.note_answer(&self.shared, &self.upstream, limit, moment);
         if let Some(backoff) = self.backoff(head) {
-            self.note_backoff(backoff);
+            self.start_backoff(backoff);
         }
         if self.is_leaving(head) {
             self.shared.leavers.note_answer(&self.shared, &self.upstream);
@@ -115,22 +115,22 @@
 }
 
 /// Parses the rate in an upstream's header: a decimal number of requests per second.
-fn read_rate(value: &HeaderValue) -> Option<RequestRate> {
+fn parse_rate(value: &HeaderValue) -> Option<RequestRate> {
     let per_s: f64 = value.to_str().ok()?.trim().parse().ok()?;
     RequestRate::from_per_s(per_s).ok()
 }
 
 /// Parses the duration in an upstream's header: a number of seconds. Dates are not accepted, since
 /// clocks differ.
-fn read_span(value: &HeaderValue) -> Option<Duration> {
+fn parse_seconds(value: &HeaderValue) -> Option<Duration> {
     let seconds: f64 = value.to_str().ok()?.trim().parse().ok()?;
     let is_span = seconds.is_finite() && seconds >= 0.0;
     is_span.then(|| Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX))
 }
 
 /// Ignores the heads of answers.
-pub struct DeafListener;
+pub struct NoopListener;
 
-impl HeadListener for DeafListener {
-    fn hear(&self, _: &Parts) {}
+impl HeadListener for NoopListener {
+    fn on_head(&self, _: &Parts) {}
 }
--- a/crates/foldhaven-gateway/src/warm_links.rs
+++ b/crates/foldhaven-gateway/src/warm_links.rs
@@ -15,34 +15,34 @@
 /// Number of VMs in each other region to which a connection is kept open.
 const LINKS_PER_REGION: usize = 2;
 /// Interval at which these connections are checked.
-const LOOK_INTERVAL: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Replaces closed connections for as long as the process runs.
 pub async fn keep_links_warm(shared: Arc<GatewayShared>) {
-    let mut looks = interval(LOOK_INTERVAL);
-    looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut ticks = interval(CHECK_INTERVAL);
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        looks.tick().await;
+        ticks.tick().await;
         let Some(view) = shared.view() else { continue };
-        for link in cold_links(&view, shared.settings.region()) {
-            tokio::spawn(warm(link));
+        for link in links_to_open(&view, shared.settings.region()) {
+            tokio::spawn(open_link(link));
         }
     }
 }
 
 /// Returns one link to open for each region that has too few open connections.
-fn cold_links(view: &GatewayView, own_region: &RegionName) -> Vec<Arc<PeerLink>> {
+fn links_to_open(view: &GatewayView, own_region: &RegionName) -> Vec<Arc<PeerLink>> {
     let mut by_region: BTreeMap<&RegionName, (usize, Vec<&Arc<PeerLink>>)> = BTreeMap::new();
     for link in view.remote_in_service.values().flatten().filter(|link| link.region != *own_region)
     {
-        let (warm, cold) = by_region.entry(&link.region).or_default();
+        let (open_count, unopened) = by_region.entry(&link.region).or_default();
         match link.pool.has_usable_connection() {
-            true => *warm += 1,
-            false => cold.push(link),
+            true => *open_count += 1,
+            false => unopened.push(link),
         }
     }
-    let lacking = by_region.into_values().filter(|(warm, _)| *warm < LINKS_PER_REGION);
-    lacking.filter_map(|(_, cold)| pick(&cold)).collect()
+    let lacking = by_region.into_values().filter(|(open_count, _)| *open_count < LINKS_PER_REGION);
+    lacking.filter_map(|(_, unopened)| pick(&unopened)).collect()
 }
 
 fn pick(links: &[&Arc<PeerLink>]) -> Option<Arc<PeerLink>> {
@@ -50,7 +50,7 @@
     links.get(at).map(|link| Arc::clone(link))
 }
 
-async fn warm(link: Arc<PeerLink>) {
+async fn open_link(link: Arc<PeerLink>) {
     // An unreachable VM is detected by heartbeats.
     if let Ok(connection) = link.pool.open(link.address, REMOTE_CONNECT_TIMEOUT).await {
         link.pool.put(connection, None);
