--- a/crates/foldhaven-gateway/src/answer.rs
+++ b/crates/foldhaven-gateway/src/answer.rs
@@ -10,7 +10,7 @@
 use http::{HeaderValue, Response, StatusCode};
 use http_body::{Body, Frame, SizeHint};
 
-use crate::events::{EventRelay, RelayBroken};
+use crate::events::{EventRelay, TruncatedStream};
 
 /// Retry delay for a request whose residency rules permit no region. A retry fails until operators
 /// have changed the rules.
@@ -19,28 +19,28 @@
 /// The body of an answer.
 pub enum AnswerBody {
     /// A complete body. `None` once it was sent.
-    Whole(Option<Bytes>),
+    Complete(Option<Bytes>),
     /// Events that are relayed as they arrive.
     Events(Box<EventRelay>),
 }
 
 impl AnswerBody {
     /// Creates a body from bytes.
-    pub fn whole(bytes: impl Into<Bytes>) -> Self {
-        Self::Whole(Some(bytes.into()))
+    pub fn from_bytes(bytes: impl Into<Bytes>) -> Self {
+        Self::Complete(Some(bytes.into()))
     }
 }
 
 impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = RelayBroken;
+    type Error = TruncatedStream;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, RelayBroken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedStream>>> {
         match self.get_mut() {
-            Self::Whole(bytes) => {
+            Self::Complete(bytes) => {
                 let taken = bytes.take().filter(|bytes| !bytes.is_empty());
                 Poll::Ready(taken.map(|bytes| Ok(Frame::data(bytes))))
             }
@@ -49,12 +49,14 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Self::Whole(None))
+        matches!(self, Self::Complete(None))
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, Bytes::len) as u64),
+            Self::Complete(bytes) => {
+                SizeHint::with_exact(bytes.as_ref().map_or(0, Bytes::len) as u64)
+            }
             Self::Events(_) => SizeHint::default(),
         }
     }
@@ -208,7 +210,7 @@
 
     /// Returns the answer for the caller.
     pub fn answer(self) -> Answer {
-        let mut answer = Response::new(AnswerBody::whole(self.to_string()));
+        let mut answer = Response::new(AnswerBody::from_bytes(self.to_string()));
         *answer.status_mut() = self.status();
         let headers = answer.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
@@ -234,7 +236,7 @@
     content_type: &'static str,
     body: impl Into<Bytes>,
 ) -> Answer {
-    let mut answer = Response::new(AnswerBody::whole(body));
+    let mut answer = Response::new(AnswerBody::from_bytes(body));
     *answer.status_mut() = status;
     answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
     answer
--- a/crates/foldhaven-gateway/src/attempts/mod.rs
+++ b/crates/foldhaven-gateway/src/attempts/mod.rs
@@ -17,7 +17,7 @@
 use tokio::time::sleep;
 
 use crate::answer::Refusal;
-use crate::call::{OpenAnswer, read_whole};
+use crate::call::{OpenAnswer, read_complete};
 use crate::clock::BootInstant;
 use crate::credential::{KeyState, key_state};
 use crate::destinations::{
@@ -96,12 +96,12 @@
 }
 
 /// An answer of an upstream with its complete body.
-pub struct WholeAnswer {
+pub struct CompleteAnswer {
     pub head: Parts,
     pub body: Bytes,
 }
 
-impl WholeAnswer {
+impl CompleteAnswer {
     /// Whether the upstream reports a failure (a 5xx status).
     pub fn is_failure(&self) -> bool {
         self.head.status.is_server_error()
@@ -113,17 +113,17 @@
     /// An event stream, of which no event was read yet.
     Events(DestinationAnswer),
     /// A complete answer. On a streaming route it reports a failure or a bad request.
-    Whole(WholeAnswer),
+    Complete(CompleteAnswer),
 }
 
 /// How to go on after an attempt whose answer was read.
 enum AttemptOutcome {
     /// Pass this answer to the caller.
-    Answered(WholeAnswer),
+    Answered(CompleteAnswer),
     /// Refuse the request, unless an earlier attempt got an answer.
     Refused(Refusal),
     /// Retry, since there was no answer or the given one, which reports a failure.
-    Retry(Option<WholeAnswer>),
+    Retry(Option<CompleteAnswer>),
 }
 
 /// Runs one request through its attempts.
@@ -172,18 +172,18 @@
     /// Runs the request until an upstream has sent a complete answer or, on a streaming route, the
     /// head of an event stream.
     pub async fn run(&mut self) -> Result<AnswerStart, Refusal> {
-        let mut failed: Option<WholeAnswer> = None;
+        let mut failed: Option<CompleteAnswer> = None;
         loop {
-            let placed = match self.open(None).await {
-                Ok(placed) if self.is_relayed(&placed) => return Ok(AnswerStart::Events(placed)),
-                Ok(placed) => placed,
+            let opened = match self.open(None).await {
+                Ok(opened) if self.is_relayed(&opened) => return Ok(AnswerStart::Events(opened)),
+                Ok(opened) => opened,
                 // An answer that reports a failure tells the caller more than a refusal.
-                Err(refusal) => return failed.map(AnswerStart::Whole).ok_or(refusal),
+                Err(refusal) => return failed.map(AnswerStart::Complete).ok_or(refusal),
             };
-            match self.finish(placed).await {
-                AttemptOutcome::Answered(whole) => return Ok(AnswerStart::Whole(whole)),
+            match self.finish(opened).await {
+                AttemptOutcome::Answered(complete) => return Ok(AnswerStart::Complete(complete)),
                 AttemptOutcome::Refused(refusal) => {
-                    return failed.map(AnswerStart::Whole).ok_or(refusal);
+                    return failed.map(AnswerStart::Complete).ok_or(refusal);
                 }
                 AttemptOutcome::Retry(answer) => failed = answer.or(failed),
             }
@@ -191,12 +191,12 @@
     }
 
     /// Whether the events of an answer are relayed as they arrive.
-    fn is_relayed(&self, placed: &DestinationAnswer) -> bool {
-        self.job.route.repeat.is_stream() && placed.is_event_stream()
+    fn is_relayed(&self, opened: &DestinationAnswer) -> bool {
+        self.job.route.repeat.is_stream() && opened.is_event_stream()
     }
 
     /// Reads an answer to its end, and records the outcome for its destination.
-    async fn finish(&mut self, placed: DestinationAnswer) -> AttemptOutcome {
+    async fn finish(&mut self, opened: DestinationAnswer) -> AttemptOutcome {
         let DestinationAnswer {
             answer,
             destination,
@@ -204,15 +204,15 @@
             mut request_guard,
             expected,
             sent,
-        } = placed;
-        let read = read_whole(answer, destination.pool(), self.job.deadline).await;
+        } = opened;
+        let read = read_complete(answer, destination.pool(), self.job.deadline).await;
         drop(load_guard);
         if read.is_ok() {
             self.record_answered(request_guard.as_mut());
         }
         drop(request_guard);
         let (head, body) = match read {
-            Ok(whole) => whole,
+            Ok(complete) => complete,
             Err(fault) => {
                 self.record_fault(&destination, &fault);
                 let end = self.final_refusal(&fault);
@@ -220,12 +220,12 @@
             }
         };
         self.may_have_run = true;
-        let whole = WholeAnswer { head, body };
-        if whole.is_failure() {
-            self.record_failed_answer(&destination, whole.head.status);
+        let complete = CompleteAnswer { head, body };
+        if complete.is_failure() {
+            self.record_failed_answer(&destination, complete.head.status);
             return match self.may_repeat() {
-                true => AttemptOutcome::Retry(Some(whole)),
-                false => AttemptOutcome::Answered(whole),
+                true => AttemptOutcome::Retry(Some(complete)),
+                false => AttemptOutcome::Answered(complete),
             };
         }
         // Only an answer of the kind that the route expects counts as a success of its destination.
@@ -233,7 +233,7 @@
             self.record_time_to_first(&destination, expected, sent);
             self.record_success(&destination, sent);
         }
-        AttemptOutcome::Answered(whole)
+        AttemptOutcome::Answered(complete)
     }
 
     /// Sends the request until a destination starts to answer. With `resume_after`, the stream
@@ -249,7 +249,7 @@
             };
             let destination = chosen.destination.clone();
             match self.call(chosen, resume_after).await {
-                Ok(placed) => return Ok(placed),
+                Ok(opened) => return Ok(opened),
                 Err(fault) => {
                     self.record_fault(&destination, &fault);
                     if let Some(refusal) = self.final_refusal(&fault) {
--- a/crates/foldhaven-gateway/src/attempts/requests.rs
+++ b/crates/foldhaven-gateway/src/attempts/requests.rs
@@ -47,7 +47,7 @@
             request.headers_mut().insert(name, text_value(&holder.to_string()));
         }
         let load_guard = destination.enter(&self.job.service, prefill_tokens, rank);
-        let mut request_guard = self.admit(&destination);
+        let mut request_guard = self.register_request(&destination);
         self.record_placement(&destination);
         let listener = self.listener(&destination);
         let target = destination.call_target(listener.as_ref());
--- a/crates/foldhaven-gateway/src/attempts/suspicion.rs
+++ b/crates/foldhaven-gateway/src/attempts/suspicion.rs
@@ -64,8 +64,8 @@
     /// Whether another attempt would probably crash another upstream: connections broke during the
     /// request twice, at this VM or as reported by other VMs, or the request is a probe.
     pub(super) fn is_likely_poison(&self) -> bool {
-        let known = self.shared.suspects.ends(&self.job.fingerprint);
-        self.is_probe || known.max(self.broken_connections as usize) >= PROBE_EXITS
+        let reported_exits = self.shared.suspects.ends(&self.job.fingerprint);
+        self.is_probe || reported_exits.max(self.broken_connections as usize) >= PROBE_EXITS
     }
 
     /// Counts an attempt whose connection broke after the answer had started.
@@ -74,9 +74,12 @@
     }
 
     /// Registers the request at an upstream until the guard is dropped. `None` for another VM.
-    pub(super) fn admit(&self, destination: &RequestDestination) -> Option<UpstreamRequestGuard> {
+    pub(super) fn register_request(
+        &self,
+        destination: &RequestDestination,
+    ) -> Option<UpstreamRequestGuard> {
         let RequestDestination::Upstream(upstream) = destination else { return None };
-        Some(Arc::clone(upstream).admit(self.job.fingerprint, self.shared.clock))
+        Some(Arc::clone(upstream).register_request(self.job.fingerprint, self.shared.clock))
     }
 
     /// Records that the request was answered completely, so it did not crash its upstream.
--- a/crates/foldhaven-gateway/src/call.rs
+++ b/crates/foldhaven-gateway/src/call.rs
@@ -17,7 +17,7 @@
 use crate::names::HeaderNames;
 
 /// Maximum size of an answer that is read into memory, in bytes.
-const MAX_WHOLE_BYTES: usize = 16 << 20;
+const MAX_ANSWER_BYTES: usize = 16 << 20;
 /// Share of the keep-alive timeout of the peer for which a connection is kept. A request sent at
 /// the moment at which the peer closes the connection would fail.
 const KEEP_ALIVE_SHARE: f64 = 0.8;
@@ -188,13 +188,13 @@
 }
 
 /// Reads an answer to its end, and returns its connection to the pool.
-pub async fn read_whole(
+pub async fn read_complete(
     answer: OpenAnswer,
     pool: &ConnectionPool,
     deadline: BootInstant,
 ) -> Result<(Parts, Bytes), CallFault> {
     let (head, body, lease) = answer.into_parts();
-    let collecting = Limited::new(body, MAX_WHOLE_BYTES).collect();
+    let collecting = Limited::new(body, MAX_ANSWER_BYTES).collect();
     let collected = timeout_at(deadline, collecting).await;
     let collected = collected.map_err(|_| CallFault::TimedOut)?;
     let bytes = collected.map_err(|error| CallFault::Broken(error.to_string()))?.to_bytes();
--- a/crates/foldhaven-gateway/src/caller_front.rs
+++ b/crates/foldhaven-gateway/src/caller_front.rs
@@ -10,7 +10,7 @@
 use hyper::body::Incoming;
 
 use crate::answer::{Answer, AnswerBody, Refusal, body_answer, close_after};
-use crate::attempts::{AnswerStart, RequestDriver, WholeAnswer};
+use crate::attempts::{AnswerStart, CompleteAnswer, RequestDriver};
 use crate::clock::BootInstant;
 use crate::credential::{JobAccount, KeyFault, find_account, take_credential};
 use crate::events::EventRelay;
@@ -177,23 +177,23 @@
 /// Runs a request and returns its answer.
 pub async fn run_job(shared: Arc<GatewayShared>, job: GatewayJob) -> Answer {
     let in_flight = shared.enter();
-    let mut driver = EndRecorder { driver: Some(RequestDriver::new(shared, job)) };
-    let placed = match driver.get().run().await {
-        Ok(AnswerStart::Events(placed)) => placed,
-        Ok(AnswerStart::Whole(whole)) => return driver.end_whole(whole),
-        Err(refusal) => return driver.end_refused(refusal),
+    let mut recorder = EndRecorder { driver: Some(RequestDriver::new(shared, job)) };
+    let opened = match recorder.get().run().await {
+        Ok(AnswerStart::Events(opened)) => opened,
+        Ok(AnswerStart::Complete(complete)) => return recorder.end_answered(complete),
+        Err(refusal) => return recorder.end_refused(refusal),
     };
-    let head = &placed.answer.head;
+    let head = &opened.answer.head;
     let mut answer = answer_with(head.status, head.headers.clone());
     *answer.body_mut() =
-        AnswerBody::Events(Box::new(EventRelay::new(driver.release(), placed, in_flight)));
+        AnswerBody::Events(Box::new(EventRelay::new(recorder.release(), opened, in_flight)));
     answer
 }
 
 fn answer_with(status: StatusCode, mut headers: HeaderMap) -> Answer {
     remove_connection_headers(&mut headers);
     headers.remove(http::header::CONTENT_LENGTH);
-    let mut answer = Response::new(AnswerBody::Whole(None));
+    let mut answer = Response::new(AnswerBody::Complete(None));
     *answer.status_mut() = status;
     *answer.headers_mut() = headers;
     answer
@@ -206,17 +206,17 @@
 
 impl EndRecorder {
     fn get(&mut self) -> &mut RequestDriver {
-        self.driver.as_mut().expect("it was not released")
+        self.driver.as_mut().expect("the driver was not released")
     }
 
     fn release(&mut self) -> RequestDriver {
-        self.driver.take().expect("it was not released before")
+        self.driver.take().expect("the driver was not released before")
     }
 
-    fn end_whole(&mut self, whole: WholeAnswer) -> Answer {
+    fn end_answered(&mut self, complete: CompleteAnswer) -> Answer {
         let mut driver = self.release();
-        let is_failure = whole.is_failure();
-        let WholeAnswer { head, body } = whole;
+        let is_failure = complete.is_failure();
+        let CompleteAnswer { head, body } = complete;
         // These statuses guarantee that the request did not run, which only the gateway or a
         // declining upstream can know.
         let claims_not_run = matches!(head.status.as_u16(), 408 | 421 | 429 | 503);
@@ -232,7 +232,7 @@
         driver.shared.metrics.note_first(&driver.job.route.name, took);
         driver.record_end(end);
         let mut answer = answer_with(head.status, head.headers);
-        *answer.body_mut() = AnswerBody::whole(body);
+        *answer.body_mut() = AnswerBody::from_bytes(body);
         answer
     }
 
--- a/crates/foldhaven-gateway/src/events.rs
+++ b/crates/foldhaven-gateway/src/events.rs
@@ -30,13 +30,13 @@
 /// Minimum of that time. Shorter pauses are usual while an upstream prefills a long prompt.
 const MIN_STALL: Duration = Duration::from_millis(1_200);
 
-/// Tolerance when checking whether an upstream has sent data on other requests. The data of the
-/// stream itself is recorded slightly later than its arrival.
+/// Tolerance when checking whether other requests received data from the upstream. The data of the
+/// stream itself is recorded for the upstream slightly later than for the stream.
 const RECEIVE_MARGIN: Duration = Duration::from_millis(20);
 
 /// The stream ended before its last event
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
-pub struct RelayBroken;
+pub struct TruncatedStream;
 
 type Resumption =
     Pin<Box<dyn Future<Output = (RequestDriver, Result<DestinationAnswer, Refusal>)> + Send>>;
@@ -58,7 +58,7 @@
     request_guard: Option<UpstreamRequestGuard>,
     expected: FirstResponseEstimate,
     sent: BootInstant,
-    has_begun: bool,
+    has_received_event: bool,
     /// When the first event of this upstream arrived, and how many events the stream had by then.
     first_event: Option<(BootInstant, u32)>,
     /// The sum of the requests at the upstream over all samples, and the number of samples.
@@ -68,9 +68,9 @@
 }
 
 impl ReadingState {
-    fn of(placed: DestinationAnswer) -> Box<Self> {
+    fn of(opened: DestinationAnswer) -> Box<Self> {
         let DestinationAnswer { answer, destination, load_guard, request_guard, expected, sent } =
-            placed;
+            opened;
         let (_, body, lease) = answer.into_parts();
         Box::new(Self {
             body,
@@ -80,7 +80,7 @@
             request_guard,
             expected,
             sent,
-            has_begun: false,
+            has_received_event: false,
             first_event: None,
             load_samples: (0, 0),
             backlog_before: 0,
@@ -93,9 +93,9 @@
     /// Complete events.
     Events(Bytes),
     /// No complete event yet.
-    Incomplete,
+    NoEvent,
     /// The end of the stream, after a complete event.
-    Complete,
+    End,
     /// A failure, with its cause.
     Broken(&'static str),
 }
@@ -116,7 +116,7 @@
     stall_timeout: Option<Duration>,
     deadline: BootInstant,
     /// Whether the caller was sent an event.
-    has_first: bool,
+    has_sent_event: bool,
     _in_flight: InFlightGuard,
 }
 
@@ -124,7 +124,7 @@
     /// Creates the relay for an answer whose head was processed already.
     pub fn new(
         mut driver: RequestDriver,
-        placed: DestinationAnswer,
+        opened: DestinationAnswer,
         in_flight: InFlightGuard,
     ) -> Self {
         driver.job.has_partial_answer = true;
@@ -139,7 +139,7 @@
         let wake =
             stall_timeout.map_or(deadline, |stall_timeout| deadline.min(now + stall_timeout));
         Self {
-            state: RelayState::Reading(ReadingState::of(placed)),
+            state: RelayState::Reading(ReadingState::of(opened)),
             driver: Some(driver),
             blocks: EventBlocks::default(),
             checker,
@@ -147,7 +147,7 @@
             last_received: now,
             stall_timeout,
             deadline,
-            has_first: false,
+            has_sent_event: false,
             _in_flight: in_flight,
         }
     }
@@ -156,7 +156,7 @@
     pub fn poll_events(
         &mut self,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, RelayBroken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedStream>>> {
         loop {
             match &mut self.state {
                 RelayState::Ended => return Poll::Ready(None),
@@ -173,8 +173,8 @@
                     Poll::Ready(RelayStep::Events(events)) => {
                         return Poll::Ready(Some(Ok(Frame::data(events))));
                     }
-                    Poll::Ready(RelayStep::Incomplete) => {}
-                    Poll::Ready(RelayStep::Complete) => return self.finish(),
+                    Poll::Ready(RelayStep::NoEvent) => {}
+                    Poll::Ready(RelayStep::End) => return self.finish(),
                     Poll::Ready(RelayStep::Broken(cause)) => {
                         self.record_broken(cause);
                         self.driver.iter_mut().for_each(RequestDriver::record_broken_connection);
@@ -197,15 +197,15 @@
 
     fn poll_reading(&mut self, context: &mut Context<'_>) -> Poll<RelayStep> {
         let RelayState::Reading(reading) = &mut self.state else {
-            return Poll::Ready(RelayStep::Incomplete);
+            return Poll::Ready(RelayStep::NoEvent);
         };
         let frame = ready!(Pin::new(&mut reading.body).poll_frame(context));
         Poll::Ready(match frame {
-            None if self.blocks.is_at_boundary() => RelayStep::Complete,
+            None if self.blocks.is_at_boundary() => RelayStep::End,
             None => RelayStep::Broken("the stream ended within an event"),
             Some(Err(_)) => RelayStep::Broken("the connection broke"),
             Some(Ok(frame)) => match frame.into_data() {
-                Err(_) => RelayStep::Incomplete,
+                Err(_) => RelayStep::NoEvent,
                 Ok(bytes) => self.push_bytes(bytes),
             },
         })
@@ -218,7 +218,7 @@
         self.record_received();
         let passed_on = self.blocks.last_id().map(str::to_owned);
         match self.blocks.push(bytes) {
-            Ok(events) if events.is_empty() => RelayStep::Incomplete,
+            Ok(events) if events.is_empty() => RelayStep::NoEvent,
             Ok(events) if self.has_gap(&events) => {
                 self.blocks.take_back(passed_on);
                 RelayStep::Broken("an event was missing")
@@ -253,12 +253,12 @@
         result: Result<DestinationAnswer, Refusal>,
     ) -> Result<(), &'static str> {
         self.driver = Some(driver);
-        let placed = result.map_err(Refusal::label)?;
-        if placed.answer.head.status != StatusCode::OK {
+        let opened = result.map_err(Refusal::label)?;
+        if opened.answer.head.status != StatusCode::OK {
             return Err("the stream could not be resumed");
         }
         self.last_received = BootInstant::now();
-        self.state = RelayState::Reading(ReadingState::of(placed));
+        self.state = RelayState::Reading(ReadingState::of(opened));
         Ok(())
     }
 
@@ -275,11 +275,11 @@
         else {
             return;
         };
-        if !std::mem::replace(&mut reading.has_begun, true) {
+        if !std::mem::replace(&mut reading.has_received_event, true) {
             reading.load_guard.record_answered();
             driver.record_time_to_first(&reading.destination, reading.expected, reading.sent);
         }
-        if !std::mem::replace(&mut self.has_first, true) {
+        if !std::mem::replace(&mut self.has_sent_event, true) {
             let took = driver.job.record_time_to_first();
             driver.shared.metrics.note_first(&driver.job.route.name, took);
         }
@@ -291,7 +291,7 @@
             return;
         };
         if let (RequestDestination::Upstream(upstream), Some(target_gap), true) =
-            (&reading.destination, driver.job.route.event_gap, reading.has_begun)
+            (&reading.destination, driver.job.route.event_gap, reading.has_received_event)
         {
             let is_long = self.last_received.elapsed() > target_gap;
             if is_long {
@@ -409,7 +409,7 @@
     }
 
     /// Ends a complete stream, and returns the connection to its pool.
-    fn finish(&mut self) -> Poll<Option<Result<Frame<Bytes>, RelayBroken>>> {
+    fn finish(&mut self) -> Poll<Option<Result<Frame<Bytes>, TruncatedStream>>> {
         if let RelayState::Reading(mut reading) =
             std::mem::replace(&mut self.state, RelayState::Ended)
         {
@@ -433,13 +433,16 @@
     }
 
     /// Aborts an incomplete stream by closing the connection to the caller.
-    fn abort(&mut self, cause: &'static str) -> Poll<Option<Result<Frame<Bytes>, RelayBroken>>> {
+    fn abort(
+        &mut self,
+        cause: &'static str,
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedStream>>> {
         self.state = RelayState::Ended;
         if let Some(driver) = &mut self.driver {
             driver.last_fault = Some(cause.to_owned());
         }
         self.record_end(RequestEnd::Cut);
-        Poll::Ready(Some(Err(RelayBroken)))
+        Poll::Ready(Some(Err(TruncatedStream)))
     }
 
     fn record_end(&mut self, end: RequestEnd) {
--- a/crates/foldhaven-gateway/src/upstream.rs
+++ b/crates/foldhaven-gateway/src/upstream.rs
@@ -185,9 +185,9 @@
     /// Returns the rate that applies to this VM now: zero without a valid share, `None` if the
     /// upstream is neither cold nor limited.
     pub fn allowed_rate(&self, now: MonoTime) -> Option<f64> {
-        let is_bounded = self.is_cold(now) || self.is_limited();
+        let is_rate_limited = self.is_cold(now) || self.is_limited();
         let may_send = now.0 < self.rate_share_until.load(Ordering::Relaxed);
-        is_bounded.then(|| if may_send { self.last_rate_share() } else { 0.0 })
+        is_rate_limited.then(|| if may_send { self.last_rate_share() } else { 0.0 })
     }
 
     /// Returns the rate that was last set by [`Upstream::set_rate_share`].
@@ -233,7 +233,7 @@
     }
 
     /// Registers a request of this VM until the guard is dropped.
-    pub fn admit(
+    pub fn register_request(
         self: &Arc<Self>,
         fingerprint: RequestFingerprint,
         clock: MonoClock,
