--- a/crates/foldhaven-gateway/src/answer.rs
+++ b/crates/foldhaven-gateway/src/answer.rs
@@ -91,9 +91,9 @@
         wait: Duration,
     },
     /// its homes leave no region to run in
-    NoHome,
+    NoPermittedRegion,
     /// others know a newer description
-    Behind,
+    Outdated,
     /// no upstream can take it
     NoUpstream,
     /// the upstreams want nothing more for now
@@ -111,7 +111,7 @@
         wait: Duration,
     },
     /// upstreams ended under this request
-    Suspect {
+    Quarantined {
         /// The time until the request may be sent here.
         wait: Duration,
     },
@@ -139,15 +139,15 @@
             Self::NoKey => StatusCode::UNAUTHORIZED,
             Self::OverLimit { .. } => StatusCode::TOO_MANY_REQUESTS,
             Self::NoDescription
-            | Self::Behind
+            | Self::Outdated
             | Self::NoUpstream
             | Self::Throttled { .. }
             | Self::Full
             | Self::Overloaded { .. }
-            | Self::Suspect { .. }
+            | Self::Quarantined { .. }
             | Self::Leaving
             | Self::NotPermitted
-            | Self::NoHome
+            | Self::NoPermittedRegion
             | Self::NotReached => StatusCode::SERVICE_UNAVAILABLE,
             Self::Broken => StatusCode::BAD_GATEWAY,
             Self::TimedOut => StatusCode::GATEWAY_TIMEOUT,
@@ -169,8 +169,8 @@
             Self::NoRoute => "no_route",
             Self::NoKey => "no_key",
             Self::OverLimit { .. } => "over_limit",
-            Self::NoHome => "no_home",
-            Self::Behind => "behind",
+            Self::NoPermittedRegion => "no_home",
+            Self::Outdated => "behind",
             Self::NoUpstream => "no_upstream",
             Self::Throttled { .. } => "held_back",
             Self::Full => "full",
@@ -178,7 +178,7 @@
             Self::Overloaded { cause: AdmissionError::TooMuchInterference, .. } => "too_harmful",
             Self::Overloaded { cause: AdmissionError::Full, .. } => "known_full",
             Self::Overloaded { cause: AdmissionError::TooManyDeferred, .. } => "crowded",
-            Self::Suspect { .. } => "suspect",
+            Self::Quarantined { .. } => "suspect",
             Self::Leaving => "leaving",
             Self::NotPermitted => "not_permitted",
             Self::Broken => "broken",
@@ -191,7 +191,7 @@
     /// 0..1. `None` if a retry is of no use.
     fn retry_after(self, draw: f64) -> Option<Duration> {
         let shortest = match self {
-            Self::NoDescription | Self::Behind | Self::NoUpstream => Duration::from_millis(400),
+            Self::NoDescription | Self::Outdated | Self::NoUpstream => Duration::from_millis(400),
             Self::Full => Duration::from_millis(250),
             // The end of the back-off is known, so callers are spread by a fixed range only.
             Self::Throttled { wait } => {
@@ -200,8 +200,8 @@
                 );
             }
             Self::Overloaded { wait, .. } => wait.max(Duration::from_millis(250)),
-            Self::Suspect { wait } | Self::OverLimit { wait } => wait,
-            Self::NoHome => NO_REGION_RETRY_DELAY,
+            Self::Quarantined { wait } | Self::OverLimit { wait } => wait,
+            Self::NoPermittedRegion => NO_REGION_RETRY_DELAY,
             Self::Leaving | Self::NotReached | Self::NotPermitted => Duration::from_millis(50),
             _ => return None,
         };
--- a/crates/foldhaven-gateway/src/attempts/mod.rs
+++ b/crates/foldhaven-gateway/src/attempts/mod.rs
@@ -293,7 +293,7 @@
     fn check_key(&self, view: &GatewayView) -> Result<(), Refusal> {
         match key_state(&view.routes, &self.job.route, self.job.account.as_ref()) {
             KeyState::Valid => Ok(()),
-            KeyState::Reassigned => Err(Refusal::Behind),
+            KeyState::Reassigned => Err(Refusal::Outdated),
             KeyState::Revoked => Err(Refusal::NoKey),
         }
     }
--- a/crates/foldhaven-gateway/src/attempts/suspicion.rs
+++ b/crates/foldhaven-gateway/src/attempts/suspicion.rs
@@ -41,7 +41,7 @@
 
     fn quarantine_refusal(&self, wait: Duration) -> Refusal {
         self.shared.suspects.note_route(self.job.fingerprint, &self.job.route.name);
-        Refusal::Suspect { wait }
+        Refusal::Quarantined { wait }
     }
 
     /// Waits for the head of an answer, and withdraws the request if it is quarantined meanwhile.
--- a/crates/foldhaven-gateway/src/caller_front.rs
+++ b/crates/foldhaven-gateway/src/caller_front.rs
@@ -97,7 +97,7 @@
     check_head(&head, &limits)?;
     let body = read_body(body, &limits).await?;
     if shared.is_too_far_behind() || !shared.is_awake() {
-        return Err(Refusal::Behind);
+        return Err(Refusal::Outdated);
     }
     // The description may have changed while the body was read.
     let view = shared.view().ok_or(Refusal::NoDescription)?;
@@ -131,7 +131,7 @@
     }
     let credential = take_credential(&mut head.headers, &shared.names);
     find_account(&view.routes, route, credential).map_err(|fault| match fault {
-        KeyFault::Unknown if shared.is_in_doubt() => Refusal::Behind,
+        KeyFault::Unknown if shared.is_in_doubt() => Refusal::Outdated,
         KeyFault::Unknown | KeyFault::Absent => Refusal::NoKey,
     })
 }
@@ -169,7 +169,7 @@
 /// request did not run.
 fn unknown_route_refusal(shared: &GatewayShared) -> Refusal {
     match shared.is_in_doubt() {
-        true => Refusal::Behind,
+        true => Refusal::Outdated,
         false => Refusal::NoRoute,
     }
 }
--- a/crates/foldhaven-gateway/src/destinations/mod.rs
+++ b/crates/foldhaven-gateway/src/destinations/mod.rs
@@ -152,7 +152,7 @@
             (Err(refusal), _) => Err(refusal),
         },
         (None, Some(remote)) => Ok(remote.choice),
-        (None, None) if has_no_permitted_region(shared, job) => Err(Refusal::NoHome),
+        (None, None) if has_no_permitted_region(shared, job) => Err(Refusal::NoPermittedRegion),
         (None, None) => Err(no_destination_refusal(shared, view, job)),
     }
 }
--- a/crates/foldhaven-gateway/src/peer_front.rs
+++ b/crates/foldhaven-gateway/src/peer_front.rs
@@ -95,7 +95,7 @@
     let (mut head, body) = request.into_parts();
     let view = shared.view().ok_or(Refusal::NoDescription)?;
     if shared.is_too_far_behind() || !shared.is_awake() {
-        return Err(Refusal::Behind);
+        return Err(Refusal::Outdated);
     }
     head.headers.remove(headers::VISITED).ok_or(Refusal::NotPermitted)?;
     let service = head.headers.remove(headers::SERVICE).ok_or(Refusal::NotPermitted)?;
