--- a/crates/foldhaven-gateway/src/call.rs
+++ b/crates/foldhaven-gateway/src/call.rs
@@ -174,7 +174,7 @@
         return Err(CallFault::Declined { status: head.status });
     }
     if echoed.is_none() {
-        return Err(CallFault::Broken("the answer carries no attempt id".to_owned()));
+        return Err(CallFault::Broken("an answer that names no request".to_owned()));
     }
     Ok(())
 }
--- a/crates/foldhaven-gateway/src/events.rs
+++ b/crates/foldhaven-gateway/src/events.rs
@@ -163,7 +163,7 @@
                 RelayState::Resuming(resumption) => {
                     let Poll::Ready((driver, result)) = resumption.as_mut().poll(context) else {
                         ready!(self.poll_deadline(context));
-                        return self.abort("the deadline has passed");
+                        return self.abort("the time for it has passed");
                     };
                     if let Err(cause) = self.apply_resumption(driver, result) {
                         return self.abort(cause);
@@ -202,8 +202,8 @@
         let frame = ready!(Pin::new(&mut reading.body).poll_frame(context));
         Poll::Ready(match frame {
             None if self.blocks.is_at_boundary() => RelayStep::End,
-            None => RelayStep::Broken("the stream ended within an event"),
-            Some(Err(_)) => RelayStep::Broken("the connection broke"),
+            None => RelayStep::Broken("it ended within an event"),
+            Some(Err(_)) => RelayStep::Broken("its connection broke"),
             Some(Ok(frame)) => match frame.into_data() {
                 Err(_) => RelayStep::NoEvent,
                 Ok(bytes) => self.push_bytes(bytes),
@@ -255,7 +255,7 @@
         self.driver = Some(driver);
         let opened = result.map_err(Refusal::label)?;
         if opened.answer.head.status != StatusCode::OK {
-            return Err("the stream could not be resumed");
+            return Err("it could not be resumed");
         }
         self.last_received = BootInstant::now();
         self.state = RelayState::Reading(ReadingState::of(opened));
@@ -376,12 +376,12 @@
             ready!(self.timer.as_mut().poll(context));
             let now = BootInstant::now();
             if now >= self.deadline {
-                return Poll::Ready(Some("the deadline has passed"));
+                return Poll::Ready(Some("the time for it has passed"));
             }
             let stalled_at =
                 self.stall_timeout.map(|stall_timeout| self.last_received + stall_timeout);
             if stalled_at.is_some_and(|until| now >= until) {
-                return Poll::Ready(Some("no data arrived for too long"));
+                return Poll::Ready(Some("it was silent for too long"));
             }
             let wake = stalled_at.map_or(self.deadline, |until| until.min(self.deadline));
             self.timer.reset(wake);
