--- a/crates/foldhaven-gateway/src/answer.rs
+++ b/crates/foldhaven-gateway/src/answer.rs
@@ -1,4 +1,4 @@
-//! The bodies of answers, and the answers that the gateway makes itself.
+//! The bodies of answers, and the refusals that the gateway sends itself.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -10,36 +10,37 @@
 use http::{HeaderValue, Response, StatusCode};
 use http_body::{Body, Frame, SizeHint};
 
-use crate::events::{EventRelay, RelayBroken};
+use crate::events::{EventRelay, TruncatedStream};
 
-/// When the caller of a request comes back whose homes leave no region: not before operators have changed them.
-const NO_HOME_PAUSE: Duration = Duration::from_secs(5);
+/// Retry delay for a request whose residency rules permit no region. A retry fails until operators
+/// have changed the rules.
+const NO_REGION_RETRY_DELAY: Duration = Duration::from_secs(5);
 
 /// The body of an answer.
 pub enum AnswerBody {
-    /// All of it.
-    Whole(Option<Bytes>),
-    /// Events that are passed on as they come.
+    /// A complete body. `None` once it was sent.
+    Complete(Option<Bytes>),
+    /// Events that are relayed as they arrive.
     Events(Box<EventRelay>),
 }
 
 impl AnswerBody {
-    /// A body that is there.
-    pub fn whole(bytes: impl Into<Bytes>) -> Self {
-        Self::Whole(Some(bytes.into()))
+    /// Creates a body from bytes.
+    pub fn from_bytes(bytes: impl Into<Bytes>) -> Self {
+        Self::Complete(Some(bytes.into()))
     }
 }
 
 impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = RelayBroken;
+    type Error = TruncatedStream;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, RelayBroken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedStream>>> {
         match self.get_mut() {
-            Self::Whole(bytes) => {
+            Self::Complete(bytes) => {
                 let taken = bytes.take().filter(|bytes| !bytes.is_empty());
                 Poll::Ready(taken.map(|bytes| Ok(Frame::data(bytes))))
             }
@@ -48,26 +49,28 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Self::Whole(None))
+        matches!(self, Self::Complete(None))
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, Bytes::len) as u64),
+            Self::Complete(bytes) => {
+                SizeHint::with_exact(bytes.as_ref().map_or(0, Bytes::len) as u64)
+            }
             Self::Events(_) => SizeHint::default(),
         }
     }
 }
 
-/// The shortest time after which callers come back whose upstreams want nothing more for now.
-const SHORTEST_HELD_BACK: Duration = Duration::from_millis(250);
-/// By how much they are spread.
-const HELD_BACK_SPREAD: Duration = Duration::from_millis(500);
+/// Minimum retry delay while all upstreams are throttled.
+const MIN_THROTTLED_RETRY_DELAY: Duration = Duration::from_millis(250);
+/// Range over which these retries are spread.
+const THROTTLED_RETRY_SPREAD: Duration = Duration::from_millis(500);
 
-/// An answer.
+/// An answer to a request.
 pub type Answer = Response<AnswerBody>;
 
-/// Why the gateway itself answers a request.
+/// Why the gateway refuses a request. The text of each variant is the body of the answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display)]
 pub enum Refusal {
     /// no description yet
@@ -84,32 +87,32 @@
     NoKey,
     /// the account is over its limit
     OverLimit {
-        /// When it probably is not.
+        /// The time until the account is probably below its limit.
         wait: Duration,
     },
     /// its homes leave no region to run in
-    NoHome,
+    NoPermittedRegion,
     /// others know a newer description
-    Behind,
+    Outdated,
     /// no upstream can take it
     NoUpstream,
     /// the upstreams want nothing more for now
-    HeldBack {
-        /// When one of them probably does.
+    Throttled {
+        /// The time until one of them probably accepts requests.
         wait: Duration,
     },
     /// the upstreams are full
     Full,
     /// the upstreams are overloaded
     Overloaded {
-        /// Why it was not sent to the best of them.
+        /// Why the request was not sent to the best of them.
         cause: AdmissionError,
-        /// After which time one probably could.
+        /// The time until it probably can be.
         wait: Duration,
     },
     /// upstreams ended under this request
-    Suspect {
-        /// When it may be tried here.
+    Quarantined {
+        /// The time until the request may be sent here.
         wait: Duration,
     },
     /// this VM is leaving
@@ -125,7 +128,8 @@
 }
 
 impl Refusal {
-    /// The status that goes with it. 408, 421, 429 and 503 promise that nothing has run.
+    /// Returns the status of the answer. 408, 421, 429 and 503 guarantee that the request did not
+    /// run.
     pub fn status(self) -> StatusCode {
         match self {
             Self::Malformed => StatusCode::BAD_REQUEST,
@@ -135,27 +139,27 @@
             Self::NoKey => StatusCode::UNAUTHORIZED,
             Self::OverLimit { .. } => StatusCode::TOO_MANY_REQUESTS,
             Self::NoDescription
-            | Self::Behind
+            | Self::Outdated
             | Self::NoUpstream
-            | Self::HeldBack { .. }
+            | Self::Throttled { .. }
             | Self::Full
             | Self::Overloaded { .. }
-            | Self::Suspect { .. }
+            | Self::Quarantined { .. }
             | Self::Leaving
             | Self::NotPermitted
-            | Self::NoHome
+            | Self::NoPermittedRegion
             | Self::NotReached => StatusCode::SERVICE_UNAVAILABLE,
             Self::Broken => StatusCode::BAD_GATEWAY,
             Self::TimedOut => StatusCode::GATEWAY_TIMEOUT,
         }
     }
 
-    /// Whether its status promises that nothing has run.
-    pub fn promises_unrun(self) -> bool {
+    /// Whether the status guarantees that the request did not run.
+    pub fn guarantees_not_run(self) -> bool {
         matches!(self.status().as_u16(), 408 | 421 | 429 | 503)
     }
 
-    /// The name in logs and metrics.
+    /// Returns the name in logs and metrics.
     pub fn label(self) -> &'static str {
         match self {
             Self::NoDescription => "no_description",
@@ -165,16 +169,16 @@
             Self::NoRoute => "no_route",
             Self::NoKey => "no_key",
             Self::OverLimit { .. } => "over_limit",
-            Self::NoHome => "no_home",
-            Self::Behind => "behind",
+            Self::NoPermittedRegion => "no_home",
+            Self::Outdated => "behind",
             Self::NoUpstream => "no_upstream",
-            Self::HeldBack { .. } => "held_back",
+            Self::Throttled { .. } => "held_back",
             Self::Full => "full",
             Self::Overloaded { cause: AdmissionError::TooLate, .. } => "overloaded",
             Self::Overloaded { cause: AdmissionError::TooMuchInterference, .. } => "too_harmful",
             Self::Overloaded { cause: AdmissionError::Full, .. } => "known_full",
             Self::Overloaded { cause: AdmissionError::TooManyDeferred, .. } => "crowded",
-            Self::Suspect { .. } => "suspect",
+            Self::Quarantined { .. } => "suspect",
             Self::Leaving => "leaving",
             Self::NotPermitted => "not_permitted",
             Self::Broken => "broken",
@@ -183,34 +187,37 @@
         }
     }
 
-    /// When the caller should come back, spread over callers by `draw` in 0..1.
-    fn come_back(self, draw: f64) -> Option<Duration> {
+    /// Returns the delay after which the caller should retry, spread over callers by `draw` in
+    /// 0..1. `None` if a retry is of no use.
+    fn retry_after(self, draw: f64) -> Option<Duration> {
         let shortest = match self {
-            Self::NoDescription | Self::Behind | Self::NoUpstream => Duration::from_millis(400),
+            Self::NoDescription | Self::Outdated | Self::NoUpstream => Duration::from_millis(400),
             Self::Full => Duration::from_millis(250),
-            // The time is known, so that callers are spread a little only.
-            Self::HeldBack { wait } => {
-                return Some(wait.max(SHORTEST_HELD_BACK) + HELD_BACK_SPREAD.mul_f64(draw));
+            // The end of the back-off is known, so callers are spread by a fixed range only.
+            Self::Throttled { wait } => {
+                return Some(
+                    wait.max(MIN_THROTTLED_RETRY_DELAY) + THROTTLED_RETRY_SPREAD.mul_f64(draw),
+                );
             }
             Self::Overloaded { wait, .. } => wait.max(Duration::from_millis(250)),
-            Self::Suspect { wait } | Self::OverLimit { wait } => wait,
-            Self::NoHome => NO_HOME_PAUSE,
+            Self::Quarantined { wait } | Self::OverLimit { wait } => wait,
+            Self::NoPermittedRegion => NO_REGION_RETRY_DELAY,
             Self::Leaving | Self::NotReached | Self::NotPermitted => Duration::from_millis(50),
             _ => return None,
         };
         Some(shortest.mul_f64(1.0 + draw))
     }
 
-    /// The answer.
+    /// Returns the answer for the caller.
     pub fn answer(self) -> Answer {
-        let mut answer = Response::new(AnswerBody::whole(self.to_string()));
+        let mut answer = Response::new(AnswerBody::from_bytes(self.to_string()));
         *answer.status_mut() = self.status();
         let headers = answer.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
         if self == Self::NoKey {
             headers.insert(WWW_AUTHENTICATE, HeaderValue::from_static("Bearer"));
         }
-        if let Some(span) = self.come_back(rand::random()) {
+        if let Some(span) = self.retry_after(rand::random()) {
             let text = format!("{:.2}", span.as_secs_f64());
             headers.insert(RETRY_AFTER, HeaderValue::from_str(&text).expect("digits and a dot"));
         }
@@ -218,18 +225,18 @@
     }
 }
 
-/// Asks the caller to close the connection after an answer.
+/// Asks the caller to close the connection after this answer.
 pub fn close_after(answer: &mut Answer) {
     answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
 }
 
-/// An answer with a body of a content type.
+/// Creates an answer with a body of the given content type.
 pub fn body_answer(
     status: StatusCode,
     content_type: &'static str,
     body: impl Into<Bytes>,
 ) -> Answer {
-    let mut answer = Response::new(AnswerBody::whole(body));
+    let mut answer = Response::new(AnswerBody::from_bytes(body));
     *answer.status_mut() = status;
     answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
     answer
--- a/crates/foldhaven-gateway/src/call.rs
+++ b/crates/foldhaven-gateway/src/call.rs
@@ -1,4 +1,5 @@
-//! One call to an upstream or another VM, and what its end says of the work behind it.
+//! Sends one call to an upstream or another VM, and classifies how it ended: whether the request
+//! may have run.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,72 +16,74 @@
 use crate::connection::{Connection, ConnectionPool};
 use crate::names::HeaderNames;
 
-/// The largest answer that is taken whole, in bytes.
-const MAX_WHOLE_BYTES: usize = 16 << 20;
-/// How much shorter than its peer says a connection is kept, so that both do not act at once.
-const KEPT_SHARE: f64 = 0.8;
-/// How many kept connections are tried before a new one is opened.
-const KEPT_TRIES: usize = 3;
+/// Maximum size of an answer that is read into memory, in bytes.
+const MAX_ANSWER_BYTES: usize = 16 << 20;
+/// Share of the keep-alive timeout of the peer for which a connection is kept. A request sent at
+/// the moment at which the peer closes the connection would fail.
+const KEEP_ALIVE_SHARE: f64 = 0.8;
+/// Maximum number of pooled connections that are tried before a new one is opened.
+const MAX_REUSE_ATTEMPTS: usize = 3;
 
-/// How a call failed, by what that says of the work behind it.
+/// How a call failed. The variants differ in whether the request may have run.
 #[derive(Debug, Clone, displaydoc::Display, thiserror::Error)]
 pub enum CallFault {
     /// not sent: {0}
     NotSent(String),
     /// declined with status {status}
     Declined {
-        /// The status of the answer that says so.
+        /// The status of the answer.
         status: StatusCode,
     },
     /// broken after it may have started: {0}
     Broken(String),
-    /// nothing at all was heard of the upstream
-    Silent,
+    /// nothing was received from the upstream
+    Unresponsive,
     /// no answer in time
     TimedOut,
-    /// called back, since upstreams ended under it meanwhile
-    CalledBack,
+    /// withdrawn, since the request was quarantined meanwhile
+    Withdrawn,
 }
 
 impl CallFault {
-    /// Whether no upstream of the service got the request: nobody did, or another process at the address
-    /// of the one that was meant.
-    pub fn is_unmet(&self) -> bool {
+    /// Whether no upstream of the service received the request: it was not sent, or it reached
+    /// another process at the address of the intended one.
+    pub fn is_undelivered(&self) -> bool {
         matches!(self, Self::NotSent(_)) || self.is_misdirected()
     }
 
-    /// Whether another process at the address of the one that was meant got the request, and declined.
+    /// Whether the request reached another process at the address of the intended one, which
+    /// declined it.
     pub fn is_misdirected(&self) -> bool {
         matches!(self, Self::Declined { status } if *status == StatusCode::MISDIRECTED_REQUEST)
     }
 
-    /// Whether the upstream said that it has as many requests as it takes.
+    /// Whether the upstream declined the request because it is full.
     pub fn is_full(&self) -> bool {
         matches!(self, Self::Declined { status } if *status == StatusCode::SERVICE_UNAVAILABLE)
     }
 
-    /// Whether the work behind the call may have been done.
+    /// Whether the request may have run.
     pub fn may_have_run(&self) -> bool {
-        matches!(self, Self::Broken(_) | Self::Silent | Self::TimedOut | Self::CalledBack)
+        matches!(self, Self::Broken(_) | Self::Unresponsive | Self::TimedOut | Self::Withdrawn)
     }
 }
 
-/// Hears the head of each answer that a call brings, whatever becomes of it.
+/// Receives the head of each answer, also if the answer is then rejected.
 pub trait HeadListener: Send + Sync {
-    /// Takes in the head of an answer.
-    fn hear(&self, head: &Parts);
+    /// Processes the head of an answer.
+    fn on_head(&self, head: &Parts);
 }
 
-/// Where a call goes.
+/// The target of a call.
 pub struct CallTarget<'a> {
     pub address: SocketAddr,
     pub pool: &'a ConnectionPool,
     pub connect_limit: Duration,
-    /// Hears what the peer says in its answers.
+    /// Receives the heads of the answers.
     pub listener: &'a dyn HeadListener,
 }
 
-/// An answer whose head has come and belongs to the request.
+/// An answer whose head was received and checked, with its unread body.
 pub struct OpenAnswer {
     pub head: Parts,
     pub body: Incoming,
@@ -89,22 +92,22 @@
 }
 
 impl OpenAnswer {
-    /// Splits the answer for passing its body on; the lease gives the connection back.
+    /// Splits the answer into head, body, and the lease that returns its connection to the pool.
     pub fn into_parts(self) -> (Parts, Incoming, ConnectionLease) {
         let lease = ConnectionLease { connection: self.connection, keep_for: self.keep_for };
         (self.head, self.body, lease)
     }
 }
 
-/// A connection whose answer is being read. Dropping it closes the connection.
+/// A connection whose answer is being read. Dropping the lease closes the connection.
 pub struct ConnectionLease {
     connection: Connection,
     keep_for: Option<Duration>,
 }
 
 impl ConnectionLease {
-    /// Keeps the connection for further requests, after the answer was read to its end.
-    pub fn give_back(self, pool: &ConnectionPool) {
+    /// Returns the connection to the pool, after the answer was read to its end.
+    pub fn return_to_pool(self, pool: &ConnectionPool) {
         pool.put(self.connection, self.keep_for);
     }
 }
@@ -121,9 +124,9 @@
     let (response, connection) =
         timeout_at(deadline, opening).await.map_err(|_| CallFault::TimedOut)??;
     let (head, body) = response.into_parts();
-    target.listener.hear(&head);
-    judge_head(&head, attempt.as_ref(), names)?;
-    let keep_for = keep_time(&head);
+    target.listener.on_head(&head);
+    validate_head(&head, attempt.as_ref(), names)?;
+    let keep_for = keep_alive_time(&head);
     Ok(OpenAnswer { head, body, connection, keep_for })
 }
 
@@ -131,12 +134,12 @@
     target: &CallTarget<'_>,
     mut request: Request<Full<Bytes>>,
 ) -> Result<(http::Response<Incoming>, Connection), CallFault> {
-    for _ in 0..KEPT_TRIES {
+    for _ in 0..MAX_REUSE_ATTEMPTS {
         let Some(mut connection) = target.pool.take() else { break };
         match connection.sender.try_send_request(request).await {
             Ok(response) => return Ok((response, connection)),
             Err(mut error) => match error.take_message() {
-                // The connection had ended before a byte of the request left.
+                // The connection was closed before any byte of the request was sent.
                 Some(unsent) => request = unsent,
                 None => return Err(CallFault::Broken(error_text(error.error()))),
             },
@@ -153,8 +156,8 @@
     }
 }
 
-/// Checks that an answer belongs to the request, and whether it says that nothing ran.
-fn judge_head(
+/// Checks that an answer belongs to the request and does not declare that the request did not run.
+fn validate_head(
     head: &Parts,
     attempt: Option<&HeaderValue>,
     names: &HeaderNames,
@@ -176,24 +179,25 @@
     Ok(())
 }
 
-/// How long the peer keeps the connection, where it says so.
-fn keep_time(head: &Parts) -> Option<Duration> {
+/// Returns how long to keep the connection, by the keep-alive timeout of the peer. `None` if it
+/// names none.
+fn keep_alive_time(head: &Parts) -> Option<Duration> {
     let text = head.headers.get("keep-alive")?.to_str().ok()?;
     let seconds = text.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
-    Some(Duration::from_secs_f64(seconds.parse::<f64>().ok()? * KEPT_SHARE))
+    Some(Duration::from_secs_f64(seconds.parse::<f64>().ok()? * KEEP_ALIVE_SHARE))
 }
 
-/// Reads an answer to its end, and keeps its connection.
-pub async fn read_whole(
+/// Reads an answer to its end, and returns its connection to the pool.
+pub async fn read_complete(
     answer: OpenAnswer,
     pool: &ConnectionPool,
     deadline: BootInstant,
 ) -> Result<(Parts, Bytes), CallFault> {
     let (head, body, lease) = answer.into_parts();
-    let collecting = Limited::new(body, MAX_WHOLE_BYTES).collect();
+    let collecting = Limited::new(body, MAX_ANSWER_BYTES).collect();
     let collected = timeout_at(deadline, collecting).await;
     let collected = collected.map_err(|_| CallFault::TimedOut)?;
     let bytes = collected.map_err(|error| CallFault::Broken(error.to_string()))?.to_bytes();
-    lease.give_back(pool);
+    lease.return_to_pool(pool);
     Ok((head, bytes))
 }
--- a/crates/foldhaven-gateway/src/caller_front.rs
+++ b/crates/foldhaven-gateway/src/caller_front.rs
@@ -1,4 +1,4 @@
-//! Takes the requests of callers, and tells the platform whether this daemon is ready.
+//! Handles the requests of callers, and reports to the platform whether this daemon is ready.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,266 +10,269 @@
 use hyper::body::Incoming;
 
 use crate::answer::{Answer, AnswerBody, Refusal, body_answer, close_after};
-use crate::attempts::{AnswerStart, RequestDriver, WholeAnswer};
+use crate::attempts::{AnswerStart, CompleteAnswer, RequestDriver};
 use crate::clock::BootInstant;
 use crate::credential::{JobAccount, KeyFault, find_account, take_credential};
 use crate::events::EventRelay;
 use crate::front::FrontHandler;
 use crate::job::{
-    CallerTerms, GatewayJob, ReadRequest, RoutedPlace, check_head, host_of, read_body, read_terms,
-    read_token_sum, remove_connection_headers,
+CallerTerms, GatewayJob, ReadRequest, RouteMatch, check_head, host_of, read_body, read_terms,
+read_total_tokens, remove_connection_headers,
 };
 use crate::metrics::RequestEnd;
 use crate::shared::GatewayShared;
 use crate::view::GatewayView;
 
-/// How long a connection may rest before anything is described; callers that came so early come back.
-const UNDESCRIBED_LIMIT: Duration = Duration::from_secs(20);
+/// Idle limit of connections before the first description. Callers that connect that early
+/// reconnect.
+const HEAD_LIMIT_WITHOUT_DESCRIPTION: Duration = Duration::from_secs(20);
 
-/// The shortest time after which a caller over a limit is told to come back.
-const LEAST_LIMIT_WAIT: Duration = Duration::from_millis(100);
+/// Minimum retry delay for a caller over its limit.
+const MIN_LIMIT_WAIT: Duration = Duration::from_millis(100);
 
-/// Answers callers.
+/// Answers the requests of callers.
 pub struct CallerHandler {
-    pub shared: Arc<GatewayShared>,
+pub shared: Arc<GatewayShared>,
 }
 
 #[async_trait]
 impl FrontHandler for CallerHandler {
-    async fn handle(&self, request: Request<Incoming>) -> Answer {
-        let attempt = request.headers().get(&self.shared.names.attempt).cloned();
-        match read_job(&self.shared, request).await {
-            Ok(job) => {
-                self.shared.record_request(&job.service, job.size());
-                run_job(self.shared.clone(), job).await
-            }
-            Err(refusal) => {
-                self.shared.metrics.count_event(refusal.label());
-                log_unread(&self.shared, attempt.as_ref(), refusal);
-                let mut answer = refusal.answer();
-                if matches!(refusal, Refusal::Malformed | Refusal::BodyTooLarge) {
-                    // What follows on the connection may belong to the refused request.
-                    close_after(&mut answer);
-                }
-                answer
-            }
-        }
-    }
+async fn handle(&self, request: Request<Incoming>) -> Answer {
+let attempt = request.headers().get(&self.shared.names.attempt).cloned();
+match read_job(&self.shared, request).await {
+Ok(job) => {
+self.shared.record_request(&job.service, job.size());
+run_job(self.shared.clone(), job).await
+}
+Err(refusal) => {
+self.shared.metrics.count_event(refusal.label());
+log_early_refusal(&self.shared, attempt.as_ref(), refusal);
+let mut answer = refusal.answer();
+if matches!(refusal, Refusal::Malformed | Refusal::BodyTooLarge) {
+// The next bytes on the connection may belong to the refused request.
+close_after(&mut answer);
+}
+answer
+}
+}
+}
 
-    fn head_limit(&self) -> Duration {
-        let described = self.shared.view().map(|view| view.routes.description().limits);
-        described.map_or(UNDESCRIBED_LIMIT, |limits| limits.idle_time + limits.header_time)
-    }
+fn head_limit(&self) -> Duration {
+let described = self.shared.view().map(|view| view.routes.description().limits);
+described
+.map_or(HEAD_LIMIT_WITHOUT_DESCRIPTION, |limits| limits.idle_time + limits.header_time)
+}
 }
 
-/// Logs why a request was refused before a place was looked for.
-fn log_unread(shared: &GatewayShared, attempt: Option<&HeaderValue>, refusal: Refusal) {
-    // Those over the limit of their account have a line of their own.
-    let is_plain = matches!(refusal, Refusal::NoRoute | Refusal::NoKey);
-    if matches!(refusal, Refusal::OverLimit { .. }) || !shared.quota.take(is_plain) {
-        return;
-    }
-    let behind = shared.lag();
-    tracing::info!(
-        request = attempt.and_then(|id| id.to_str().ok()).unwrap_or("unreadable"),
-        refusal = refusal.label(),
-        status = refusal.status().as_u16(),
-        described_ms = shared.time_since_first_view().as_millis() as u64,
-        awake = shared.is_awake(),
-        belief_age_ms = shared.staleness().as_millis() as u64,
-        behind_ms = behind.map(|it| shared.now().since(it.since).as_millis() as u64),
-        behind_near = behind.map(|it| it.is_local),
-        "refused before a place was looked for"
-    );
+/// Logs why a request was refused before a destination was chosen.
+fn log_early_refusal(shared: &GatewayShared, attempt: Option<&HeaderValue>, refusal: Refusal) {
+// Requests over the limit of their account are logged separately.
+let is_plain = matches!(refusal, Refusal::NoRoute | Refusal::NoKey);
+if matches!(refusal, Refusal::OverLimit { .. }) || !shared.quota.take(is_plain) {
+return;
+}
+let behind = shared.lag();
+tracing::info!(
+request = attempt.and_then(|id| id.to_str().ok()).unwrap_or("unreadable"),
+refusal = refusal.label(),
+status = refusal.status().as_u16(),
+described_ms = shared.time_since_first_view().as_millis() as u64,
+awake = shared.is_awake(),
+belief_age_ms = shared.staleness().as_millis() as u64,
+behind_ms = behind.map(|it| shared.now().since(it.since).as_millis() as u64),
+behind_near = behind.map(|it| it.is_local),
+"request refused before a destination was chosen"
+);
 }
 
-/// Reads a request of a caller.
+/// Reads and checks a request of a caller.
 async fn read_job(
-    shared: &GatewayShared,
-    request: Request<Incoming>,
+shared: &GatewayShared,
+request: Request<Incoming>,
 ) -> Result<GatewayJob, Refusal> {
-    let started = BootInstant::now();
-    let (mut head, body) = request.into_parts();
-    let view = shared.view().ok_or(Refusal::NoDescription)?;
-    let limits = view.routes.description().limits;
-    check_head(&head, &limits)?;
-    let body = read_body(body, &limits).await?;
-    if shared.is_too_far_behind() || !shared.is_awake() {
-        return Err(Refusal::Behind);
-    }
-    // The description may have changed while the body came.
-    let view = shared.view().ok_or(Refusal::NoDescription)?;
-    let host = host_of(&head).ok_or(Refusal::Malformed)?;
-    let route = view.routes.find(host, head.uri.path());
-    let route = route.ok_or_else(|| unknown_route(shared))?.clone();
-    let account = identify(shared, &view, &route, &mut head)?;
-    let terms = read_terms(&head, &shared.names)?;
-    let waited = shared.record_caller_timeout(&route.name, terms.remaining);
-    let terms = CallerTerms { remaining: terms.remaining.min(route.timeout), waited, ..terms };
-    let service = route.pick_service(rand::random()).ok_or(Refusal::NoRoute)?.clone();
-    let account = match account {
-        Some(account) => Some(charge(shared, account, &head)?),
-        None => None,
-    };
-    let request = ReadRequest { head, body, started };
-    let place = RoutedPlace { route, service, account };
-    Ok(request.into_job(place, terms, &shared.names))
+let started = BootInstant::now();
+let (mut head, body) = request.into_parts();
+let view = shared.view().ok_or(Refusal::NoDescription)?;
+let limits = view.routes.description().limits;
+check_head(&head, &limits)?;
+let body = read_body(body, &limits).await?;
+if shared.is_too_far_behind() || !shared.is_awake() {
+return Err(Refusal::Outdated);
+}
+// The description may have changed while the body was read.
+let view = shared.view().ok_or(Refusal::NoDescription)?;
+let host = host_of(&head).ok_or(Refusal::Malformed)?;
+let route = view.routes.find(host, head.uri.path());
+let route = route.ok_or_else(|| unknown_route_refusal(shared))?.clone();
+let account = identify_account(shared, &view, &route, &mut head)?;
+let terms = read_terms(&head, &shared.names)?;
+let waited = shared.record_caller_timeout(&route.name, terms.remaining);
+let terms = CallerTerms { remaining: terms.remaining.min(route.timeout), waited, ..terms };
+let service = route.pick_service(rand::random()).ok_or(Refusal::NoRoute)?.clone();
+let account = match account {
+Some(account) => Some(charge(shared, account, &head)?),
+None => None,
+};
+let request = ReadRequest { head, body, started };
+let route_match = RouteMatch { route, service, account };
+Ok(request.into_job(route_match, terms, &shared.names))
 }
 
-/// Finds the account of a request, and takes its key out. A VM that knows that others know more, or that has not heard
-/// of the platform for long, cannot say that a key is of no account.
-fn identify(
-    shared: &GatewayShared,
-    view: &GatewayView,
-    route: &OpaqueRoute,
-    head: &mut Parts,
+/// Finds the account of a request, and removes the key from its headers. A VM that knows that other
+/// VMs have a newer revision, or whose platform state is stale, cannot tell that a key is unknown.
+fn identify_account(
+shared: &GatewayShared,
+view: &GatewayView,
+route: &OpaqueRoute,
+head: &mut Parts,
 ) -> Result<Option<JobAccount>, Refusal> {
-    if !view.routes.accounts().is_described() {
-        return Ok(None);
-    }
-    let credential = take_credential(&mut head.headers, &shared.names);
-    find_account(&view.routes, route, credential).map_err(|fault| match fault {
-        KeyFault::Unknown if shared.is_possibly_outdated() => Refusal::Behind,
-        KeyFault::Unknown | KeyFault::Absent => Refusal::NoKey,
-    })
+if !view.routes.accounts().is_described() {
+return Ok(None);
+}
+let credential = take_credential(&mut head.headers, &shared.names);
+find_account(&view.routes, route, credential).map_err(|fault| match fault {
+KeyFault::Unknown if shared.is_possibly_outdated() => Refusal::Outdated,
+KeyFault::Unknown | KeyFault::Absent => Refusal::NoKey,
+})
 }
 
-/// Counts a request for the limit of its account. One that is over it is refused at once.
+/// Charges a request to the limit of its account. A request over the limit is refused at once.
 fn charge(
-    shared: &GatewayShared,
-    account: JobAccount,
-    head: &Parts,
+shared: &GatewayShared,
+account: JobAccount,
+head: &Parts,
 ) -> Result<JobAccount, Refusal> {
-    let Some(limit) = account.account.limit else { return Ok(account) };
-    let cost = limit.cost(read_token_sum(head, &shared.names));
-    let asked =
-        shared.accounts.try_acquire(&account.account, &limit, cost, shared.started(), shared.now());
-    let Err(over) = asked else { return Ok(JobAccount { cost: Some(cost), ..account }) };
-    if shared.quota.take(false) {
-        let id = head.headers.get(&shared.names.attempt).and_then(|id| id.to_str().ok());
-        tracing::info!(
-            request = id.unwrap_or("unreadable"),
-            account = %account.account.name,
-            cost,
-            per_s = limit.per_s,
-            burst = limit.burst,
-            part_per_s = over.share.per_s,
-            part_age_ms = over.share_age.as_millis() as u64,
-            level = over.level,
-            view = ?shared.accounts.view(),
-            wait_ms = over.wait.as_millis() as u64,
-            "over the limit of its account"
-        );
-    }
-    Err(Refusal::OverLimit { wait: over.wait.max(LEAST_LIMIT_WAIT) })
+let Some(limit) = account.account.limit else { return Ok(account) };
+let cost = limit.cost(read_total_tokens(head, &shared.names));
+let asked =
+shared.accounts.try_acquire(&account.account, &limit, cost, shared.started(), shared.now());
+let Err(over) = asked else { return Ok(JobAccount { cost: Some(cost), ..account }) };
+if shared.quota.take(false) {
+let id = head.headers.get(&shared.names.attempt).and_then(|id| id.to_str().ok());
+tracing::info!(
+request = id.unwrap_or("unreadable"),
+account = %account.account.name,
+cost,
+per_s = limit.per_s,
+burst = limit.burst,
+part_per_s = over.share.per_s,
+part_age_ms = over.share_age.as_millis() as u64,
+level = over.level,
+view = ?shared.accounts.view(),
+wait_ms = over.wait.as_millis() as u64,
+"over the limit of its account"
+);
+}
+Err(Refusal::OverLimit { wait: over.wait.max(MIN_LIMIT_WAIT) })
 }
 
-/// What is said of a route that is not known. A VM that knows that others know more says no more than that
-/// nothing has run.
-fn unknown_route(shared: &GatewayShared) -> Refusal {
-    match shared.is_possibly_outdated() {
-        true => Refusal::Behind,
-        false => Refusal::NoRoute,
-    }
+/// Returns the refusal for an unknown route. A VM that may lack the route only guarantees that the
+/// request did not run.
+fn unknown_route_refusal(shared: &GatewayShared) -> Refusal {
+match shared.is_possibly_outdated() {
+true => Refusal::Outdated,
+false => Refusal::NoRoute,
+}
 }
 
-/// Runs a request and gives its answer.
+/// Runs a request and returns its answer.
 pub async fn run_job(shared: Arc<GatewayShared>, job: GatewayJob) -> Answer {
-    let in_flight = shared.start_request();
-    let mut driver = EndNote { driver: Some(RequestDriver::new(shared, job)) };
-    let placed = match driver.get().run().await {
-        Ok(AnswerStart::Events(placed)) => placed,
-        Ok(AnswerStart::Whole(whole)) => return driver.end_whole(whole),
-        Err(refusal) => return driver.end_refused(refusal),
-    };
-    let head = &placed.answer.head;
-    let mut answer = answer_with(head.status, head.headers.clone());
-    *answer.body_mut() =
-        AnswerBody::Events(Box::new(EventRelay::new(driver.release(), placed, in_flight)));
-    answer
+let in_flight = shared.start_request();
+let mut recorder = EndRecorder { driver: Some(RequestDriver::new(shared, job)) };
+let opened = match recorder.get().run().await {
+Ok(AnswerStart::Events(opened)) => opened,
+Ok(AnswerStart::Complete(complete)) => return recorder.end_answered(complete),
+Err(refusal) => return recorder.end_refused(refusal),
+};
+let head = &opened.answer.head;
+let mut answer = answer_with(head.status, head.headers.clone());
+*answer.body_mut() =
+AnswerBody::Events(Box::new(EventRelay::new(recorder.release(), opened, in_flight)));
+answer
 }
 
 fn answer_with(status: StatusCode, mut headers: HeaderMap) -> Answer {
-    remove_connection_headers(&mut headers);
-    headers.remove(http::header::CONTENT_LENGTH);
-    let mut answer = Response::new(AnswerBody::Whole(None));
-    *answer.status_mut() = status;
-    *answer.headers_mut() = headers;
-    answer
+remove_connection_headers(&mut headers);
+headers.remove(http::header::CONTENT_LENGTH);
+let mut answer = Response::new(AnswerBody::Complete(None));
+*answer.status_mut() = status;
+*answer.headers_mut() = headers;
+answer
 }
 
-/// Notes the end of a request, also when its caller leaves and the work on it is dropped.
-struct EndNote {
-    driver: Option<RequestDriver>,
+/// Records the end of a request, also if its caller disconnects and its future is dropped.
+struct EndRecorder {
+driver: Option<RequestDriver>,
 }
 
-impl EndNote {
-    fn get(&mut self) -> &mut RequestDriver {
-        self.driver.as_mut().expect("it was not released")
-    }
+impl EndRecorder {
+fn get(&mut self) -> &mut RequestDriver {
+self.driver.as_mut().expect("the driver was not released")
+}
 
-    fn release(&mut self) -> RequestDriver {
-        self.driver.take().expect("it was not released before")
-    }
+fn release(&mut self) -> RequestDriver {
+self.driver.take().expect("the driver was not released before")
+}
 
-    fn end_whole(&mut self, whole: WholeAnswer) -> Answer {
-        let mut driver = self.release();
-        let is_failure = whole.is_failure();
-        let WholeAnswer { head, body } = whole;
-        // These promise that nothing ran, which only the gateway or a declining upstream can say.
-        let is_false_promise = matches!(head.status.as_u16(), 408 | 421 | 429 | 503);
-        if is_false_promise {
-            driver.note_end(RequestEnd::Refused(Refusal::Broken.label()));
-            return Refusal::Broken.answer();
-        }
-        let end = match is_failure {
-            true => RequestEnd::FailedUpstream,
-            false => RequestEnd::Served,
-        };
-        let took = driver.job.note_first();
-        driver.shared.metrics.record_time_to_first(&driver.job.route.name, took);
-        driver.note_end(end);
-        let mut answer = answer_with(head.status, head.headers);
-        *answer.body_mut() = AnswerBody::whole(body);
-        answer
-    }
+fn end_answered(&mut self, complete: CompleteAnswer) -> Answer {
+let mut driver = self.release();
+let is_failure = complete.is_failure();
+let CompleteAnswer { head, body } = complete;
+// These statuses guarantee that the request did not run, which only the gateway or a
+// declining upstream can know.
+let claims_not_run = matches!(head.status.as_u16(), 408 | 421 | 429 | 503);
+if claims_not_run {
+driver.record_end(RequestEnd::Refused(Refusal::Broken.label()));
+return Refusal::Broken.answer();
+}
+let end = match is_failure {
+true => RequestEnd::FailedUpstream,
+false => RequestEnd::Served,
+};
+let took = driver.job.record_time_to_first();
+driver.shared.metrics.record_time_to_first(&driver.job.route.name, took);
+driver.record_end(end);
+let mut answer = answer_with(head.status, head.headers);
+*answer.body_mut() = AnswerBody::from_bytes(body);
+answer
+}
 
-    fn end_refused(&mut self, refusal: Refusal) -> Answer {
-        let driver = self.release();
-        if refusal.promises_unrun() {
-            give_back(&driver);
-        }
-        driver.note_end(RequestEnd::Refused(refusal.label()));
-        refusal.answer()
-    }
+fn end_refused(&mut self, refusal: Refusal) -> Answer {
+let driver = self.release();
+if refusal.guarantees_not_run() {
+refund(&driver);
+}
+driver.record_end(RequestEnd::Refused(refusal.label()));
+refusal.answer()
+}
 }
 
-/// Gives back what a request counted for that has not run.
-fn give_back(driver: &RequestDriver) {
-    let account = driver.job.account.as_ref();
-    if let Some((account, cost)) = account.and_then(|it| Some((&it.account.name, it.cost?))) {
-        driver.shared.accounts.refund(account, cost);
-    }
+/// Refunds the cost of a request that did not run to its account.
+fn refund(driver: &RequestDriver) {
+let account = driver.job.account.as_ref();
+if let Some((account, cost)) = account.and_then(|it| Some((&it.account.name, it.cost?))) {
+driver.shared.accounts.refund(account, cost);
+}
 }
 
-impl Drop for EndNote {
-    fn drop(&mut self) {
-        if let Some(driver) = self.driver.take() {
-            driver.note_end(RequestEnd::CallerLeft);
-        }
-    }
+impl Drop for EndRecorder {
+fn drop(&mut self) {
+if let Some(driver) = self.driver.take() {
+driver.record_end(RequestEnd::CallerLeft);
+}
+}
 }
 
-/// Tells whether this daemon takes requests.
+/// Reports whether this daemon accepts requests.
 pub struct ReadyHandler {
-    pub shared: Arc<GatewayShared>,
+pub shared: Arc<GatewayShared>,
 }
 
 #[async_trait]
 impl FrontHandler for ReadyHandler {
-    async fn handle(&self, _request: Request<Incoming>) -> Answer {
-        let is_ready = self.shared.is_ready() && !self.shared.is_leaving();
-        let status = if is_ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-        body_answer(status, "text/plain", "")
-    }
+async fn handle(&self, _request: Request<Incoming>) -> Answer {
+let is_ready = self.shared.is_ready() && !self.shared.is_leaving();
+let status = if is_ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
+body_answer(status, "text/plain", "")
+}
 }
--- a/crates/foldhaven-gateway/src/connection.rs
+++ b/crates/foldhaven-gateway/src/connection.rs
@@ -1,4 +1,4 @@
-//! Connections to upstreams and other VMs, kept for further requests.
+//! Connections to upstreams and other VMs, pooled for reuse.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,24 +17,25 @@
 
 use crate::clock::{BootInstant, timeout};
 
-/// How long a connection may take to come up. Data centres of one region are a few milliseconds
-/// apart; other regions need longer and have [`FAR_CONNECT_LIMIT`].
-pub const NEAR_CONNECT_LIMIT: Duration = Duration::from_millis(400);
-/// The same between regions, which are some 55 ms apart one way.
-pub const FAR_CONNECT_LIMIT: Duration = Duration::from_millis(800);
-/// Sent bytes that are not acknowledged for this long end the connection: a VM that lost its power
-/// or was cut off says nothing.
-const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_millis(2_000);
-/// Pause before and between probes of a silent connection.
-const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// Probes that stay unanswered before the connection ends.
-const PROBES: u32 = 2;
-/// A kept connection is not used again after this long, unless its peer named a shorter time.
+/// Connect timeout within a region, whose data centres are a few milliseconds apart. Connections to
+/// other regions have [`REMOTE_CONNECT_TIMEOUT`].
+pub const LOCAL_CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// Connect timeout between regions, which are about 55 ms apart one way.
+pub const REMOTE_CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
+/// A connection is closed if sent bytes are not acknowledged for this long. A VM that lost its
+/// power or its network does not close its connections.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// Interval before and between keep-alive probes on an idle connection.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of unanswered keep-alive probes after which the connection is closed.
+const KEEPALIVE_PROBES: u32 = 2;
+/// Maximum idle time of a connection to an upstream that is reused. A shorter keep-alive timeout of
+/// the peer takes precedence.
 pub const IDLE_LIMIT: Duration = Duration::from_secs(4);
-/// The same between VMs, whose fronts keep resting connections for 20 s.
+/// Maximum idle time of a reused connection between VMs, which keep idle connections open for 20 s.
 pub const PEER_IDLE_LIMIT: Duration = Duration::from_secs(15);
-/// How many unused connections are kept to one address, before a limit was set.
-const FIRST_KEPT: usize = 24;
+/// Maximum number of idle connections to one address until a limit is set.
+const INITIAL_MAX_IDLE: usize = 24;
 
 /// A connection on which one request at a time can be sent.
 pub struct Connection {
@@ -48,20 +49,20 @@
     ///
     /// # Errors
     ///
-    /// When it does not come up within the limit.
+    /// If it is not established within the limit.
     pub async fn open(address: SocketAddr, limit: Duration) -> io::Result<Self> {
         let connecting = timeout(limit, TcpStream::connect(address)).await;
         let stream = connecting.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-        prepare(&stream)?;
+        configure_socket(&stream)?;
         let (sender, driver) = handshake(TokioIo::new(stream)).await.map_err(io::Error::other)?;
         tokio::spawn(async move {
-            // How a connection ends shows in the calls that were made on it.
+            // Connection errors are reported by the calls on the connection.
             let _ = driver.await;
         });
         Ok(Self { sender, idle_since: BootInstant::now(), idle_limit: IDLE_LIMIT })
     }
 
-    /// Whether its peer has ended it.
+    /// Whether the connection is closed.
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
@@ -71,65 +72,65 @@
     }
 }
 
-/// Sets the options by which a dead peer is noticed, and sends small messages at once.
-pub fn prepare(stream: &TcpStream) -> io::Result<()> {
+/// Sets the socket options that detect a dead peer, and disables Nagle's algorithm.
+pub fn configure_socket(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_LIMIT))?;
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
     let probes = TcpKeepalive::new()
-        .with_time(PROBE_INTERVAL)
-        .with_interval(PROBE_INTERVAL)
-        .with_retries(PROBES);
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
     socket.set_tcp_keepalive(&probes)
 }
 
-/// The unused connections to one address.
+/// The idle connections to one address.
 pub struct ConnectionPool {
     idle: Mutex<Vec<Connection>>,
-    most_kept: AtomicUsize,
-    /// How long an unused connection is kept, where its peer names no shorter time.
+    max_idle: AtomicUsize,
+    /// Maximum idle time of a reused connection, if its peer names no shorter one.
     idle_limit: Duration,
-    /// The way there and back, by how long connections took to come up.
+    /// The round-trip time, measured when connections are established.
     round_trip: Mutex<RoundTrip>,
-    made: BootInstant,
+    created: BootInstant,
 }
 
 impl ConnectionPool {
-    /// A pool that keeps unused connections for so long.
+    /// Creates a pool that reuses connections up to the given idle time.
     pub fn new(idle_limit: Duration) -> Self {
         Self {
             idle: Mutex::default(),
-            most_kept: AtomicUsize::new(FIRST_KEPT),
+            max_idle: AtomicUsize::new(INITIAL_MAX_IDLE),
             idle_limit,
             round_trip: Mutex::default(),
-            made: BootInstant::now(),
+            created: BootInstant::now(),
         }
     }
 
-    /// Opens a connection, and measures the way there and back.
+    /// Opens a connection, and measures the round-trip time.
     ///
     /// # Errors
     ///
-    /// When it does not come up within the limit.
+    /// If it is not established within the limit.
     pub async fn open(&self, address: SocketAddr, limit: Duration) -> io::Result<Connection> {
-        let begun = BootInstant::now();
+        let started = BootInstant::now();
         let connection = Connection::open(address, limit).await?;
-        let now = MonoTime::default() + self.made.elapsed();
-        self.round_trip.lock().record(begun.elapsed(), now);
+        let now = MonoTime::default() + self.created.elapsed();
+        self.round_trip.lock().record(started.elapsed(), now);
         Ok(connection)
     }
 
-    /// The shortest way there and back that was measured lately.
+    /// Returns the shortest recent round-trip time. `None` before the first measurement.
     pub fn round_trip(&self) -> Option<Duration> {
         self.round_trip.lock().shortest()
     }
 
-    /// Whether a request would find a connection that is open already.
-    pub fn has_open(&self) -> bool {
+    /// Whether the pool has a usable connection.
+    pub fn has_usable_connection(&self) -> bool {
         self.idle.lock().iter().any(Connection::is_usable)
     }
 
-    /// Takes the connection that was used last, if one is still usable.
+    /// Takes the most recently used connection that is still usable.
     pub fn take(&self) -> Option<Connection> {
         let mut idle = self.idle.lock();
         while let Some(connection) = idle.pop() {
@@ -140,7 +141,8 @@
         None
     }
 
-    /// Keeps a connection whose answer was read whole. `limit` is how long its peer keeps it.
+    /// Returns a connection to the pool, after its answer was read completely. `limit` is how long
+    /// it may stay idle by the keep-alive timeout of its peer.
     pub fn put(&self, mut connection: Connection, limit: Option<Duration>) {
         if connection.sender.is_closed() {
             return;
@@ -148,20 +150,20 @@
         connection.idle_since = BootInstant::now();
         connection.idle_limit = limit.map_or(self.idle_limit, |limit| limit.min(self.idle_limit));
         let mut idle = self.idle.lock();
-        if idle.len() < self.most_kept.load(Ordering::Relaxed) {
+        if idle.len() < self.max_idle.load(Ordering::Relaxed) {
             idle.push(connection);
         }
     }
 
-    /// Limits how many unused connections are kept; those beyond are closed, the oldest first.
-    pub fn keep_at_most(&self, count: usize) {
-        self.most_kept.store(count, Ordering::Relaxed);
+    /// Sets the maximum number of idle connections, and closes those beyond it, the oldest first.
+    pub fn set_max_idle(&self, count: usize) {
+        self.max_idle.store(count, Ordering::Relaxed);
         let mut idle = self.idle.lock();
         let surplus = idle.len().saturating_sub(count);
         idle.drain(..surplus);
     }
 
-    /// Closes all unused connections.
+    /// Closes all idle connections.
     pub fn clear(&self) {
         self.idle.lock().clear();
     }
--- a/crates/foldhaven-gateway/src/explain.rs
+++ b/crates/foldhaven-gateway/src/explain.rs
@@ -1,4 +1,5 @@
-//! Explains to operators where an opaque request would go, by the same prices as for a real one.
+//! Explains to operators where an opaque request would be sent, with the same costs as for a real
+//! request.
 
 use std::time::Duration;
 
@@ -14,22 +15,21 @@
 use crate::job::GatewayJob;
 use crate::shared::GatewayShared;
 
-/// For a question that names no body.
-const USUAL_BODY: usize = 1_000;
+/// Body size if the query names none, in bytes.
+const DEFAULT_BODY_BYTES: usize = 1_000;
 
-/// What operators ask about.
+/// The request to explain.
 struct ExplainQuery<'a> {
     host: &'a str,
     path: &'a str,
-    /// The parts of a prompt, as callers outline them.
+    /// The segments of the prompt, in the format of the prompt outline header.
     prompt: Option<&'a str>,
     output_tokens: u32,
     body_bytes: usize,
 }
 
 impl<'a> ExplainQuery<'a> {
-    /// Reads the query of a question. Values are taken as they stand: hosts, paths and outlines need no
-    /// escapes.
+    /// Parses the query. Values are not unescaped, since hosts, paths and outlines need no escapes.
     fn read(query: &'a str) -> Option<Self> {
         let field = |name: &str| {
             let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
@@ -41,16 +41,16 @@
             path: field("path")?,
             prompt: field("prompt"),
             output_tokens: number("output_tokens")?.unwrap_or_default(),
-            body_bytes: number("body_bytes")?.map_or(USUAL_BODY, |bytes| bytes as usize),
+            body_bytes: number("body_bytes")?.map_or(DEFAULT_BODY_BYTES, |bytes| bytes as usize),
         })
     }
 }
 
-/// Explains a request that is described by the query of a question.
+/// Explains the request described by a query.
 ///
 /// # Errors
 ///
-/// When the query cannot be read, nothing is in force here, or no route is found.
+/// If the query cannot be parsed, no description is in force, or no route is found.
 pub fn explain(shared: &GatewayShared, query: &str) -> Result<RouteExplanation, Refusal> {
     let query = ExplainQuery::read(query).ok_or(Refusal::Malformed)?;
     let view = shared.view().ok_or(Refusal::NoDescription)?;
@@ -58,7 +58,7 @@
     let service = route.pick_service(0.0).ok_or(Refusal::NoRoute)?.clone();
     let job = GatewayJob {
         attempt: HeaderValue::from_static("explain"),
-        print: RequestFingerprint::of(&FingerprintParts {
+        fingerprint: RequestFingerprint::of(&FingerprintParts {
             host: query.host,
             method: "GET",
             target: query.path,
@@ -73,8 +73,8 @@
         body: Bytes::from(vec![0; query.body_bytes]),
         started: BootInstant::now(),
         waited_before: Duration::ZERO,
-        first_after: None,
-        is_begun: false,
+        time_to_first: None,
+        has_partial_answer: false,
         deadline: BootInstant::now() + route.timeout,
         is_forwarded: false,
         account: None,
--- a/crates/foldhaven-gateway/src/lib.rs
+++ b/crates/foldhaven-gateway/src/lib.rs
@@ -1,15 +1,13 @@
-//! Serves opaque requests: routes them by host and path, passes them on to upstreams as they are,
-//! and answers only with what an upstream gave whole, or says that it did not.
+//! The gateway for opaque requests. It routes requests by host and path, passes them to upstreams
+//! unchanged, and returns only complete answers of upstreams, or a refusal or an aborted stream.
 //!
-//! The words of the surrounding platform (header names, paths, formats) come in through
-//! [`names::HeaderNames`], [`directory::DirectoryCodec`] and [`feed::PlatformFeed`].
+//! The names and formats of the surrounding platform (headers, paths, encodings) are supplied
+//! through [`names::HeaderNames`], [`directory::DirectoryCodec`] and [`feed::PlatformFeed`].
 
 mod account_limiter;
-pub mod answer;
 mod attempts;
 mod call;
 mod caller_front;
-pub mod clock;
 mod codec;
 mod connection;
 mod control;
@@ -18,36 +16,38 @@
 mod datagrams;
 mod demand_meter;
 mod destinations;
-pub mod directory;
 mod events;
 mod explain;
-pub mod feed;
 mod front;
 mod job;
 mod leaving_tracker;
-pub mod logging;
 mod metrics;
-pub mod names;
 mod operator_front;
 mod peer_front;
-pub mod peer_message;
 mod peer_state;
-pub mod platform_state;
 mod rate_limit_tracker;
 mod reload;
-pub mod settings;
 mod shared;
 mod signal_sender;
 mod stop;
 mod suspect_sender;
 mod suspects;
+mod suspension;
 mod told_change;
 mod update_sender;
 mod upstream;
-mod upstream_ends;
+mod upstream_exits;
 mod upstream_listener;
 mod view;
-mod wake;
 mod warm_links;
+pub mod answer;
+pub mod clock;
+pub mod directory;
+pub mod feed;
+pub mod logging;
+pub mod names;
+pub mod peer_message;
+pub mod platform_state;
+pub mod settings;
 
 pub use self::daemon::{DaemonError, PlatformAdapter, run_gateway};
--- a/crates/foldhaven-gateway/src/warm_links.rs
+++ b/crates/foldhaven-gateway/src/warm_links.rs
@@ -1,5 +1,5 @@
-//! Keeps connections to VMs of the other regions open, so that a request that is forwarded there does not
-//! wait for one, and measures the way there.
+//! Keeps connections to VMs of other regions open, so that a forwarded request need not wait for
+//! one, and measures the round-trip time.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,41 +8,41 @@
 use foldhaven_core::ids::RegionName;
 use tokio::time::{MissedTickBehavior, interval};
 
-use crate::connection::FAR_CONNECT_LIMIT;
+use crate::connection::REMOTE_CONNECT_TIMEOUT;
 use crate::shared::GatewayShared;
 use crate::view::{GatewayView, PeerLink};
 
-/// To how many VMs of each other region a connection is kept open.
+/// Number of VMs in each other region to which a connection is kept open.
 const LINKS_PER_REGION: usize = 2;
-/// How often it is looked whether they still are.
-const LOOK_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval at which these connections are checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Opens connections for as long as the process runs.
+/// Replaces closed connections for as long as the process runs.
 pub async fn keep_links_warm(shared: Arc<GatewayShared>) {
-    let mut looks = interval(LOOK_INTERVAL);
-    looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut ticks = interval(CHECK_INTERVAL);
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        looks.tick().await;
+        ticks.tick().await;
         let Some(view) = shared.view() else { continue };
-        for link in cold_links(&view, shared.settings.region()) {
-            tokio::spawn(warm(link));
+        for link in links_to_open(&view, shared.settings.region()) {
+            tokio::spawn(open_link(link));
         }
     }
 }
 
-/// One link of each region to which too few connections are open.
-fn cold_links(view: &GatewayView, own_region: &RegionName) -> Vec<Arc<PeerLink>> {
+/// Returns one link to open for each region that has too few open connections.
+fn links_to_open(view: &GatewayView, own_region: &RegionName) -> Vec<Arc<PeerLink>> {
     let mut by_region: BTreeMap<&RegionName, (usize, Vec<&Arc<PeerLink>>)> = BTreeMap::new();
     for link in view.remote_in_service.values().flatten().filter(|link| link.region != *own_region)
     {
-        let (warm, cold) = by_region.entry(&link.region).or_default();
-        match link.pool.has_open() {
-            true => *warm += 1,
-            false => cold.push(link),
+        let (open_count, unopened) = by_region.entry(&link.region).or_default();
+        match link.pool.has_usable_connection() {
+            true => *open_count += 1,
+            false => unopened.push(link),
         }
     }
-    let lacking = by_region.into_values().filter(|(warm, _)| *warm < LINKS_PER_REGION);
-    lacking.filter_map(|(_, cold)| pick(&cold)).collect()
+    let lacking = by_region.into_values().filter(|(open_count, _)| *open_count < LINKS_PER_REGION);
+    lacking.filter_map(|(_, unopened)| pick(&unopened)).collect()
 }
 
 fn pick(links: &[&Arc<PeerLink>]) -> Option<Arc<PeerLink>> {
@@ -50,9 +50,9 @@
     links.get(at).map(|link| Arc::clone(link))
 }
 
-async fn warm(link: Arc<PeerLink>) {
-    // A VM that cannot be reached shows in the heartbeats.
-    if let Ok(connection) = link.pool.open(link.address, FAR_CONNECT_LIMIT).await {
+async fn open_link(link: Arc<PeerLink>) {
+    // An unreachable VM is detected by heartbeats.
+    if let Ok(connection) = link.pool.open(link.address, REMOTE_CONNECT_TIMEOUT).await {
         link.pool.put(connection, None);
     }
 }
