--- a/crates/foldhavend/src/control/keeper/mod.rs
+++ b/crates/foldhavend/src/control/keeper/mod.rs
@@ -165,7 +165,7 @@
             addresses: settings.addresses.clone(),
             loads,
             leaving_upstreams: self.leaving.iter().map(|(name, it)| (name.clone(), *it)).collect(),
-            lent_requests: self.shared.facts.lent(),
+            lent_requests: self.shared.facts.lent_requests(),
             list_revision: self.list.as_ref().map_or(0, |list| list.revision),
         }
     }
@@ -218,7 +218,7 @@
             Some(known) => {
                 let restarted = view.load.incarnation > known.load.incarnation;
                 if restarted {
-                    self.shared.facts.forget_cache(&view.load.engine);
+                    self.shared.facts.clear_cache(&view.load.engine);
                 }
                 if restarted || view.observed > known.observed {
                     *known = view;
--- a/crates/foldhavend/src/control/publish.rs
+++ b/crates/foldhavend/src/control/publish.rs
@@ -51,7 +51,7 @@
             members: self.member_views(now),
             serving: serving.len() as u32,
         };
-        self.shared.facts.set_peers(view.serving);
+        self.shared.facts.set_serving_vms(view.serving);
         self.shared.publish(view);
     }
 
@@ -74,7 +74,7 @@
             for offer in centre.summary.offers.iter().filter(|offer| offer.to == *here) {
                 let facts = &self.shared.facts;
                 let span = (now, centre.observed);
-                facts.hold_offer(from, &offer.model, offer.slots, members, span);
+                facts.update_offer(from, &offer.model, offer.slots, members, span);
             }
         }
     }
--- a/crates/foldhavend/src/control/summary.rs
+++ b/crates/foldhavend/src/control/summary.rs
@@ -130,7 +130,7 @@
 
     /// Requests of other data centres under way at all members, which the offers cover already.
     fn lent_of(&self, model: &ModelName) -> u32 {
-        let own = self.shared.facts.lent();
+        let own = self.shared.facts.lent_requests();
         let members = self.members.members(self.now());
         let theirs = members.flat_map(|(beat, _)| &beat.lent_requests);
         own.iter().chain(theirs).filter(|(name, _)| name == model).map(|(_, count)| count).sum()
--- a/crates/foldhavend/src/shared.rs
+++ b/crates/foldhavend/src/shared.rs
@@ -22,7 +22,7 @@
 use crate::control::ControlHandle;
 use crate::metrics::MetricsBook;
 use crate::settings::DaemonSettings;
-use crate::traffic::{TicketDesk, TrafficFacts};
+use crate::traffic::{TicketRegistry, TrafficState};
 use crate::views::PublishedView;
 
 /// A view older than this says nothing any more about other data centres.
@@ -33,8 +33,8 @@
     pub settings: DaemonSettings,
     pub clock: Arc<dyn Clock>,
     pub incarnation: IncarnationId,
-    pub facts: TrafficFacts,
-    pub tickets: TicketDesk,
+    pub facts: TrafficState,
+    pub tickets: TicketRegistry,
     pub metrics: MetricsBook,
     pub burn: Mutex<BurnMeter>,
     pub control_bytes: Arc<ByteCounter>,
@@ -57,13 +57,13 @@
         let clock = SystemClock::default();
         let incarnation = new_incarnation();
         let now = clock.now();
-        let tickets = TicketDesk::new(settings.vm.clone(), incarnation);
+        let tickets = TicketRegistry::new(settings.vm.clone(), incarnation);
         let pulse = PauseDetector::new(settings.times.pause.0, now);
         Arc::new(Self {
             settings,
             clock: Arc::new(clock),
             incarnation,
-            facts: TrafficFacts::default(),
+            facts: TrafficState::default(),
             tickets,
             metrics: MetricsBook::default(),
             burn: Mutex::default(),
--- a/crates/foldhavend/src/traffic/caller_front.rs
+++ b/crates/foldhavend/src/traffic/caller_front.rs
@@ -23,11 +23,11 @@
 use super::call::AnswerPart;
 use super::entries::list_entries;
 use super::front::{FrontRequest, HttpFront, serve_front};
-use super::origin::{JobEvent, RouteDesk};
+use super::origin::{JobEvent, ModelRouter};
 use super::paths::CALLER_SERVICE;
 use super::reply::{event_stream_reply, json_reply, refusal_reply, set_header};
 use super::request::{AnswerShape, ModelJob, bad_request, read_model_job};
-use super::service::{RawRequest, ServiceDesk};
+use super::service::{RawRequest, ServiceHandler};
 
 /// How many parts of an answer wait for a slow caller.
 const PART_QUEUE: usize = 64;
@@ -40,16 +40,16 @@
     stop: watch::Receiver<bool>,
 ) {
     let front = CallerFront {
-        routes: RouteDesk::new(context.clone()),
-        services: ServiceDesk { context: context.clone() },
+        routes: ModelRouter::new(context.clone()),
+        services: ServiceHandler { context: context.clone() },
         context,
     };
     serve_front(listener, Arc::new(front), stop).await;
 }
 
 struct CallerFront {
-    routes: RouteDesk,
-    services: ServiceDesk,
+    routes: ModelRouter,
+    services: ServiceHandler,
     context: TrafficContext,
 }
 
--- a/crates/foldhavend/src/traffic/explain.rs
+++ b/crates/foldhavend/src/traffic/explain.rs
@@ -8,7 +8,7 @@
 use foldhaven_wire::operator::ExplainAnswer;
 use http::HeaderMap;
 
-use super::origin::RouteDesk;
+use super::origin::ModelRouter;
 use super::reply::set_header;
 use super::request::{AnswerShape, bad_request, read_model_job};
 
@@ -18,7 +18,7 @@
 /// Plans for a request described by a query: `account`, `class`, and optionally `deadline_ms`,
 /// `worth`, `prompt_tokens` and `max_tokens`.
 pub fn explain(
-    desk: &RouteDesk,
+    desk: &ModelRouter,
     query: &BTreeMap<String, String>,
 ) -> Result<ExplainAnswer, RefusalAnswer> {
     let shared = &desk.context.shared;
--- a/crates/foldhavend/src/traffic/facts.rs
+++ b/crates/foldhavend/src/traffic/facts.rs
@@ -41,17 +41,17 @@
     usage: UsageTracker,
     retries: RetryBudget,
     density: BTreeMap<ModelName, f64>,
-    lent: BTreeMap<ModelName, u32>,
+    lent_requests: BTreeMap<ModelName, u32>,
     busy_services: BTreeMap<UpstreamName, u32>,
 }
 
 /// The facts, behind one lock that is held for moments only.
 #[derive(Clone)]
-pub struct TrafficFacts {
+pub struct TrafficState {
     inner: Arc<Mutex<FactsInner>>,
 }
 
-impl Default for TrafficFacts {
+impl Default for TrafficState {
     fn default() -> Self {
         let inner = FactsInner {
             dispatched: BTreeMap::new(),
@@ -63,14 +63,14 @@
             usage: UsageTracker::default(),
             retries: RetryBudget::new(RETRY_SHARE, RETRY_CAP),
             density: BTreeMap::new(),
-            lent: BTreeMap::new(),
+            lent_requests: BTreeMap::new(),
             busy_services: BTreeMap::new(),
         };
         Self { inner: Arc::new(Mutex::new(inner)) }
     }
 }
 
-impl TrafficFacts {
+impl TrafficState {
     /// Notes work given to an engine, which is now about to hold the prompt's prefix.
     pub fn note_dispatch(
         &self,
@@ -87,12 +87,12 @@
     }
 
     /// Notes how many VMs of this data centre dispatch to the same engines.
-    pub fn set_peers(&self, serving: u32) {
+    pub fn set_serving_vms(&self, serving: u32) {
         self.inner.lock().peers = f64::from(serving.max(1));
     }
 
     /// Takes in a slice of another data centre's spare capacity.
-    pub fn hold_offer(
+    pub fn update_offer(
         &self,
         from: &DataCentreName,
         model: &ModelName,
@@ -122,14 +122,14 @@
 
     /// Counts a request of another data centre as under way here until the guard is dropped.
     pub fn lend(&self, model: &ModelName) -> LentGuard {
-        *self.inner.lock().lent.entry(model.clone()).or_default() += 1;
+        *self.inner.lock().lent_requests.entry(model.clone()).or_default() += 1;
         LentGuard { facts: self.clone(), model: model.clone() }
     }
 
     /// Requests of other data centres under way here, by model.
-    pub fn lent(&self) -> Vec<(ModelName, u32)> {
+    pub fn lent_requests(&self) -> Vec<(ModelName, u32)> {
         let inner = self.inner.lock();
-        inner.lent.iter().map(|(model, count)| (model.clone(), *count)).collect()
+        inner.lent_requests.iter().map(|(model, count)| (model.clone(), *count)).collect()
     }
 
     pub fn note_success(&self, target: &str) {
@@ -169,15 +169,15 @@
         *mean += WEIGHT * (density - *mean);
     }
 
-    pub fn note_cache_stored(&self, engine: &UpstreamName, blocks: &[u64], now: MonoTime) {
+    pub fn record_cache_stored(&self, engine: &UpstreamName, blocks: &[u64], now: MonoTime) {
         self.inner.lock().prefixes.insert(engine, blocks, now);
     }
 
-    pub fn note_cache_evicted(&self, engine: &UpstreamName, blocks: &[u64]) {
+    pub fn record_cache_evicted(&self, engine: &UpstreamName, blocks: &[u64]) {
         self.inner.lock().prefixes.remove_blocks(engine, blocks);
     }
 
-    pub fn forget_cache(&self, engine: &UpstreamName) {
+    pub fn clear_cache(&self, engine: &UpstreamName) {
         self.inner.lock().prefixes.remove_engine(engine);
     }
 
@@ -192,7 +192,7 @@
     }
 }
 
-impl LocalRouteState for TrafficFacts {
+impl LocalRouteState for TrafficState {
     fn recent_work(&self, engine: &EngineView) -> RecentWork {
         let inner = self.inner.lock();
         let Some(dispatched) = inner.dispatched.get(&engine.load.engine) else {
@@ -233,14 +233,14 @@
 
 /// A request of another data centre under way here.
 pub struct LentGuard {
-    facts: TrafficFacts,
+    facts: TrafficState,
     model: ModelName,
 }
 
 impl Drop for LentGuard {
     fn drop(&mut self) {
         let mut inner = self.facts.inner.lock();
-        if let Some(count) = inner.lent.get_mut(&self.model) {
+        if let Some(count) = inner.lent_requests.get_mut(&self.model) {
             *count = count.saturating_sub(1);
         }
     }
@@ -248,7 +248,7 @@
 
 /// A call under way at a service instance.
 pub struct ServiceGuard {
-    facts: TrafficFacts,
+    facts: TrafficState,
     instance: UpstreamName,
 }
 
--- a/crates/foldhavend/src/traffic/mod.rs
+++ b/crates/foldhavend/src/traffic/mod.rs
@@ -23,9 +23,9 @@
 
 pub use self::call::{HttpUpstream, UpstreamClient};
 pub use self::caller_front::serve_callers;
-pub use self::facts::TrafficFacts;
+pub use self::facts::TrafficState;
 pub use self::peer_front::serve_peers;
-pub use self::tickets::TicketDesk;
+pub use self::tickets::TicketRegistry;
 
 use std::sync::Arc;
 
--- a/crates/foldhavend/src/traffic/origin.rs
+++ b/crates/foldhavend/src/traffic/origin.rs
@@ -49,7 +49,7 @@
 
 /// Decides by the policy that the settings name.
 #[derive(Clone)]
-pub struct RouteDesk {
+pub struct ModelRouter {
     pub context: TrafficContext,
     pub policy: Arc<dyn RoutePolicy>,
 }
@@ -74,7 +74,7 @@
     Gone,
 }
 
-impl RouteDesk {
+impl ModelRouter {
     pub fn new(context: TrafficContext) -> Self {
         let policy = Arc::from(context.shared.settings.policy.build());
         Self { context, policy }
--- a/crates/foldhavend/src/traffic/peer_front.rs
+++ b/crates/foldhavend/src/traffic/peer_front.rs
@@ -12,11 +12,11 @@
 use super::TrafficContext;
 use super::explain::explain;
 use super::front::{FrontRequest, HttpFront, serve_front};
-use super::origin::RouteDesk;
+use super::origin::ModelRouter;
 use super::paths::{PEER_COMPLETIONS, PEER_SERVICE, PEER_TICKETED};
 use super::receiver::{receive_model, refusal_without_attempt};
 use super::reply::{body_reply, json_reply, refusal_reply};
-use super::service::{RawRequest, ServiceDesk};
+use super::service::{RawRequest, ServiceHandler};
 
 /// The path under which other daemons pass requests on.
 const PEER_PREFIX: &str = "/peer/v1/";
@@ -28,16 +28,16 @@
     stop: watch::Receiver<bool>,
 ) {
     let front = PeerFront {
-        routes: RouteDesk::new(context.clone()),
-        services: ServiceDesk { context: context.clone() },
+        routes: ModelRouter::new(context.clone()),
+        services: ServiceHandler { context: context.clone() },
         context,
     };
     serve_front(listener, Arc::new(front), stop).await;
 }
 
 struct PeerFront {
-    routes: RouteDesk,
-    services: ServiceDesk,
+    routes: ModelRouter,
+    services: ServiceHandler,
     context: TrafficContext,
 }
 
--- a/crates/foldhavend/src/traffic/receiver.rs
+++ b/crates/foldhavend/src/traffic/receiver.rs
@@ -19,7 +19,7 @@
 use super::answer::{AnswerWriter, LAST_EVENT_TIME, error_event};
 use super::call::{AnswerPart, CallFault, PartStream};
 use super::faults::{fault_answer, note_call_fault};
-use super::origin::RouteDesk;
+use super::origin::ModelRouter;
 use super::reply::{event_stream_reply, refusal_reply, refused_attempt_reply, set_header};
 use super::request::{AnswerShape, ModelJob, header_text, header_value, read_model_job};
 use crate::shared::{SharedState, WaitGuard};
@@ -104,7 +104,7 @@
 }
 
 /// Answers a forwarded model request.
-pub async fn receive_model(desk: RouteDesk, map: HeaderMap, body: Bytes) -> Response {
+pub async fn receive_model(desk: ModelRouter, map: HeaderMap, body: Bytes) -> Response {
     let attempt = match read_forward_head(&map) {
         Ok(head) => head,
         Err(refusal) => return refusal_without_attempt(&map, &refusal),
@@ -152,7 +152,7 @@
 }
 
 async fn start_model(
-    desk: &RouteDesk,
+    desk: &ModelRouter,
     head: &ForwardHead,
     map: &HeaderMap,
     body: &Bytes,
@@ -193,7 +193,7 @@
 
 /// Passes the parts of an answer to the origin as they come. A broken answer ends with an event that
 /// says so and breaks the connection, so that the origin cannot take it for a whole one.
-fn stream_parts(desk: RouteDesk, started: StartedModel) -> Response {
+fn stream_parts(desk: ModelRouter, started: StartedModel) -> Response {
     let StartedModel { job, position, target, answer, mut stamps, waiting } = started;
     let (sender, receiver) = mpsc::channel::<Result<Bytes, std::io::Error>>(16);
     let served_by = desk.context.shared.settings.data_centre.to_string();
--- a/crates/foldhavend/src/traffic/service.rs
+++ b/crates/foldhavend/src/traffic/service.rs
@@ -54,7 +54,7 @@
 
 /// Handles service requests.
 #[derive(Clone)]
-pub struct ServiceDesk {
+pub struct ServiceHandler {
     pub context: TrafficContext,
 }
 
@@ -67,7 +67,7 @@
     pub body: Bytes,
 }
 
-impl ServiceDesk {
+impl ServiceHandler {
     pub(super) fn shared(&self) -> &Arc<SharedState> {
         &self.context.shared
     }
--- a/crates/foldhavend/src/traffic/ticketed.rs
+++ b/crates/foldhavend/src/traffic/ticketed.rs
@@ -16,13 +16,13 @@
 use super::paths::PEER_TICKETED;
 use super::reply::{error_reply, pass_on, refusal_reply, set_header};
 use super::request::{header_text, header_value};
-use super::service::{RawRequest, ServiceDesk, ServiceJob, reply_of};
+use super::service::{RawRequest, ServiceHandler, ServiceJob, reply_of};
 use super::tickets::TicketUse;
 use crate::views::PublishedView;
 
 const STEP: &str = "redeeming a ticket";
 
-impl ServiceDesk {
+impl ServiceHandler {
     /// Refuses a request without a ticket, and hands one out for the next try.
     pub(super) fn ask_for_ticket(&self) -> Response {
         let detail = format!("expected a ticket in header {}", headers::TICKET);
--- a/crates/foldhavend/src/traffic/tickets.rs
+++ b/crates/foldhavend/src/traffic/tickets.rs
@@ -48,11 +48,11 @@
 }
 
 /// The ledger of this process behind a lock that is held for moments only.
-pub struct TicketDesk {
+pub struct TicketRegistry {
     ledger: Mutex<TicketLedger<ResultSlot>>,
 }
 
-impl TicketDesk {
+impl TicketRegistry {
     pub fn new(owner: VmName, incarnation: IncarnationId) -> Self {
         let key = rand::random();
         Self { ledger: Mutex::new(TicketLedger::new(owner, incarnation, key)) }
