--- a/crates/foldhavend/src/traffic/api.rs
+++ b/crates/foldhavend/src/traffic/api.rs
@@ -72,14 +72,14 @@
 /// flight.
 pub async fn serve_api(
     listener: TcpListener,
-    front: Arc<dyn ApiHandler>,
+    handler: Arc<dyn ApiHandler>,
     mut stop: watch::Receiver<bool>,
 ) {
     let stopped = async move {
         // An error means that the sender was dropped, which also stops the server.
         let _ = stop.wait_for(|stop| *stop).await;
     };
-    warp::serve(routes(front)).incoming(listener).graceful(stopped).run().await;
+    warp::serve(routes(handler)).incoming(listener).graceful(stopped).run().await;
 }
 
 fn raw_query() -> impl Filter<Extract = (String,), Error = Infallible> + Clone {
@@ -87,7 +87,7 @@
 }
 
 fn routes(
-    front: Arc<dyn ApiHandler>,
+    handler: Arc<dyn ApiHandler>,
 ) -> impl Filter<Extract = (Response,), Error = warp::Rejection> + Clone {
     warp::method()
         .and(warp::path::full())
@@ -95,10 +95,10 @@
         .and(warp::header::headers_cloned())
         .and(warp::body::stream())
         .then(move |method, path: warp::path::FullPath, query: String, headers, body| {
-            let front = front.clone();
+            let handler = handler.clone();
             let path = path.as_str().to_owned();
             let body = box_body(body);
-            async move { front.answer(ApiRequest { method, path, query, headers, body }).await }
+            async move { handler.answer(ApiRequest { method, path, query, headers, body }).await }
         })
 }
 
--- a/crates/foldhavend/src/traffic/caller_api.rs
+++ b/crates/foldhavend/src/traffic/caller_api.rs
@@ -40,12 +40,12 @@
     context: TrafficContext,
     stop: watch::Receiver<bool>,
 ) {
-    let front = CallerApi {
+    let api = CallerApi {
         router: ModelRouter::new(context.clone()),
         service_handler: ServiceHandler { context: context.clone() },
         context,
     };
-    serve_api(listener, Arc::new(front), stop).await;
+    serve_api(listener, Arc::new(api), stop).await;
 }
 
 struct CallerApi {
--- a/crates/foldhavend/src/traffic/peer_api.rs
+++ b/crates/foldhavend/src/traffic/peer_api.rs
@@ -27,12 +27,12 @@
     context: TrafficContext,
     stop: watch::Receiver<bool>,
 ) {
-    let front = PeerApi {
+    let api = PeerApi {
         router: ModelRouter::new(context.clone()),
         service_handler: ServiceHandler { context: context.clone() },
         context,
     };
-    serve_api(listener, Arc::new(front), stop).await;
+    serve_api(listener, Arc::new(api), stop).await;
 }
 
 struct PeerApi {
--- a/crates/foldhavend/src/traffic/permission.rs
+++ b/crates/foldhavend/src/traffic/permission.rs
@@ -31,8 +31,8 @@
     permitted().unwrap_or(false)
 }
 
-/// Returns the facts that decide the refusal reason of a request. `None` if the description does
-/// not contain its account, class or residency rule.
+/// Returns the residency rule, home region and scope that decide the refusal reason of a request.
+/// `None` if the description does not contain its account, class or residency rule.
 fn unroutable_request<'a>(
     head: &RequestHead,
     index: &'a DescriptionIndex,
--- a/crates/foldhavend/src/traffic/state.rs
+++ b/crates/foldhavend/src/traffic/state.rs
@@ -132,7 +132,7 @@
     /// Counts a request of another data centre as in flight here until the guard is dropped.
     pub fn enter_lent_request(&self, model: &ModelName) -> LentRequestGuard {
         *self.inner.lock().lent_requests.entry(model.clone()).or_default() += 1;
-        LentRequestGuard { facts: self.clone(), model: model.clone() }
+        LentRequestGuard { state: self.clone(), model: model.clone() }
     }
 
     /// Returns the number of requests of other data centres in flight here, by model.
@@ -202,7 +202,7 @@
     /// Counts a call to a service instance as in flight until the guard is dropped.
     pub fn enter_service(&self, instance: &UpstreamName) -> ServiceGuard {
         *self.inner.lock().service_calls.entry(instance.clone()).or_default() += 1;
-        ServiceGuard { facts: self.clone(), instance: instance.clone() }
+        ServiceGuard { state: self.clone(), instance: instance.clone() }
     }
 
     /// Returns the number of calls in flight at a service instance.
@@ -253,13 +253,13 @@
 
 /// A guard that counts a request of another data centre as in flight here.
 pub struct LentRequestGuard {
-    facts: TrafficState,
+    state: TrafficState,
     model: ModelName,
 }
 
 impl Drop for LentRequestGuard {
     fn drop(&mut self) {
-        let mut inner = self.facts.inner.lock();
+        let mut inner = self.state.inner.lock();
         if let Some(count) = inner.lent_requests.get_mut(&self.model) {
             *count = count.saturating_sub(1);
         }
@@ -268,13 +268,13 @@
 
 /// A guard that counts a call to a service instance as in flight.
 pub struct ServiceGuard {
-    facts: TrafficState,
+    state: TrafficState,
     instance: UpstreamName,
 }
 
 impl Drop for ServiceGuard {
     fn drop(&mut self) {
-        let mut inner = self.facts.inner.lock();
+        let mut inner = self.state.inner.lock();
         if let Some(busy) = inner.service_calls.get_mut(&self.instance) {
             *busy = busy.saturating_sub(1);
         }
