--- a/crates/foldhaven-gateway/src/destinations/overview.rs
+++ b/crates/foldhaven-gateway/src/destinations/overview.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write;
 
 use foldhaven_core::ids::RegionName;
-use foldhaven_wire::operator::PlacePrice;
+use foldhaven_wire::operator::DestinationPrice;
 
 use super::TriedDestinations;
 use super::local::price_local;
@@ -18,23 +18,23 @@
     shared: &GatewayShared,
     view: &GatewayView,
     job: &GatewayJob,
-) -> Vec<PlacePrice> {
+) -> Vec<DestinationPrice> {
     let is_here = job.permits(shared.settings.region());
     let local = if is_here { price_local(shared, view, job) } else { Vec::new() };
-    let local = local.into_iter().map(|(upstream, choice)| PlacePrice {
+    let local = local.into_iter().map(|(upstream, choice)| DestinationPrice {
         name: upstream.name().to_string(),
-        is_far: false,
-        first_ms: choice.time_to_first.as_millis() as u64,
-        read_tokens: choice.prefill_tokens,
-        parts: choice.breakdown,
+        is_remote: false,
+        time_to_first_ms: choice.time_to_first.as_millis() as u64,
+        prefill_tokens: choice.prefill_tokens,
+        breakdown: choice.breakdown,
     });
     let remote = price_remote(shared, view, job, &TriedDestinations::default());
-    let remote = remote.into_iter().map(|remote| PlacePrice {
+    let remote = remote.into_iter().map(|remote| DestinationPrice {
         name: remote.region.to_string(),
-        is_far: true,
-        first_ms: remote.choice.time_to_first.as_millis() as u64,
-        read_tokens: remote.choice.prefill_tokens,
-        parts: remote.parts,
+        is_remote: true,
+        time_to_first_ms: remote.choice.time_to_first.as_millis() as u64,
+        prefill_tokens: remote.choice.prefill_tokens,
+        breakdown: remote.parts,
     });
     local.chain(remote).collect()
 }
--- a/crates/foldhaven-gateway/src/events.rs
+++ b/crates/foldhaven-gateway/src/events.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use foldhaven_core::opaque::event_sequence::EventSequenceChecker;
 use foldhaven_core::opaque::queue_rank::QueueRank;
-use foldhaven_wire::sse::{EventBlocks, event_ids};
+use foldhaven_wire::sse::{SseEventBuffer, event_ids};
 use http::StatusCode;
 use http_body::{Body, Frame};
 use hyper::body::Incoming;
@@ -102,7 +102,7 @@
     state: RelayState,
     /// Absent while it looks for another upstream.
     driver: Option<RequestDriver>,
-    blocks: EventBlocks,
+    blocks: SseEventBuffer,
     /// Whether events are missing, by their ids.
     order: EventSequenceChecker,
     timer: Pin<Box<BootSleep>>,
@@ -132,7 +132,7 @@
         Self {
             state: RelayState::Reading(ReadingState::of(placed)),
             driver: Some(driver),
-            blocks: EventBlocks::default(),
+            blocks: SseEventBuffer::default(),
             order,
             timer: Box::pin(BootSleep::until(wake)),
             last_news: now,
@@ -211,7 +211,7 @@
         match self.blocks.push(bytes) {
             Ok(events) if events.is_empty() => RelayStep::Nothing,
             Ok(events) if self.has_gap(&events) => {
-                self.blocks.take_back(passed_on);
+                self.blocks.rewind_last_id(passed_on);
                 RelayStep::Broken("an event was missing")
             }
             Ok(events) => {
@@ -384,7 +384,7 @@
             self.driver = Some(driver);
             return false;
         }
-        self.blocks.drop_rest();
+        self.blocks.discard_partial_event();
         let after = self.blocks.last_id().map(str::to_owned);
         let resumption = async move {
             let result = driver.open(after.as_deref()).await;
--- a/crates/foldhaven-gateway/src/explain.rs
+++ b/crates/foldhaven-gateway/src/explain.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use foldhaven_core::opaque::affinity::PromptOutline;
 use foldhaven_core::opaque::request_fingerprint::{FingerprintParts, RequestFingerprint};
-use foldhaven_wire::operator::{PlacePrice, RouteExplanation};
+use foldhaven_wire::operator::{DestinationPrice, RouteExplanation};
 use http::{HeaderMap, HeaderValue, Method, Uri};
 
 use crate::answer::Refusal;
@@ -80,8 +80,9 @@
         account: None,
         route,
     };
-    let mut places: Vec<PlacePrice> = price_destinations(shared, &view, &job);
-    places.sort_by(|left, right| left.parts.total().0.total_cmp(&right.parts.total().0));
+    let mut destinations: Vec<DestinationPrice> = price_destinations(shared, &view, &job);
+    destinations
+        .sort_by(|left, right| left.breakdown.total().0.total_cmp(&right.breakdown.total().0));
     Ok(RouteExplanation {
         vm: shared.settings.vm.clone(),
         data_centre: shared.settings.data_centre.clone(),
@@ -89,7 +90,7 @@
         route: job.route.name.to_string(),
         service: job.service.to_string(),
         homes: job.route.homes.iter().map(ToString::to_string).collect(),
-        places,
+        destinations,
         region_margin: REGION_MARGIN.0,
     })
 }
--- a/crates/foldhaven-gateway/src/operator_front/accounts.rs
+++ b/crates/foldhaven-gateway/src/operator_front/accounts.rs
@@ -25,10 +25,10 @@
                 unit: limit.map(|limit| unit_of(&limit).to_owned()),
                 per_s: limit.map(|limit| limit.per_s),
                 burst: limit.map(|limit| limit.burst),
-                part_per_s: held.map(|held| held.part.per_s),
-                part_age_ms: held.map(|held| held.part_age.as_millis() as u64),
+                share_per_s: held.map(|held| held.part.per_s),
+                share_age_ms: held.map(|held| held.part_age.as_millis() as u64),
                 level: held.map(|held| held.level),
-                want_per_s: held.map(|held| held.want),
+                demand_per_s: held.map(|held| held.want),
                 let_through: held.map_or(0.0, |held| held.let_through),
                 refused: held.map_or(0, |held: &AccountUse| held.refused),
             }
--- a/crates/foldhaven-gateway/src/operator_front/status.rs
+++ b/crates/foldhaven-gateway/src/operator_front/status.rs
@@ -32,7 +32,7 @@
             state,
             stamp: view.map(|view| view.routes.version().to_string()),
             content: view.map(|view| format!("{:016x}", view.offer.digest)),
-            belief_age_ms: u64::try_from(self.shared.belief_age().as_millis()).ok(),
+            view_staleness_ms: u64::try_from(self.shared.belief_age().as_millis()).ok(),
             refused: None,
             in_flight: self.shared.in_flight(),
             members: view.map(|view| self.members(view)).unwrap_or_default(),
--- a/crates/foldhaven-gateway/src/operator_front/suspects.rs
+++ b/crates/foldhaven-gateway/src/operator_front/suspects.rs
@@ -22,14 +22,14 @@
                 SuspectVerdict::Refused { wait } => ("refused", Some(wait)),
             };
             SuspectRow {
-                print: record.fingerprint.to_string(),
+                fingerprint: record.fingerprint.to_string(),
                 route: suspects.route_of(&record.fingerprint).map(|route| route.to_string()),
                 state: state.to_owned(),
                 upstreams: record.exits.iter().map(|end| format!("{:08x}", end.0)).collect(),
-                trials: record.probes,
-                pardons: record.exonerations,
+                probes: record.probes,
+                exonerations: record.exonerations,
                 since_ms: age.as_millis() as u64,
-                opens_ms: opens.map(|wait| wait.as_millis() as u64),
+                probe_after_ms: opens.map(|wait| wait.as_millis() as u64),
             }
         });
         SuspectsAnswer { vm: self.shared.settings.vm.clone(), rows: rows.collect() }
@@ -42,6 +42,6 @@
             print.and_then(|print| print.parse().ok()).ok_or(Refusal::Malformed)?;
         let is_cleared = self.shared.suspects.clear(print, &self.shared.change_context());
         tracing::info!(%print, is_cleared, "an operator clears a request");
-        Ok(ClearAnswer { print: print.to_string(), is_cleared })
+        Ok(ClearAnswer { fingerprint: print.to_string(), is_cleared })
     }
 }
--- a/crates/foldhaven-wire/src/caller.rs
+++ b/crates/foldhaven-wire/src/caller.rs
@@ -183,7 +183,8 @@
     /// The VMs, best first. None of them is leaving.
     pub entries: Vec<EntryVm>,
     /// How long this answer holds, in milliseconds.
-    pub holds_ms: u64,
+    #[serde(rename = "holds_ms")]
+    pub valid_for_ms: u64,
     /// Tickets for requests that are not repeatable, as many as were asked for.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub tickets: Vec<String>,
--- a/crates/foldhaven-wire/src/control.rs
+++ b/crates/foldhaven-wire/src/control.rs
@@ -27,18 +27,22 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ExchangeRequest {
     /// The sender's heartbeat.
-    pub beat: VmHeartbeat,
+    #[serde(rename = "beat")]
+    pub heartbeat: VmHeartbeat,
     /// The summaries that the sender holds, if it asks for newer ones.
-    pub held: Option<Vec<SummaryVersion>>,
+    #[serde(rename = "held")]
+    pub known_summaries: Option<Vec<SummaryVersion>>,
     /// The sender's own summary of its data centre, if it is a delegate that talks to another one.
-    pub own: Option<CentreSummary>,
+    #[serde(rename = "own")]
+    pub own_summary: Option<CentreSummary>,
 }
 
 /// The answer to an [`ExchangeRequest`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ExchangeReply {
     /// The receiver's heartbeat.
-    pub beat: VmHeartbeat,
+    #[serde(rename = "beat")]
+    pub heartbeat: VmHeartbeat,
     /// Summaries that are newer than those the sender holds.
     pub summaries: Vec<CentreSummary>,
 }
--- a/crates/foldhaven-wire/src/operator.rs
+++ b/crates/foldhaven-wire/src/operator.rs
@@ -69,7 +69,8 @@
     pub content: Option<String>,
     /// How many milliseconds ago it was proven that what is known here is all that is published.
     #[serde(default)]
-    pub belief_age_ms: Option<u64>,
+    #[serde(rename = "belief_age_ms")]
+    pub view_staleness_ms: Option<u64>,
     /// Why the last description offered was refused.
     pub refused: Option<String>,
     /// Requests under way.
@@ -124,31 +125,37 @@
     /// The regions in which it may run; all when empty.
     pub homes: Vec<String>,
     /// The places that were priced, the cheapest first.
-    pub places: Vec<PlacePrice>,
+    #[serde(rename = "places")]
+    pub destinations: Vec<DestinationPrice>,
     /// By how much another region must be cheaper than the best place of this one.
     pub region_margin: f64,
 }
 
 /// What one place is expected to take and to cost.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct PlacePrice {
+pub struct DestinationPrice {
     /// An upstream of the asked VM's region, or another region.
     pub name: String,
     /// Whether it is another region.
-    pub is_far: bool,
+    #[serde(rename = "is_far")]
+    pub is_remote: bool,
     /// The expected time to the answer, or to its first event, in milliseconds.
-    pub first_ms: u64,
+    #[serde(rename = "first_ms")]
+    pub time_to_first_ms: u64,
     /// The prompt tokens that would have to be read.
-    pub read_tokens: u32,
+    #[serde(rename = "read_tokens")]
+    pub prefill_tokens: u32,
     /// The parts of its price, as shares of what the request is worth.
-    pub parts: CostBreakdown,
+    #[serde(rename = "parts")]
+    pub breakdown: CostBreakdown,
 }
 
 /// A request under which upstreams ended.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectRow {
     /// Its fingerprint, as in the log.
-    pub print: String,
+    #[serde(rename = "print")]
+    pub fingerprint: String,
     /// Its route, where the asked VM has held it back itself.
     pub route: Option<String>,
     /// `noted`, `on trial` (one VM at a time sends it on) or `refused`.
@@ -156,13 +163,16 @@
     /// The lives of upstreams that ended, by their tags; at most four are kept.
     pub upstreams: Vec<String>,
     /// How many trials were begun.
-    pub trials: u8,
+    #[serde(rename = "trials")]
+    pub probes: u8,
     /// How often it was cleared.
-    pub pardons: u32,
+    #[serde(rename = "pardons")]
+    pub exonerations: u32,
     /// How long ago what is known of it has changed, in milliseconds.
     pub since_ms: u64,
     /// After how many milliseconds the asked VM may try it.
-    pub opens_ms: Option<u64>,
+    #[serde(rename = "opens_ms")]
+    pub probe_after_ms: Option<u64>,
 }
 
 /// The answer of `GET /operator/v1/suspects`.
@@ -178,7 +188,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClearAnswer {
     /// The fingerprint.
-    pub print: String,
+    #[serde(rename = "print")]
+    pub fingerprint: String,
     /// Whether anything was held against it.
     pub is_cleared: bool,
 }
@@ -199,13 +210,16 @@
     /// What they let through at once above that.
     pub burst: Option<f64>,
     /// The part of the asked VM a second.
-    pub part_per_s: Option<f64>,
+    #[serde(rename = "part_per_s")]
+    pub share_per_s: Option<f64>,
     /// For how long that part has been in force, in milliseconds.
-    pub part_age_ms: Option<u64>,
+    #[serde(rename = "part_age_ms")]
+    pub share_age_ms: Option<u64>,
     /// What that VM may let through at once; below 0 it is owed.
     pub level: Option<f64>,
     /// What callers want there a second.
-    pub want_per_s: Option<f64>,
+    #[serde(rename = "want_per_s")]
+    pub demand_per_s: Option<f64>,
     /// What was let through there since the start.
     pub let_through: f64,
     /// How many requests were refused there since the start.
--- a/crates/foldhaven-wire/src/sse.rs
+++ b/crates/foldhaven-wire/src/sse.rs
@@ -86,38 +86,38 @@
 /// assert!(!blocks.is_at_boundary());
 /// ```
 #[derive(Debug, Default)]
-pub struct EventBlocks {
-    rest: BytesMut,
+pub struct SseEventBuffer {
+    partial_event: BytesMut,
     last_id: Option<String>,
     count: u32,
 }
 
-impl EventBlocks {
+impl SseEventBuffer {
     /// Takes in some bytes; returns the whole events that they complete, which may be none.
     ///
     /// # Errors
     ///
     /// When an event is too large.
     pub fn push(&mut self, bytes: Bytes) -> Result<Bytes, SseError> {
-        let is_whole = self.rest.is_empty() && bytes.ends_with(b"\n\n");
+        let is_whole = self.partial_event.is_empty() && bytes.ends_with(b"\n\n");
         if is_whole {
-            self.note_events(&bytes);
+            self.record_events(&bytes);
             return Ok(bytes);
         }
-        self.rest.extend_from_slice(&bytes);
-        let Some(end) = last_blank_line(&self.rest) else {
-            return if self.rest.len() > MAX_EVENT_BYTES {
+        self.partial_event.extend_from_slice(&bytes);
+        let Some(end) = last_blank_line(&self.partial_event) else {
+            return if self.partial_event.len() > MAX_EVENT_BYTES {
                 Err(SseError)
             } else {
                 Ok(Bytes::new())
             };
         };
-        let events = self.rest.split_to(end).freeze();
-        self.note_events(&events);
+        let events = self.partial_event.split_to(end).freeze();
+        self.record_events(&events);
         Ok(events)
     }
 
-    fn note_events(&mut self, events: &[u8]) {
+    fn record_events(&mut self, events: &[u8]) {
         let ends = events.windows(2).filter(|pair| *pair == b"\n\n").count();
         self.count = self.count.saturating_add(u32::try_from(ends).unwrap_or(u32::MAX));
         let lines = events.rsplit(|byte| *byte == b'\n');
@@ -133,7 +133,7 @@
     }
 
     /// Takes the last id back to an earlier one: the events after it are not passed on.
-    pub fn take_back(&mut self, last_id: Option<String>) {
+    pub fn rewind_last_id(&mut self, last_id: Option<String>) {
         self.last_id = last_id;
     }
 
@@ -144,12 +144,12 @@
 
     /// Whether no part of an event is left over.
     pub fn is_at_boundary(&self) -> bool {
-        self.rest.is_empty()
+        self.partial_event.is_empty()
     }
 
     /// Drops a part of an event that will not be completed.
-    pub fn drop_rest(&mut self) {
-        self.rest.clear();
+    pub fn discard_partial_event(&mut self) {
+        self.partial_event.clear();
     }
 }
 
--- a/crates/foldhavenctl/src/cmd/entries.rs
+++ b/crates/foldhavenctl/src/cmd/entries.rs
@@ -54,6 +54,6 @@
         ]
     }));
     print!("{}", lay_out(&rows));
-    println!("holds for {}ms", answer.holds_ms);
+    println!("holds for {}ms", answer.valid_for_ms);
     Ok(())
 }
--- a/crates/foldhavenctl/src/cmd/explain_route.rs
+++ b/crates/foldhavenctl/src/cmd/explain_route.rs
@@ -83,19 +83,19 @@
         "price",
     ];
     let mut rows = vec![heading.map(str::to_owned).to_vec()];
-    for place in &answer.places {
-        let parts = place.parts;
+    for place in &answer.destinations {
+        let breakdown = place.breakdown;
         rows.push(vec![
             place.name.clone(),
-            if place.is_far { "region" } else { "upstream" }.to_owned(),
-            format!("{} ms", place.first_ms),
-            format!("{} tok", place.read_tokens),
-            format!("{:.3}", parts.time),
-            format!("{:.3}", parts.repeated_prefill),
-            format!("{:.3}", parts.prefill_interference),
-            format!("{:.3}", parts.failures),
-            format!("{:.3}", parts.transfer),
-            format!("{:.3}", parts.total().0),
+            if place.is_remote { "region" } else { "upstream" }.to_owned(),
+            format!("{} ms", place.time_to_first_ms),
+            format!("{} tok", place.prefill_tokens),
+            format!("{:.3}", breakdown.time),
+            format!("{:.3}", breakdown.repeated_prefill),
+            format!("{:.3}", breakdown.prefill_interference),
+            format!("{:.3}", breakdown.failures),
+            format!("{:.3}", breakdown.transfer),
+            format!("{:.3}", breakdown.total().0),
         ]);
     }
     lay_out(&rows)
--- a/crates/foldhavenctl/src/cmd/status.rs
+++ b/crates/foldhavenctl/src/cmd/status.rs
@@ -75,7 +75,8 @@
     for status in state.vms.values() {
         let live = status.members.iter().filter(|member| member.state == "live").count();
         let stamp = shown_stamp(status, &usual);
-        let proven = status.belief_age_ms.map(|age_ms| format!("{:.1} s ago", age_ms as f64 / 1e3));
+        let proven =
+            status.view_staleness_ms.map(|age_ms| format!("{:.1} s ago", age_ms as f64 / 1e3));
         let name = serde_json::to_value(status.state).unwrap_or_default();
         rows.push(vec![
             status.vm.to_string(),
--- a/crates/foldhavenctl/src/cmd/suspects.rs
+++ b/crates/foldhavenctl/src/cmd/suspects.rs
@@ -71,13 +71,13 @@
     let mut rows = vec![heading.map(str::to_owned).to_vec()];
     for row in &answer.rows {
         rows.push(vec![
-            row.print.clone(),
+            row.fingerprint.clone(),
             row.route.clone().unwrap_or_else(|| "-".to_owned()),
             row.state.clone(),
             row.upstreams.join(" "),
-            row.trials.to_string(),
+            row.probes.to_string(),
             format!("{} s", row.since_ms / 1_000),
-            row.opens_ms.map_or("-".to_owned(), |opens| format!("{} s", opens / 1_000)),
+            row.probe_after_ms.map_or("-".to_owned(), |opens| format!("{} s", opens / 1_000)),
         ]);
     }
     lay_out(&rows)
--- a/crates/foldhavenctl/tests/testsuite/main.rs
+++ b/crates/foldhavenctl/tests/testsuite/main.rs
@@ -69,7 +69,7 @@
         state,
         stamp: None,
         content: None,
-        belief_age_ms: None,
+        view_staleness_ms: None,
         refused: None,
         in_flight: 0,
         members: members.iter().map(member).collect(),
@@ -84,7 +84,7 @@
     let of = |vm: &str, content: &str, age: u64| StatusAnswer {
         stamp: Some("13".to_owned()),
         content: Some(content.to_owned()),
-        belief_age_ms: Some(age),
+        view_staleness_ms: Some(age),
         ..status(vm, &[], DaemonState::Serving)
     };
     let statuses = [of("vm-1", "aa", 900), of("vm-2", "aa", 7_300), of("vm-3", "bb", 40)];
@@ -151,10 +151,10 @@
         unit: Some("tokens".to_owned()),
         per_s: Some(1000.0),
         burst: Some(500.0),
-        part_per_s: Some(62.5),
-        part_age_ms: Some(120),
+        share_per_s: Some(62.5),
+        share_age_ms: Some(120),
         level: Some(-4.0),
-        want_per_s: Some(80.0),
+        demand_per_s: Some(80.0),
         let_through: 1234.0,
         refused: 7,
     };
@@ -165,10 +165,10 @@
         unit: None,
         per_s: None,
         burst: None,
-        part_per_s: None,
-        part_age_ms: None,
+        share_per_s: None,
+        share_age_ms: None,
         level: None,
-        want_per_s: None,
+        demand_per_s: None,
         let_through: 0.0,
         refused: 0,
     };
--- a/crates/foldhavend/src/control/keeper/exchanges.rs
+++ b/crates/foldhavend/src/control/keeper/exchanges.rs
@@ -20,15 +20,16 @@
 impl ControlKeeper {
     fn plan_member_exchanges(&mut self, targets: &mut Vec<ExchangeTarget>) {
         let now = self.now();
-        let named = |beat: &VmHeartbeat| (beat.vm.clone(), beat.addresses.control);
+        let named = |heartbeat: &VmHeartbeat| (heartbeat.vm.clone(), heartbeat.addresses.control);
         let members: Vec<_> = match std::mem::take(&mut self.meets_all) {
-            true => self.members.members(now).map(|(beat, _)| named(beat)).collect(),
+            true => self.members.members(now).map(|(heartbeat, _)| named(heartbeat)).collect(),
             false => self.members.heartbeat_targets(self.round).into_iter().map(named).collect(),
         };
         for (at, (vm, address)) in members.into_iter().enumerate() {
             // One of them is asked for newer summaries; whoever has them passes them on.
-            let held = (at == 0).then(|| self.members.summary_versions());
-            let request = ExchangeRequest { beat: self.make_beat(), held, own: None };
+            let known_summaries = (at == 0).then(|| self.members.summary_versions());
+            let request =
+                ExchangeRequest { heartbeat: self.make_beat(), known_summaries, own_summary: None };
             targets.push(ExchangeTarget { vm: Some(vm), address, request });
         }
     }
@@ -63,8 +64,9 @@
             addresses.extend(vms.get(at).map(|brief| (centre, brief.addresses.control)));
         }
         for (centre, address) in addresses {
-            let own = Some(self.make_summary(Some(&centre)));
-            let request = ExchangeRequest { beat: self.make_beat(), held: None, own };
+            let own_summary = Some(self.make_summary(Some(&centre)));
+            let request =
+                ExchangeRequest { heartbeat: self.make_beat(), known_summaries: None, own_summary };
             targets.push(ExchangeTarget { vm: None, address, request });
         }
     }
@@ -84,8 +86,9 @@
             if !due {
                 continue;
             }
-            let own = self.index.is_some().then(|| self.make_summary(None));
-            let request = ExchangeRequest { beat: self.make_beat(), held: None, own };
+            let own_summary = self.index.is_some().then(|| self.make_summary(None));
+            let request =
+                ExchangeRequest { heartbeat: self.make_beat(), known_summaries: None, own_summary };
             targets.push(ExchangeTarget { vm: None, address, request });
         }
     }
@@ -113,20 +116,20 @@
         context: &mut Context<Self>,
     ) -> ExchangeReply {
         let now = self.now();
-        let ExchangeRequest { beat, held, own } = message.request;
-        self.hear_beat(&beat, &context.mailbox().address().try_upgrade().expect("it runs"));
+        let ExchangeRequest { heartbeat, known_summaries, own_summary } = message.request;
+        self.hear_beat(&heartbeat, &context.mailbox().address().try_upgrade().expect("it runs"));
         let mut summaries = Vec::new();
-        if let Some(own) = own {
-            let asker = own.data_centre.clone();
-            self.members.apply_summary(own, now);
+        if let Some(own_summary) = own_summary {
+            let asker = own_summary.data_centre.clone();
+            self.members.apply_summary(own_summary, now);
             if self.index.is_some() {
                 summaries.push(self.make_summary(Some(&asker)));
             }
         }
-        if let Some(held) = held {
-            summaries.extend(self.members.summaries_newer_than(&held, now));
+        if let Some(known_summaries) = known_summaries {
+            summaries.extend(self.members.summaries_newer_than(&known_summaries, now));
         }
-        ExchangeReply { beat: self.make_beat(), summaries }
+        ExchangeReply { heartbeat: self.make_beat(), summaries }
     }
 }
 
@@ -141,9 +144,12 @@
             }
             return;
         };
-        self.answered.insert(message.target.address, reply.beat.data_centre.clone());
-        self.hear_beat(&reply.beat, &context.mailbox().address().try_upgrade().expect("it runs"));
-        self.members.record_reached(&reply.beat.vm, now);
+        self.answered.insert(message.target.address, reply.heartbeat.data_centre.clone());
+        self.hear_beat(
+            &reply.heartbeat,
+            &context.mailbox().address().try_upgrade().expect("it runs"),
+        );
+        self.members.record_reached(&reply.heartbeat.vm, now);
         for summary in reply.summaries {
             self.members.apply_summary(summary, now);
         }
--- a/crates/foldhavend/src/control/summary.rs
+++ b/crates/foldhavend/src/control/summary.rs
@@ -222,7 +222,7 @@
             state,
             stamp: self.stamp_in_force().map(|stamp| stamp.to_string()),
             content: None,
-            belief_age_ms: None,
+            view_staleness_ms: None,
             refused: self.refused.clone(),
             in_flight: self.shared.in_flight(),
             members: self.member_statuses(),
--- a/crates/foldhavend/src/traffic/entries.rs
+++ b/crates/foldhavend/src/traffic/entries.rs
@@ -46,8 +46,8 @@
         let order = left.preference.cmp(&right.preference);
         order.then(right.weight.cmp(&left.weight)).then(left.vm.cmp(&right.vm))
     });
-    let holds_ms = shared.settings.times.entries_hold.0.as_millis() as u64;
-    EntriesAnswer { entries, holds_ms, tickets: Vec::new() }
+    let valid_for_ms = shared.settings.times.entries_hold.0.as_millis() as u64;
+    EntriesAnswer { entries, valid_for_ms, tickets: Vec::new() }
 }
 
 /// Returns the VMs of other data centres. Their load is unknown here, so each has the full weight.
