--- a/crates/foldhaven-wire/src/caller.rs
+++ b/crates/foldhaven-wire/src/caller.rs
@@ -1,4 +1,4 @@
-//! What callers speak: the usual completions and chat shapes, and typed errors.
+//! The API for callers: completion and chat messages in the usual format, and typed errors.
 
 use std::net::SocketAddr;
 
@@ -7,15 +7,15 @@
 use foldhaven_core::refusal::{RefusalAnswer, RefusalReason};
 use serde::{Deserialize, Serialize};
 
-/// The body of `POST /v1/completions`. Fields not named here are accepted and ignored.
+/// The body of `POST /v1/completions`. Unknown fields are ignored.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CompletionRequest {
-    /// The model; may be left out when the class is given.
+    /// The model; `None` if the request names a class instead.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub model: Option<String>,
     /// The prompt.
     pub prompt: String,
-    /// The most tokens that the answer may have.
+    /// Maximum number of tokens in the answer; `None` for the maximum of the class.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_tokens: Option<u64>,
     /// Whether to answer with server-sent events.
@@ -26,21 +26,21 @@
 /// One message of a chat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ChatMessage {
-    /// Who speaks.
+    /// The role of the author.
     pub role: String,
-    /// What is said.
+    /// The text of the message.
     pub content: String,
 }
 
 /// The body of `POST /v1/chat/completions`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ChatRequest {
-    /// The model; may be left out when the class is given.
+    /// The model; `None` if the request names a class instead.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub model: Option<String>,
-    /// The messages so far.
+    /// The messages of the conversation, in order.
     pub messages: Vec<ChatMessage>,
-    /// The most tokens that the answer may have.
+    /// Maximum number of tokens in the answer; `None` for the maximum of the class.
     #[serde(default, alias = "max_completion_tokens", skip_serializing_if = "Option::is_none")]
     pub max_tokens: Option<u64>,
     /// Whether to answer with server-sent events.
@@ -51,93 +51,93 @@
 /// Token counts of a request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TokenUsage {
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u64,
-    /// Tokens of the answer.
+    /// Number of tokens in the answer.
     pub completion_tokens: u64,
-    /// Both together.
+    /// Sum of both.
     pub total_tokens: u64,
 }
 
-/// One choice; foldhaven gives exactly one.
+/// A choice of an answer. Answers of foldhaven have exactly one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompletionChoice {
     /// Always 0.
     pub index: u32,
-    /// The text, for completions.
+    /// The text of a completion.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub text: Option<String>,
-    /// The message, for a whole chat answer.
+    /// The message of a chat answer that is not streamed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub message: Option<ChatPart>,
-    /// The message part, for a streamed chat answer.
+    /// The next part of the message of a streamed chat answer.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub delta: Option<ChatPart>,
-    /// Why the answer ended; absent before its end.
+    /// Why the answer ended; `None` before its end.
     pub finish_reason: Option<String>,
 }
 
 /// A chat message or a part of one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChatPart {
-    /// Who speaks.
+    /// The role of the author, at the start of a message.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub role: Option<String>,
-    /// What is said.
+    /// The text of the message or part.
     #[serde(default)]
     pub content: String,
 }
 
-/// A whole answer, or one event of a streamed one.
+/// A whole answer, or one event of a streamed answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompletionChunk {
     /// The request id.
     pub id: String,
-    /// The kind of object, as client libraries expect it.
+    /// The object type that client libraries expect.
     pub object: String,
-    /// When it was made, in seconds since the epoch.
+    /// The creation time, in seconds since the Unix epoch.
     #[serde(default)]
     pub created: u64,
     /// The model.
     pub model: String,
-    /// The one choice.
+    /// The choices; exactly one.
     pub choices: Vec<CompletionChoice>,
-    /// The position of the first token of this chunk in the answer.
+    /// The position in the answer of the first token of this chunk.
     #[serde(default)]
     pub position: u64,
-    /// How many tokens this chunk has.
+    /// Number of tokens in this chunk.
     #[serde(default)]
     pub tokens: u64,
-    /// Token counts, at the end.
+    /// The token counts, in the last chunk.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub usage: Option<TokenUsage>,
 }
 
-/// What an error answer says.
+/// The details of an error response.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ErrorDetail {
-    /// Why the request is not served.
+    /// The reason why the request was refused or failed.
     #[serde(rename = "type")]
     pub kind: RefusalReason,
-    /// The same, for client libraries that look here.
+    /// The same reason, for client libraries that read this field.
     pub code: RefusalReason,
-    /// The error in words.
+    /// The error message.
     pub message: String,
-    /// Whether any of the request may have run.
+    /// Whether any part of the request may have run.
     pub outcome: RequestOutcome,
-    /// What was being done.
+    /// The step in which the error occurred.
     pub step: String,
-    /// Whom it was done with.
+    /// The upstream or peer that was involved in that step; `-` if none.
     pub peer: String,
-    /// When to come back, in milliseconds.
+    /// Delay after which the request may be retried, in milliseconds; `None` if no delay is given.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// A ticket for the next try, when one is needed.
+    /// A ticket for the next attempt, if the request needs one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ticket: Option<String>,
 }
 
-/// The body of an error answer.
+/// The body of an error response.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ErrorBody {
     /// The error.
@@ -145,7 +145,7 @@
 }
 
 impl ErrorBody {
-    /// The body for a refusal.
+    /// Returns the body for a refusal.
     pub fn of(answer: &RefusalAnswer) -> Self {
         let retry_after_ms = answer.retry_after.map(|span| span.as_millis() as u64);
         let error = ErrorDetail {
@@ -167,25 +167,26 @@
 pub struct EntryVm {
     /// The VM.
     pub vm: VmName,
-    /// Its data centre.
+    /// The data centre of the VM.
     pub data_centre: DataCentreName,
-    /// Where to send requests.
+    /// The address to which callers send requests.
     pub address: SocketAddr,
-    /// How large a part of the requests to send there, against VMs of the same preference.
+    /// Relative share of requests to send to this VM, among the VMs of the same preference.
     pub weight: u32,
-    /// Smaller is better: use a larger one only when no smaller one can be reached.
+    /// Preference; smaller is better. Use a VM only if all VMs with a smaller value are
+    /// unreachable.
     pub preference: u32,
 }
 
-/// The answer of `GET /v1/entries`.
+/// The response of `GET /v1/entries`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntriesAnswer {
     /// The VMs, best first. None of them is leaving.
     pub entries: Vec<EntryVm>,
-    /// How long this answer holds, in milliseconds.
+    /// Time for which this response is valid, in milliseconds.
     #[serde(rename = "holds_ms")]
     pub valid_for_ms: u64,
-    /// Tickets for requests that are not repeatable, as many as were asked for.
+    /// Tickets for requests that are not repeatable, at most as many as were requested.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub tickets: Vec<String>,
 }
--- a/crates/foldhaven-wire/src/control.rs
+++ b/crates/foldhaven-wire/src/control.rs
@@ -1,7 +1,7 @@
-//! The service that daemons offer each other for heartbeats, summaries and descriptions.
+//! The RPC service with which daemons exchange heartbeats, summaries and descriptions.
 //!
-//! It is served with tarpc over TCP, in bincode. A call that is lost is simply made again in the
-//! next round; nothing here has an effect that may not happen twice.
+//! It uses tarpc over TCP with bincode encoding. All calls are idempotent, so that a lost call is
+//! repeated in the next round.
 
 use std::io;
 use std::net::SocketAddr;
@@ -29,10 +29,11 @@
     /// The sender's heartbeat.
     #[serde(rename = "beat")]
     pub heartbeat: VmHeartbeat,
-    /// The summaries that the sender holds, if it asks for newer ones.
+    /// Versions of the summaries that the sender has; `None` if it does not request newer ones.
     #[serde(rename = "held")]
     pub known_summaries: Option<Vec<SummaryVersion>>,
-    /// The sender's own summary of its data centre, if it is a delegate that talks to another one.
+    /// The summary of the sender's data centre, sent to other data centres and to seeds; `None` in
+    /// other exchanges.
     #[serde(rename = "own")]
     pub own_summary: Option<CentreSummary>,
 }
@@ -43,18 +44,18 @@
     /// The receiver's heartbeat.
     #[serde(rename = "beat")]
     pub heartbeat: VmHeartbeat,
-    /// Summaries that are newer than those the sender holds.
+    /// Summaries that are newer than those of the sender.
     pub summaries: Vec<CentreSummary>,
 }
 
-/// What a daemon that starts, or that woke up, asks of others.
+/// The state that a daemon requests from others after it started or resumed from suspension.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct StateReply {
-    /// The stamp in force at the receiver.
+    /// The stamp of the description in force at the receiver; `None` if it has no description.
     pub stamp: Option<DescriptionStamp>,
-    /// Its data centre.
+    /// The receiver's data centre.
     pub data_centre: DataCentreName,
-    /// The upstreams of its data centre, as it knows them.
+    /// The receiver's list of the upstreams of its data centre; `None` if it has none.
     pub upstreams: Option<UpstreamList>,
 }
 
@@ -63,11 +64,11 @@
 pub trait PeerControl {
     /// Exchanges heartbeats and summaries.
     async fn exchange(request: ExchangeRequest) -> ExchangeReply;
-    /// Tells what is in force at the receiver.
+    /// Returns the state in force at the receiver.
     async fn state() -> StateReply;
-    /// Gives the manifest of the description in force.
+    /// Returns the manifest of the description in force, or `None` if there is no description.
     async fn manifest() -> Option<SectionManifest>;
-    /// Gives the contents of sections of the description in force; unknown ones are left out.
+    /// Returns the contents of sections of the description in force. Unknown sections are omitted.
     async fn sections(digests: Vec<SectionDigest>) -> Vec<String>;
 }
 
@@ -75,7 +76,7 @@
 ///
 /// # Errors
 ///
-/// When the connection cannot be made.
+/// Returns an error if the connection cannot be established.
 pub async fn connect_control(
     address: SocketAddr,
     counter: Arc<ByteCounter>,
@@ -86,13 +87,13 @@
     Ok(PeerControlClient::new(tarpc::client::Config::default(), transport).spawn())
 }
 
-/// Serves [`PeerControl`] on an address until the returned future is dropped.
+/// Serves [`PeerControl`] at an address until the returned future is dropped.
 ///
-/// All calls run inside the returned future, so that it can be driven on the control thread.
+/// All calls run inside the returned future, so that it can be polled on the control thread.
 ///
 /// # Errors
 ///
-/// When the address cannot be bound.
+/// Returns an error if the address cannot be bound.
 pub async fn serve_control<S>(
     address: SocketAddr,
     server: S,
--- a/crates/foldhaven-wire/src/counted.rs
+++ b/crates/foldhaven-wire/src/counted.rs
@@ -9,7 +9,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Bytes of control traffic in both directions, without the headers of TCP and IP.
+/// Counter of control traffic bytes in both directions, without TCP and IP headers.
 #[derive(Debug, Default)]
 pub struct ByteCounter {
     received: AtomicU64,
@@ -17,18 +17,18 @@
 }
 
 impl ByteCounter {
-    /// The bytes received so far.
+    /// Returns the number of bytes received.
     pub fn received(&self) -> u64 {
         self.received.load(Ordering::Relaxed)
     }
 
-    /// The bytes sent so far.
+    /// Returns the number of bytes sent.
     pub fn sent(&self) -> u64 {
         self.sent.load(Ordering::Relaxed)
     }
 }
 
-/// A stream whose bytes are added to a counter.
+/// A TCP stream that adds the bytes it transfers to a counter.
 #[derive(Debug)]
 pub(crate) struct CountedStream {
     pub(crate) stream: TcpStream,
--- a/crates/foldhaven-wire/src/error_text.rs
+++ b/crates/foldhaven-wire/src/error_text.rs
@@ -1,8 +1,8 @@
-//! The text of an error for logs and answers.
+//! Formats an error for logs and responses.
 
 use std::error::Error;
 
-/// The error with its causes, innermost last.
+/// Returns the message of an error followed by those of its sources, innermost last.
 pub fn error_text(error: &dyn Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
--- a/crates/foldhaven-wire/src/lib.rs
+++ b/crates/foldhaven-wire/src/lib.rs
@@ -1,4 +1,5 @@
-//! The messages that foldhaven exchanges with callers, engines, the platform and its own daemons.
+//! Messages that foldhaven exchanges with callers, engines, operators, the platform and between its
+//! daemons.
 
 pub mod caller;
 pub mod control;
--- a/crates/foldhaven-wire/src/listen.rs
+++ b/crates/foldhaven-wire/src/listen.rs
@@ -1,19 +1,21 @@
-//! Listening sockets whose connections send small messages at once.
+//! Listening sockets whose connections send small messages without delay.
 
 use std::io;
 use std::net::SocketAddr;
 
 use tokio::net::{TcpListener, TcpSocket};
 
-/// Connections that wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: u32 = 1_024;
 
-/// Listens at an address. Accepted connections inherit `TCP_NODELAY` from the listening socket:
-/// without it each event of a stream waits up to 40 ms for the acknowledgement of the one before.
+/// Listens at an address.
+///
+/// Accepted connections inherit `TCP_NODELAY` from the listening socket. Without it, each event of
+/// a stream is delayed by up to 40 ms until the previous one is acknowledged.
 ///
 /// # Errors
 ///
-/// When the address cannot be bound.
+/// Returns an error if the address cannot be bound.
 pub fn listen_at(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = match address {
         SocketAddr::V4(_) => TcpSocket::new_v4()?,
--- a/crates/foldhaven-wire/src/operator.rs
+++ b/crates/foldhaven-wire/src/operator.rs
@@ -1,4 +1,4 @@
-//! What daemons tell operators, as JSON over HTTP on the peer address.
+//! The API for operators: JSON over HTTP at the peer address of a daemon.
 
 use foldhaven_core::burn::BurnRow;
 use foldhaven_core::ids::{DataCentreName, IncarnationId, VmName};
@@ -6,76 +6,79 @@
 use foldhaven_core::planner::RoutePlan;
 use serde::{Deserialize, Serialize};
 
-/// How a daemon fares.
+/// The state of a daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DaemonState {
-    /// It takes requests.
+    /// The daemon accepts requests.
     Serving,
-    /// It finishes what it has and takes no more.
+    /// The daemon finishes its requests and accepts no new ones.
     Leaving,
-    /// It has no description yet.
+    /// The daemon has no description yet.
     NoDescription,
 }
 
-/// One upstream as a daemon sees it.
+/// The status of an upstream as seen by a daemon.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamStatus {
-    /// The name.
+    /// The name of the upstream.
     pub name: String,
-    /// Its models, `name@version` each, or its service.
+    /// The models that the upstream has loaded, each as `name@version`, or its service.
     pub holds: Vec<String>,
-    /// Requests running and queued by its last report.
+    /// Number of running and queued requests in its last report.
     pub busy: u32,
-    /// Its slots.
+    /// Number of its slots.
     pub slots: u32,
-    /// Whether it gets no new work, because it is leaving.
+    /// Whether the upstream is leaving and gets no new requests.
     pub leaving: bool,
-    /// The requests a second that it takes from all VMs together, where it names a limit.
+    /// Number of requests per second that the upstream accepts from all VMs together; `None` if it
+    /// has no limit.
     #[serde(default)]
     pub limit: Option<String>,
 }
 
-/// Another data centre as a daemon sees it.
+/// The status of another data centre as seen by a daemon.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CentreStatus {
     /// The data centre.
     pub data_centre: DataCentreName,
-    /// How old what is known of it is, in milliseconds.
+    /// Age of the information about the data centre, in milliseconds.
     pub age_ms: u64,
-    /// How many VMs serve there.
+    /// Number of VMs that serve there.
     pub serving: u32,
-    /// The lowest and the highest stamp in force there.
+    /// The lowest and the highest stamp in force there; `None` if none is known.
     pub stamps: Option<(String, String)>,
-    /// Peer addresses of some of its VMs.
+    /// The peer addresses of some of its VMs.
     pub peers: Vec<String>,
 }
 
-/// The answer of `GET /operator/v1/status`.
+/// The response of `GET /operator/v1/status`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StatusAnswer {
-    /// The VM.
+    /// The VM that answers.
     pub vm: VmName,
-    /// Its data centre.
+    /// The data centre of the VM.
     pub data_centre: DataCentreName,
-    /// Its process lifetime.
+    /// The incarnation of its process; 0 if it is not known yet.
     pub incarnation: IncarnationId,
-    /// How it fares.
+    /// The state of the daemon.
     pub state: DaemonState,
-    /// The stamp of the description in force here.
+    /// The stamp of the description in force at this VM; `None` if it has no description.
     pub stamp: Option<String>,
-    /// The digest of what that description says; VMs of one stamp have one.
+    /// The digest of the content of that description. VMs with the same stamp have the same digest.
+    /// `None` if not reported.
     #[serde(default)]
     pub content: Option<String>,
-    /// How many milliseconds ago it was proven that what is known here is all that is published.
+    /// Time since it was last confirmed that this VM has everything that is published, in
+    /// milliseconds. `None` if not reported.
     #[serde(default)]
     #[serde(rename = "belief_age_ms")]
     pub view_staleness_ms: Option<u64>,
-    /// Why the last description offered was refused.
+    /// Why the last offered description was refused; `None` if it was not refused.
     pub refused: Option<String>,
-    /// Requests under way.
+    /// Number of requests in flight.
     pub in_flight: u32,
-    /// The other VMs of this data centre with their state and stamp.
+    /// The other VMs of this data centre.
     pub members: Vec<MemberStatus>,
     /// The upstreams of this data centre.
     pub upstreams: Vec<UpstreamStatus>,
@@ -83,177 +86,182 @@
     pub centres: Vec<CentreStatus>,
 }
 
-/// Another VM of the same data centre as a daemon sees it.
+/// The status of another VM of the same data centre as seen by a daemon.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
     /// The VM.
     pub vm: VmName,
-    /// `live`, `leaving` or `suspect`.
+    /// The state of the VM: `live`, `leaving` or `suspect`.
     pub state: String,
-    /// The stamp in force there.
+    /// The stamp of the description in force there; `None` if none is known.
     pub stamp: Option<String>,
-    /// Its peer address.
+    /// The peer address of the VM.
     pub peer: String,
 }
 
-/// The answer of `GET /operator/v1/explain`.
+/// The response of `GET /operator/v1/explain`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ExplainAnswer {
-    /// The VM that was asked.
+    /// The VM that answers.
     pub vm: VmName,
-    /// Its data centre.
+    /// The data centre of the VM.
     pub data_centre: DataCentreName,
-    /// The stamp of the description in force here.
+    /// The stamp of the description in force at this VM.
     pub stamp: String,
-    /// The options with their prices, as for a real request.
+    /// The options with their prices, computed as for a real request.
     pub plan: RoutePlan,
 }
 
-/// The answer of `GET /operator/v1/explain-route`: where an opaque request would go, and why.
+/// The response of `GET /operator/v1/explain-route`: where an opaque request would be routed, and
+/// why.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RouteExplanation {
-    /// The VM that was asked.
+    /// The VM that answers.
     pub vm: VmName,
-    /// Its data centre.
+    /// The data centre of the VM.
     pub data_centre: DataCentreName,
-    /// The version of the description in force here.
+    /// The version of the description in force at this VM.
     pub version: u64,
-    /// The route that the host and the path find.
+    /// The route that matches the host and the path.
     pub route: String,
-    /// The service that the route names.
+    /// The service of the route.
     pub service: String,
-    /// The regions in which it may run; all when empty.
+    /// The regions in which the request may run; if empty, all regions.
     pub homes: Vec<String>,
-    /// The places that were priced, the cheapest first.
+    /// The priced destinations, cheapest first.
     #[serde(rename = "places")]
     pub destinations: Vec<DestinationPrice>,
-    /// By how much another region must be cheaper than the best place of this one.
+    /// The amount by which another region must be cheaper than the best destination in this region.
     pub region_margin: f64,
 }
 
-/// What one place is expected to take and to cost.
+/// The expected time and price of a destination.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DestinationPrice {
-    /// An upstream of the asked VM's region, or another region.
+    /// The name of an upstream in the region of the VM that answers, or of another region.
     pub name: String,
-    /// Whether it is another region.
+    /// Whether the destination is another region.
     #[serde(rename = "is_far")]
     pub is_remote: bool,
-    /// The expected time to the answer, or to its first event, in milliseconds.
+    /// The expected time to the answer or its first event, in milliseconds.
     #[serde(rename = "first_ms")]
     pub time_to_first_ms: u64,
-    /// The prompt tokens that would have to be read.
+    /// Number of prompt tokens that need prefill, since they are not cached.
     #[serde(rename = "read_tokens")]
     pub prefill_tokens: u32,
-    /// The parts of its price, as shares of what the request is worth.
+    /// The components of the price, as fractions of the worth of the request.
     #[serde(rename = "parts")]
     pub breakdown: CostBreakdown,
 }
 
-/// A request under which upstreams ended.
+/// A request suspected of crashing upstreams, since upstreams exited while they served it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectRow {
-    /// Its fingerprint, as in the log.
+    /// The fingerprint of the request, as in the log.
     #[serde(rename = "print")]
     pub fingerprint: String,
-    /// Its route, where the asked VM has held it back itself.
+    /// The route of the request; `None` unless the VM that answers has quarantined it itself.
     pub route: Option<String>,
-    /// `noted`, `on trial` (one VM at a time sends it on) or `refused`.
+    /// The state of the request: `noted`, `on trial` (one VM at a time may send it as a probe) or
+    /// `refused`.
     pub state: String,
-    /// The lives of upstreams that ended, by their tags; at most four are kept.
+    /// The tags of the upstream incarnations that exited; at most four are kept.
     pub upstreams: Vec<String>,
-    /// How many trials were begun.
+    /// Number of probes that were started.
     #[serde(rename = "trials")]
     pub probes: u8,
-    /// How often it was cleared.
+    /// Number of times that the request was exonerated.
     #[serde(rename = "pardons")]
     pub exonerations: u32,
-    /// How long ago what is known of it has changed, in milliseconds.
+    /// Time since the record of the request last changed, in milliseconds.
     pub since_ms: u64,
-    /// After how many milliseconds the asked VM may try it.
+    /// Time after which the VM that answers may send a probe, in milliseconds; `None` if the
+    /// request is not refused.
     #[serde(rename = "opens_ms")]
     pub probe_after_ms: Option<u64>,
 }
 
-/// The answer of `GET /operator/v1/suspects`.
+/// The response of `GET /operator/v1/suspects`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectsAnswer {
-    /// The asked VM.
+    /// The VM that answers.
     pub vm: VmName,
-    /// What it knows, the requests with the most ends first.
+    /// The suspected requests that the VM knows, those with the most exits first.
     pub rows: Vec<SuspectRow>,
 }
 
-/// The answer of `POST /operator/v1/suspects/clear`.
+/// The response of `POST /operator/v1/suspects/clear`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClearAnswer {
-    /// The fingerprint.
+    /// The fingerprint of the request.
     #[serde(rename = "print")]
     pub fingerprint: String,
-    /// Whether anything was held against it.
+    /// Whether the request was suspected until now.
     pub is_cleared: bool,
 }
 
-/// A client account, as one VM knows it.
+/// The status of a client account at one VM.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AccountRow {
-    /// Its name.
+    /// The name of the account.
     pub account: String,
-    /// How many keys it has; none is told.
+    /// Number of keys of the account. The keys themselves are not disclosed.
     pub keys: usize,
-    /// The regions in which its requests may run; all when empty.
+    /// The regions in which its requests may run; if empty, all regions.
     pub homes: Vec<String>,
-    /// What its limit counts: `requests` or `tokens`; nothing where it has none.
+    /// The unit of its limit: `requests` or `tokens`; `None` if the account has no limit.
     pub unit: Option<String>,
-    /// What all VMs together let through a second.
+    /// The limit per second for all VMs together; `None` if the account has no limit.
     pub per_s: Option<f64>,
-    /// What they let through at once above that.
+    /// The burst that all VMs together may admit beyond that rate; `None` if the account has no
+    /// limit.
     pub burst: Option<f64>,
-    /// The part of the asked VM a second.
+    /// The share of the limit that the VM that answers may use, per second. This and the following
+    /// `Option` fields are `None` if the VM currently has no share for the account.
     #[serde(rename = "part_per_s")]
     pub share_per_s: Option<f64>,
-    /// For how long that part has been in force, in milliseconds.
+    /// Time since that share took effect, in milliseconds.
     #[serde(rename = "part_age_ms")]
     pub share_age_ms: Option<u64>,
-    /// What that VM may let through at once; below 0 it is owed.
+    /// The amount that the VM may admit immediately; negative if it is in debt.
     pub level: Option<f64>,
-    /// What callers want there a second.
+    /// The demand of callers at the VM, per second.
     #[serde(rename = "want_per_s")]
     pub demand_per_s: Option<f64>,
-    /// What was let through there since the start.
+    /// The amount that the VM admitted since its start.
     pub let_through: f64,
-    /// How many requests were refused there since the start.
+    /// Number of requests that the VM refused since its start.
     pub refused: u64,
 }
 
-/// The answer of `GET /operator/v1/accounts`.
+/// The response of `GET /operator/v1/accounts`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AccountsAnswer {
-    /// The asked VM.
+    /// The VM that answers.
     pub vm: VmName,
-    /// The regions that there may be, its own included.
+    /// Number of regions that may exist, including its own.
     pub regions: usize,
-    /// Those that it does not hear, or that do not hear it.
+    /// Number of other regions that are not heard from, or that do not hear from its own.
     pub silent_regions: usize,
-    /// The VMs of its region that there may be, itself included.
+    /// Number of VMs that may exist in its region, including itself.
     pub vms: usize,
-    /// Those that it does not hear.
+    /// Number of other VMs in its region that are not heard from.
     pub silent_vms: usize,
-    /// Whether it has had the time to hear of the others.
+    /// Whether the VM has run long enough to have heard from the others.
     pub is_informed: bool,
     /// The accounts, by name.
     pub rows: Vec<AccountRow>,
 }
 
-/// The answer of `GET /operator/v1/burn`.
+/// The response of `GET /operator/v1/burn`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct BurnAnswer {
-    /// The VM that was asked.
+    /// The VM that answers.
     pub vm: VmName,
-    /// Its data centre.
+    /// The data centre of the VM.
     pub data_centre: DataCentreName,
-    /// A row per account and class, from the requests that this VM was the origin of.
+    /// A row per account and class, for the requests whose origin is this VM.
     pub rows: Vec<BurnRow>,
-    /// The share that is to be whole and on time, per class.
+    /// The target share of requests that are answered completely and on time, by class.
     pub targets: Vec<(String, f64)>,
 }
--- a/crates/foldhaven-wire/src/platform.rs
+++ b/crates/foldhaven-wire/src/platform.rs
@@ -1,9 +1,10 @@
-//! The platform's read-only service, as JSON over HTTP.
+//! The platform's read-only HTTP API with JSON bodies.
 //!
-//! `GET /v1/values/KEY` gives a value; `GET /v1/lists/upstreams?data_centre=NAME` the list of VMs.
-//! Both give their revision in the [`REVISION`] header, and wait for a newer one when
-//! `after=REVISION&wait_ms=N` is asked: 304 when there is none by then. `GET /v1/directory` is the
-//! directory for clients. Each call counts against the platform's limits, a waiting watch as one.
+//! `GET /v1/values/KEY` returns a value, `GET /v1/lists/upstreams?data_centre=NAME` the list of
+//! upstream VMs. Both return their revision in the [`REVISION`] header. With
+//! `after=REVISION&wait_ms=N` they wait for a newer revision, and answer 304 if there is none after
+//! N milliseconds. `GET /v1/directory` returns the directory for clients. Each call counts against
+//! the platform's limits; a waiting call counts once.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,14 +13,14 @@
 use foldhaven_core::ids::{DataCentreName, RegionName, ServiceName, UpstreamName, VmName};
 use serde::{Deserialize, Serialize};
 
-/// The header with the revision of a value or list.
+/// Name of the header with the revision of a value or list.
 pub const REVISION: &str = "platform-revision";
-/// The key of the manifest of the description.
+/// Key of the manifest of the description.
 pub const MANIFEST_KEY: &str = "description/manifest";
-/// The start of the keys of sections; the digest follows.
+/// Prefix of the keys of sections; the digest follows.
 pub const SECTION_KEY_PREFIX: &str = "description/sections/";
 
-/// What an upstream is.
+/// The kind of an upstream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum UpstreamKind {
@@ -32,24 +33,24 @@
 /// One upstream VM in the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamEntry {
-    /// The name.
+    /// The name of the upstream.
     pub name: UpstreamName,
-    /// The data centre.
+    /// The data centre of the upstream.
     pub data_centre: DataCentreName,
-    /// What it is.
+    /// The kind of the upstream.
     pub kind: UpstreamKind,
-    /// Where it is reached.
+    /// The address at which the upstream accepts requests.
     pub address: SocketAddr,
-    /// Its process lifetime; larger for a later one.
+    /// The incarnation of its process; a later process has a larger one.
     pub incarnation: u64,
-    /// Whether it takes no new work.
+    /// Whether the upstream is leaving and accepts no new requests.
     pub leaving: bool,
 }
 
-/// The platform's lagging list of the upstreams of a data centre.
+/// The platform's list of the upstreams of a data centre, which lags behind their actual state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamList {
-    /// The revision; a larger one is newer.
+    /// The revision; a newer list has a larger one.
     pub revision: u64,
     /// The upstreams.
     pub upstreams: Vec<UpstreamEntry>,
@@ -60,23 +61,23 @@
 pub struct DirectoryEntry {
     /// The VM.
     pub vm: VmName,
-    /// Its region.
+    /// The region of the VM.
     pub region: RegionName,
-    /// Its data centre.
+    /// The data centre of the VM.
     pub data_centre: DataCentreName,
-    /// Where callers send requests.
+    /// The address to which callers send requests.
     pub caller: SocketAddr,
 }
 
-/// A description made ready for publishing: the values that operators put into the platform.
+/// The values that operators write to the platform to publish a description.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ValueBundle {
-    /// The values by key, in any order; the manifest is to be published last.
+    /// The values by key. The manifest must be written last, after all sections.
     pub values: BTreeMap<String, String>,
 }
 
 impl ValueBundle {
-    /// Makes the values of a description.
+    /// Returns the manifest and all values of a description.
     pub fn of(description: &Description) -> (SectionManifest, ValueBundle) {
         let (manifest, sections) = SectionSet::split(description);
         let mut values = BTreeMap::new();
@@ -91,7 +92,7 @@
     }
 }
 
-/// A manifest as it stands in the platform: a line with the generation, then `NAME DIGEST` lines.
+/// Serializes a manifest for the platform: a line with the generation, then `NAME DIGEST` lines.
 pub fn manifest_text(manifest: &SectionManifest) -> String {
     let mut text = format!("{}\n", manifest.generation);
     for (name, digest) in &manifest.sections {
@@ -104,11 +105,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub struct ManifestError(pub usize);
 
-/// Reads what [`manifest_text`] wrote.
+/// Parses the output of [`manifest_text`].
 ///
 /// # Errors
 ///
-/// The first line that is malformed, counted from 1.
+/// Returns the number of the first malformed line, counted from 1.
 pub fn parse_manifest(text: &str) -> Result<SectionManifest, ManifestError> {
     let mut lines = text.lines();
     let generation = lines.next().and_then(|line| line.parse().ok()).ok_or(ManifestError(1))?;
--- a/crates/foldhaven-wire/src/settings_file.rs
+++ b/crates/foldhaven-wire/src/settings_file.rs
@@ -1,4 +1,4 @@
-//! Reads the settings of a daemon from a YAML file and checks them.
+//! Loads the settings of a daemon from a YAML file and validates them.
 
 use std::fs;
 use std::io;
@@ -6,28 +6,28 @@
 
 use serde::de::DeserializeOwned;
 
-/// Why settings cannot be used.
+/// Why settings cannot be loaded.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum SettingsError {
     /// reading {path}: {source}
     Read {
         /// The file.
         path: PathBuf,
-        /// What went wrong.
+        /// The cause.
         source: io::Error,
     },
     /// {path}: {message}
     Syntax {
         /// The file.
         path: PathBuf,
-        /// Line, column and what was expected.
+        /// The line, the column and what was expected.
         message: String,
     },
     /// {path}: {fault}
     Value {
         /// The file.
         path: PathBuf,
-        /// The field and what was expected.
+        /// The invalid field and what was expected.
         fault: SettingsFault,
     },
 }
@@ -35,23 +35,24 @@
 /// {field}: {message}
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub struct SettingsFault {
-    /// The field that has a value out of range.
+    /// The field whose value is out of range.
     pub field: &'static str,
     /// What was expected.
     pub message: &'static str,
 }
 
-/// Settings that can be checked beyond their shape.
+/// Settings that can be validated beyond their types.
 pub trait CheckedSettings: DeserializeOwned {
-    /// The first value that is out of range.
+    /// Returns the first value that is out of range, or `None` if all are valid.
     fn fault(&self) -> Option<SettingsFault>;
 }
 
-/// Reads settings from a file and checks them.
+/// Loads settings from a file and validates them.
 ///
 /// # Errors
 ///
-/// When the file cannot be read, is not YAML of the right shape, or has a value out of range.
+/// Returns an error if the file cannot be read, is not YAML with the expected fields, or has a
+/// value out of range.
 pub fn read_settings<T: CheckedSettings>(path: &Path) -> Result<T, SettingsError> {
     let text = fs::read_to_string(path)
         .map_err(|source| SettingsError::Read { path: path.to_owned(), source })?;
--- a/crates/foldhaven-wire/src/sse.rs
+++ b/crates/foldhaven-wire/src/sse.rs
@@ -1,18 +1,18 @@
-//! Server-sent events: splitting a byte stream into events, and writing them.
+//! Server-sent events: parsing a byte stream into events, and serializing events.
 
 use bytes::{Bytes, BytesMut};
 
 /// The data of the event that ends an answer.
 pub const DONE: &str = "[DONE]";
 
-/// The largest event that is accepted, in bytes.
+/// Maximum size of an accepted event, in bytes.
 pub const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// An event is too large or is not UTF-8
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub struct SseError;
 
-/// Splits bytes, in whatever pieces they arrive, into the data of events.
+/// Splits a byte stream into the data of its events. The input may be divided at any byte.
 ///
 /// ```
 /// use foldhaven_wire::sse::SseSplitter;
@@ -27,11 +27,11 @@
 }
 
 impl SseSplitter {
-    /// Takes in some bytes and returns the data of the events that they complete.
+    /// Appends bytes and returns the data of the events that they complete.
     ///
     /// # Errors
     ///
-    /// When an event is too large or is not text.
+    /// Returns an error if an event is larger than [`MAX_EVENT_BYTES`] or is not UTF-8.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<String>, SseError> {
         self.buffer.extend_from_slice(bytes);
         let mut events = Vec::new();
@@ -66,24 +66,24 @@
     if data.is_empty() { None } else { Some(data.join("\n")) }
 }
 
-/// Writes one event.
+/// Returns a serialized event without a name.
 pub fn write_event(data: &str) -> String {
     format!("data: {data}\n\n")
 }
 
-/// Writes one named event.
+/// Returns a serialized event with a name.
 pub fn write_named_event(name: &str, data: &str) -> String {
     format!("event: {name}\ndata: {data}\n\n")
 }
 
-/// Cuts a byte stream after whole events and leaves their bytes as they are.
+/// Buffers a byte stream and releases only complete events, with their bytes unchanged.
 ///
 /// ```
-/// use foldhaven_wire::sse::EventBlocks;
-/// let mut blocks = EventBlocks::default();
-/// assert_eq!(blocks.push("id: 1\ndata: a\n\nid: 2\nda".into()).unwrap(), "id: 1\ndata: a\n\n");
-/// assert_eq!(blocks.last_id(), Some("1"));
-/// assert!(!blocks.is_at_boundary());
+/// use foldhaven_wire::sse::SseEventBuffer;
+/// let mut buffer = SseEventBuffer::default();
+/// assert_eq!(buffer.push("id: 1\ndata: a\n\nid: 2\nda".into()).unwrap(), "id: 1\ndata: a\n\n");
+/// assert_eq!(buffer.last_id(), Some("1"));
+/// assert!(!buffer.is_at_boundary());
 /// ```
 #[derive(Debug, Default)]
 pub struct SseEventBuffer {
@@ -93,11 +93,11 @@
 }
 
 impl SseEventBuffer {
-    /// Takes in some bytes; returns the whole events that they complete, which may be none.
+    /// Appends bytes and returns the events that they complete, which may be empty.
     ///
     /// # Errors
     ///
-    /// When an event is too large.
+    /// Returns an error if an incomplete event is larger than [`MAX_EVENT_BYTES`].
     pub fn push(&mut self, bytes: Bytes) -> Result<Bytes, SseError> {
         let is_whole = self.partial_event.is_empty() && bytes.ends_with(b"\n\n");
         if is_whole {
@@ -127,17 +127,17 @@
         }
     }
 
-    /// The id of the last whole event that had one.
+    /// Returns the id of the last complete event that has one, or `None` if there was none.
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 
-    /// Takes the last id back to an earlier one: the events after it are not passed on.
+    /// Sets the last id back to an earlier one, after the caller dropped the events that follow it.
     pub fn rewind_last_id(&mut self, last_id: Option<String>) {
         self.last_id = last_id;
     }
 
-    /// How many whole events there were.
+    /// Returns the number of complete events, at most `u32::MAX`.
     pub fn count(&self) -> u32 {
         self.count
     }
@@ -147,20 +147,20 @@
         self.partial_event.is_empty()
     }
 
-    /// Drops a part of an event that will not be completed.
+    /// Discards an incomplete event that will not be completed.
     pub fn discard_partial_event(&mut self) {
         self.partial_event.clear();
     }
 }
 
-/// The ids of whole events, in their order. Events without an id have none here.
+/// Returns the ids of complete events in order. Events without an id are skipped.
 pub fn event_ids(events: &[u8]) -> impl Iterator<Item = &str> {
     let lines = events.split(|byte| *byte == b'\n');
     let ids = lines.filter_map(|line| line.strip_prefix(b"id:"));
     ids.filter_map(|id| std::str::from_utf8(id).ok()).map(str::trim)
 }
 
-/// The end of the last blank line.
+/// Returns the index after the last blank line, or `None` if there is none.
 fn last_blank_line(bytes: &[u8]) -> Option<usize> {
     bytes.windows(2).rposition(|pair| pair == b"\n\n").map(|at| at + 2)
 }
