--- a/crates/foldhaven-wire/src/platform.rs
+++ b/crates/foldhaven-wire/src/platform.rs
@@ -114,10 +114,10 @@
     let mut lines = text.lines();
     let generation = lines.next().and_then(|line| line.parse().ok()).ok_or(ManifestError(1))?;
     let mut sections = Vec::new();
-    for (at, line) in lines.enumerate() {
-        let fault = ManifestError(at + 2);
-        let (name, digest) = line.split_once(' ').ok_or_else(|| fault.clone())?;
-        sections.push((name.to_owned(), digest.parse().map_err(|_| fault)?));
+    for (index, line) in lines.enumerate() {
+        let error = ManifestError(index + 2);
+        let (name, digest) = line.split_once(' ').ok_or_else(|| error.clone())?;
+        sections.push((name.to_owned(), digest.parse().map_err(|_| error)?));
     }
     Ok(SectionManifest { generation, sections })
 }
--- a/crates/foldhaven-wire/src/sse.rs
+++ b/crates/foldhaven-wire/src/sse.rs
@@ -162,5 +162,5 @@
 
 /// Returns the index after the last blank line, or `None` if there is none.
 fn last_blank_line(bytes: &[u8]) -> Option<usize> {
-    bytes.windows(2).rposition(|pair| pair == b"\n\n").map(|at| at + 2)
+    bytes.windows(2).rposition(|pair| pair == b"\n\n").map(|index| index + 2)
 }
--- a/crates/foldhavend/src/traffic/origin.rs
+++ b/crates/foldhavend/src/traffic/origin.rs
@@ -27,9 +27,10 @@
 const ROUTE_STEP: &str = "choosing where to run";
 /// Maximum number of attempts per request.
 const MAX_ATTEMPTS: usize = 4;
-/// Timeout for the first part of the answer, as a multiple of the estimated time.
+/// Timeout for the start of the answer and for its first part, each as a multiple of the estimated
+/// time. The attempt is aborted afterwards.
 const FIRST_PART_TIMEOUT_FACTOR: u32 = 4;
-/// Minimum timeout for the first part of the answer.
+/// Minimum timeout for the start of the answer and for its first part.
 const MIN_FIRST_PART_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Timeout for each further part of the answer, after which the attempt is aborted.
 const PART_TIMEOUT: Duration = Duration::from_millis(2_500);
@@ -60,6 +61,7 @@
 #[derive(Default)]
 struct JobProgress {
     log: AttemptLog,
+    /// Names of the targets of all attempts.
     tried: Vec<String>,
     /// Number of tokens received.
     position: u64,
@@ -70,6 +72,7 @@
 
 /// Why an attempt ended before the end of the answer.
 enum AttemptFailure {
+    /// The call failed.
     Call(CallError),
     /// The request was cancelled because its region became forbidden before the first token.
     Recalled,
--- a/crates/foldhavend/src/traffic/outgoing.rs
+++ b/crates/foldhavend/src/traffic/outgoing.rs
@@ -77,8 +77,8 @@
 pub fn pick_peer<'a>(view: &'a PublishedView, centre: &DataCentreName) -> Option<&'a VmContact> {
     let found = view.route.centres.iter().find(|it| it.summary.data_centre == *centre)?;
     let vms = &found.summary.vms;
-    let at = rand::random::<u32>() as usize % vms.len().max(1);
-    vms.get(at)
+    let index = rand::random::<u32>() as usize % vms.len().max(1);
+    vms.get(index)
 }
 
 /// Returns the headers that are sent with every attempt.
--- a/crates/foldhavend/src/traffic/request.rs
+++ b/crates/foldhavend/src/traffic/request.rs
@@ -58,6 +58,7 @@
     pub blocks: Vec<u64>,
     pub prompt_tokens: u64,
     pub max_tokens: u64,
+    /// Whether the caller requested a streamed answer.
     pub is_stream: bool,
     pub shape: AnswerShape,
 }
