--- a/crates/foldhaven-gateway/src/events.rs
+++ b/crates/foldhaven-gateway/src/events.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use foldhaven_core::opaque::event_sequence::EventSequenceChecker;
 use foldhaven_core::opaque::queue_rank::QueueRank;
-use foldhaven_wire::sse::{EventBlocks, event_ids};
+use foldhaven_wire::sse::{SseEventBuffer, event_ids};
 use http::StatusCode;
 use http_body::{Body, Frame};
 use hyper::body::Incoming;
@@ -105,7 +105,7 @@
 state: RelayState,
 /// `None` while another upstream is being opened.
 driver: Option<RequestDriver>,
-blocks: EventBlocks,
+blocks: SseEventBuffer,
 /// Detects missing events by their ids.
 checker: EventSequenceChecker,
 timer: Pin<Box<BootSleep>>,
@@ -141,7 +141,7 @@
 Self {
 state: RelayState::Reading(ReadingState::of(opened)),
 driver: Some(driver),
-blocks: EventBlocks::default(),
+blocks: SseEventBuffer::default(),
 checker,
 timer: Box::pin(BootSleep::until(wake)),
 last_received: now,
@@ -220,7 +220,7 @@
 match self.blocks.push(bytes) {
 Ok(events) if events.is_empty() => RelayStep::NoEvent,
 Ok(events) if self.has_gap(&events) => {
-self.blocks.take_back(passed_on);
+self.blocks.rewind_last_id(passed_on);
 RelayStep::Broken("an event was missing")
 }
 Ok(events) => {
@@ -398,7 +398,7 @@
 self.driver = Some(driver);
 return false;
 }
-self.blocks.drop_rest();
+self.blocks.discard_partial_event();
 let after = self.blocks.last_id().map(str::to_owned);
 let resumption = async move {
 let result = driver.open(after.as_deref()).await;
