--- a/crates/foldhaven-gateway/src/attempts/mod.rs
+++ b/crates/foldhaven-gateway/src/attempts/mod.rs
@@ -21,8 +21,8 @@
 use crate::clock::BootInstant;
 use crate::credential::{KeyState, key_state};
 use crate::destinations::{
-DestinationChoice, RequestDestination, TriedDestinations, choose_destination,
-describe_candidates,
+    DestinationChoice, RequestDestination, TriedDestinations, choose_destination,
+    describe_candidates,
 };
 use crate::job::GatewayJob;
 use crate::shared::GatewayShared;
@@ -40,273 +40,273 @@
 /// The estimate for the first response of a destination, made when the request was sent.
 #[derive(Debug, Clone, Copy)]
 pub struct FirstResponseEstimate {
-/// The expected time to the answer, or to its first event.
-pub time: Duration,
-/// The rank of the request at the destination.
-pub rank: QueueRank,
-/// The prompt tokens to prefill before the answer, if prefill accounts for the whole time.
-pub prefill_before_answer: Option<u32>,
+    /// The expected time to the answer, or to its first event.
+    pub time: Duration,
+    /// The rank of the request at the destination.
+    pub rank: QueueRank,
+    /// The prompt tokens to prefill before the answer, if prefill accounts for the whole time.
+    pub prefill_before_answer: Option<u32>,
 }
 
 /// The properties of a chosen destination that are logged.
 #[derive(Debug, Clone, Copy)]
 pub struct LoggedChoice {
-/// The expected time to the first answer, in milliseconds.
-pub time_to_first_ms: u64,
-/// The prompt tokens to prefill.
-pub prefill_tokens: u32,
-/// The requests in flight at the destination.
-pub load: u32,
-/// The rank of the request at the destination.
-pub rank: QueueRank,
+    /// The expected time to the first answer, in milliseconds.
+    pub time_to_first_ms: u64,
+    /// The prompt tokens to prefill.
+    pub prefill_tokens: u32,
+    /// The requests in flight at the destination.
+    pub load: u32,
+    /// The rank of the request at the destination.
+    pub rank: QueueRank,
 }
 
 impl LoggedChoice {
-fn of(chosen: &DestinationChoice) -> Self {
-Self {
-time_to_first_ms: chosen.time_to_first.as_millis() as u64,
-prefill_tokens: chosen.prefill_tokens,
-load: chosen.queue.in_flight,
-rank: chosen.rank,
-}
-}
+    fn of(chosen: &DestinationChoice) -> Self {
+        Self {
+            time_to_first_ms: chosen.time_to_first.as_millis() as u64,
+            prefill_tokens: chosen.prefill_tokens,
+            load: chosen.queue.in_flight,
+            rank: chosen.rank,
+        }
+    }
 }
 
 /// An answer whose body is being read, with the destination that sends it.
 pub struct DestinationAnswer {
-pub answer: OpenAnswer,
-pub destination: RequestDestination,
-/// Counts the request at its destination until the answer ends.
-pub load_guard: LoadGuard,
-/// Registers the request at its upstream. `None` if the destination is another VM.
-pub request_guard: Option<UpstreamRequestGuard>,
-/// The estimate for the destination when the request was sent.
-pub expected: FirstResponseEstimate,
-/// When the request was sent.
-pub sent: BootInstant,
+    pub answer: OpenAnswer,
+    pub destination: RequestDestination,
+    /// Counts the request at its destination until the answer ends.
+    pub load_guard: LoadGuard,
+    /// Registers the request at its upstream. `None` if the destination is another VM.
+    pub request_guard: Option<UpstreamRequestGuard>,
+    /// The estimate for the destination when the request was sent.
+    pub expected: FirstResponseEstimate,
+    /// When the request was sent.
+    pub sent: BootInstant,
 }
 
 impl DestinationAnswer {
-fn is_event_stream(&self) -> bool {
-let head = &self.answer.head;
-let content_type = head.headers.get(CONTENT_TYPE).map(HeaderValue::as_bytes);
-let is_events = content_type.is_some_and(|value| value.starts_with(EVENT_STREAM));
-head.status == StatusCode::OK && is_events
-}
+    fn is_event_stream(&self) -> bool {
+        let head = &self.answer.head;
+        let content_type = head.headers.get(CONTENT_TYPE).map(HeaderValue::as_bytes);
+        let is_events = content_type.is_some_and(|value| value.starts_with(EVENT_STREAM));
+        head.status == StatusCode::OK && is_events
+    }
 }
 
 /// An answer of an upstream with its complete body.
 pub struct CompleteAnswer {
-pub head: Parts,
-pub body: Bytes,
+    pub head: Parts,
+    pub body: Bytes,
 }
 
 impl CompleteAnswer {
-/// Whether the upstream reports a failure (a 5xx status).
-pub fn is_failure(&self) -> bool {
-self.head.status.is_server_error()
-}
+    /// Whether the upstream reports a failure (a 5xx status).
+    pub fn is_failure(&self) -> bool {
+        self.head.status.is_server_error()
+    }
 }
 
 /// How a request was answered.
 pub enum AnswerStart {
-/// An event stream, of which no event was read yet.
-Events(DestinationAnswer),
-/// A complete answer. On a streaming route it reports a failure or a bad request.
-Complete(CompleteAnswer),
+    /// An event stream, of which no event was read yet.
+    Events(DestinationAnswer),
+    /// A complete answer. On a streaming route it reports a failure or a bad request.
+    Complete(CompleteAnswer),
 }
 
 /// How to go on after an attempt whose answer was read.
 enum AttemptOutcome {
-/// Pass this answer to the caller.
-Answered(CompleteAnswer),
-/// Refuse the request, unless an earlier attempt got an answer.
-Refused(Refusal),
-/// Retry, since there was no answer or the given one, which reports a failure.
-Retry(Option<CompleteAnswer>),
+    /// Pass this answer to the caller.
+    Answered(CompleteAnswer),
+    /// Refuse the request, unless an earlier attempt got an answer.
+    Refused(Refusal),
+    /// Retry, since there was no answer or the given one, which reports a failure.
+    Retry(Option<CompleteAnswer>),
 }
 
 /// Runs one request through its attempts.
 pub struct RequestDriver {
-pub shared: Arc<GatewayShared>,
-pub job: GatewayJob,
-tried: TriedDestinations,
-/// The number of attempts that may have reached an upstream or another VM.
-pub delivered_attempts: u32,
-/// The number of attempts whose connection broke.
-broken_connections: u32,
-/// Whether the request is under suspicion and is sent once as a probe, to test the suspicion.
-is_probe: bool,
-/// Whether an upstream may have received the probe.
-is_probe_sent: bool,
-/// Whether any attempt may have run.
-pub may_have_run: bool,
-/// The fault of the last failed attempt, for the log.
-pub last_fault: Option<String>,
-/// The destination of the last attempt, for the log.
-pub last_destination: Option<String>,
-/// The properties of that destination when it was chosen, for the log.
-pub last_choice: Option<LoggedChoice>,
-/// The candidates when no destination could be chosen, for the log.
-pub candidates_summary: Option<String>,
+    pub shared: Arc<GatewayShared>,
+    pub job: GatewayJob,
+    tried: TriedDestinations,
+    /// The number of attempts that may have reached an upstream or another VM.
+    pub delivered_attempts: u32,
+    /// The number of attempts whose connection broke.
+    broken_connections: u32,
+    /// Whether the request is under suspicion and is sent once as a probe, to test the suspicion.
+    is_probe: bool,
+    /// Whether an upstream may have received the probe.
+    is_probe_sent: bool,
+    /// Whether any attempt may have run.
+    pub may_have_run: bool,
+    /// The fault of the last failed attempt, for the log.
+    pub last_fault: Option<String>,
+    /// The destination of the last attempt, for the log.
+    pub last_destination: Option<String>,
+    /// The properties of that destination when it was chosen, for the log.
+    pub last_choice: Option<LoggedChoice>,
+    /// The candidates when no destination could be chosen, for the log.
+    pub candidates_summary: Option<String>,
 }
 
 impl RequestDriver {
-pub fn new(shared: Arc<GatewayShared>, job: GatewayJob) -> Self {
-Self {
-shared,
-job,
-tried: TriedDestinations::default(),
-delivered_attempts: 0,
-broken_connections: 0,
-is_probe: false,
-is_probe_sent: false,
-may_have_run: false,
-last_fault: None,
-last_destination: None,
-last_choice: None,
-candidates_summary: None,
-}
-}
+    pub fn new(shared: Arc<GatewayShared>, job: GatewayJob) -> Self {
+        Self {
+            shared,
+            job,
+            tried: TriedDestinations::default(),
+            delivered_attempts: 0,
+            broken_connections: 0,
+            is_probe: false,
+            is_probe_sent: false,
+            may_have_run: false,
+            last_fault: None,
+            last_destination: None,
+            last_choice: None,
+            candidates_summary: None,
+        }
+    }
 
-/// Runs the request until an upstream has sent a complete answer or, on a streaming route, the
-/// head of an event stream.
-pub async fn run(&mut self) -> Result<AnswerStart, Refusal> {
-let mut failed: Option<CompleteAnswer> = None;
-loop {
-let opened = match self.open(None).await {
-Ok(opened) if self.is_relayed(&opened) => return Ok(AnswerStart::Events(opened)),
-Ok(opened) => opened,
-// An answer that reports a failure tells the caller more than a refusal.
-Err(refusal) => return failed.map(AnswerStart::Complete).ok_or(refusal),
-};
-match self.finish(opened).await {
-AttemptOutcome::Answered(complete) => return Ok(AnswerStart::Complete(complete)),
-AttemptOutcome::Refused(refusal) => {
-return failed.map(AnswerStart::Complete).ok_or(refusal);
-}
-AttemptOutcome::Retry(answer) => failed = answer.or(failed),
-}
-}
-}
+    /// Runs the request until an upstream has sent a complete answer or, on a streaming route, the
+    /// head of an event stream.
+    pub async fn run(&mut self) -> Result<AnswerStart, Refusal> {
+        let mut failed: Option<CompleteAnswer> = None;
+        loop {
+            let opened = match self.open(None).await {
+                Ok(opened) if self.is_relayed(&opened) => return Ok(AnswerStart::Events(opened)),
+                Ok(opened) => opened,
+                // An answer that reports a failure tells the caller more than a refusal.
+                Err(refusal) => return failed.map(AnswerStart::Complete).ok_or(refusal),
+            };
+            match self.finish(opened).await {
+                AttemptOutcome::Answered(complete) => return Ok(AnswerStart::Complete(complete)),
+                AttemptOutcome::Refused(refusal) => {
+                    return failed.map(AnswerStart::Complete).ok_or(refusal);
+                }
+                AttemptOutcome::Retry(answer) => failed = answer.or(failed),
+            }
+        }
+    }
 
-/// Whether the events of an answer are relayed as they arrive.
-fn is_relayed(&self, opened: &DestinationAnswer) -> bool {
-self.job.route.repeat.is_stream() && opened.is_event_stream()
-}
+    /// Whether the events of an answer are relayed as they arrive.
+    fn is_relayed(&self, opened: &DestinationAnswer) -> bool {
+        self.job.route.repeat.is_stream() && opened.is_event_stream()
+    }
 
-/// Reads an answer to its end, and records the outcome for its destination.
-async fn finish(&mut self, opened: DestinationAnswer) -> AttemptOutcome {
-let DestinationAnswer {
-answer,
-destination,
-load_guard,
-mut request_guard,
-expected,
-sent,
-} = opened;
-let read = read_complete(answer, destination.pool(), self.job.deadline).await;
-drop(load_guard);
-if read.is_ok() {
-self.record_answered(request_guard.as_mut());
-}
-drop(request_guard);
-let (head, body) = match read {
-Ok(complete) => complete,
-Err(fault) => {
-self.record_fault(&destination, &fault);
-let end = self.final_refusal(&fault);
-return end.map_or(AttemptOutcome::Retry(None), AttemptOutcome::Refused);
-}
-};
-self.may_have_run = true;
-let complete = CompleteAnswer { head, body };
-if complete.is_failure() {
-self.record_failed_answer(&destination, complete.head.status);
-return match self.may_repeat() {
-true => AttemptOutcome::Retry(Some(complete)),
-false => AttemptOutcome::Answered(complete),
-};
-}
-// Only an answer of the kind that the route expects counts as a success of its destination.
-if !self.job.route.repeat.is_stream() {
-self.record_time_to_first(&destination, expected, sent);
-self.record_success(&destination, sent);
-}
-AttemptOutcome::Answered(complete)
-}
+    /// Reads an answer to its end, and records the outcome for its destination.
+    async fn finish(&mut self, opened: DestinationAnswer) -> AttemptOutcome {
+        let DestinationAnswer {
+            answer,
+            destination,
+            load_guard,
+            mut request_guard,
+            expected,
+            sent,
+        } = opened;
+        let read = read_complete(answer, destination.pool(), self.job.deadline).await;
+        drop(load_guard);
+        if read.is_ok() {
+            self.record_answered(request_guard.as_mut());
+        }
+        drop(request_guard);
+        let (head, body) = match read {
+            Ok(complete) => complete,
+            Err(fault) => {
+                self.record_fault(&destination, &fault);
+                let end = self.final_refusal(&fault);
+                return end.map_or(AttemptOutcome::Retry(None), AttemptOutcome::Refused);
+            }
+        };
+        self.may_have_run = true;
+        let complete = CompleteAnswer { head, body };
+        if complete.is_failure() {
+            self.record_failed_answer(&destination, complete.head.status);
+            return match self.may_repeat() {
+                true => AttemptOutcome::Retry(Some(complete)),
+                false => AttemptOutcome::Answered(complete),
+            };
+        }
+        // Only an answer of the kind that the route expects counts as a success of its destination.
+        if !self.job.route.repeat.is_stream() {
+            self.record_time_to_first(&destination, expected, sent);
+            self.record_success(&destination, sent);
+        }
+        AttemptOutcome::Answered(complete)
+    }
 
-/// Sends the request until a destination starts to answer. With `resume_after`, the stream
-/// continues after the event of that id.
-pub async fn open(&mut self, resume_after: Option<&str>) -> Result<DestinationAnswer, Refusal> {
-loop {
-if BootInstant::now() >= self.job.deadline {
-return Err(self.deadline_refusal());
-}
-let Some(chosen) = self.choose()? else {
-sleep(PEER_POLL_INTERVAL).await;
-continue;
-};
-let destination = chosen.destination.clone();
-match self.call(chosen, resume_after).await {
-Ok(opened) => return Ok(opened),
-Err(fault) => {
-self.record_fault(&destination, &fault);
-if let Some(refusal) = self.final_refusal(&fault) {
-return Err(refusal);
-}
-}
-}
-}
-}
+    /// Sends the request until a destination starts to answer. With `resume_after`, the stream
+    /// continues after the event of that id.
+    pub async fn open(&mut self, resume_after: Option<&str>) -> Result<DestinationAnswer, Refusal> {
+        loop {
+            if BootInstant::now() >= self.job.deadline {
+                return Err(self.deadline_refusal());
+            }
+            let Some(chosen) = self.choose()? else {
+                sleep(PEER_POLL_INTERVAL).await;
+                continue;
+            };
+            let destination = chosen.destination.clone();
+            match self.call(chosen, resume_after).await {
+                Ok(opened) => return Ok(opened),
+                Err(fault) => {
+                    self.record_fault(&destination, &fault);
+                    if let Some(refusal) = self.final_refusal(&fault) {
+                        return Err(refusal);
+                    }
+                }
+            }
+        }
+    }
 
-/// Chooses and records the destination of the next attempt. Returns `None` while a VM that
-/// could run the request may still be discovered, or while the platform state may be outdated
-/// after a suspension.
-fn choose(&mut self) -> Result<Option<DestinationChoice>, Refusal> {
-if !self.shared.is_awake() {
-return Ok(None);
-}
-let Some(view) = self.shared.view() else { return Err(Refusal::NoDescription) };
-self.check_key(&view).map_err(|refusal| self.refusal_after_attempts(refusal))?;
-self.check_suspicion().map_err(|refusal| self.refusal_after_attempts(refusal))?;
-let chosen = match choose_destination(&self.shared, &view, &self.job, &self.tried) {
-Ok(chosen) => chosen,
-Err(Refusal::NoUpstream | Refusal::Throttled { .. }) if self.awaits_peers(&view) => {
-return Ok(None);
-}
-Err(refusal) => {
-self.candidates_summary = Some(describe_candidates(&self.shared, &view, &self.job));
-return Err(self.refusal_after_attempts(refusal));
-}
-};
-self.begin_probe(&chosen.destination)
-.map_err(|refusal| self.refusal_after_attempts(refusal))?;
-self.tried.record(&chosen.destination);
-self.last_destination = Some(chosen.destination.name().to_owned());
-self.last_choice = Some(LoggedChoice::of(&chosen));
-Ok(Some(chosen))
-}
+    /// Chooses and records the destination of the next attempt. Returns `None` while a VM that
+    /// could run the request may still be discovered, or while the platform state may be outdated
+    /// after a suspension.
+    fn choose(&mut self) -> Result<Option<DestinationChoice>, Refusal> {
+        if !self.shared.is_awake() {
+            return Ok(None);
+        }
+        let Some(view) = self.shared.view() else { return Err(Refusal::NoDescription) };
+        self.check_key(&view).map_err(|refusal| self.refusal_after_attempts(refusal))?;
+        self.check_suspicion().map_err(|refusal| self.refusal_after_attempts(refusal))?;
+        let chosen = match choose_destination(&self.shared, &view, &self.job, &self.tried) {
+            Ok(chosen) => chosen,
+            Err(Refusal::NoUpstream | Refusal::Throttled { .. }) if self.awaits_peers(&view) => {
+                return Ok(None);
+            }
+            Err(refusal) => {
+                self.candidates_summary = Some(describe_candidates(&self.shared, &view, &self.job));
+                return Err(self.refusal_after_attempts(refusal));
+            }
+        };
+        self.begin_probe(&chosen.destination)
+            .map_err(|refusal| self.refusal_after_attempts(refusal))?;
+        self.tried.record(&chosen.destination);
+        self.last_destination = Some(chosen.destination.name().to_owned());
+        self.last_choice = Some(LoggedChoice::of(&chosen));
+        Ok(Some(chosen))
+    }
 
-/// Checks that the key of the request still belongs to its account. No attempt starts with a
-/// revoked key.
-fn check_key(&self, view: &GatewayView) -> Result<(), Refusal> {
-match key_state(&view.routes, &self.job.route, self.job.account.as_ref()) {
-KeyState::Valid => Ok(()),
-KeyState::Reassigned => Err(Refusal::Outdated),
-KeyState::Revoked => Err(Refusal::NoKey),
-}
-}
+    /// Checks that the key of the request still belongs to its account. No attempt starts with a
+    /// revoked key.
+    fn check_key(&self, view: &GatewayView) -> Result<(), Refusal> {
+        match key_state(&view.routes, &self.job.route, self.job.account.as_ref()) {
+            KeyState::Valid => Ok(()),
+            KeyState::Reassigned => Err(Refusal::Outdated),
+            KeyState::Revoked => Err(Refusal::NoKey),
+        }
+    }
 
-/// Whether this process started recently and may still discover a VM of another region that can
-/// run the request. After a loss of all VMs, callers retry within the first tenths of a second.
-fn awaits_peers(&self, view: &GatewayView) -> bool {
-let own_region = self.shared.settings.region();
-let is_elsewhere = view.expected_waits.keys().any(|(region, service)| {
-*service == self.job.service && region != own_region && self.job.permits(region)
-});
-is_elsewhere
-&& !self.job.is_forwarded
-&& self.shared.time_since_first_view() < PEER_DISCOVERY_TIME
-}
+    /// Whether this process started recently and may still discover a VM of another region that can
+    /// run the request. After a loss of all VMs, callers retry within the first tenths of a second.
+    fn awaits_peers(&self, view: &GatewayView) -> bool {
+        let own_region = self.shared.settings.region();
+        let is_elsewhere = view.expected_waits.keys().any(|(region, service)| {
+            *service == self.job.service && region != own_region && self.job.permits(region)
+        });
+        is_elsewhere
+            && !self.job.is_forwarded
+            && self.shared.time_since_first_view() < PEER_DISCOVERY_TIME
+    }
 }
--- a/crates/foldhaven-gateway/src/attempts/retries.rs
+++ b/crates/foldhaven-gateway/src/attempts/retries.rs
@@ -12,80 +12,80 @@
 const MAX_DESTINATIONS: usize = 4;
 
 impl RequestDriver {
-/// Returns the refusal that ends the request after a fault, or `None` if another attempt may
-/// follow.
-pub(super) fn final_refusal(&mut self, fault: &CallFault) -> Option<Refusal> {
-let may_repeat = match fault {
-CallFault::NotSent(_) => self.may_choose_again(),
-CallFault::Declined { .. } if fault.is_misdirected() => {
-// Another process has the address: no upstream of the service received the request.
-self.may_choose_again() && self.try_withdraw_retry()
-}
-CallFault::Declined { .. } => self.may_send_again(),
-CallFault::Broken(_) | CallFault::Unresponsive | CallFault::TimedOut => {
-self.may_repeat()
-}
-CallFault::Withdrawn => false,
-};
-match may_repeat {
-true => None,
-false => Some(self.refusal_for(fault)),
-}
-}
+    /// Returns the refusal that ends the request after a fault, or `None` if another attempt may
+    /// follow.
+    pub(super) fn final_refusal(&mut self, fault: &CallFault) -> Option<Refusal> {
+        let may_repeat = match fault {
+            CallFault::NotSent(_) => self.may_choose_again(),
+            CallFault::Declined { .. } if fault.is_misdirected() => {
+                // Another process has the address: no upstream of the service received the request.
+                self.may_choose_again() && self.try_withdraw_retry()
+            }
+            CallFault::Declined { .. } => self.may_send_again(),
+            CallFault::Broken(_) | CallFault::Unresponsive | CallFault::TimedOut => {
+                self.may_repeat()
+            }
+            CallFault::Withdrawn => false,
+        };
+        match may_repeat {
+            true => None,
+            false => Some(self.refusal_for(fault)),
+        }
+    }
 
-/// Whether the request may run a second time and be sent to one more destination.
-pub fn may_repeat(&mut self) -> bool {
-self.job.route.repeat.is_repeatable() && self.may_send_again()
-}
+    /// Whether the request may run a second time and be sent to one more destination.
+    pub fn may_repeat(&mut self) -> bool {
+        self.job.route.repeat.is_repeatable() && self.may_send_again()
+    }
 
-/// Whether another destination may be chosen for a request that no upstream received. This
-/// includes a VM that a request was forwarded to, which chooses among the upstreams of its
-/// region.
-fn may_choose_again(&self) -> bool {
-self.tried.count() < MAX_DESTINATIONS && BootInstant::now() < self.job.deadline
-}
+    /// Whether another destination may be chosen for a request that no upstream received. This
+    /// includes a VM that a request was forwarded to, which chooses among the upstreams of its
+    /// region.
+    fn may_choose_again(&self) -> bool {
+        self.tried.count() < MAX_DESTINATIONS && BootInstant::now() < self.job.deadline
+    }
 
-/// Whether the request may be sent again after an attempt that reached its destination.
-fn may_send_again(&mut self) -> bool {
-let is_open =
-self.delivered_attempts < self.job.route.max_attempts && !self.job.is_forwarded;
-is_open && !self.is_likely_poison() && self.may_choose_again() && self.try_withdraw_retry()
-}
+    /// Whether the request may be sent again after an attempt that reached its destination.
+    fn may_send_again(&mut self) -> bool {
+        let is_open =
+            self.delivered_attempts < self.job.route.max_attempts && !self.job.is_forwarded;
+        is_open && !self.is_likely_poison() && self.may_choose_again() && self.try_withdraw_retry()
+    }
 
-/// Takes one retry from this VM's share of the retry budget.
-fn try_withdraw_retry(&self) -> bool {
-let Some(view) = self.shared.view() else { return false };
-let is_granted = self.shared.try_withdraw_retry(&self.job.service, &view);
-self.shared.metrics.count_event(if is_granted { "retry" } else { "retry_denied" });
-is_granted
-}
+    /// Takes one retry from this VM's share of the retry budget.
+    fn try_withdraw_retry(&self) -> bool {
+        let Some(view) = self.shared.view() else { return false };
+        let is_granted = self.shared.try_withdraw_retry(&self.job.service, &view);
+        self.shared.metrics.count_event(if is_granted { "retry" } else { "retry_denied" });
+        is_granted
+    }
 
-/// Returns the refusal for the caller after a fault. If an attempt may have run, the refusal
-/// must not claim that none did.
-fn refusal_for(&self, fault: &CallFault) -> Refusal {
-if self.may_have_run {
-return match fault {
-CallFault::TimedOut => Refusal::TimedOut,
-_ => Refusal::Broken,
-};
-}
-match fault {
-CallFault::Declined { status } if *status == StatusCode::SERVICE_UNAVAILABLE => {
-let view = self.shared.view();
-let wait = view.and_then(|view| throttled_wait(&self.shared, &view, &self.job));
-wait.map_or(Refusal::Full, |wait| Refusal::Throttled { wait })
-}
-_ => Refusal::NoUpstream,
-}
-}
+    /// Returns the refusal for the caller after a fault. If an attempt may have run, the refusal
+    /// must not claim that none did.
+    fn refusal_for(&self, fault: &CallFault) -> Refusal {
+        if self.may_have_run {
+            return match fault {
+                CallFault::TimedOut => Refusal::TimedOut,
+                _ => Refusal::Broken,
+            };
+        }
+        match fault {
+            CallFault::Declined { status } if *status == StatusCode::SERVICE_UNAVAILABLE => {
+                let view = self.shared.view();
+                let wait = view.and_then(|view| throttled_wait(&self.shared, &view, &self.job));
+                wait.map_or(Refusal::Full, |wait| Refusal::Throttled { wait })
+            }
+            _ => Refusal::NoUpstream,
+        }
+    }
 
-/// Replaces a refusal by `Broken` if an attempt may have run.
-pub(super) fn refusal_after_attempts(&self, refusal: Refusal) -> Refusal {
-if self.may_have_run { Refusal::Broken } else { refusal }
-}
+    /// Replaces a refusal by `Broken` if an attempt may have run.
+    pub(super) fn refusal_after_attempts(&self, refusal: Refusal) -> Refusal {
+        if self.may_have_run { Refusal::Broken } else { refusal }
+    }
 
-/// Returns the refusal for a request whose deadline has passed.
-pub(super) fn deadline_refusal(&self) -> Refusal {
-if self.may_have_run { Refusal::TimedOut } else { Refusal::NotReached }
-}
+    /// Returns the refusal for a request whose deadline has passed.
+    pub(super) fn deadline_refusal(&self) -> Refusal {
+        if self.may_have_run { Refusal::TimedOut } else { Refusal::NotReached }
+    }
 }
--- a/crates/foldhaven-gateway/src/caller_front.rs
+++ b/crates/foldhaven-gateway/src/caller_front.rs
@@ -16,8 +16,8 @@
 use crate::events::EventRelay;
 use crate::front::FrontHandler;
 use crate::job::{
-CallerTerms, GatewayJob, ReadRequest, RouteMatch, check_head, host_of, read_body, read_terms,
-read_total_tokens, remove_connection_headers,
+    CallerTerms, GatewayJob, ReadRequest, RouteMatch, check_head, host_of, read_body, read_terms,
+    read_total_tokens, remove_connection_headers,
 };
 use crate::metrics::RequestEnd;
 use crate::shared::GatewayShared;
@@ -32,247 +32,247 @@
 
 /// Answers the requests of callers.
 pub struct CallerHandler {
-pub shared: Arc<GatewayShared>,
+    pub shared: Arc<GatewayShared>,
 }
 
 #[async_trait]
 impl FrontHandler for CallerHandler {
-async fn handle(&self, request: Request<Incoming>) -> Answer {
-let attempt = request.headers().get(&self.shared.names.attempt).cloned();
-match read_job(&self.shared, request).await {
-Ok(job) => {
-self.shared.record_request(&job.service, job.size());
-run_job(self.shared.clone(), job).await
-}
-Err(refusal) => {
-self.shared.metrics.count_event(refusal.label());
-log_early_refusal(&self.shared, attempt.as_ref(), refusal);
-let mut answer = refusal.answer();
-if matches!(refusal, Refusal::Malformed | Refusal::BodyTooLarge) {
-// The next bytes on the connection may belong to the refused request.
-close_after(&mut answer);
-}
-answer
-}
-}
-}
+    async fn handle(&self, request: Request<Incoming>) -> Answer {
+        let attempt = request.headers().get(&self.shared.names.attempt).cloned();
+        match read_job(&self.shared, request).await {
+            Ok(job) => {
+                self.shared.record_request(&job.service, job.size());
+                run_job(self.shared.clone(), job).await
+            }
+            Err(refusal) => {
+                self.shared.metrics.count_event(refusal.label());
+                log_early_refusal(&self.shared, attempt.as_ref(), refusal);
+                let mut answer = refusal.answer();
+                if matches!(refusal, Refusal::Malformed | Refusal::BodyTooLarge) {
+                    // The next bytes on the connection may belong to the refused request.
+                    close_after(&mut answer);
+                }
+                answer
+            }
+        }
+    }
 
-fn head_limit(&self) -> Duration {
-let described = self.shared.view().map(|view| view.routes.description().limits);
-described
-.map_or(HEAD_LIMIT_WITHOUT_DESCRIPTION, |limits| limits.idle_time + limits.header_time)
-}
+    fn head_limit(&self) -> Duration {
+        let described = self.shared.view().map(|view| view.routes.description().limits);
+        described
+            .map_or(HEAD_LIMIT_WITHOUT_DESCRIPTION, |limits| limits.idle_time + limits.header_time)
+    }
 }
 
 /// Logs why a request was refused before a destination was chosen.
 fn log_early_refusal(shared: &GatewayShared, attempt: Option<&HeaderValue>, refusal: Refusal) {
-// Requests over the limit of their account are logged separately.
-let is_plain = matches!(refusal, Refusal::NoRoute | Refusal::NoKey);
-if matches!(refusal, Refusal::OverLimit { .. }) || !shared.quota.take(is_plain) {
-return;
-}
-let behind = shared.lag();
-tracing::info!(
-request = attempt.and_then(|id| id.to_str().ok()).unwrap_or("unreadable"),
-refusal = refusal.label(),
-status = refusal.status().as_u16(),
-described_ms = shared.time_since_first_view().as_millis() as u64,
-awake = shared.is_awake(),
-belief_age_ms = shared.staleness().as_millis() as u64,
-behind_ms = behind.map(|it| shared.now().since(it.since).as_millis() as u64),
-behind_near = behind.map(|it| it.is_local),
-"request refused before a destination was chosen"
-);
+    // Requests over the limit of their account are logged separately.
+    let is_plain = matches!(refusal, Refusal::NoRoute | Refusal::NoKey);
+    if matches!(refusal, Refusal::OverLimit { .. }) || !shared.quota.take(is_plain) {
+        return;
+    }
+    let behind = shared.lag();
+    tracing::info!(
+        request = attempt.and_then(|id| id.to_str().ok()).unwrap_or("unreadable"),
+        refusal = refusal.label(),
+        status = refusal.status().as_u16(),
+        described_ms = shared.time_since_first_view().as_millis() as u64,
+        awake = shared.is_awake(),
+        belief_age_ms = shared.staleness().as_millis() as u64,
+        behind_ms = behind.map(|it| shared.now().since(it.since).as_millis() as u64),
+        behind_near = behind.map(|it| it.is_local),
+        "request refused before a destination was chosen"
+    );
 }
 
 /// Reads and checks a request of a caller.
 async fn read_job(
-shared: &GatewayShared,
-request: Request<Incoming>,
+    shared: &GatewayShared,
+    request: Request<Incoming>,
 ) -> Result<GatewayJob, Refusal> {
-let started = BootInstant::now();
-let (mut head, body) = request.into_parts();
-let view = shared.view().ok_or(Refusal::NoDescription)?;
-let limits = view.routes.description().limits;
-check_head(&head, &limits)?;
-let body = read_body(body, &limits).await?;
-if shared.is_too_far_behind() || !shared.is_awake() {
-return Err(Refusal::Outdated);
-}
-// The description may have changed while the body was read.
-let view = shared.view().ok_or(Refusal::NoDescription)?;
-let host = host_of(&head).ok_or(Refusal::Malformed)?;
-let route = view.routes.find(host, head.uri.path());
-let route = route.ok_or_else(|| unknown_route_refusal(shared))?.clone();
-let account = identify_account(shared, &view, &route, &mut head)?;
-let terms = read_terms(&head, &shared.names)?;
-let waited = shared.record_caller_timeout(&route.name, terms.remaining);
-let terms = CallerTerms { remaining: terms.remaining.min(route.timeout), waited, ..terms };
-let service = route.pick_service(rand::random()).ok_or(Refusal::NoRoute)?.clone();
-let account = match account {
-Some(account) => Some(charge(shared, account, &head)?),
-None => None,
-};
-let request = ReadRequest { head, body, started };
-let route_match = RouteMatch { route, service, account };
-Ok(request.into_job(route_match, terms, &shared.names))
+    let started = BootInstant::now();
+    let (mut head, body) = request.into_parts();
+    let view = shared.view().ok_or(Refusal::NoDescription)?;
+    let limits = view.routes.description().limits;
+    check_head(&head, &limits)?;
+    let body = read_body(body, &limits).await?;
+    if shared.is_too_far_behind() || !shared.is_awake() {
+        return Err(Refusal::Outdated);
+    }
+    // The description may have changed while the body was read.
+    let view = shared.view().ok_or(Refusal::NoDescription)?;
+    let host = host_of(&head).ok_or(Refusal::Malformed)?;
+    let route = view.routes.find(host, head.uri.path());
+    let route = route.ok_or_else(|| unknown_route_refusal(shared))?.clone();
+    let account = identify_account(shared, &view, &route, &mut head)?;
+    let terms = read_terms(&head, &shared.names)?;
+    let waited = shared.record_caller_timeout(&route.name, terms.remaining);
+    let terms = CallerTerms { remaining: terms.remaining.min(route.timeout), waited, ..terms };
+    let service = route.pick_service(rand::random()).ok_or(Refusal::NoRoute)?.clone();
+    let account = match account {
+        Some(account) => Some(charge(shared, account, &head)?),
+        None => None,
+    };
+    let request = ReadRequest { head, body, started };
+    let route_match = RouteMatch { route, service, account };
+    Ok(request.into_job(route_match, terms, &shared.names))
 }
 
 /// Finds the account of a request, and removes the key from its headers. A VM that knows that other
 /// VMs have a newer revision, or whose platform state is stale, cannot tell that a key is unknown.
 fn identify_account(
-shared: &GatewayShared,
-view: &GatewayView,
-route: &OpaqueRoute,
-head: &mut Parts,
+    shared: &GatewayShared,
+    view: &GatewayView,
+    route: &OpaqueRoute,
+    head: &mut Parts,
 ) -> Result<Option<JobAccount>, Refusal> {
-if !view.routes.accounts().is_described() {
-return Ok(None);
-}
-let credential = take_credential(&mut head.headers, &shared.names);
-find_account(&view.routes, route, credential).map_err(|fault| match fault {
-KeyFault::Unknown if shared.is_possibly_outdated() => Refusal::Outdated,
-KeyFault::Unknown | KeyFault::Absent => Refusal::NoKey,
-})
+    if !view.routes.accounts().is_described() {
+        return Ok(None);
+    }
+    let credential = take_credential(&mut head.headers, &shared.names);
+    find_account(&view.routes, route, credential).map_err(|fault| match fault {
+        KeyFault::Unknown if shared.is_possibly_outdated() => Refusal::Outdated,
+        KeyFault::Unknown | KeyFault::Absent => Refusal::NoKey,
+    })
 }
 
 /// Charges a request to the limit of its account. A request over the limit is refused at once.
 fn charge(
-shared: &GatewayShared,
-account: JobAccount,
-head: &Parts,
+    shared: &GatewayShared,
+    account: JobAccount,
+    head: &Parts,
 ) -> Result<JobAccount, Refusal> {
-let Some(limit) = account.account.limit else { return Ok(account) };
-let cost = limit.cost(read_total_tokens(head, &shared.names));
-let asked =
-shared.accounts.try_acquire(&account.account, &limit, cost, shared.started(), shared.now());
-let Err(over) = asked else { return Ok(JobAccount { cost: Some(cost), ..account }) };
-if shared.quota.take(false) {
-let id = head.headers.get(&shared.names.attempt).and_then(|id| id.to_str().ok());
-tracing::info!(
-request = id.unwrap_or("unreadable"),
-account = %account.account.name,
-cost,
-per_s = limit.per_s,
-burst = limit.burst,
-part_per_s = over.share.per_s,
-part_age_ms = over.share_age.as_millis() as u64,
-level = over.level,
-view = ?shared.accounts.view(),
-wait_ms = over.wait.as_millis() as u64,
-"over the limit of its account"
-);
-}
-Err(Refusal::OverLimit { wait: over.wait.max(MIN_LIMIT_WAIT) })
+    let Some(limit) = account.account.limit else { return Ok(account) };
+    let cost = limit.cost(read_total_tokens(head, &shared.names));
+    let asked =
+        shared.accounts.try_acquire(&account.account, &limit, cost, shared.started(), shared.now());
+    let Err(over) = asked else { return Ok(JobAccount { cost: Some(cost), ..account }) };
+    if shared.quota.take(false) {
+        let id = head.headers.get(&shared.names.attempt).and_then(|id| id.to_str().ok());
+        tracing::info!(
+        request = id.unwrap_or("unreadable"),
+        account = %account.account.name,
+        cost,
+        per_s = limit.per_s,
+        burst = limit.burst,
+        part_per_s = over.share.per_s,
+        part_age_ms = over.share_age.as_millis() as u64,
+        level = over.level,
+        view = ?shared.accounts.view(),
+        wait_ms = over.wait.as_millis() as u64,
+        "over the limit of its account"
+        );
+    }
+    Err(Refusal::OverLimit { wait: over.wait.max(MIN_LIMIT_WAIT) })
 }
 
 /// Returns the refusal for an unknown route. A VM that may lack the route only guarantees that the
 /// request did not run.
 fn unknown_route_refusal(shared: &GatewayShared) -> Refusal {
-match shared.is_possibly_outdated() {
-true => Refusal::Outdated,
-false => Refusal::NoRoute,
-}
+    match shared.is_possibly_outdated() {
+        true => Refusal::Outdated,
+        false => Refusal::NoRoute,
+    }
 }
 
 /// Runs a request and returns its answer.
 pub async fn run_job(shared: Arc<GatewayShared>, job: GatewayJob) -> Answer {
-let in_flight = shared.start_request();
-let mut recorder = EndRecorder { driver: Some(RequestDriver::new(shared, job)) };
-let opened = match recorder.get().run().await {
-Ok(AnswerStart::Events(opened)) => opened,
-Ok(AnswerStart::Complete(complete)) => return recorder.end_answered(complete),
-Err(refusal) => return recorder.end_refused(refusal),
-};
-let head = &opened.answer.head;
-let mut answer = answer_with(head.status, head.headers.clone());
-*answer.body_mut() =
-AnswerBody::Events(Box::new(EventRelay::new(recorder.release(), opened, in_flight)));
-answer
+    let in_flight = shared.start_request();
+    let mut recorder = EndRecorder { driver: Some(RequestDriver::new(shared, job)) };
+    let opened = match recorder.get().run().await {
+        Ok(AnswerStart::Events(opened)) => opened,
+        Ok(AnswerStart::Complete(complete)) => return recorder.end_answered(complete),
+        Err(refusal) => return recorder.end_refused(refusal),
+    };
+    let head = &opened.answer.head;
+    let mut answer = answer_with(head.status, head.headers.clone());
+    *answer.body_mut() =
+        AnswerBody::Events(Box::new(EventRelay::new(recorder.release(), opened, in_flight)));
+    answer
 }
 
 fn answer_with(status: StatusCode, mut headers: HeaderMap) -> Answer {
-remove_connection_headers(&mut headers);
-headers.remove(http::header::CONTENT_LENGTH);
-let mut answer = Response::new(AnswerBody::Complete(None));
-*answer.status_mut() = status;
-*answer.headers_mut() = headers;
-answer
+    remove_connection_headers(&mut headers);
+    headers.remove(http::header::CONTENT_LENGTH);
+    let mut answer = Response::new(AnswerBody::Complete(None));
+    *answer.status_mut() = status;
+    *answer.headers_mut() = headers;
+    answer
 }
 
 /// Records the end of a request, also if its caller disconnects and its future is dropped.
 struct EndRecorder {
-driver: Option<RequestDriver>,
+    driver: Option<RequestDriver>,
 }
 
 impl EndRecorder {
-fn get(&mut self) -> &mut RequestDriver {
-self.driver.as_mut().expect("the driver was not released")
-}
+    fn get(&mut self) -> &mut RequestDriver {
+        self.driver.as_mut().expect("the driver was not released")
+    }
 
-fn release(&mut self) -> RequestDriver {
-self.driver.take().expect("the driver was not released before")
-}
+    fn release(&mut self) -> RequestDriver {
+        self.driver.take().expect("the driver was not released before")
+    }
 
-fn end_answered(&mut self, complete: CompleteAnswer) -> Answer {
-let mut driver = self.release();
-let is_failure = complete.is_failure();
-let CompleteAnswer { head, body } = complete;
-// These statuses guarantee that the request did not run, which only the gateway or a
-// declining upstream can know.
-let claims_not_run = matches!(head.status.as_u16(), 408 | 421 | 429 | 503);
-if claims_not_run {
-driver.record_end(RequestEnd::Refused(Refusal::Broken.label()));
-return Refusal::Broken.answer();
-}
-let end = match is_failure {
-true => RequestEnd::FailedUpstream,
-false => RequestEnd::Served,
-};
-let took = driver.job.record_time_to_first();
-driver.shared.metrics.record_time_to_first(&driver.job.route.name, took);
-driver.record_end(end);
-let mut answer = answer_with(head.status, head.headers);
-*answer.body_mut() = AnswerBody::from_bytes(body);
-answer
-}
+    fn end_answered(&mut self, complete: CompleteAnswer) -> Answer {
+        let mut driver = self.release();
+        let is_failure = complete.is_failure();
+        let CompleteAnswer { head, body } = complete;
+        // These statuses guarantee that the request did not run, which only the gateway or a
+        // declining upstream can know.
+        let claims_not_run = matches!(head.status.as_u16(), 408 | 421 | 429 | 503);
+        if claims_not_run {
+            driver.record_end(RequestEnd::Refused(Refusal::Broken.label()));
+            return Refusal::Broken.answer();
+        }
+        let end = match is_failure {
+            true => RequestEnd::FailedUpstream,
+            false => RequestEnd::Served,
+        };
+        let took = driver.job.record_time_to_first();
+        driver.shared.metrics.record_time_to_first(&driver.job.route.name, took);
+        driver.record_end(end);
+        let mut answer = answer_with(head.status, head.headers);
+        *answer.body_mut() = AnswerBody::from_bytes(body);
+        answer
+    }
 
-fn end_refused(&mut self, refusal: Refusal) -> Answer {
-let driver = self.release();
-if refusal.guarantees_not_run() {
-refund(&driver);
-}
-driver.record_end(RequestEnd::Refused(refusal.label()));
-refusal.answer()
-}
+    fn end_refused(&mut self, refusal: Refusal) -> Answer {
+        let driver = self.release();
+        if refusal.guarantees_not_run() {
+            refund(&driver);
+        }
+        driver.record_end(RequestEnd::Refused(refusal.label()));
+        refusal.answer()
+    }
 }
 
 /// Refunds the cost of a request that did not run to its account.
 fn refund(driver: &RequestDriver) {
-let account = driver.job.account.as_ref();
-if let Some((account, cost)) = account.and_then(|it| Some((&it.account.name, it.cost?))) {
-driver.shared.accounts.refund(account, cost);
-}
+    let account = driver.job.account.as_ref();
+    if let Some((account, cost)) = account.and_then(|it| Some((&it.account.name, it.cost?))) {
+        driver.shared.accounts.refund(account, cost);
+    }
 }
 
 impl Drop for EndRecorder {
-fn drop(&mut self) {
-if let Some(driver) = self.driver.take() {
-driver.record_end(RequestEnd::CallerLeft);
-}
-}
+    fn drop(&mut self) {
+        if let Some(driver) = self.driver.take() {
+            driver.record_end(RequestEnd::CallerLeft);
+        }
+    }
 }
 
 /// Reports whether this daemon accepts requests.
 pub struct ReadyHandler {
-pub shared: Arc<GatewayShared>,
+    pub shared: Arc<GatewayShared>,
 }
 
 #[async_trait]
 impl FrontHandler for ReadyHandler {
-async fn handle(&self, _request: Request<Incoming>) -> Answer {
-let is_ready = self.shared.is_ready() && !self.shared.is_leaving();
-let status = if is_ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-body_answer(status, "text/plain", "")
-}
+    async fn handle(&self, _request: Request<Incoming>) -> Answer {
+        let is_ready = self.shared.is_ready() && !self.shared.is_leaving();
+        let status = if is_ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
+        body_answer(status, "text/plain", "")
+    }
 }
--- a/crates/foldhaven-gateway/src/control/load_reports.rs
+++ b/crates/foldhaven-gateway/src/control/load_reports.rs
@@ -16,205 +16,205 @@
 
 /// A load report received from another VM of the region.
 pub struct ReceiveLoadReport {
-pub report: LoadReport,
+    pub report: LoadReport,
 }
 
 impl Handler<ReceiveLoadReport> for ControlActor {
-type Return = ();
-
-async fn handle(&mut self, message: ReceiveLoadReport, _: &mut Context<Self>) {
-let mut report = message.report;
-let placements = std::mem::take(&mut report.placements);
-let regions = std::mem::take(&mut report.regions);
-let now = self.now();
-let (vm, incarnation) = (report.vm, report.incarnation);
-let Some(touched) = self.loads.apply(report, now) else { return };
-for upstream in touched.iter().filter_map(|tag| self.by_tag.get(tag)) {
-upstream.set_peer_load(self.loads.total(upstream.tag));
-}
-self.peers.record_load_report(vm, incarnation, now);
-self.record_placements(&placements);
-for region in &regions {
-self.apply_region_report(region);
-}
-}
+    type Return = ();
+
+    async fn handle(&mut self, message: ReceiveLoadReport, _: &mut Context<Self>) {
+        let mut report = message.report;
+        let placements = std::mem::take(&mut report.placements);
+        let regions = std::mem::take(&mut report.regions);
+        let now = self.now();
+        let (vm, incarnation) = (report.vm, report.incarnation);
+        let Some(touched) = self.loads.apply(report, now) else { return };
+        for upstream in touched.iter().filter_map(|tag| self.by_tag.get(tag)) {
+            upstream.set_peer_load(self.loads.total(upstream.tag));
+        }
+        self.peers.record_load_report(vm, incarnation, now);
+        self.record_placements(&placements);
+        for region in &regions {
+            self.apply_region_report(region);
+        }
+    }
 }
 
 /// A region report received from a delegate of another region.
 pub struct ReceiveRegionReport {
-pub report: RegionReport,
+    pub report: RegionReport,
 }
 
 impl Handler<ReceiveRegionReport> for ControlActor {
-type Return = ();
+    type Return = ();
 
-async fn handle(&mut self, message: ReceiveRegionReport, _: &mut Context<Self>) {
-if self.apply_region_report(&message.report) {
-self.relayed_regions.push(message.report);
-}
-}
+    async fn handle(&mut self, message: ReceiveRegionReport, _: &mut Context<Self>) {
+        if self.apply_region_report(&message.report) {
+            self.relayed_regions.push(message.report);
+        }
+    }
 }
 
 /// Prompt placements received from a VM of another region, which sent these prompts to its
 /// upstreams.
 pub struct ReceivePlacements {
-pub placements: Vec<PromptPlacement>,
+    pub placements: Vec<PromptPlacement>,
 }
 
 impl Handler<ReceivePlacements> for ControlActor {
-type Return = ();
+    type Return = ();
 
-async fn handle(&mut self, message: ReceivePlacements, _: &mut Context<Self>) {
-self.record_placements(&message.placements);
-self.relayed_placements.extend(message.placements);
-}
+    async fn handle(&mut self, message: ReceivePlacements, _: &mut Context<Self>) {
+        self.record_placements(&message.placements);
+        self.relayed_placements.extend(message.placements);
+    }
 }
 
 /// Requests the load report of a round.
 pub struct PlanLoadReport {
-/// How late the timer of the round fired.
-pub timer_delay: Duration,
+    /// How late the timer of the round fired.
+    pub timer_delay: Duration,
 }
 
 /// A load report, its targets, and the delay until the next one.
 pub struct PlannedLoadReport {
-/// The load. Each leg adds its own placements and region reports.
-pub report: LoadReport,
-pub legs: Vec<ReportBatch>,
-/// One VM of each other region, which relays the placements and the region report there.
-pub remote_targets: Vec<SocketAddr>,
-pub remote_placements: Vec<PromptPlacement>,
-/// The report of this region for the remote targets. `None` unless this VM is a delegate and a
-/// report is due.
-pub region: Option<RegionReport>,
-pub interval: Duration,
+    /// The load. Each leg adds its own placements and region reports.
+    pub report: LoadReport,
+    pub legs: Vec<ReportBatch>,
+    /// One VM of each other region, which relays the placements and the region report there.
+    pub remote_targets: Vec<SocketAddr>,
+    pub remote_placements: Vec<PromptPlacement>,
+    /// The report of this region for the remote targets. `None` unless this VM is a delegate and a
+    /// report is due.
+    pub region: Option<RegionReport>,
+    pub interval: Duration,
 }
 
 impl Handler<PlanLoadReport> for ControlActor {
-type Return = PlannedLoadReport;
-
-async fn handle(&mut self, plan: PlanLoadReport, _: &mut Context<Self>) -> PlannedLoadReport {
-self.meter.record_timer_delay(plan.timer_delay);
-self.load_report_rounds += 1;
-self.publish_deferred();
-self.update_peer_loads();
-let targets = self.report_targets();
-let remote_placements = std::mem::take(&mut *self.shared.placements.lock());
-let mut placements = std::mem::take(&mut self.relayed_placements);
-placements.extend(remote_placements.iter().cloned());
-let news = ReportUpdates { placements, regions: std::mem::take(&mut self.relayed_regions) };
-let report = self.own_report();
-let (legs, interval) = self.plan_legs(&targets, news, report.is_active());
-let region = self.due_region_report();
-let has_remote_news = region.is_some() || !remote_placements.is_empty();
-let now = self.now();
-let remote_targets = match has_remote_news {
-true => self.peers.one_serving_per_remote_region(now),
-false => Vec::new(),
-};
-PlannedLoadReport { report, legs, remote_targets, remote_placements, region, interval }
-}
+    type Return = PlannedLoadReport;
+
+    async fn handle(&mut self, plan: PlanLoadReport, _: &mut Context<Self>) -> PlannedLoadReport {
+        self.meter.record_timer_delay(plan.timer_delay);
+        self.load_report_rounds += 1;
+        self.publish_deferred();
+        self.update_peer_loads();
+        let targets = self.report_targets();
+        let remote_placements = std::mem::take(&mut *self.shared.placements.lock());
+        let mut placements = std::mem::take(&mut self.relayed_placements);
+        placements.extend(remote_placements.iter().cloned());
+        let news = ReportUpdates { placements, regions: std::mem::take(&mut self.relayed_regions) };
+        let report = self.own_report();
+        let (legs, interval) = self.plan_legs(&targets, news, report.is_active());
+        let region = self.due_region_report();
+        let has_remote_news = region.is_some() || !remote_placements.is_empty();
+        let now = self.now();
+        let remote_targets = match has_remote_news {
+            true => self.peers.one_serving_per_remote_region(now),
+            false => Vec::new(),
+        };
+        PlannedLoadReport { report, legs, remote_targets, remote_placements, region, interval }
+    }
 }
 
 impl ControlActor {
-/// Returns the other VMs of this region, and whether each of them has requests in flight.
-fn report_targets(&self) -> Vec<ReportTarget> {
-let active: HashSet<VmTag> = self.loads.active_vms().collect();
-let local = self.peers.live_local(self.now());
-let target = |heartbeat: &PeerHeartbeat| ReportTarget {
-address: heartbeat.peer,
-is_active: active.contains(&VmTag::of(&heartbeat.vm)),
-};
-local.map(target).collect()
-}
-
-/// Returns the targets of this round, and the delay until the next one. A VM without requests
-/// reports that it is live only to the VMs that take requests at any load; the others learn it
-/// from heartbeats.
-fn plan_legs(
-&mut self,
-targets: &[ReportTarget],
-news: ReportUpdates,
-is_active: bool,
-) -> (Vec<ReportBatch>, Duration) {
-if !is_active {
-let interval = report_interval(targets.len());
-let standing = self.peers.baseline_addresses(self.now());
-let leg = self.report_plan.plan_idle(targets, standing, news);
-return (vec![leg], interval);
-}
-let active = targets.iter().filter(|target| target.is_active).count();
-let interval = report_interval(active);
-(self.report_plan.plan_round(targets, news, interval), interval)
-}
-
-/// Returns a report of the requests that this VM has at each upstream.
-fn own_report(&mut self) -> LoadReport {
-let busy = self.meter.busy(self.shared.accepted_requests(), self.shared.settings.cores);
-let own = self.upstreams.values().map(|upstream| (upstream.tag, upstream.load.share()));
-LoadReport {
-vm: VmTag::of(&self.shared.settings.vm),
-incarnation: self.peers.incarnation(),
-sequence: self.load_report_rounds,
-shares: own.filter(|(_, share)| share.in_flight > 0).collect(),
-placements: Vec::new(),
-regions: Vec::new(),
-busy,
-}
-}
-
-/// Returns the report of this region for other regions, if this VM is a delegate and a report
-/// is due.
-fn due_region_report(&mut self) -> Option<RegionReport> {
-let now = self.now();
-let is_due =
-self.last_region_report.is_none_or(|reported| now.since(reported) >= REGION_INTERVAL);
-if !is_due || self.phase() != PeerPhase::Serving || !self.peers.is_delegate(now) {
-return None;
-}
-self.last_region_report = Some(now);
-self.region_report_count += 1;
-let mut lives = Vec::new();
-if self.region_report_count.is_multiple_of(VM_LIST_EVERY) {
-lives = self.peers.directly_seen_incarnations(now);
-lives.push(self.own_heartbeat().vm_incarnation());
-}
-Some(RegionReport {
-region: self.shared.settings.region().clone(),
-delegate: VmTag::of(&self.shared.settings.vm),
-incarnation: self.peers.incarnation(),
-sequence: self.region_report_count,
-waits: self.local_waits(),
-live_vms: lives,
-})
-}
-
-/// Applies the report of another region. Returns whether it is new.
-fn apply_region_report(&mut self, report: &RegionReport) -> bool {
-let now = self.now();
-if report.region == *self.shared.settings.region() || !self.regions.apply(report, now) {
-return false;
-}
-if self.peers.apply_reported_incarnations(&report.live_vms, now) {
-self.publish_later();
-}
-true
-}
-
-fn record_placements(&self, placements: &[PromptPlacement]) {
-let mut hints = self.shared.prefix_caches.lock();
-for placement in placements {
-hints.record(placement);
-}
-}
-
-/// Drops the loads of VMs that stopped reporting, and updates the load of other VMs at each
-/// upstream.
-fn update_peer_loads(&mut self) {
-let interval = report_interval(self.local_peers().len());
-self.loads.remove_stale(interval, self.now());
-for upstream in self.upstreams.values() {
-upstream.set_peer_load(self.loads.total(upstream.tag));
-}
-}
+    /// Returns the other VMs of this region, and whether each of them has requests in flight.
+    fn report_targets(&self) -> Vec<ReportTarget> {
+        let active: HashSet<VmTag> = self.loads.active_vms().collect();
+        let local = self.peers.live_local(self.now());
+        let target = |heartbeat: &PeerHeartbeat| ReportTarget {
+            address: heartbeat.peer,
+            is_active: active.contains(&VmTag::of(&heartbeat.vm)),
+        };
+        local.map(target).collect()
+    }
+
+    /// Returns the targets of this round, and the delay until the next one. A VM without requests
+    /// reports that it is live only to the VMs that take requests at any load; the others learn it
+    /// from heartbeats.
+    fn plan_legs(
+        &mut self,
+        targets: &[ReportTarget],
+        news: ReportUpdates,
+        is_active: bool,
+    ) -> (Vec<ReportBatch>, Duration) {
+        if !is_active {
+            let interval = report_interval(targets.len());
+            let standing = self.peers.baseline_addresses(self.now());
+            let leg = self.report_plan.plan_idle(targets, standing, news);
+            return (vec![leg], interval);
+        }
+        let active = targets.iter().filter(|target| target.is_active).count();
+        let interval = report_interval(active);
+        (self.report_plan.plan_round(targets, news, interval), interval)
+    }
+
+    /// Returns a report of the requests that this VM has at each upstream.
+    fn own_report(&mut self) -> LoadReport {
+        let busy = self.meter.busy(self.shared.accepted_requests(), self.shared.settings.cores);
+        let own = self.upstreams.values().map(|upstream| (upstream.tag, upstream.load.share()));
+        LoadReport {
+            vm: VmTag::of(&self.shared.settings.vm),
+            incarnation: self.peers.incarnation(),
+            sequence: self.load_report_rounds,
+            shares: own.filter(|(_, share)| share.in_flight > 0).collect(),
+            placements: Vec::new(),
+            regions: Vec::new(),
+            busy,
+        }
+    }
+
+    /// Returns the report of this region for other regions, if this VM is a delegate and a report
+    /// is due.
+    fn due_region_report(&mut self) -> Option<RegionReport> {
+        let now = self.now();
+        let is_due =
+            self.last_region_report.is_none_or(|reported| now.since(reported) >= REGION_INTERVAL);
+        if !is_due || self.phase() != PeerPhase::Serving || !self.peers.is_delegate(now) {
+            return None;
+        }
+        self.last_region_report = Some(now);
+        self.region_report_count += 1;
+        let mut lives = Vec::new();
+        if self.region_report_count.is_multiple_of(VM_LIST_EVERY) {
+            lives = self.peers.directly_seen_incarnations(now);
+            lives.push(self.own_heartbeat().vm_incarnation());
+        }
+        Some(RegionReport {
+            region: self.shared.settings.region().clone(),
+            delegate: VmTag::of(&self.shared.settings.vm),
+            incarnation: self.peers.incarnation(),
+            sequence: self.region_report_count,
+            waits: self.local_waits(),
+            live_vms: lives,
+        })
+    }
+
+    /// Applies the report of another region. Returns whether it is new.
+    fn apply_region_report(&mut self, report: &RegionReport) -> bool {
+        let now = self.now();
+        if report.region == *self.shared.settings.region() || !self.regions.apply(report, now) {
+            return false;
+        }
+        if self.peers.apply_reported_incarnations(&report.live_vms, now) {
+            self.publish_later();
+        }
+        true
+    }
+
+    fn record_placements(&self, placements: &[PromptPlacement]) {
+        let mut hints = self.shared.prefix_caches.lock();
+        for placement in placements {
+            hints.record(placement);
+        }
+    }
+
+    /// Drops the loads of VMs that stopped reporting, and updates the load of other VMs at each
+    /// upstream.
+    fn update_peer_loads(&mut self) {
+        let interval = report_interval(self.local_peers().len());
+        self.loads.remove_stale(interval, self.now());
+        for upstream in self.upstreams.values() {
+            upstream.set_peer_load(self.loads.total(upstream.tag));
+        }
+    }
 }
--- a/crates/foldhaven-gateway/src/datagrams.rs
+++ b/crates/foldhaven-gateway/src/datagrams.rs
@@ -6,12 +6,12 @@
 use std::time::Duration;
 
 use foldhaven_core::opaque::account_demand::{
-DEMAND_INTERVAL, LocalDemand, MAX_ACCOUNTS_PER_MESSAGE,
+    DEMAND_INTERVAL, LocalDemand, MAX_ACCOUNTS_PER_MESSAGE,
 };
 use foldhaven_core::opaque::affinity::PromptPlacement;
 use foldhaven_core::opaque::load_reports::LoadReport;
 use foldhaven_core::opaque::peer_table::{
-LEARNING_INTERVAL, PlannedHeartbeats, RequestedHeartbeats, ViewAnswer,
+    LEARNING_INTERVAL, PlannedHeartbeats, RequestedHeartbeats, ViewAnswer,
 };
 use foldhaven_core::opaque::report_planner::{ReportBatch, ReportUpdates};
 use foldhaven_core::opaque::sender_agreement::AGREEMENT_INTERVAL;
@@ -22,11 +22,11 @@
 
 use crate::clock::BootInstant;
 use crate::control::{
-ControlAddress, OutgoingChanges, OutgoingUpdate, PlanAgreementRound, PlanDemandReports,
-PlanHeartbeats, PlanLoadReport, PlannedLoadReport, ReceiveAgreement, ReceiveChanges,
-ReceiveEarlyChanges, ReceiveHeartbeat, ReceiveLeavingNotices, ReceiveLimits, ReceiveLoadReport,
-ReceiveLocalDemand, ReceivePlacements, ReceiveRegionDemand, ReceiveRegionReport,
-ReceiveRevisionNotice, ReceiveView, ReceiveViewList,
+    ControlAddress, OutgoingChanges, OutgoingUpdate, PlanAgreementRound, PlanDemandReports,
+    PlanHeartbeats, PlanLoadReport, PlannedLoadReport, ReceiveAgreement, ReceiveChanges,
+    ReceiveEarlyChanges, ReceiveHeartbeat, ReceiveLeavingNotices, ReceiveLimits, ReceiveLoadReport,
+    ReceiveLocalDemand, ReceivePlacements, ReceiveRegionDemand, ReceiveRegionReport,
+    ReceiveRevisionNotice, ReceiveView, ReceiveViewList,
 };
 use crate::feed::NumberedChange;
 use crate::peer_message::{MAX_DATAGRAM, PeerMessage, SuspectMessage};
@@ -43,341 +43,341 @@
 /// fit into a datagram have to be requested by the receivers; urgent ones among them are sent
 /// ahead.
 pub async fn send_updates(
-socket: Arc<UdpSocket>,
-mut updates: mpsc::UnboundedReceiver<OutgoingUpdate>,
-shared: Arc<GatewayShared>,
+    socket: Arc<UdpSocket>,
+    mut updates: mpsc::UnboundedReceiver<OutgoingUpdate>,
+    shared: Arc<GatewayShared>,
 ) {
-while let Some(update) = updates.recv().await {
-match update {
-OutgoingUpdate::Changes(update) => send_changes(&socket, update, &shared).await,
-OutgoingUpdate::Notice { targets, notice } => {
-send_to(&socket, &targets, &PeerMessage::News(notice)).await;
-}
-}
-}
+    while let Some(update) = updates.recv().await {
+        match update {
+            OutgoingUpdate::Changes(update) => send_changes(&socket, update, &shared).await,
+            OutgoingUpdate::Notice { targets, notice } => {
+                send_to(&socket, &targets, &PeerMessage::News(notice)).await;
+            }
+        }
+    }
 }
 
 async fn send_changes(socket: &UdpSocket, update: OutgoingChanges, shared: &GatewayShared) {
-let OutgoingChanges { targets, changes, offer } = update;
-let (revision, count) = (changes.revision, changes.changes.len());
-let urgent = changes.changes.iter().filter(|it| EarlyChanges::may_apply_early(&it.change));
-let urgent: Vec<NumberedChange> = urgent.cloned().collect();
-let mut is_offered = false;
-let bytes = PeerMessage::Changes(changes).bytes().or_else(|error| {
+    let OutgoingChanges { targets, changes, offer } = update;
+    let (revision, count) = (changes.revision, changes.changes.len());
+    let urgent = changes.changes.iter().filter(|it| EarlyChanges::may_apply_early(&it.change));
+    let urgent: Vec<NumberedChange> = urgent.cloned().collect();
+    let mut is_offered = false;
+    let bytes = PeerMessage::Changes(changes).bytes().or_else(|error| {
 is_offered = true;
 shared.metrics.count_event("changes_too_large");
 let early = urgent.len();
 tracing::warn!(revision, count, early, error = %error, "changes do not fit into a datagram and have to be requested");
 PeerMessage::Early(urgent).bytes()
 });
-match bytes {
-Ok(bytes) => {
-let sum = (bytes.len() * targets.len()) as u64;
-shared.metrics.count_event("changes_told");
-shared.metrics.add_events("changes_told_bytes", sum);
-for target in &targets {
-send_bytes(socket, *target, &bytes).await;
-}
-}
-Err(error) => tracing::warn!(revision, error = %error, "sending changes failed"),
-}
-if is_offered {
-send_to(socket, &targets, &PeerMessage::News(offer)).await;
-}
+    match bytes {
+        Ok(bytes) => {
+            let sum = (bytes.len() * targets.len()) as u64;
+            shared.metrics.count_event("changes_told");
+            shared.metrics.add_events("changes_told_bytes", sum);
+            for target in &targets {
+                send_bytes(socket, *target, &bytes).await;
+            }
+        }
+        Err(error) => tracing::warn!(revision, error = %error, "sending changes failed"),
+    }
+    if is_offered {
+        send_to(socket, &targets, &PeerMessage::News(offer)).await;
+    }
 }
 
 /// Reports this VM's load at the upstreams to the other VMs of the region.
 pub async fn send_reports(socket: Arc<UdpSocket>, control: ControlAddress) {
-let mut idle_rounds = 0;
-let mut timer_delay = Duration::ZERO;
-loop {
-let Ok(planned) = control.send(PlanLoadReport { timer_delay }).await else { return };
-let PlannedLoadReport { report, legs, remote_targets, remote_placements, region, interval } =
-planned;
-let is_idle = !report.is_active() && legs.iter().all(|leg| leg.updates.is_empty());
-// The first idle report says that the earlier requests have ended; later ones say that this
-// VM is live.
-if !is_idle || idle_rounds % IDLE_REPORT_EVERY == 0 {
-for ReportBatch { targets, updates } in legs {
-let ReportUpdates { placements, regions } = updates;
-let report = LoadReport { placements, regions, ..report.clone() };
-send_report(&socket, &targets, report).await;
-}
-}
-for placements in datagram_chunks(remote_placements) {
-send_to(&socket, &remote_targets, &PeerMessage::Placements(placements)).await;
-}
-if let Some(region) = region {
-send_to(&socket, &remote_targets, &PeerMessage::Region(region)).await;
-}
-idle_rounds = if is_idle { idle_rounds + 1 } else { 0 };
-let slept = BootInstant::now();
-sleep(interval).await;
-timer_delay = slept.elapsed().saturating_sub(interval);
-}
+    let mut idle_rounds = 0;
+    let mut timer_delay = Duration::ZERO;
+    loop {
+        let Ok(planned) = control.send(PlanLoadReport { timer_delay }).await else { return };
+        let PlannedLoadReport { report, legs, remote_targets, remote_placements, region, interval } =
+            planned;
+        let is_idle = !report.is_active() && legs.iter().all(|leg| leg.updates.is_empty());
+        // The first idle report says that the earlier requests have ended; later ones say that this
+        // VM is live.
+        if !is_idle || idle_rounds % IDLE_REPORT_EVERY == 0 {
+            for ReportBatch { targets, updates } in legs {
+                let ReportUpdates { placements, regions } = updates;
+                let report = LoadReport { placements, regions, ..report.clone() };
+                send_report(&socket, &targets, report).await;
+            }
+        }
+        for placements in datagram_chunks(remote_placements) {
+            send_to(&socket, &remote_targets, &PeerMessage::Placements(placements)).await;
+        }
+        if let Some(region) = region {
+            send_to(&socket, &remote_targets, &PeerMessage::Region(region)).await;
+        }
+        idle_rounds = if is_idle { idle_rounds + 1 } else { 0 };
+        let slept = BootInstant::now();
+        sleep(interval).await;
+        timer_delay = slept.elapsed().saturating_sub(interval);
+    }
 }
 
 /// Sends a load report. Since it also shows that this VM is live, it has to fit into a datagram:
 /// excess prompt placements are left out, as they only make requests faster.
 async fn send_report(socket: &UdpSocket, targets: &[SocketAddr], mut report: LoadReport) {
-let mut chunks = datagram_chunks(std::mem::take(&mut report.placements)).into_iter();
-report.placements = chunks.next().unwrap_or_default();
-let left_out: usize = chunks.map(|chunk| chunk.len()).sum();
-if left_out > 0 {
-tracing::warn!(
-placements = report.placements.len(),
-left_out,
-"prompt placements were left out of a load report"
-);
-}
-send_to(socket, targets, &PeerMessage::Load(report)).await;
+    let mut chunks = datagram_chunks(std::mem::take(&mut report.placements)).into_iter();
+    report.placements = chunks.next().unwrap_or_default();
+    let left_out: usize = chunks.map(|chunk| chunk.len()).sum();
+    if left_out > 0 {
+        tracing::warn!(
+            placements = report.placements.len(),
+            left_out,
+            "prompt placements were left out of a load report"
+        );
+    }
+    send_to(socket, targets, &PeerMessage::Load(report)).await;
 }
 
 /// Splits prompt placements into chunks that fit into a datagram with other content.
 fn datagram_chunks(placements: Vec<PromptPlacement>) -> Vec<Vec<PromptPlacement>> {
-let mut chunks: Vec<Vec<PromptPlacement>> = Vec::new();
-let mut segments = MAX_PROMPT_SEGMENTS;
-for mut placement in placements {
-// The beginning of the prompt is kept, since prompts share their beginnings.
-placement.shared.truncate(MAX_PROMPT_SEGMENTS - 1);
-let size = placement.shared.len() + 1;
-match chunks.last_mut() {
-Some(chunk) if segments + size <= MAX_PROMPT_SEGMENTS => chunk.push(placement),
-_ => {
-segments = 0;
-chunks.push(vec![placement]);
-}
-}
-segments += size;
-}
-chunks
+    let mut chunks: Vec<Vec<PromptPlacement>> = Vec::new();
+    let mut segments = MAX_PROMPT_SEGMENTS;
+    for mut placement in placements {
+        // The beginning of the prompt is kept, since prompts share their beginnings.
+        placement.shared.truncate(MAX_PROMPT_SEGMENTS - 1);
+        let size = placement.shared.len() + 1;
+        match chunks.last_mut() {
+            Some(chunk) if segments + size <= MAX_PROMPT_SEGMENTS => chunk.push(placement),
+            _ => {
+                segments = 0;
+                chunks.push(vec![placement]);
+            }
+        }
+        segments += size;
+    }
+    chunks
 }
 
 /// Receives datagrams and dispatches them to the control actor.
 pub async fn receive_datagrams(
-socket: Arc<UdpSocket>,
-control: ControlAddress,
-shared: Arc<GatewayShared>,
+    socket: Arc<UdpSocket>,
+    control: ControlAddress,
+    shared: Arc<GatewayShared>,
 ) {
-let mut buffer = vec![0; MAX_DATAGRAM];
-loop {
-let (length, sender) = match socket.recv_from(&mut buffer).await {
-Ok(received) => received,
-Err(error) => {
-// An earlier datagram was sent to a closed port. The socket stays usable.
-tracing::debug!(error = %error, "receiving a datagram failed");
-continue;
-}
-};
-let message = match PeerMessage::read(&buffer[..length]) {
-Ok(message) => message,
-Err(error) => {
-shared.metrics.count_event("datagram_unreadable");
-if shared.quota.take(true) {
-tracing::warn!(peer = %sender, error = %error, "a message could not be read");
-}
-continue;
-}
-};
-if let Some(starting_peer_address) = starting_peer(&message) {
-send_suspects_to_starting_peer(&socket, &shared, starting_peer_address).await;
-}
-let message = match message {
-PeerMessage::Suspects(suspects) => {
-apply_suspects(&shared, &suspects);
-continue;
-}
-message => message,
-};
-match dispatch(&control, message).await {
-Ok(replies) => send_all(&socket, replies).await,
-Err(_) => return,
-}
-}
+    let mut buffer = vec![0; MAX_DATAGRAM];
+    loop {
+        let (length, sender) = match socket.recv_from(&mut buffer).await {
+            Ok(received) => received,
+            Err(error) => {
+                // An earlier datagram was sent to a closed port. The socket stays usable.
+                tracing::debug!(error = %error, "receiving a datagram failed");
+                continue;
+            }
+        };
+        let message = match PeerMessage::read(&buffer[..length]) {
+            Ok(message) => message,
+            Err(error) => {
+                shared.metrics.count_event("datagram_unreadable");
+                if shared.quota.take(true) {
+                    tracing::warn!(peer = %sender, error = %error, "a message could not be read");
+                }
+                continue;
+            }
+        };
+        if let Some(starting_peer_address) = starting_peer(&message) {
+            send_suspects_to_starting_peer(&socket, &shared, starting_peer_address).await;
+        }
+        let message = match message {
+            PeerMessage::Suspects(suspects) => {
+                apply_suspects(&shared, &suspects);
+                continue;
+            }
+            message => message,
+        };
+        match dispatch(&control, message).await {
+            Ok(replies) => send_all(&socket, replies).await,
+            Err(_) => return,
+        }
+    }
 }
 
 /// Messages with their targets.
 type OutgoingMessages = Vec<(SocketAddr, PeerMessage)>;
 
 fn heartbeat_messages(replies: PlannedHeartbeats) -> OutgoingMessages {
-replies.into_iter().map(|(target, heartbeat)| (target, PeerMessage::Beat(heartbeat))).collect()
+    replies.into_iter().map(|(target, heartbeat)| (target, PeerMessage::Beat(heartbeat))).collect()
 }
 
 /// Dispatches a message to the control actor. Returns the messages to send in reply.
 async fn dispatch(
-control: &ControlAddress,
-message: PeerMessage,
+    control: &ControlAddress,
+    message: PeerMessage,
 ) -> Result<OutgoingMessages, xtra::Error> {
-match message {
-PeerMessage::Beat(message) => {
-let replies = control.send(ReceiveHeartbeat { message }).await?;
-return Ok(heartbeat_messages(replies));
-}
-PeerMessage::View(notice) => {
-let answer = control.send(ReceiveView { notice }).await?;
-return Ok(match answer {
-ViewAnswer::Nothing => Vec::new(),
-ViewAnswer::List(target, list) => vec![(target, PeerMessage::ViewList(list))],
-});
-}
-PeerMessage::ViewList(list) => {
-let replies = control.send(ReceiveViewList { list }).await?;
-return Ok(heartbeat_messages(replies));
-}
-PeerMessage::Pact(notice) => {
-let answer = control.send(ReceiveAgreement { notice }).await?;
-let answer = answer.map(|(target, notice)| (target, PeerMessage::Pact(notice)));
-return Ok(answer.into_iter().collect());
-}
-PeerMessage::Changes(changes) => control.send(ReceiveChanges { changes }).await?,
-PeerMessage::Early(changes) => control.send(ReceiveEarlyChanges { changes }).await?,
-PeerMessage::Placements(placements) => {
-control.send(ReceivePlacements { placements }).await?
-}
-PeerMessage::Region(report) => control.send(ReceiveRegionReport { report }).await?,
-PeerMessage::Load(report) => control.send(ReceiveLoadReport { report }).await?,
-PeerMessage::News(notice) => control.send(ReceiveRevisionNotice { notice }).await?,
-PeerMessage::Demand(demand) => control.send(ReceiveLocalDemand { demand }).await?,
-PeerMessage::RegionDemand(demand) => control.send(ReceiveRegionDemand { demand }).await?,
-PeerMessage::Limits(limits) => control.send(ReceiveLimits { limits }).await?,
-PeerMessage::Leavers(leavers) => control.send(ReceiveLeavingNotices { leavers }).await?,
-PeerMessage::Suspects(_) => {}
-}
-Ok(OutgoingMessages::new())
+    match message {
+        PeerMessage::Beat(message) => {
+            let replies = control.send(ReceiveHeartbeat { message }).await?;
+            return Ok(heartbeat_messages(replies));
+        }
+        PeerMessage::View(notice) => {
+            let answer = control.send(ReceiveView { notice }).await?;
+            return Ok(match answer {
+                ViewAnswer::Nothing => Vec::new(),
+                ViewAnswer::List(target, list) => vec![(target, PeerMessage::ViewList(list))],
+            });
+        }
+        PeerMessage::ViewList(list) => {
+            let replies = control.send(ReceiveViewList { list }).await?;
+            return Ok(heartbeat_messages(replies));
+        }
+        PeerMessage::Pact(notice) => {
+            let answer = control.send(ReceiveAgreement { notice }).await?;
+            let answer = answer.map(|(target, notice)| (target, PeerMessage::Pact(notice)));
+            return Ok(answer.into_iter().collect());
+        }
+        PeerMessage::Changes(changes) => control.send(ReceiveChanges { changes }).await?,
+        PeerMessage::Early(changes) => control.send(ReceiveEarlyChanges { changes }).await?,
+        PeerMessage::Placements(placements) => {
+            control.send(ReceivePlacements { placements }).await?
+        }
+        PeerMessage::Region(report) => control.send(ReceiveRegionReport { report }).await?,
+        PeerMessage::Load(report) => control.send(ReceiveLoadReport { report }).await?,
+        PeerMessage::News(notice) => control.send(ReceiveRevisionNotice { notice }).await?,
+        PeerMessage::Demand(demand) => control.send(ReceiveLocalDemand { demand }).await?,
+        PeerMessage::RegionDemand(demand) => control.send(ReceiveRegionDemand { demand }).await?,
+        PeerMessage::Limits(limits) => control.send(ReceiveLimits { limits }).await?,
+        PeerMessage::Leavers(leavers) => control.send(ReceiveLeavingNotices { leavers }).await?,
+        PeerMessage::Suspects(_) => {}
+    }
+    Ok(OutgoingMessages::new())
 }
 
 /// Returns the address of the sender if the message requests all heartbeats, as VMs do after their
 /// start.
 fn starting_peer(message: &PeerMessage) -> Option<SocketAddr> {
-match message {
-PeerMessage::Beat(heartbeat) if heartbeat.requests == RequestedHeartbeats::All => {
-Some(heartbeat.own.peer)
-}
-_ => None,
-}
+    match message {
+        PeerMessage::Beat(heartbeat) if heartbeat.requests == RequestedHeartbeats::All => {
+            Some(heartbeat.own.peer)
+        }
+        _ => None,
+    }
 }
 
 /// Sends the suspected requests to a VM that has just started. An empty message is sent as well,
 /// because that VM waits for it.
 async fn send_suspects_to_starting_peer(
-socket: &UdpSocket,
-shared: &GatewayShared,
-target: SocketAddr,
+    socket: &UdpSocket,
+    shared: &GatewayShared,
+    target: SocketAddr,
 ) {
-let records = shared.suspects.startup_records();
-let suspects = SuspectMessage { region: shared.settings.region().clone(), records };
-send_to(socket, &[target], &PeerMessage::Suspects(suspects)).await;
+    let records = shared.suspects.startup_records();
+    let suspects = SuspectMessage { region: shared.settings.region().clone(), records };
+    send_to(socket, &[target], &PeerMessage::Suspects(suspects)).await;
 }
 
 /// Applies the suspected requests that another VM sent.
 fn apply_suspects(shared: &GatewayShared, suspects: &SuspectMessage) {
-let source = match suspects.region == *shared.settings.region() {
-true => RecordSource::Local,
-false => RecordSource::Remote,
-};
-shared.suspects.merge_records(&suspects.records, source, &shared.change_context());
+    let source = match suspects.region == *shared.settings.region() {
+        true => RecordSource::Local,
+        false => RecordSource::Remote,
+    };
+    shared.suspects.merge_records(&suspects.records, source, &shared.change_context());
 }
 
 /// Sends heartbeats in rounds, and immediately when this daemon starts to leave or finds that it
 /// was suspended.
 pub async fn send_heartbeats(
-socket: Arc<UdpSocket>,
-control: ControlAddress,
-shared: Arc<GatewayShared>,
+    socket: Arc<UdpSocket>,
+    control: ControlAddress,
+    shared: Arc<GatewayShared>,
 ) {
-let mut stage = shared.stage.subscribe();
-let mut pause = LEARNING_INTERVAL;
-loop {
-let to_all = tokio::select! {
-() = sleep(pause) => false,
-Ok(()) = stage.changed() => true,
-() = shared.wake.wait_for_suspension() => false,
-};
-let Ok(round) = control.send(PlanHeartbeats { to_all }).await else { return };
-pause = round.next_in;
-let targets: Vec<SocketAddr> = round.heartbeats.iter().map(|(target, _)| *target).collect();
-send_all(&socket, heartbeat_messages(round.heartbeats)).await;
-send_to(&socket, &round.view_targets, &PeerMessage::View(round.view)).await;
-if let Some(notice) = round.notice {
-send_to(&socket, &targets, &PeerMessage::News(notice)).await;
-}
-}
+    let mut stage = shared.stage.subscribe();
+    let mut pause = LEARNING_INTERVAL;
+    loop {
+        let to_all = tokio::select! {
+        () = sleep(pause) => false,
+        Ok(()) = stage.changed() => true,
+        () = shared.wake.wait_for_suspension() => false,
+        };
+        let Ok(round) = control.send(PlanHeartbeats { to_all }).await else { return };
+        pause = round.next_in;
+        let targets: Vec<SocketAddr> = round.heartbeats.iter().map(|(target, _)| *target).collect();
+        send_all(&socket, heartbeat_messages(round.heartbeats)).await;
+        send_to(&socket, &round.view_targets, &PeerMessage::View(round.view)).await;
+        if let Some(notice) = round.notice {
+            send_to(&socket, &targets, &PeerMessage::News(notice)).await;
+        }
+    }
 }
 
 /// Sends this VM's list of senders to the VMs that share the region's rate limits, while a rate
 /// limit of an upstream is in use.
 pub async fn send_agreements(
-socket: Arc<UdpSocket>,
-control: ControlAddress,
-mut is_used: watch::Receiver<bool>,
+    socket: Arc<UdpSocket>,
+    control: ControlAddress,
+    mut is_used: watch::Receiver<bool>,
 ) {
-loop {
-if is_used.wait_for(|is_used| *is_used).await.is_err() {
-return;
-}
-let Ok(planned) = control.send(PlanAgreementRound).await else { return };
-for (target, notice) in planned {
-send_to(&socket, &[target], &PeerMessage::Pact(notice)).await;
-}
-sleep(AGREEMENT_INTERVAL).await;
-}
+    loop {
+        if is_used.wait_for(|is_used| *is_used).await.is_err() {
+            return;
+        }
+        let Ok(planned) = control.send(PlanAgreementRound).await else { return };
+        for (target, notice) in planned {
+            send_to(&socket, &[target], &PeerMessage::Pact(notice)).await;
+        }
+        sleep(AGREEMENT_INTERVAL).await;
+    }
 }
 
 /// Sends the demand of callers with account limits to other VMs.
 pub async fn send_demands(socket: Arc<UdpSocket>, control: ControlAddress) {
-loop {
-let Ok(planned) = control.send(PlanDemandReports).await else { return };
-if let Some(local) = planned.local {
-send_local_demand(&socket, &planned.local_targets, local).await;
-}
-if let Some(remote) = planned.remote {
-send_to(&socket, &planned.remote_targets, &PeerMessage::RegionDemand(remote)).await;
-}
-sleep(DEMAND_INTERVAL).await;
-}
+    loop {
+        let Ok(planned) = control.send(PlanDemandReports).await else { return };
+        if let Some(local) = planned.local {
+            send_local_demand(&socket, &planned.local_targets, local).await;
+        }
+        if let Some(remote) = planned.remote {
+            send_to(&socket, &planned.remote_targets, &PeerMessage::RegionDemand(remote)).await;
+        }
+        sleep(DEMAND_INTERVAL).await;
+    }
 }
 
 /// Sends the demand to the VMs of this region. It is split into one message per part if it may not
 /// fit into a datagram.
 async fn send_local_demand(socket: &UdpSocket, targets: &[SocketAddr], demand: LocalDemand) {
-let own = demand.own.as_ref().map_or(0, |own| own.demands.len());
-let entries: usize = own + demand.regions.iter().map(|it| it.demands.len()).sum::<usize>();
-if entries <= MAX_ACCOUNTS_PER_MESSAGE {
-send_to(socket, targets, &PeerMessage::Demand(demand)).await;
-return;
-}
-let LocalDemand { own, regions } = demand;
-let own = own.map(|own| LocalDemand { own: Some(own), regions: Vec::new() });
-let regions = regions.into_iter().map(|it| LocalDemand { own: None, regions: vec![it] });
-for part in own.into_iter().chain(regions) {
-send_to(socket, targets, &PeerMessage::Demand(part)).await;
-}
+    let own = demand.own.as_ref().map_or(0, |own| own.demands.len());
+    let entries: usize = own + demand.regions.iter().map(|it| it.demands.len()).sum::<usize>();
+    if entries <= MAX_ACCOUNTS_PER_MESSAGE {
+        send_to(socket, targets, &PeerMessage::Demand(demand)).await;
+        return;
+    }
+    let LocalDemand { own, regions } = demand;
+    let own = own.map(|own| LocalDemand { own: Some(own), regions: Vec::new() });
+    let regions = regions.into_iter().map(|it| LocalDemand { own: None, regions: vec![it] });
+    for part in own.into_iter().chain(regions) {
+        send_to(socket, targets, &PeerMessage::Demand(part)).await;
+    }
 }
 
 /// Sends a message to some VMs. Returns its size in bytes, or 0 if it was not sent.
 pub async fn send_to(socket: &UdpSocket, targets: &[SocketAddr], message: &PeerMessage) -> usize {
-let bytes = match message.bytes() {
-Ok(bytes) => bytes,
-Err(error) => {
-tracing::warn!(error = %error, "a message was not sent");
-return 0;
-}
-};
-for target in targets {
-send_bytes(socket, *target, &bytes).await;
-}
-bytes.len()
+    let bytes = match message.bytes() {
+        Ok(bytes) => bytes,
+        Err(error) => {
+            tracing::warn!(error = %error, "a message was not sent");
+            return 0;
+        }
+    };
+    for target in targets {
+        send_bytes(socket, *target, &bytes).await;
+    }
+    bytes.len()
 }
 
 async fn send_all(socket: &UdpSocket, planned: OutgoingMessages) {
-for (target, message) in planned {
-send_to(socket, &[target], &message).await;
-}
+    for (target, message) in planned {
+        send_to(socket, &[target], &message).await;
+    }
 }
 
 /// Sends a datagram. Errors are only logged: a failed datagram is treated like a lost one.
 async fn send_bytes(socket: &UdpSocket, target: SocketAddr, bytes: &[u8]) {
-if let Err(error) = socket.send_to(bytes, target).await {
-tracing::debug!(peer = %target, error = %error, "sending to a peer failed");
-}
+    if let Err(error) = socket.send_to(bytes, target).await {
+        tracing::debug!(peer = %target, error = %error, "sending to a peer failed");
+    }
 }
--- a/crates/foldhaven-gateway/src/destinations/local.rs
+++ b/crates/foldhaven-gateway/src/destinations/local.rs
@@ -6,7 +6,7 @@
 
 use foldhaven_core::opaque::admission::DestinationEstimate;
 use foldhaven_core::opaque::choice::{
-RequestCost, UpstreamCandidate, UpstreamChoice, choose_upstream, price_upstreams,
+    RequestCost, UpstreamCandidate, UpstreamChoice, choose_upstream, price_upstreams,
 };
 use foldhaven_core::opaque::performance::ServicePerformance;
 use foldhaven_core::opaque::queue_rank::QueueRank;
@@ -29,170 +29,170 @@
 
 /// The best upstream of this region.
 pub(super) struct LocalChoice {
-upstream: Arc<Upstream>,
-pub(super) choice: UpstreamChoice,
-fetch_from: Option<SocketAddr>,
+    upstream: Arc<Upstream>,
+    pub(super) choice: UpstreamChoice,
+    fetch_from: Option<SocketAddr>,
 }
 
 impl LocalChoice {
-/// Returns the estimate for deciding whether the request is admitted.
-pub(super) fn estimate(&self) -> DestinationEstimate {
-let UpstreamChoice { time_to_first, breakdown, rank, is_full, .. } = self.choice;
-DestinationEstimate {
-time_to_first,
-breakdown,
-rank,
-queue: self.upstream.queue(),
-is_full,
-}
-}
-
-/// Reserves a request at an upstream that is cold or has announced a limit. Fails if the rate
-/// does not permit one now.
-pub(super) fn reserve(self, shared: &GatewayShared) -> Result<DestinationChoice, Refusal> {
-let now = shared.now();
-if let Some(rate) = self.upstream.allowed_rate(now) {
-if !self.upstream.pacer.lock().try_acquire(rate, now) {
-shared.metrics.count_event("bounded_place_lost");
-return Err(Refusal::NoUpstream);
-}
-self.upstream.count_rate_limited();
-let event = if self.upstream.is_cold(now) { "cold_sent" } else { "limited_sent" };
-shared.metrics.count_event(event);
-}
-let queue = self.upstream.queue();
-Ok(DestinationChoice {
-destination: RequestDestination::Upstream(self.upstream),
-time_to_first: self.choice.time_to_first,
-prefill_tokens: self.choice.prefill_tokens,
-queue,
-rank: self.choice.rank,
-prefill_before_answer: self.choice.prefill_before_answer,
-fetch_from: self.fetch_from,
-})
-}
+    /// Returns the estimate for deciding whether the request is admitted.
+    pub(super) fn estimate(&self) -> DestinationEstimate {
+        let UpstreamChoice { time_to_first, breakdown, rank, is_full, .. } = self.choice;
+        DestinationEstimate {
+            time_to_first,
+            breakdown,
+            rank,
+            queue: self.upstream.queue(),
+            is_full,
+        }
+    }
+
+    /// Reserves a request at an upstream that is cold or has announced a limit. Fails if the rate
+    /// does not permit one now.
+    pub(super) fn reserve(self, shared: &GatewayShared) -> Result<DestinationChoice, Refusal> {
+        let now = shared.now();
+        if let Some(rate) = self.upstream.allowed_rate(now) {
+            if !self.upstream.pacer.lock().try_acquire(rate, now) {
+                shared.metrics.count_event("bounded_place_lost");
+                return Err(Refusal::NoUpstream);
+            }
+            self.upstream.count_rate_limited();
+            let event = if self.upstream.is_cold(now) { "cold_sent" } else { "limited_sent" };
+            shared.metrics.count_event(event);
+        }
+        let queue = self.upstream.queue();
+        Ok(DestinationChoice {
+            destination: RequestDestination::Upstream(self.upstream),
+            time_to_first: self.choice.time_to_first,
+            prefill_tokens: self.choice.prefill_tokens,
+            queue,
+            rank: self.choice.rank,
+            prefill_before_answer: self.choice.prefill_before_answer,
+            fetch_from: self.fetch_from,
+        })
+    }
 }
 
 /// Chooses among the upstreams of this region. Returns `None` if none of them can take the request.
 pub(super) fn choose_local(
-shared: &GatewayShared,
-view: &GatewayView,
-job: &GatewayJob,
-tried: &TriedDestinations,
+    shared: &GatewayShared,
+    view: &GatewayView,
+    job: &GatewayJob,
+    tried: &TriedDestinations,
 ) -> Option<LocalChoice> {
-let local = local_upstreams(shared, view, job);
-let candidates = candidates_of(shared, &local, job, tried);
-let pace = shared.performance(&job.service, view);
-let choice = choose_upstream(&candidates, &choice_query(shared, view, job), &pace)?;
-let fetch_from = choice.fetch_from.map(|at| local[at].identity.address);
-Some(LocalChoice { upstream: local[choice.index].clone(), choice, fetch_from })
+    let local = local_upstreams(shared, view, job);
+    let candidates = candidates_of(shared, &local, job, tried);
+    let pace = shared.performance(&job.service, view);
+    let choice = choose_upstream(&candidates, &choice_query(shared, view, job), &pace)?;
+    let fetch_from = choice.fetch_from.map(|at| local[at].identity.address);
+    Some(LocalChoice { upstream: local[choice.index].clone(), choice, fetch_from })
 }
 
 /// Returns for how much longer this VM sends nothing to an upstream, because the upstream asked it
 /// to back off or its share of the upstream's rate is used up. `None` if it may send now.
 fn throttled_for(upstream: &Upstream, now: MonoTime) -> Option<Duration> {
-let backoff = upstream.remaining_backoff(now);
-let part = upstream.allowed_rate(now).map_or(Duration::ZERO, |rate| {
-let pacer = *upstream.pacer.lock();
-pacer.wait(rate, now).unwrap_or(NO_SHARE_WAIT)
-});
-Some(backoff.max(part)).filter(|wait| !wait.is_zero())
+    let backoff = upstream.remaining_backoff(now);
+    let part = upstream.allowed_rate(now).map_or(Duration::ZERO, |rate| {
+        let pacer = *upstream.pacer.lock();
+        pacer.wait(rate, now).unwrap_or(NO_SHARE_WAIT)
+    });
+    Some(backoff.max(part)).filter(|wait| !wait.is_zero())
 }
 
 /// Returns whether an upstream of this region can get a request now.
 pub(super) fn has_available(shared: &GatewayShared, view: &GatewayView, job: &GatewayJob) -> bool {
-let now = shared.now();
-let mut local = local_upstreams(shared, view, job).into_iter();
-local.any(|upstream| throttled_for(upstream, now).is_none())
+    let now = shared.now();
+    let mut local = local_upstreams(shared, view, job).into_iter();
+    local.any(|upstream| throttled_for(upstream, now).is_none())
 }
 
 /// Returns the shortest time until this VM may send to an upstream of this region that asked it to
 /// back off or has announced a limit. `None` if there is no such upstream.
 pub(super) fn signalled_wait(
-shared: &GatewayShared,
-view: &GatewayView,
-job: &GatewayJob,
+    shared: &GatewayShared,
+    view: &GatewayView,
+    job: &GatewayJob,
 ) -> Option<Duration> {
-let now = shared.now();
-let local = local_upstreams(shared, view, job).into_iter();
-let has_said = |it: &&Arc<Upstream>| it.is_limited() || !it.remaining_backoff(now).is_zero();
-let wait = |it: &Arc<Upstream>| throttled_for(it, now).unwrap_or_default();
-local.filter(has_said).map(wait).min()
+    let now = shared.now();
+    let local = local_upstreams(shared, view, job).into_iter();
+    let has_said = |it: &&Arc<Upstream>| it.is_limited() || !it.remaining_backoff(now).is_zero();
+    let wait = |it: &Arc<Upstream>| throttled_for(it, now).unwrap_or_default();
+    local.filter(has_said).map(wait).min()
 }
 
 /// Prices the candidate upstreams of this region.
 pub(super) fn price_local(
-shared: &GatewayShared,
-view: &GatewayView,
-job: &GatewayJob,
+    shared: &GatewayShared,
+    view: &GatewayView,
+    job: &GatewayJob,
 ) -> Vec<(Arc<Upstream>, UpstreamChoice)> {
-let local = local_upstreams(shared, view, job);
-let candidates = candidates_of(shared, &local, job, &TriedDestinations::default());
-let pace = shared.performance(&job.service, view);
-let priced = price_upstreams(&candidates, &choice_query(shared, view, job), &pace);
-priced.into_iter().map(|choice| (local[choice.index].clone(), choice)).collect()
+    let local = local_upstreams(shared, view, job);
+    let candidates = candidates_of(shared, &local, job, &TriedDestinations::default());
+    let pace = shared.performance(&job.service, view);
+    let priced = price_upstreams(&candidates, &choice_query(shared, view, job), &pace);
+    priced.into_iter().map(|choice| (local[choice.index].clone(), choice)).collect()
 }
 
 fn local_upstreams<'a>(
-shared: &GatewayShared,
-view: &'a GatewayView,
-job: &GatewayJob,
+    shared: &GatewayShared,
+    view: &'a GatewayView,
+    job: &GatewayJob,
 ) -> Vec<&'a Arc<Upstream>> {
-let own_region = shared.settings.region();
-let all = view.upstreams_of(&job.service).iter();
-let local = all.filter(|upstream| upstream.identity.region == *own_region);
-local.filter(|upstream| !upstream.is_leaving()).collect()
+    let own_region = shared.settings.region();
+    let all = view.upstreams_of(&job.service).iter();
+    let local = all.filter(|upstream| upstream.identity.region == *own_region);
+    local.filter(|upstream| !upstream.is_leaving()).collect()
 }
 
 fn candidates_of<'a>(
-shared: &GatewayShared,
-local: &[&'a Arc<Upstream>],
-job: &GatewayJob,
-tried: &TriedDestinations,
+    shared: &GatewayShared,
+    local: &[&'a Arc<Upstream>],
+    job: &GatewayJob,
+    tried: &TriedDestinations,
 ) -> Vec<UpstreamCandidate<'a>> {
-let now = shared.now();
-let hold = shared.measured_performance(&job.service).slot_time;
-local.iter().map(|upstream| candidate_of(shared, upstream, job, tried, hold, now)).collect()
+    let now = shared.now();
+    let hold = shared.measured_performance(&job.service).slot_time;
+    local.iter().map(|upstream| candidate_of(shared, upstream, job, tried, hold, now)).collect()
 }
 
 /// Returns the properties of an upstream that the choice depends on.
 fn candidate_of<'a>(
-shared: &GatewayShared,
-upstream: &'a Upstream,
-job: &GatewayJob,
-tried: &TriedDestinations,
-hold: Duration,
-now: MonoTime,
+    shared: &GatewayShared,
+    upstream: &'a Upstream,
+    job: &GatewayJob,
+    tried: &TriedDestinations,
+    hold: Duration,
+    now: MonoTime,
 ) -> UpstreamCandidate<'a> {
-let pace = *upstream.performance.lock();
-let transfer_cost = match upstream.identity.data_centre == shared.settings.data_centre {
-true => 0.0,
-false => RequestCost::of_bytes(job.body.len(), CENTRE_BYTE_PRICE, job.size()).0,
-};
-let cached_tokens = match job.shared_segments() {
-[] => 0,
-parts => shared.prefix_caches.lock().cached_tokens(
-upstream.tag,
-parts,
-upstream.identity.prompt_memory,
-),
-};
-UpstreamCandidate {
-name: upstream.name(),
-queue: pace.queue_after_refusal(upstream.queue(), hold, now),
-latency_factor: pace.latency_factor(now),
-failure_share: pace.failure_share(now),
-long_pause_share: pace.long_pause_share(now),
-transfer_cost,
-cached_tokens,
-is_ejected: upstream.health.lock().is_ejected(now),
-is_throttled: throttled_for(upstream, now).is_some(),
-is_tried: tried.upstreams.contains(upstream.name()),
-}
+    let pace = *upstream.performance.lock();
+    let transfer_cost = match upstream.identity.data_centre == shared.settings.data_centre {
+        true => 0.0,
+        false => RequestCost::of_bytes(job.body.len(), CENTRE_BYTE_PRICE, job.size()).0,
+    };
+    let cached_tokens = match job.shared_segments() {
+        [] => 0,
+        parts => shared.prefix_caches.lock().cached_tokens(
+            upstream.tag,
+            parts,
+            upstream.identity.prompt_memory,
+        ),
+    };
+    UpstreamCandidate {
+        name: upstream.name(),
+        queue: pace.queue_after_refusal(upstream.queue(), hold, now),
+        latency_factor: pace.latency_factor(now),
+        failure_share: pace.failure_share(now),
+        long_pause_share: pace.long_pause_share(now),
+        transfer_cost,
+        cached_tokens,
+        is_ejected: upstream.health.lock().is_ejected(now),
+        is_throttled: throttled_for(upstream, now).is_some(),
+        is_tried: tried.upstreams.contains(upstream.name()),
+    }
 }
 
 /// Returns the wait that this VM expects for a timely request at an upstream.
 pub fn expected_wait(upstream: &Upstream, pace: &ServicePerformance, now: MonoTime) -> Duration {
-let wait = pace.wait(upstream.queue(), QueueRank::Timely);
-wait.mul_f64(upstream.performance.lock().latency_factor(now))
+    let wait = pace.wait(upstream.queue(), QueueRank::Timely);
+    wait.mul_f64(upstream.performance.lock().latency_factor(now))
 }
--- a/crates/foldhaven-gateway/src/peer_front.rs
+++ b/crates/foldhaven-gateway/src/peer_front.rs
@@ -15,7 +15,7 @@
 use crate::credential::{find_account, take_forwarded_key};
 use crate::front::FrontHandler;
 use crate::job::{
-CallerTerms, GatewayJob, ReadRequest, RouteMatch, host_of, read_body, read_terms,
+    CallerTerms, GatewayJob, ReadRequest, RouteMatch, host_of, read_body, read_terms,
 };
 use crate::peer_state::{PEER_STATE_PATH, PEER_STATE_REVISION_PREFIX};
 use crate::platform_state::{AnswerCache, StateRequest};
@@ -23,106 +23,106 @@
 
 /// Handles requests of other VMs.
 pub struct PeerHandler {
-shared: Arc<GatewayShared>,
-answer_cache: AnswerCache,
+    shared: Arc<GatewayShared>,
+    answer_cache: AnswerCache,
 }
 
 #[async_trait]
 impl FrontHandler for PeerHandler {
-async fn handle(&self, request: Request<Incoming>) -> Answer {
-if request.uri().path() == PEER_STATE_PATH {
-let is_spanning = request.headers().contains_key(headers::SPANS);
-return self.state(request.uri().query(), is_spanning);
-}
-let attempt = request.headers().get(&self.shared.names.attempt).cloned();
-let answer = match read_forwarded(&self.shared, request).await {
-Ok(job) => run_job(self.shared.clone(), job).await,
-Err(refusal) => {
-self.shared.metrics.count_event(refusal.label());
-refusal.answer()
-}
-};
-mark_refusal(answer, attempt)
-}
+    async fn handle(&self, request: Request<Incoming>) -> Answer {
+        if request.uri().path() == PEER_STATE_PATH {
+            let is_spanning = request.headers().contains_key(headers::SPANS);
+            return self.state(request.uri().query(), is_spanning);
+        }
+        let attempt = request.headers().get(&self.shared.names.attempt).cloned();
+        let answer = match read_forwarded(&self.shared, request).await {
+            Ok(job) => run_job(self.shared.clone(), job).await,
+            Err(refusal) => {
+                self.shared.metrics.count_event(refusal.label());
+                refusal.answer()
+            }
+        };
+        mark_refusal(answer, attempt)
+    }
 }
 
 impl PeerHandler {
-pub fn new(shared: Arc<GatewayShared>) -> Self {
-Self { shared, answer_cache: AnswerCache::default() }
-}
+    pub fn new(shared: Arc<GatewayShared>) -> Self {
+        Self { shared, answer_cache: AnswerCache::default() }
+    }
 
-/// Returns the platform state, or its changes after the revision that the query names.
-fn state(&self, query: Option<&str>, is_spanning: bool) -> Answer {
-let Some(view) = self.shared.view() else { return Refusal::NoDescription.answer() };
-let known_revision = query.and_then(|query| query.strip_prefix(PEER_STATE_REVISION_PREFIX));
-let known_revision = known_revision.and_then(|known_revision| known_revision.parse().ok());
-match self
-.answer_cache
-.answer(&view.offer, StateRequest { known_revision, accepts_spanning: is_spanning })
-{
-Ok(body) => {
-let (revision, bytes) = (view.offer.revision, body.len());
-self.shared.metrics.count_event("state_told");
-self.shared.metrics.add_events("state_told_bytes", bytes as u64);
-tracing::info!(query, revision, bytes, "platform state sent to a peer");
-let mut answer = body_answer(StatusCode::OK, "application/octet-stream", body);
-answer.headers_mut().insert(headers::REVISION, HeaderValue::from(revision));
-answer
-}
-Err(error) => {
-tracing::error!(error = %error, "serializing the platform state for a peer failed");
-Refusal::NoDescription.answer()
-}
-}
-}
+    /// Returns the platform state, or its changes after the revision that the query names.
+    fn state(&self, query: Option<&str>, is_spanning: bool) -> Answer {
+        let Some(view) = self.shared.view() else { return Refusal::NoDescription.answer() };
+        let known_revision = query.and_then(|query| query.strip_prefix(PEER_STATE_REVISION_PREFIX));
+        let known_revision = known_revision.and_then(|known_revision| known_revision.parse().ok());
+        match self
+            .answer_cache
+            .answer(&view.offer, StateRequest { known_revision, accepts_spanning: is_spanning })
+        {
+            Ok(body) => {
+                let (revision, bytes) = (view.offer.revision, body.len());
+                self.shared.metrics.count_event("state_told");
+                self.shared.metrics.add_events("state_told_bytes", bytes as u64);
+                tracing::info!(query, revision, bytes, "platform state sent to a peer");
+                let mut answer = body_answer(StatusCode::OK, "application/octet-stream", body);
+                answer.headers_mut().insert(headers::REVISION, HeaderValue::from(revision));
+                answer
+            }
+            Err(error) => {
+                tracing::error!(error = %error, "serializing the platform state for a peer failed");
+                Refusal::NoDescription.answer()
+            }
+        }
+    }
 }
 
 /// Adds the attempt to a refusal, so that the origin VM knows that nothing of it ran here.
 fn mark_refusal(mut answer: Answer, attempt: Option<HeaderValue>) -> Answer {
-let is_refusal = answer.status() == StatusCode::SERVICE_UNAVAILABLE;
-if let Some(attempt) = attempt.filter(|_| is_refusal) {
-answer.headers_mut().insert(headers::REFUSED_ATTEMPT, attempt);
-}
-answer
+    let is_refusal = answer.status() == StatusCode::SERVICE_UNAVAILABLE;
+    if let Some(attempt) = attempt.filter(|_| is_refusal) {
+        answer.headers_mut().insert(headers::REFUSED_ATTEMPT, attempt);
+    }
+    answer
 }
 
 /// Reads a forwarded request. It must name the VMs that it has visited and the service that the
 /// origin VM chose.
 async fn read_forwarded(
-shared: &GatewayShared,
-request: Request<Incoming>,
+    shared: &GatewayShared,
+    request: Request<Incoming>,
 ) -> Result<GatewayJob, Refusal> {
-let started = BootInstant::now();
-let (mut head, body) = request.into_parts();
-let view = shared.view().ok_or(Refusal::NoDescription)?;
-if shared.is_too_far_behind() || !shared.is_awake() {
-return Err(Refusal::Outdated);
-}
-head.headers.remove(headers::VISITED).ok_or(Refusal::NotPermitted)?;
-let service = head.headers.remove(headers::SERVICE).ok_or(Refusal::NotPermitted)?;
-let service: ServiceName =
-service.to_str().ok().and_then(|name| name.parse().ok()).ok_or(Refusal::NotPermitted)?;
-let body = read_body(body, &view.routes.description().limits).await?;
-let host = host_of(&head).ok_or(Refusal::NotPermitted)?;
-let route = view.routes.find(host, head.uri.path()).ok_or(Refusal::NotPermitted)?.clone();
-if !route.services.iter().any(|it| it.service == service) {
-// The two VMs have different descriptions. The origin VM may choose another destination.
-return Err(Refusal::NotPermitted);
-}
-let has_partial_answer = head.headers.remove(headers::BEGUN).is_some();
-let waited = head.headers.remove(headers::WAITED_MS);
-let waited = waited.and_then(|value| value.to_str().ok()?.parse().ok());
-let waited = Duration::from_millis(waited.ok_or(Refusal::NotPermitted)?);
-let terms = CallerTerms { waited, ..read_terms(&head, &shared.names)? };
-let credential = take_forwarded_key(&mut head.headers);
-// The description of this VM may already lack the key, or not have it yet.
-let account = find_account(&view.routes, &route, credential);
-let account = account.map_err(|_| Refusal::NotPermitted)?;
-let request = ReadRequest { head, body, started };
-let place = RouteMatch { route, service, account };
-let job = request.into_job(place, terms, &shared.names);
-if !job.permits(shared.settings.region()) {
-return Err(Refusal::NotPermitted);
-}
-Ok(GatewayJob { is_forwarded: true, has_partial_answer, ..job })
+    let started = BootInstant::now();
+    let (mut head, body) = request.into_parts();
+    let view = shared.view().ok_or(Refusal::NoDescription)?;
+    if shared.is_too_far_behind() || !shared.is_awake() {
+        return Err(Refusal::Outdated);
+    }
+    head.headers.remove(headers::VISITED).ok_or(Refusal::NotPermitted)?;
+    let service = head.headers.remove(headers::SERVICE).ok_or(Refusal::NotPermitted)?;
+    let service: ServiceName =
+        service.to_str().ok().and_then(|name| name.parse().ok()).ok_or(Refusal::NotPermitted)?;
+    let body = read_body(body, &view.routes.description().limits).await?;
+    let host = host_of(&head).ok_or(Refusal::NotPermitted)?;
+    let route = view.routes.find(host, head.uri.path()).ok_or(Refusal::NotPermitted)?.clone();
+    if !route.services.iter().any(|it| it.service == service) {
+        // The two VMs have different descriptions. The origin VM may choose another destination.
+        return Err(Refusal::NotPermitted);
+    }
+    let has_partial_answer = head.headers.remove(headers::BEGUN).is_some();
+    let waited = head.headers.remove(headers::WAITED_MS);
+    let waited = waited.and_then(|value| value.to_str().ok()?.parse().ok());
+    let waited = Duration::from_millis(waited.ok_or(Refusal::NotPermitted)?);
+    let terms = CallerTerms { waited, ..read_terms(&head, &shared.names)? };
+    let credential = take_forwarded_key(&mut head.headers);
+    // The description of this VM may already lack the key, or not have it yet.
+    let account = find_account(&view.routes, &route, credential);
+    let account = account.map_err(|_| Refusal::NotPermitted)?;
+    let request = ReadRequest { head, body, started };
+    let place = RouteMatch { route, service, account };
+    let job = request.into_job(place, terms, &shared.names);
+    if !job.permits(shared.settings.region()) {
+        return Err(Refusal::NotPermitted);
+    }
+    Ok(GatewayJob { is_forwarded: true, has_partial_answer, ..job })
 }
--- a/crates/foldhaven-gateway/src/shared.rs
+++ b/crates/foldhaven-gateway/src/shared.rs
@@ -49,372 +49,372 @@
 /// A lag of this VM: other VMs know platform changes that it does not.
 #[derive(Debug, Clone, Copy)]
 pub struct ObservedLag {
-/// When the lag began.
-pub since: MonoTime,
-/// Whether a VM of this region is ahead.
-pub is_local: bool,
+    /// When the lag began.
+    pub since: MonoTime,
+    /// Whether a VM of this region is ahead.
+    pub is_local: bool,
 }
 
 /// The stage of a planned stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StopStage {
-/// Serving as usual.
-Serving,
-/// Other VMs are informed. Requests that still arrive are served, and their connections are
-/// then closed.
-Leaving,
-/// No new connections are accepted. Requests in flight are completed.
-Closing,
+    /// Serving as usual.
+    Serving,
+    /// Other VMs are informed. Requests that still arrive are served, and their connections are
+    /// then closed.
+    Leaving,
+    /// No new connections are accepted. Requests in flight are completed.
+    Closing,
 }
 
 /// The state that the threads of one daemon share.
 pub struct GatewayShared {
-/// The settings as read at startup.
-pub settings: GatewaySettings,
-pub names: HeaderNames,
-pub metrics: GatewayMetrics,
-/// Limits the number of log lines about requests.
-pub quota: LogQuota,
-pub stage: watch::Sender<StopStage>,
-/// The prompts that each upstream of the region has probably cached.
-pub prefix_caches: Mutex<PrefixCacheIndex>,
-/// The destinations of long prompts since the last report to other VMs.
-pub placements: Mutex<Vec<PromptPlacement>>,
-/// The measured performance of each service's upstreams.
-performance_by_service: Mutex<HashMap<ServiceName, ServicePerformance>>,
-/// The longest remaining times that callers of each route announce.
-caller_timeouts: Mutex<HashMap<RouteName, CallerTimeouts>>,
-/// The statistics of each route's requests.
-route_histories: Mutex<HashMap<RouteName, RouteHistory>>,
-/// The clock of the process.
-pub clock: MonoClock,
-view: ArcSwapOption<GatewayView>,
-/// When the first view was published. Empty before that.
-first_view: OnceLock<BootInstant>,
-/// This VM's share of each service's retry budget.
-retry_shares: Mutex<HashMap<ServiceName, RetryShare>>,
-/// The number of requests in flight.
-in_flight: AtomicU32,
-/// The number of requests accepted since startup.
-accepted_requests: AtomicU64,
-/// Notified when no request is in flight any more.
-idle: Notify,
-is_leaving: AtomicBool,
-/// The current lag behind other VMs. `None` if no VM is known to be ahead.
-lag: Mutex<Option<ObservedLag>>,
-/// Notified when another VM announces a newer revision of the platform state.
-pub newer_revision_notify: Notify,
-/// When the platform state was last confirmed to be current. `None` if it never was.
-confirmed_at: Mutex<Option<MonoTime>>,
-/// Requests that were in flight at upstreams that exited.
-pub suspects: SuspectTracker,
-/// The rate limits that upstreams announce.
-pub upstream_limits: RateLimitTracker,
-/// The upstreams that have announced that they are leaving.
-pub leaving_upstreams: LeavingTracker,
-/// The usage of accounts with limits.
-pub accounts: AccountLimiter,
-/// Detects that the process was suspended, so that its state may be outdated.
-pub wake: SuspensionDetector,
+    /// The settings as read at startup.
+    pub settings: GatewaySettings,
+    pub names: HeaderNames,
+    pub metrics: GatewayMetrics,
+    /// Limits the number of log lines about requests.
+    pub quota: LogQuota,
+    pub stage: watch::Sender<StopStage>,
+    /// The prompts that each upstream of the region has probably cached.
+    pub prefix_caches: Mutex<PrefixCacheIndex>,
+    /// The destinations of long prompts since the last report to other VMs.
+    pub placements: Mutex<Vec<PromptPlacement>>,
+    /// The measured performance of each service's upstreams.
+    performance_by_service: Mutex<HashMap<ServiceName, ServicePerformance>>,
+    /// The longest remaining times that callers of each route announce.
+    caller_timeouts: Mutex<HashMap<RouteName, CallerTimeouts>>,
+    /// The statistics of each route's requests.
+    route_histories: Mutex<HashMap<RouteName, RouteHistory>>,
+    /// The clock of the process.
+    pub clock: MonoClock,
+    view: ArcSwapOption<GatewayView>,
+    /// When the first view was published. Empty before that.
+    first_view: OnceLock<BootInstant>,
+    /// This VM's share of each service's retry budget.
+    retry_shares: Mutex<HashMap<ServiceName, RetryShare>>,
+    /// The number of requests in flight.
+    in_flight: AtomicU32,
+    /// The number of requests accepted since startup.
+    accepted_requests: AtomicU64,
+    /// Notified when no request is in flight any more.
+    idle: Notify,
+    is_leaving: AtomicBool,
+    /// The current lag behind other VMs. `None` if no VM is known to be ahead.
+    lag: Mutex<Option<ObservedLag>>,
+    /// Notified when another VM announces a newer revision of the platform state.
+    pub newer_revision_notify: Notify,
+    /// When the platform state was last confirmed to be current. `None` if it never was.
+    confirmed_at: Mutex<Option<MonoTime>>,
+    /// Requests that were in flight at upstreams that exited.
+    pub suspects: SuspectTracker,
+    /// The rate limits that upstreams announce.
+    pub upstream_limits: RateLimitTracker,
+    /// The upstreams that have announced that they are leaving.
+    pub leaving_upstreams: LeavingTracker,
+    /// The usage of accounts with limits.
+    pub accounts: AccountLimiter,
+    /// Detects that the process was suspended, so that its state may be outdated.
+    pub wake: SuspensionDetector,
 }
 
 impl GatewayShared {
-pub fn new(settings: GatewaySettings, names: HeaderNames) -> Arc<Self> {
-Arc::new(Self {
-wake: SuspensionDetector::default(),
-upstream_limits: RateLimitTracker::default(),
-leaving_upstreams: LeavingTracker::default(),
-suspects: SuspectTracker::new(VmTag::of(&settings.vm)),
-accounts: AccountLimiter::new(settings.region_count(), settings.limits.accounts()),
-settings,
-names,
-metrics: GatewayMetrics::default(),
-quota: LogQuota::default(),
-stage: watch::Sender::new(StopStage::Serving),
-prefix_caches: Mutex::default(),
-placements: Mutex::default(),
-performance_by_service: Mutex::default(),
-caller_timeouts: Mutex::default(),
-route_histories: Mutex::default(),
-clock: MonoClock::start(),
-view: ArcSwapOption::empty(),
-first_view: OnceLock::new(),
-retry_shares: Mutex::default(),
-in_flight: AtomicU32::new(0),
-accepted_requests: AtomicU64::new(0),
-idle: Notify::new(),
-is_leaving: AtomicBool::new(false),
-lag: Mutex::default(),
-newer_revision_notify: Notify::new(),
-confirmed_at: Mutex::default(),
-})
-}
-
-/// Returns the current time of the monotonic clock.
-pub fn now(&self) -> MonoTime {
-self.clock.now()
-}
-
-/// Returns the time at which this process started.
-pub fn started(&self) -> MonoTime {
-self.now() - self.uptime()
-}
-
-/// Returns the time since this process started.
-pub fn uptime(&self) -> Duration {
-self.clock.uptime()
-}
-
-/// Returns the view by which requests are routed. `None` before the first description.
-pub fn view(&self) -> Option<Arc<GatewayView>> {
-self.view.load_full()
-}
-
-/// Replaces the view by which requests are routed.
-pub fn publish(&self, view: GatewayView) {
-self.view.store(Some(Arc::new(view)));
-self.first_view.get_or_init(BootInstant::now);
-}
-
-/// Returns the time since the first view was published. Zero before that.
-pub fn time_since_first_view(&self) -> Duration {
-self.first_view.get().map_or(Duration::ZERO, BootInstant::elapsed)
-}
-
-/// Returns the current lag behind other VMs. `None` if no VM is known to be ahead.
-pub fn lag(&self) -> Option<ObservedLag> {
-*self.lag.lock()
-}
-
-/// Returns the current time and the metrics, as needed to record a change of a suspected
-/// request.
-pub fn change_context(&self) -> ChangeContext<'_> {
-ChangeContext { metrics: &self.metrics, now: self.now() }
-}
-
-/// Returns whether this process has the state that it needs to accept requests: a description,
-/// and the records of suspected requests. It must not have been suspended a moment ago.
-pub fn is_ready(&self) -> bool {
-let is_informed = self.suspects.is_informed(self.time_since_first_view());
-self.view.load().is_some() && is_informed && self.is_awake()
-}
-
-/// Returns whether requests may be routed by the current state. Returns false if the process
-/// was suspended and does not know yet what happened meanwhile.
-pub fn is_awake(&self) -> bool {
-self.wake.is_awake(self.now())
-}
-
-/// Returns whether a planned stop has begun.
-pub fn is_leaving(&self) -> bool {
-self.is_leaving.load(Ordering::Relaxed)
-}
-
-/// Sets the current lag behind other VMs.
-pub fn set_lag(&self, lag: Option<ObservedLag>) {
-*self.lag.lock() = lag;
-}
-
-/// Sets the time at which the platform state was last confirmed.
-pub fn set_confirmed_at(&self, confirmed_at: Option<MonoTime>) {
-*self.confirmed_at.lock() = confirmed_at;
-}
-
-/// Returns the time since the platform state was last confirmed, or since startup if it never
-/// was.
-pub fn staleness(&self) -> Duration {
-let confirmed_at = *self.confirmed_at.lock();
-confirmed_at.map_or_else(|| self.uptime(), |confirmed_at| self.now().since(confirmed_at))
-}
-
-/// Returns whether something that this VM does not know may be known to other VMs or to the
-/// platform.
-pub fn is_possibly_outdated(&self) -> bool {
-self.lag_of_at_least(OUTDATED_AFTER).is_some() || self.staleness() >= STALE_AFTER
-}
-
-/// Returns whether this VM has lagged behind another VM of its region for so long that it must
-/// not accept requests.
-pub fn is_too_far_behind(&self) -> bool {
-self.lag_of_at_least(REFUSE_REQUESTS_AFTER).is_some_and(|lag| lag.is_local)
-}
-
-/// Returns the current lag if it has lasted for at least `span`.
-fn lag_of_at_least(&self, span: Duration) -> Option<ObservedLag> {
-let lag = *self.lag.lock();
-lag.filter(|lag| self.now().since(lag.since) >= span)
-}
-
-/// Enters a stage of a planned stop.
-pub fn enter_stage(&self, stage: StopStage) {
-self.is_leaving.store(stage != StopStage::Serving, Ordering::Relaxed);
-self.stage.send_replace(stage);
-}
-
-/// Returns the measured performance of a service's upstreams, with the fetch rate from the
-/// description (0 if the description has none).
-pub fn performance(&self, service: &ServiceName, view: &GatewayView) -> ServicePerformance {
-let measured = self.performance_by_service.lock().get(service).copied().unwrap_or_default();
-let described = view.routes.service(service).and_then(|service| service.fetch_rate);
-ServicePerformance { fetch_tokens_per_s: described.unwrap_or_default(), ..measured }
-}
-
-/// Returns the measured performance of a service's upstreams.
-pub fn measured_performance(&self, service: &ServiceName) -> ServicePerformance {
-self.performance_by_service.lock().get(service).copied().unwrap_or_default()
-}
-
-/// Records how long a request occupied a slot of an upstream.
-pub fn record_slot_time(&self, service: &ServiceName, held: Duration) {
-self.with_performance(service, |performance| performance.record_slot_time(held));
-}
-
-fn with_performance<T>(
-&self,
-service: &ServiceName,
-act: impl FnOnce(&mut ServicePerformance) -> T,
-) -> T {
-let mut by_service = self.performance_by_service.lock();
-if let Some(performance) = by_service.get_mut(service) {
-return act(performance);
-}
-act(by_service.entry(service.clone()).or_default())
-}
-
-/// Records the remaining time that a caller of a route announces. Returns how long the caller
-/// has already waited.
-pub fn record_caller_timeout(&self, route: &RouteName, remaining: Duration) -> Duration {
-let now = self.now();
-let mut caller_timeouts = self.caller_timeouts.lock();
-if let Some(timeouts) = caller_timeouts.get_mut(route) {
-return timeouts.record(remaining, now);
-}
-caller_timeouts.entry(route.clone()).or_default().record(remaining, now)
-}
-
-/// Returns the statistics of a route's requests.
-pub fn route_history(&self, route: &RouteName) -> RouteHistory {
-self.route_histories.lock().get(route).copied().unwrap_or_default()
-}
-
-/// Updates the statistics of a route's requests, and returns them.
-pub fn update_route_history(
-&self,
-route: &RouteName,
-update: impl FnOnce(&mut RouteHistory),
-) -> RouteHistory {
-let mut route_histories = self.route_histories.lock();
-if let Some(history) = route_histories.get_mut(route) {
-update(history);
-return *history;
-}
-let history = route_histories.entry(route.clone()).or_default();
-update(history);
-*history
-}
-
-/// Records how long an upstream of a service took to prefill `tokens` prompt tokens and to
-/// begin its answer.
-pub fn record_prefill(&self, service: &ServiceName, tokens: u32, took: Duration) {
-self.with_performance(service, |performance| performance.record_prefill(tokens, took));
-}
-
-/// Updates the queue capacity of a service's upstreams with a request that one of them accepted
-/// or refused. Returns the result.
-pub fn update_queue_capacity(
-&self,
-service: &ServiceName,
-update: impl FnOnce(&mut QueueCapacity),
-) -> QueueCapacity {
-self.with_performance(service, |performance| {
-update(&mut performance.queue_capacity);
-performance.queue_capacity
-})
-}
-
-/// Records whether a pause of a stream was too long, with the prefill backlog of its upstream
-/// when the pause began, in tokens.
-pub fn record_pause(&self, service: &ServiceName, prefill_backlog: u32, is_long: bool) {
-self.with_performance(service, |performance| {
-performance.pause_statistics.record(prefill_backlog, is_long)
-});
-}
-
-/// Records the time between two events of a stream, with the number of requests at its
-/// upstream.
-pub fn record_event_interval(&self, service: &ServiceName, between: Duration, load: f64) {
-self.with_performance(service, |performance| {
-performance.event_interval.record(between, load)
-});
-}
-
-/// Records a request of a caller and its size, for the retry budget and the performance model
-/// of its service.
-pub fn record_request(&self, service: &ServiceName, size: u32) {
-let now = self.now();
-self.with_performance(service, |performance| performance.record_size(size));
-self.with_retry_share(service, |share| share.record_request(now));
-}
-
-/// Withdraws one retry from this VM's share of the budget. Returns whether the share permits
-/// it.
-pub fn try_withdraw_retry(&self, service: &ServiceName, view: &GatewayView) -> bool {
-let now = self.now();
-let uptime = self.uptime();
-self.with_retry_share(service, |share| share.try_withdraw(view.assumed_vms, uptime, now))
-}
-
-fn with_retry_share<T>(
-&self,
-service: &ServiceName,
-act: impl FnOnce(&mut RetryShare) -> T,
-) -> T {
-let mut retry_shares = self.retry_shares.lock();
-if let Some(share) = retry_shares.get_mut(service) {
-return act(share);
-}
-let share = RetryShare::new(self.settings.limits.retries());
-act(retry_shares.entry(service.clone()).or_insert(share))
-}
-
-/// Returns the number of requests in flight.
-pub fn in_flight(&self) -> u32 {
-self.in_flight.load(Ordering::Relaxed)
-}
-
-/// Returns the number of requests accepted since startup.
-pub fn accepted_requests(&self) -> u64 {
-self.accepted_requests.load(Ordering::Relaxed)
-}
-
-/// Counts a request as in flight until the guard is dropped.
-pub fn start_request(self: &Arc<Self>) -> InFlightGuard {
-self.in_flight.fetch_add(1, Ordering::Relaxed);
-self.accepted_requests.fetch_add(1, Ordering::Relaxed);
-InFlightGuard { shared: self.clone() }
-}
-
-/// Waits until no request is in flight.
-pub async fn wait_idle(&self) {
-loop {
-let idle = self.idle.notified();
-if self.in_flight() == 0 {
-return;
-}
-idle.await;
-}
-}
+    pub fn new(settings: GatewaySettings, names: HeaderNames) -> Arc<Self> {
+        Arc::new(Self {
+            wake: SuspensionDetector::default(),
+            upstream_limits: RateLimitTracker::default(),
+            leaving_upstreams: LeavingTracker::default(),
+            suspects: SuspectTracker::new(VmTag::of(&settings.vm)),
+            accounts: AccountLimiter::new(settings.region_count(), settings.limits.accounts()),
+            settings,
+            names,
+            metrics: GatewayMetrics::default(),
+            quota: LogQuota::default(),
+            stage: watch::Sender::new(StopStage::Serving),
+            prefix_caches: Mutex::default(),
+            placements: Mutex::default(),
+            performance_by_service: Mutex::default(),
+            caller_timeouts: Mutex::default(),
+            route_histories: Mutex::default(),
+            clock: MonoClock::start(),
+            view: ArcSwapOption::empty(),
+            first_view: OnceLock::new(),
+            retry_shares: Mutex::default(),
+            in_flight: AtomicU32::new(0),
+            accepted_requests: AtomicU64::new(0),
+            idle: Notify::new(),
+            is_leaving: AtomicBool::new(false),
+            lag: Mutex::default(),
+            newer_revision_notify: Notify::new(),
+            confirmed_at: Mutex::default(),
+        })
+    }
+
+    /// Returns the current time of the monotonic clock.
+    pub fn now(&self) -> MonoTime {
+        self.clock.now()
+    }
+
+    /// Returns the time at which this process started.
+    pub fn started(&self) -> MonoTime {
+        self.now() - self.uptime()
+    }
+
+    /// Returns the time since this process started.
+    pub fn uptime(&self) -> Duration {
+        self.clock.uptime()
+    }
+
+    /// Returns the view by which requests are routed. `None` before the first description.
+    pub fn view(&self) -> Option<Arc<GatewayView>> {
+        self.view.load_full()
+    }
+
+    /// Replaces the view by which requests are routed.
+    pub fn publish(&self, view: GatewayView) {
+        self.view.store(Some(Arc::new(view)));
+        self.first_view.get_or_init(BootInstant::now);
+    }
+
+    /// Returns the time since the first view was published. Zero before that.
+    pub fn time_since_first_view(&self) -> Duration {
+        self.first_view.get().map_or(Duration::ZERO, BootInstant::elapsed)
+    }
+
+    /// Returns the current lag behind other VMs. `None` if no VM is known to be ahead.
+    pub fn lag(&self) -> Option<ObservedLag> {
+        *self.lag.lock()
+    }
+
+    /// Returns the current time and the metrics, as needed to record a change of a suspected
+    /// request.
+    pub fn change_context(&self) -> ChangeContext<'_> {
+        ChangeContext { metrics: &self.metrics, now: self.now() }
+    }
+
+    /// Returns whether this process has the state that it needs to accept requests: a description,
+    /// and the records of suspected requests. It must not have been suspended a moment ago.
+    pub fn is_ready(&self) -> bool {
+        let is_informed = self.suspects.is_informed(self.time_since_first_view());
+        self.view.load().is_some() && is_informed && self.is_awake()
+    }
+
+    /// Returns whether requests may be routed by the current state. Returns false if the process
+    /// was suspended and does not know yet what happened meanwhile.
+    pub fn is_awake(&self) -> bool {
+        self.wake.is_awake(self.now())
+    }
+
+    /// Returns whether a planned stop has begun.
+    pub fn is_leaving(&self) -> bool {
+        self.is_leaving.load(Ordering::Relaxed)
+    }
+
+    /// Sets the current lag behind other VMs.
+    pub fn set_lag(&self, lag: Option<ObservedLag>) {
+        *self.lag.lock() = lag;
+    }
+
+    /// Sets the time at which the platform state was last confirmed.
+    pub fn set_confirmed_at(&self, confirmed_at: Option<MonoTime>) {
+        *self.confirmed_at.lock() = confirmed_at;
+    }
+
+    /// Returns the time since the platform state was last confirmed, or since startup if it never
+    /// was.
+    pub fn staleness(&self) -> Duration {
+        let confirmed_at = *self.confirmed_at.lock();
+        confirmed_at.map_or_else(|| self.uptime(), |confirmed_at| self.now().since(confirmed_at))
+    }
+
+    /// Returns whether something that this VM does not know may be known to other VMs or to the
+    /// platform.
+    pub fn is_possibly_outdated(&self) -> bool {
+        self.lag_of_at_least(OUTDATED_AFTER).is_some() || self.staleness() >= STALE_AFTER
+    }
+
+    /// Returns whether this VM has lagged behind another VM of its region for so long that it must
+    /// not accept requests.
+    pub fn is_too_far_behind(&self) -> bool {
+        self.lag_of_at_least(REFUSE_REQUESTS_AFTER).is_some_and(|lag| lag.is_local)
+    }
+
+    /// Returns the current lag if it has lasted for at least `span`.
+    fn lag_of_at_least(&self, span: Duration) -> Option<ObservedLag> {
+        let lag = *self.lag.lock();
+        lag.filter(|lag| self.now().since(lag.since) >= span)
+    }
+
+    /// Enters a stage of a planned stop.
+    pub fn enter_stage(&self, stage: StopStage) {
+        self.is_leaving.store(stage != StopStage::Serving, Ordering::Relaxed);
+        self.stage.send_replace(stage);
+    }
+
+    /// Returns the measured performance of a service's upstreams, with the fetch rate from the
+    /// description (0 if the description has none).
+    pub fn performance(&self, service: &ServiceName, view: &GatewayView) -> ServicePerformance {
+        let measured = self.performance_by_service.lock().get(service).copied().unwrap_or_default();
+        let described = view.routes.service(service).and_then(|service| service.fetch_rate);
+        ServicePerformance { fetch_tokens_per_s: described.unwrap_or_default(), ..measured }
+    }
+
+    /// Returns the measured performance of a service's upstreams.
+    pub fn measured_performance(&self, service: &ServiceName) -> ServicePerformance {
+        self.performance_by_service.lock().get(service).copied().unwrap_or_default()
+    }
+
+    /// Records how long a request occupied a slot of an upstream.
+    pub fn record_slot_time(&self, service: &ServiceName, held: Duration) {
+        self.with_performance(service, |performance| performance.record_slot_time(held));
+    }
+
+    fn with_performance<T>(
+        &self,
+        service: &ServiceName,
+        act: impl FnOnce(&mut ServicePerformance) -> T,
+    ) -> T {
+        let mut by_service = self.performance_by_service.lock();
+        if let Some(performance) = by_service.get_mut(service) {
+            return act(performance);
+        }
+        act(by_service.entry(service.clone()).or_default())
+    }
+
+    /// Records the remaining time that a caller of a route announces. Returns how long the caller
+    /// has already waited.
+    pub fn record_caller_timeout(&self, route: &RouteName, remaining: Duration) -> Duration {
+        let now = self.now();
+        let mut caller_timeouts = self.caller_timeouts.lock();
+        if let Some(timeouts) = caller_timeouts.get_mut(route) {
+            return timeouts.record(remaining, now);
+        }
+        caller_timeouts.entry(route.clone()).or_default().record(remaining, now)
+    }
+
+    /// Returns the statistics of a route's requests.
+    pub fn route_history(&self, route: &RouteName) -> RouteHistory {
+        self.route_histories.lock().get(route).copied().unwrap_or_default()
+    }
+
+    /// Updates the statistics of a route's requests, and returns them.
+    pub fn update_route_history(
+        &self,
+        route: &RouteName,
+        update: impl FnOnce(&mut RouteHistory),
+    ) -> RouteHistory {
+        let mut route_histories = self.route_histories.lock();
+        if let Some(history) = route_histories.get_mut(route) {
+            update(history);
+            return *history;
+        }
+        let history = route_histories.entry(route.clone()).or_default();
+        update(history);
+        *history
+    }
+
+    /// Records how long an upstream of a service took to prefill `tokens` prompt tokens and to
+    /// begin its answer.
+    pub fn record_prefill(&self, service: &ServiceName, tokens: u32, took: Duration) {
+        self.with_performance(service, |performance| performance.record_prefill(tokens, took));
+    }
+
+    /// Updates the queue capacity of a service's upstreams with a request that one of them accepted
+    /// or refused. Returns the result.
+    pub fn update_queue_capacity(
+        &self,
+        service: &ServiceName,
+        update: impl FnOnce(&mut QueueCapacity),
+    ) -> QueueCapacity {
+        self.with_performance(service, |performance| {
+            update(&mut performance.queue_capacity);
+            performance.queue_capacity
+        })
+    }
+
+    /// Records whether a pause of a stream was too long, with the prefill backlog of its upstream
+    /// when the pause began, in tokens.
+    pub fn record_pause(&self, service: &ServiceName, prefill_backlog: u32, is_long: bool) {
+        self.with_performance(service, |performance| {
+            performance.pause_statistics.record(prefill_backlog, is_long)
+        });
+    }
+
+    /// Records the time between two events of a stream, with the number of requests at its
+    /// upstream.
+    pub fn record_event_interval(&self, service: &ServiceName, between: Duration, load: f64) {
+        self.with_performance(service, |performance| {
+            performance.event_interval.record(between, load)
+        });
+    }
+
+    /// Records a request of a caller and its size, for the retry budget and the performance model
+    /// of its service.
+    pub fn record_request(&self, service: &ServiceName, size: u32) {
+        let now = self.now();
+        self.with_performance(service, |performance| performance.record_size(size));
+        self.with_retry_share(service, |share| share.record_request(now));
+    }
+
+    /// Withdraws one retry from this VM's share of the budget. Returns whether the share permits
+    /// it.
+    pub fn try_withdraw_retry(&self, service: &ServiceName, view: &GatewayView) -> bool {
+        let now = self.now();
+        let uptime = self.uptime();
+        self.with_retry_share(service, |share| share.try_withdraw(view.assumed_vms, uptime, now))
+    }
+
+    fn with_retry_share<T>(
+        &self,
+        service: &ServiceName,
+        act: impl FnOnce(&mut RetryShare) -> T,
+    ) -> T {
+        let mut retry_shares = self.retry_shares.lock();
+        if let Some(share) = retry_shares.get_mut(service) {
+            return act(share);
+        }
+        let share = RetryShare::new(self.settings.limits.retries());
+        act(retry_shares.entry(service.clone()).or_insert(share))
+    }
+
+    /// Returns the number of requests in flight.
+    pub fn in_flight(&self) -> u32 {
+        self.in_flight.load(Ordering::Relaxed)
+    }
+
+    /// Returns the number of requests accepted since startup.
+    pub fn accepted_requests(&self) -> u64 {
+        self.accepted_requests.load(Ordering::Relaxed)
+    }
+
+    /// Counts a request as in flight until the guard is dropped.
+    pub fn start_request(self: &Arc<Self>) -> InFlightGuard {
+        self.in_flight.fetch_add(1, Ordering::Relaxed);
+        self.accepted_requests.fetch_add(1, Ordering::Relaxed);
+        InFlightGuard { shared: self.clone() }
+    }
+
+    /// Waits until no request is in flight.
+    pub async fn wait_idle(&self) {
+        loop {
+            let idle = self.idle.notified();
+            if self.in_flight() == 0 {
+                return;
+            }
+            idle.await;
+        }
+    }
 }
 
 /// Guard of a request in flight.
 pub struct InFlightGuard {
-shared: Arc<GatewayShared>,
+    shared: Arc<GatewayShared>,
 }
 
 impl Drop for InFlightGuard {
-fn drop(&mut self) {
-if self.shared.in_flight.fetch_sub(1, Ordering::Relaxed) == 1 {
-self.shared.idle.notify_waiters();
-}
-}
+    fn drop(&mut self) {
+        if self.shared.in_flight.fetch_sub(1, Ordering::Relaxed) == 1 {
+            self.shared.idle.notify_waiters();
+        }
+    }
 }
--- a/crates/foldhaven-gateway/src/stop.rs
+++ b/crates/foldhaven-gateway/src/stop.rs
@@ -26,25 +26,25 @@
 ///
 /// If the signal handlers cannot be installed.
 pub async fn stop_on_signal(shared: Arc<GatewayShared>) -> io::Result<()> {
-let mut terminate = signal(SignalKind::terminate())?;
-let mut interrupt = signal(SignalKind::interrupt())?;
-tokio::select! {
-_ = terminate.recv() => {}
-_ = interrupt.recv() => {}
-}
-let grace = Duration::from_secs_f64(shared.settings.grace_s).saturating_sub(EXIT_MARGIN);
-tracing::info!(vm = %shared.settings.vm, in_flight = shared.in_flight(), "leaving");
-shared.enter_stage(StopStage::Leaving);
-let leaving = LEAVING_TIME.min(grace / 2);
-sleep(leaving).await;
-shared.enter_stage(StopStage::Closing);
-if timeout(grace - leaving, shared.wait_idle()).await.is_err() {
-tracing::warn!(
-in_flight = shared.in_flight(),
-"requests are aborted at the end of the grace time"
-);
-}
-sleep(FLUSH_TIME).await;
-tracing::info!(vm = %shared.settings.vm, "ended after a planned stop");
-Ok(())
+    let mut terminate = signal(SignalKind::terminate())?;
+    let mut interrupt = signal(SignalKind::interrupt())?;
+    tokio::select! {
+    _ = terminate.recv() => {}
+    _ = interrupt.recv() => {}
+    }
+    let grace = Duration::from_secs_f64(shared.settings.grace_s).saturating_sub(EXIT_MARGIN);
+    tracing::info!(vm = %shared.settings.vm, in_flight = shared.in_flight(), "leaving");
+    shared.enter_stage(StopStage::Leaving);
+    let leaving = LEAVING_TIME.min(grace / 2);
+    sleep(leaving).await;
+    shared.enter_stage(StopStage::Closing);
+    if timeout(grace - leaving, shared.wait_idle()).await.is_err() {
+        tracing::warn!(
+            in_flight = shared.in_flight(),
+            "requests are aborted at the end of the grace time"
+        );
+    }
+    sleep(FLUSH_TIME).await;
+    tracing::info!(vm = %shared.settings.vm, "ended after a planned stop");
+    Ok(())
 }
--- a/crates/foldhaven-gateway/src/upstream.rs
+++ b/crates/foldhaven-gateway/src/upstream.rs
@@ -8,7 +8,7 @@
 
 use foldhaven_core::health::TargetHealth;
 use foldhaven_core::ids::{
-DataCentreName, RegionName, ServiceName, UpstreamName, UpstreamStartTime,
+    DataCentreName, RegionName, ServiceName, UpstreamName, UpstreamStartTime,
 };
 use foldhaven_core::opaque::affinity::UpstreamTag;
 use foldhaven_core::opaque::load_reports::UpstreamShare;
@@ -26,366 +26,366 @@
 
 /// One process of an upstream. Shared by all views for as long as the process is listed.
 pub struct Upstream {
-pub identity: UpstreamIdentity,
-/// Its identifier in messages between VMs.
-pub tag: UpstreamTag,
-pub pool: ConnectionPool,
-/// Its recent failures, which decide whether it is ejected.
-pub health: Mutex<TargetHealth>,
-/// The recent errors of its time estimates, and its failures.
-pub performance: Mutex<UpstreamPerformance>,
-/// Paces the requests of this VM while the upstream is cold or announces a rate limit.
-pub pacer: Mutex<RatePacer>,
-/// The requests of this VM at the upstream.
-pub load: Arc<LoadCounter>,
-/// The requests of the other VMs of the region, as reported by them.
-others_in_flight: AtomicU32,
-/// Those of them that can still meet their targets.
-others_on_track: AtomicU32,
-/// Those that are deferred behind all timely requests and not answered yet.
-others_deferred: AtomicU32,
-/// The prompt tokens of the requests of other VMs that are not answered yet.
-others_prefill_backlog: Mutex<PrefillBacklog>,
-/// The in-flight requests of this VM, from which the suspects are taken if the upstream
-/// crashes.
-in_flight_requests: Mutex<InFlightRequests>,
-/// Whether a check for the exit of the upstream is running.
-is_exit_check_running: AtomicBool,
-/// When data was last received from the upstream.
-last_received: AtomicU64,
-/// The time until which the upstream is cold.
-cold_until: AtomicU64,
-/// The time until which this VM backs off.
-backoff_until: AtomicU64,
-/// Whether the upstream has announced that it is leaving.
-is_leaving: AtomicBool,
-/// Whether the upstream announces a rate limit.
-is_limited: AtomicBool,
-/// This VM's share of the rate while the upstream is cold or limited, as the bits of an `f64`.
-rate_share: AtomicU64,
-/// The time until which that share is valid.
-rate_share_until: AtomicU64,
-/// The number of requests that this VM has sent under that share.
-rate_limited_sent: AtomicU32,
+    pub identity: UpstreamIdentity,
+    /// Its identifier in messages between VMs.
+    pub tag: UpstreamTag,
+    pub pool: ConnectionPool,
+    /// Its recent failures, which decide whether it is ejected.
+    pub health: Mutex<TargetHealth>,
+    /// The recent errors of its time estimates, and its failures.
+    pub performance: Mutex<UpstreamPerformance>,
+    /// Paces the requests of this VM while the upstream is cold or announces a rate limit.
+    pub pacer: Mutex<RatePacer>,
+    /// The requests of this VM at the upstream.
+    pub load: Arc<LoadCounter>,
+    /// The requests of the other VMs of the region, as reported by them.
+    others_in_flight: AtomicU32,
+    /// Those of them that can still meet their targets.
+    others_on_track: AtomicU32,
+    /// Those that are deferred behind all timely requests and not answered yet.
+    others_deferred: AtomicU32,
+    /// The prompt tokens of the requests of other VMs that are not answered yet.
+    others_prefill_backlog: Mutex<PrefillBacklog>,
+    /// The in-flight requests of this VM, from which the suspects are taken if the upstream
+    /// crashes.
+    in_flight_requests: Mutex<InFlightRequests>,
+    /// Whether a check for the exit of the upstream is running.
+    is_exit_check_running: AtomicBool,
+    /// When data was last received from the upstream.
+    last_received: AtomicU64,
+    /// The time until which the upstream is cold.
+    cold_until: AtomicU64,
+    /// The time until which this VM backs off.
+    backoff_until: AtomicU64,
+    /// Whether the upstream has announced that it is leaving.
+    is_leaving: AtomicBool,
+    /// Whether the upstream announces a rate limit.
+    is_limited: AtomicBool,
+    /// This VM's share of the rate while the upstream is cold or limited, as the bits of an `f64`.
+    rate_share: AtomicU64,
+    /// The time until which that share is valid.
+    rate_share_until: AtomicU64,
+    /// The number of requests that this VM has sent under that share.
+    rate_limited_sent: AtomicU32,
 }
 
 /// The listed properties of an upstream, which do not change while its process runs.
 pub struct UpstreamIdentity {
-pub name: UpstreamName,
-pub birth: UpstreamStartTime,
-pub service: ServiceName,
-pub address: SocketAddr,
-pub data_centre: DataCentreName,
-pub region: RegionName,
-/// The number of requests that it runs concurrently.
-pub slots: u32,
-/// The capacity of its prompt cache in tokens. 0 if it has none.
-pub prompt_memory: u64,
+    pub name: UpstreamName,
+    pub birth: UpstreamStartTime,
+    pub service: ServiceName,
+    pub address: SocketAddr,
+    pub data_centre: DataCentreName,
+    pub region: RegionName,
+    /// The number of requests that it runs concurrently.
+    pub slots: u32,
+    /// The capacity of its prompt cache in tokens. 0 if it has none.
+    pub prompt_memory: u64,
 }
 
 impl UpstreamIdentity {
-/// Whether a record describes the same process with unchanged properties.
-pub fn matches_record(&self, record: &UpstreamRecord) -> bool {
-(self.birth, self.address, self.slots) == (record.birth, record.address, record.slots)
-&& self.service == record.service
-&& self.data_centre == record.data_centre
-}
+    /// Whether a record describes the same process with unchanged properties.
+    pub fn matches_record(&self, record: &UpstreamRecord) -> bool {
+        (self.birth, self.address, self.slots) == (record.birth, record.address, record.slots)
+            && self.service == record.service
+            && self.data_centre == record.data_centre
+    }
 }
 
 impl Upstream {
-pub fn new(identity: UpstreamIdentity) -> Arc<Self> {
-Arc::new(Self {
-tag: UpstreamTag::of(&identity.name, identity.birth),
-identity,
-pool: ConnectionPool::new(IDLE_LIMIT),
-health: Mutex::default(),
-performance: Mutex::default(),
-pacer: Mutex::default(),
-load: Arc::default(),
-others_in_flight: AtomicU32::new(0),
-others_on_track: AtomicU32::new(0),
-others_deferred: AtomicU32::new(0),
-others_prefill_backlog: Mutex::default(),
-in_flight_requests: Mutex::default(),
-is_exit_check_running: AtomicBool::new(false),
-last_received: AtomicU64::new(0),
-cold_until: AtomicU64::new(0),
-backoff_until: AtomicU64::new(0),
-is_leaving: AtomicBool::new(false),
-is_limited: AtomicBool::new(false),
-rate_share: AtomicU64::new(0),
-rate_share_until: AtomicU64::new(0),
-rate_limited_sent: AtomicU32::new(0),
-})
-}
-
-pub fn name(&self) -> &UpstreamName {
-&self.identity.name
-}
-
-/// Sets the time until which the upstream is cold.
-pub fn set_cold(&self, until: MonoTime) {
-self.cold_until.store(until.0, Ordering::Relaxed);
-}
-
-/// Whether the upstream is cold.
-pub fn is_cold(&self, now: MonoTime) -> bool {
-now.0 < self.cold_until.load(Ordering::Relaxed)
-}
-
-/// Sets the time until which this VM backs off. A longer earlier back-off stays in effect.
-/// Returns whether this VM was not backing off before.
-pub fn back_off_until(&self, until: MonoTime, now: MonoTime) -> bool {
-let before = self.backoff_until.fetch_max(until.0, Ordering::Relaxed);
-before <= now.0
-}
-
-/// Returns the remaining back-off time of this VM.
-pub fn remaining_backoff(&self, now: MonoTime) -> Duration {
-MonoTime(self.backoff_until.load(Ordering::Relaxed)).since(now)
-}
-
-/// Records that the upstream has announced that it is leaving.
-pub fn set_leaving(&self) {
-self.is_leaving.store(true, Ordering::Relaxed);
-}
-
-/// Whether the upstream has announced that it is leaving.
-pub fn is_leaving(&self) -> bool {
-self.is_leaving.load(Ordering::Relaxed)
-}
-
-/// Sets whether the upstream announces a rate limit.
-pub fn set_limited(&self, is_limited: bool) {
-self.is_limited.store(is_limited, Ordering::Relaxed);
-}
-
-/// Whether the upstream announces a rate limit.
-pub fn is_limited(&self) -> bool {
-self.is_limited.load(Ordering::Relaxed)
-}
-
-/// Sets this VM's share of the upstream's rate while it is cold or limited, and the time until
-/// which the share is valid. `None`: it is not valid.
-pub fn set_rate_share(&self, share: RateShare, until: Option<MonoTime>, now: MonoTime) {
-let has_share =
-now.0 < self.rate_share_until.load(Ordering::Relaxed) && self.last_rate_share() > 0.0;
-let mut pacer = self.pacer.lock();
-if share.per_s > self.last_rate_share() {
-pacer.raise_rate(share.per_s, now);
-}
-if !has_share {
-pacer.delay_until(now + share.first_delay);
-}
-drop(pacer);
-self.rate_share.store(share.per_s.to_bits(), Ordering::Relaxed);
-self.rate_share_until.store(until.map_or(0, |until| until.0), Ordering::Relaxed);
-}
-
-/// Returns the rate that applies to this VM now: zero without a valid share, `None` if the
-/// upstream is neither cold nor limited.
-pub fn allowed_rate(&self, now: MonoTime) -> Option<f64> {
-let is_rate_limited = self.is_cold(now) || self.is_limited();
-let may_send = now.0 < self.rate_share_until.load(Ordering::Relaxed);
-is_rate_limited.then(|| if may_send { self.last_rate_share() } else { 0.0 })
-}
-
-/// Returns the rate that was last set by [`Upstream::set_rate_share`].
-pub fn last_rate_share(&self) -> f64 {
-f64::from_bits(self.rate_share.load(Ordering::Relaxed))
-}
-
-/// Counts a request that this VM sends under its share of the rate.
-pub fn count_rate_limited(&self) {
-self.rate_limited_sent.fetch_add(1, Ordering::Relaxed);
-}
-
-/// Returns the number of requests counted by [`Upstream::count_rate_limited`].
-pub fn rate_limited_sent(&self) -> u32 {
-self.rate_limited_sent.load(Ordering::Relaxed)
-}
-
-/// Records that data was received from the upstream.
-pub fn record_received(&self, now: MonoTime) {
-self.last_received.store(now.0, Ordering::Relaxed);
-}
-
-/// Whether no data was received from the upstream since the given time.
-pub fn is_unresponsive_since(&self, moment: MonoTime) -> bool {
-self.last_received.load(Ordering::Relaxed) < moment.0
-}
-
-/// Marks a check for the exit of the upstream as running. Returns `false` if one is running
-/// already.
-pub fn begin_exit_check(&self) -> bool {
-!self.is_exit_check_running.swap(true, Ordering::Relaxed)
-}
-
-/// Marks the check for the exit of the upstream as finished.
-pub fn end_exit_check(&self) {
-self.is_exit_check_running.store(false, Ordering::Relaxed);
-}
-
-/// Takes the requests of this VM that may have crashed the upstream, given the time at which a
-/// connection to it broke.
-pub fn take_affected(&self, broken_at: MonoTime) -> Vec<RequestFingerprint> {
-self.in_flight_requests.lock().take_affected(broken_at)
-}
-
-/// Registers a request of this VM until the guard is dropped.
-pub fn register_request(
-self: &Arc<Self>,
-fingerprint: RequestFingerprint,
-clock: MonoClock,
-) -> UpstreamRequestGuard {
-let id = self.in_flight_requests.lock().insert(fingerprint);
-UpstreamRequestGuard { upstream: self.clone(), id, clock, is_harmless: false }
-}
-
-/// Records that the upstream is unreachable or unresponsive: it is ejected at once, and the
-/// idle connections to it are closed.
-pub fn record_unreachable(&self, now: MonoTime) {
-self.health.lock().record_failure(true, now);
-self.pool.clear();
-}
-
-/// Records that a request failed after it may have run. `usual` is the usual failure share of
-/// its route.
-pub fn record_failure(&self, usual: f64, now: MonoTime) {
-self.health.lock().record_failure(false, now);
-self.performance.lock().record_end(true, usual, now);
-}
-
-/// Sets the requests of the other VMs of the region.
-pub fn set_peer_load(&self, share: UpstreamShare) {
-self.others_in_flight.store(share.in_flight.into(), Ordering::Relaxed);
-self.others_on_track.store(share.on_track.into(), Ordering::Relaxed);
-self.others_deferred.store(share.deferred.into(), Ordering::Relaxed);
-*self.others_prefill_backlog.lock() = share.prefill_backlog;
-}
-
-/// Returns the queue of the upstream, with the requests of all VMs of the region.
-pub fn queue(&self) -> QueueState {
-let own = self.load.share();
-let others = self.others_in_flight.load(Ordering::Relaxed);
-QueueState {
-slots: self.identity.slots,
-in_flight: u32::from(own.in_flight) + others,
-on_track: u32::from(own.on_track) + self.others_on_track.load(Ordering::Relaxed),
-deferred: u32::from(own.deferred) + self.others_deferred.load(Ordering::Relaxed),
-prefill_backlog: own.prefill_backlog.plus(*self.others_prefill_backlog.lock()),
-}
-}
+    pub fn new(identity: UpstreamIdentity) -> Arc<Self> {
+        Arc::new(Self {
+            tag: UpstreamTag::of(&identity.name, identity.birth),
+            identity,
+            pool: ConnectionPool::new(IDLE_LIMIT),
+            health: Mutex::default(),
+            performance: Mutex::default(),
+            pacer: Mutex::default(),
+            load: Arc::default(),
+            others_in_flight: AtomicU32::new(0),
+            others_on_track: AtomicU32::new(0),
+            others_deferred: AtomicU32::new(0),
+            others_prefill_backlog: Mutex::default(),
+            in_flight_requests: Mutex::default(),
+            is_exit_check_running: AtomicBool::new(false),
+            last_received: AtomicU64::new(0),
+            cold_until: AtomicU64::new(0),
+            backoff_until: AtomicU64::new(0),
+            is_leaving: AtomicBool::new(false),
+            is_limited: AtomicBool::new(false),
+            rate_share: AtomicU64::new(0),
+            rate_share_until: AtomicU64::new(0),
+            rate_limited_sent: AtomicU32::new(0),
+        })
+    }
+
+    pub fn name(&self) -> &UpstreamName {
+        &self.identity.name
+    }
+
+    /// Sets the time until which the upstream is cold.
+    pub fn set_cold(&self, until: MonoTime) {
+        self.cold_until.store(until.0, Ordering::Relaxed);
+    }
+
+    /// Whether the upstream is cold.
+    pub fn is_cold(&self, now: MonoTime) -> bool {
+        now.0 < self.cold_until.load(Ordering::Relaxed)
+    }
+
+    /// Sets the time until which this VM backs off. A longer earlier back-off stays in effect.
+    /// Returns whether this VM was not backing off before.
+    pub fn back_off_until(&self, until: MonoTime, now: MonoTime) -> bool {
+        let before = self.backoff_until.fetch_max(until.0, Ordering::Relaxed);
+        before <= now.0
+    }
+
+    /// Returns the remaining back-off time of this VM.
+    pub fn remaining_backoff(&self, now: MonoTime) -> Duration {
+        MonoTime(self.backoff_until.load(Ordering::Relaxed)).since(now)
+    }
+
+    /// Records that the upstream has announced that it is leaving.
+    pub fn set_leaving(&self) {
+        self.is_leaving.store(true, Ordering::Relaxed);
+    }
+
+    /// Whether the upstream has announced that it is leaving.
+    pub fn is_leaving(&self) -> bool {
+        self.is_leaving.load(Ordering::Relaxed)
+    }
+
+    /// Sets whether the upstream announces a rate limit.
+    pub fn set_limited(&self, is_limited: bool) {
+        self.is_limited.store(is_limited, Ordering::Relaxed);
+    }
+
+    /// Whether the upstream announces a rate limit.
+    pub fn is_limited(&self) -> bool {
+        self.is_limited.load(Ordering::Relaxed)
+    }
+
+    /// Sets this VM's share of the upstream's rate while it is cold or limited, and the time until
+    /// which the share is valid. `None`: it is not valid.
+    pub fn set_rate_share(&self, share: RateShare, until: Option<MonoTime>, now: MonoTime) {
+        let has_share =
+            now.0 < self.rate_share_until.load(Ordering::Relaxed) && self.last_rate_share() > 0.0;
+        let mut pacer = self.pacer.lock();
+        if share.per_s > self.last_rate_share() {
+            pacer.raise_rate(share.per_s, now);
+        }
+        if !has_share {
+            pacer.delay_until(now + share.first_delay);
+        }
+        drop(pacer);
+        self.rate_share.store(share.per_s.to_bits(), Ordering::Relaxed);
+        self.rate_share_until.store(until.map_or(0, |until| until.0), Ordering::Relaxed);
+    }
+
+    /// Returns the rate that applies to this VM now: zero without a valid share, `None` if the
+    /// upstream is neither cold nor limited.
+    pub fn allowed_rate(&self, now: MonoTime) -> Option<f64> {
+        let is_rate_limited = self.is_cold(now) || self.is_limited();
+        let may_send = now.0 < self.rate_share_until.load(Ordering::Relaxed);
+        is_rate_limited.then(|| if may_send { self.last_rate_share() } else { 0.0 })
+    }
+
+    /// Returns the rate that was last set by [`Upstream::set_rate_share`].
+    pub fn last_rate_share(&self) -> f64 {
+        f64::from_bits(self.rate_share.load(Ordering::Relaxed))
+    }
+
+    /// Counts a request that this VM sends under its share of the rate.
+    pub fn count_rate_limited(&self) {
+        self.rate_limited_sent.fetch_add(1, Ordering::Relaxed);
+    }
+
+    /// Returns the number of requests counted by [`Upstream::count_rate_limited`].
+    pub fn rate_limited_sent(&self) -> u32 {
+        self.rate_limited_sent.load(Ordering::Relaxed)
+    }
+
+    /// Records that data was received from the upstream.
+    pub fn record_received(&self, now: MonoTime) {
+        self.last_received.store(now.0, Ordering::Relaxed);
+    }
+
+    /// Whether no data was received from the upstream since the given time.
+    pub fn is_unresponsive_since(&self, moment: MonoTime) -> bool {
+        self.last_received.load(Ordering::Relaxed) < moment.0
+    }
+
+    /// Marks a check for the exit of the upstream as running. Returns `false` if one is running
+    /// already.
+    pub fn begin_exit_check(&self) -> bool {
+        !self.is_exit_check_running.swap(true, Ordering::Relaxed)
+    }
+
+    /// Marks the check for the exit of the upstream as finished.
+    pub fn end_exit_check(&self) {
+        self.is_exit_check_running.store(false, Ordering::Relaxed);
+    }
+
+    /// Takes the requests of this VM that may have crashed the upstream, given the time at which a
+    /// connection to it broke.
+    pub fn take_affected(&self, broken_at: MonoTime) -> Vec<RequestFingerprint> {
+        self.in_flight_requests.lock().take_affected(broken_at)
+    }
+
+    /// Registers a request of this VM until the guard is dropped.
+    pub fn register_request(
+        self: &Arc<Self>,
+        fingerprint: RequestFingerprint,
+        clock: MonoClock,
+    ) -> UpstreamRequestGuard {
+        let id = self.in_flight_requests.lock().insert(fingerprint);
+        UpstreamRequestGuard { upstream: self.clone(), id, clock, is_harmless: false }
+    }
+
+    /// Records that the upstream is unreachable or unresponsive: it is ejected at once, and the
+    /// idle connections to it are closed.
+    pub fn record_unreachable(&self, now: MonoTime) {
+        self.health.lock().record_failure(true, now);
+        self.pool.clear();
+    }
+
+    /// Records that a request failed after it may have run. `usual` is the usual failure share of
+    /// its route.
+    pub fn record_failure(&self, usual: f64, now: MonoTime) {
+        self.health.lock().record_failure(false, now);
+        self.performance.lock().record_end(true, usual, now);
+    }
+
+    /// Sets the requests of the other VMs of the region.
+    pub fn set_peer_load(&self, share: UpstreamShare) {
+        self.others_in_flight.store(share.in_flight.into(), Ordering::Relaxed);
+        self.others_on_track.store(share.on_track.into(), Ordering::Relaxed);
+        self.others_deferred.store(share.deferred.into(), Ordering::Relaxed);
+        *self.others_prefill_backlog.lock() = share.prefill_backlog;
+    }
+
+    /// Returns the queue of the upstream, with the requests of all VMs of the region.
+    pub fn queue(&self) -> QueueState {
+        let own = self.load.share();
+        let others = self.others_in_flight.load(Ordering::Relaxed);
+        QueueState {
+            slots: self.identity.slots,
+            in_flight: u32::from(own.in_flight) + others,
+            on_track: u32::from(own.on_track) + self.others_on_track.load(Ordering::Relaxed),
+            deferred: u32::from(own.deferred) + self.others_deferred.load(Ordering::Relaxed),
+            prefill_backlog: own.prefill_backlog.plus(*self.others_prefill_backlog.lock()),
+        }
+    }
 }
 
 /// Keeps one request registered at an upstream until dropped.
 pub struct UpstreamRequestGuard {
-upstream: Arc<Upstream>,
-id: InFlightId,
-clock: MonoClock,
-is_harmless: bool,
+    upstream: Arc<Upstream>,
+    id: InFlightId,
+    clock: MonoClock,
+    is_harmless: bool,
 }
 
 impl UpstreamRequestGuard {
-/// Records that the request did not crash the upstream: it was answered completely, declined or
-/// never sent.
-pub fn mark_harmless(&mut self) {
-self.is_harmless = true;
-}
+    /// Records that the request did not crash the upstream: it was answered completely, declined or
+    /// never sent.
+    pub fn mark_harmless(&mut self) {
+        self.is_harmless = true;
+    }
 }
 
 impl Drop for UpstreamRequestGuard {
-fn drop(&mut self) {
-let mut in_flight_requests = self.upstream.in_flight_requests.lock();
-match self.is_harmless {
-true => in_flight_requests.remove_harmless(self.id),
-false => in_flight_requests.remove(self.id, self.clock.now()),
-}
-}
+    fn drop(&mut self) {
+        let mut in_flight_requests = self.upstream.in_flight_requests.lock();
+        match self.is_harmless {
+            true => in_flight_requests.remove_harmless(self.id),
+            false => in_flight_requests.remove(self.id, self.clock.now()),
+        }
+    }
 }
 
 /// Counts the requests of this VM at one destination.
 #[derive(Debug, Default)]
 pub struct LoadCounter {
-in_flight: AtomicU32,
-/// Those of them that can still meet their targets.
-on_track: AtomicU32,
-/// Those that are deferred behind all timely requests and not answered yet.
-deferred: AtomicU32,
-/// The prompt tokens of timely requests that are not answered yet.
-timely_backlog: AtomicU32,
-/// The prompt tokens of deferred requests that are not answered yet.
-deferred_backlog: AtomicU32,
+    in_flight: AtomicU32,
+    /// Those of them that can still meet their targets.
+    on_track: AtomicU32,
+    /// Those that are deferred behind all timely requests and not answered yet.
+    deferred: AtomicU32,
+    /// The prompt tokens of timely requests that are not answered yet.
+    timely_backlog: AtomicU32,
+    /// The prompt tokens of deferred requests that are not answered yet.
+    deferred_backlog: AtomicU32,
 }
 
 impl LoadCounter {
-/// Returns the current counts, saturated at the limits of the message format.
-pub fn share(&self) -> UpstreamShare {
-let read =
-|count: &AtomicU32| u16::try_from(count.load(Ordering::Relaxed)).unwrap_or(u16::MAX);
-UpstreamShare {
-in_flight: read(&self.in_flight),
-on_track: read(&self.on_track),
-deferred: read(&self.deferred),
-prefill_backlog: PrefillBacklog {
-timely: self.timely_backlog.load(Ordering::Relaxed),
-deferred: self.deferred_backlog.load(Ordering::Relaxed),
-},
-}
-}
-
-/// Counts a request with the given rank and prompt tokens to prefill until the guard is
-/// dropped.
-pub fn enter(self: &Arc<Self>, tokens: u32, rank: QueueRank) -> LoadGuard {
-let is_on_track = rank == QueueRank::Timely;
-self.in_flight.fetch_add(1, Ordering::Relaxed);
-let is_deferred = rank == QueueRank::Deferred;
-self.on_track.fetch_add(is_on_track.into(), Ordering::Relaxed);
-self.deferred.fetch_add(is_deferred.into(), Ordering::Relaxed);
-self.backlog(rank).fetch_add(tokens, Ordering::Relaxed);
-LoadGuard { counter: self.clone(), pending_tokens: tokens, rank, is_on_track, is_deferred }
-}
-
-fn backlog(&self, rank: QueueRank) -> &AtomicU32 {
-match rank {
-QueueRank::Timely => &self.timely_backlog,
-QueueRank::Deferred => &self.deferred_backlog,
-}
-}
+    /// Returns the current counts, saturated at the limits of the message format.
+    pub fn share(&self) -> UpstreamShare {
+        let read =
+            |count: &AtomicU32| u16::try_from(count.load(Ordering::Relaxed)).unwrap_or(u16::MAX);
+        UpstreamShare {
+            in_flight: read(&self.in_flight),
+            on_track: read(&self.on_track),
+            deferred: read(&self.deferred),
+            prefill_backlog: PrefillBacklog {
+                timely: self.timely_backlog.load(Ordering::Relaxed),
+                deferred: self.deferred_backlog.load(Ordering::Relaxed),
+            },
+        }
+    }
+
+    /// Counts a request with the given rank and prompt tokens to prefill until the guard is
+    /// dropped.
+    pub fn enter(self: &Arc<Self>, tokens: u32, rank: QueueRank) -> LoadGuard {
+        let is_on_track = rank == QueueRank::Timely;
+        self.in_flight.fetch_add(1, Ordering::Relaxed);
+        let is_deferred = rank == QueueRank::Deferred;
+        self.on_track.fetch_add(is_on_track.into(), Ordering::Relaxed);
+        self.deferred.fetch_add(is_deferred.into(), Ordering::Relaxed);
+        self.backlog(rank).fetch_add(tokens, Ordering::Relaxed);
+        LoadGuard { counter: self.clone(), pending_tokens: tokens, rank, is_on_track, is_deferred }
+    }
+
+    fn backlog(&self, rank: QueueRank) -> &AtomicU32 {
+        match rank {
+            QueueRank::Timely => &self.timely_backlog,
+            QueueRank::Deferred => &self.deferred_backlog,
+        }
+    }
 }
 
 /// Counts one request at a destination until dropped.
 pub struct LoadGuard {
-counter: Arc<LoadCounter>,
-/// The prompt tokens still counted as waiting for prefill.
-pending_tokens: u32,
-rank: QueueRank,
-/// Whether the request can still meet its targets.
-is_on_track: bool,
-/// Whether the request is deferred and not answered yet.
-is_deferred: bool,
+    counter: Arc<LoadCounter>,
+    /// The prompt tokens still counted as waiting for prefill.
+    pending_tokens: u32,
+    rank: QueueRank,
+    /// Whether the request can still meet its targets.
+    is_on_track: bool,
+    /// Whether the request is deferred and not answered yet.
+    is_deferred: bool,
 }
 
 impl LoadGuard {
-/// Records that the answer has started, so prefill is finished.
-pub fn record_answered(&mut self) {
-let pending_tokens = std::mem::take(&mut self.pending_tokens);
-self.counter.backlog(self.rank).fetch_sub(pending_tokens, Ordering::Relaxed);
-let was_deferred = std::mem::replace(&mut self.is_deferred, false);
-self.counter.deferred.fetch_sub(was_deferred.into(), Ordering::Relaxed);
-}
+    /// Records that the answer has started, so prefill is finished.
+    pub fn record_answered(&mut self) {
+        let pending_tokens = std::mem::take(&mut self.pending_tokens);
+        self.counter.backlog(self.rank).fetch_sub(pending_tokens, Ordering::Relaxed);
+        let was_deferred = std::mem::replace(&mut self.is_deferred, false);
+        self.counter.deferred.fetch_sub(was_deferred.into(), Ordering::Relaxed);
+    }
 
-/// Records that the request has missed its targets.
-pub fn record_late(&mut self) {
-let was_on_track = std::mem::replace(&mut self.is_on_track, false);
-self.counter.on_track.fetch_sub(was_on_track.into(), Ordering::Relaxed);
-}
+    /// Records that the request has missed its targets.
+    pub fn record_late(&mut self) {
+        let was_on_track = std::mem::replace(&mut self.is_on_track, false);
+        self.counter.on_track.fetch_sub(was_on_track.into(), Ordering::Relaxed);
+    }
 }
 
 impl Drop for LoadGuard {
-fn drop(&mut self) {
-self.record_answered();
-self.record_late();
-self.counter.in_flight.fetch_sub(1, Ordering::Relaxed);
-}
+    fn drop(&mut self) {
+        self.record_answered();
+        self.record_late();
+        self.counter.in_flight.fetch_sub(1, Ordering::Relaxed);
+    }
 }
--- a/crates/foldhaven-gateway/src/upstream_exits.rs
+++ b/crates/foldhaven-gateway/src/upstream_exits.rs
@@ -24,17 +24,17 @@
 /// Starts a check whether an upstream has exited, after a connection to it broke during a request.
 /// Only one check per upstream runs at a time.
 pub fn start_exit_check(shared: &Arc<GatewayShared>, upstream: &Arc<Upstream>) {
-if !upstream.begin_exit_check() {
-return;
-}
-let (shared, upstream) = (shared.clone(), upstream.clone());
-let broken_at = shared.now();
-tokio::spawn(async move {
-if has_exited(&shared, &upstream, broken_at).await {
-report_exit(&shared, &upstream, broken_at);
-}
-upstream.end_exit_check();
-});
+    if !upstream.begin_exit_check() {
+        return;
+    }
+    let (shared, upstream) = (shared.clone(), upstream.clone());
+    let broken_at = shared.now();
+    tokio::spawn(async move {
+        if has_exited(&shared, &upstream, broken_at).await {
+            report_exit(&shared, &upstream, broken_at);
+        }
+        upstream.end_exit_check();
+    });
 }
 
 /// Whether the process has exited: it refuses new connections and no more data arrives on old ones.
@@ -45,59 +45,59 @@
 /// leaving upstream may continue to serve its old connections. The check is repeated until no data
 /// arrived between two checks.
 async fn has_exited(shared: &GatewayShared, upstream: &Upstream, broken_at: MonoTime) -> bool {
-let mut last_check = broken_at;
-for _ in 0..MAX_CHECKS {
-if !refuses_connections(upstream).await {
-return false;
-}
-if upstream.is_unresponsive_since(last_check) {
-return true;
-}
-last_check = shared.now();
-sleep(RECHECK_DELAY).await;
-}
-false
+    let mut last_check = broken_at;
+    for _ in 0..MAX_CHECKS {
+        if !refuses_connections(upstream).await {
+            return false;
+        }
+        if upstream.is_unresponsive_since(last_check) {
+            return true;
+        }
+        last_check = shared.now();
+        sleep(RECHECK_DELAY).await;
+    }
+    false
 }
 
 /// Whether no process listens at the address of the upstream.
 async fn refuses_connections(upstream: &Upstream) -> bool {
-let connection = match connect(upstream).await {
-Ok(connection) => connection,
-Err(error) => return is_refusal(error),
-};
-sleep(RECHECK_DELAY).await;
-if connection.is_closed() {
-return connect(upstream).await.is_err_and(is_refusal);
-}
-upstream.pool.put(connection, None);
-false
+    let connection = match connect(upstream).await {
+        Ok(connection) => connection,
+        Err(error) => return is_refusal(error),
+    };
+    sleep(RECHECK_DELAY).await;
+    if connection.is_closed() {
+        return connect(upstream).await.is_err_and(is_refusal);
+    }
+    upstream.pool.put(connection, None);
+    false
 }
 
 async fn connect(upstream: &Upstream) -> io::Result<Connection> {
-upstream.pool.open(upstream.identity.address, LOCAL_CONNECT_TIMEOUT).await
+    upstream.pool.open(upstream.identity.address, LOCAL_CONNECT_TIMEOUT).await
 }
 
 fn is_refusal(error: io::Error) -> bool {
-error.kind() == io::ErrorKind::ConnectionRefused
+    error.kind() == io::ErrorKind::ConnectionRefused
 }
 
 /// Reports the requests that this VM had at an upstream when its first connection broke as
 /// suspects.
 fn report_exit(shared: &GatewayShared, upstream: &Upstream, broken_at: MonoTime) {
-let affected = upstream.take_affected(broken_at);
-shared.metrics.count_event("upstream_ended");
-if !affected.is_empty() && shared.quota.take(false) {
-let fingerprints: Vec<String> =
-affected.iter().take(MAX_LOGGED_FINGERPRINTS).map(ToString::to_string).collect();
-tracing::info!(
-upstream = %upstream.name(),
-birth = upstream.identity.birth.0,
-requests = affected.len(),
-prints = fingerprints.join(" "),
-"an upstream exited during requests"
-);
-}
-for fingerprint in affected {
-shared.suspects.record_exit(fingerprint, upstream.tag, &shared.change_context());
-}
+    let affected = upstream.take_affected(broken_at);
+    shared.metrics.count_event("upstream_ended");
+    if !affected.is_empty() && shared.quota.take(false) {
+        let fingerprints: Vec<String> =
+            affected.iter().take(MAX_LOGGED_FINGERPRINTS).map(ToString::to_string).collect();
+        tracing::info!(
+        upstream = %upstream.name(),
+        birth = upstream.identity.birth.0,
+        requests = affected.len(),
+        prints = fingerprints.join(" "),
+        "an upstream exited during requests"
+        );
+    }
+    for fingerprint in affected {
+        shared.suspects.record_exit(fingerprint, upstream.tag, &shared.change_context());
+    }
 }
--- a/crates/foldhaven-gateway/src/upstream_listener.rs
+++ b/crates/foldhaven-gateway/src/upstream_listener.rs
@@ -23,114 +23,114 @@
 
 /// Processes the heads of the answers of an upstream.
 pub struct UpstreamListener {
-shared: Arc<GatewayShared>,
-upstream: Arc<Upstream>,
-/// When the request was sent.
-sent: MonoTime,
+    shared: Arc<GatewayShared>,
+    upstream: Arc<Upstream>,
+    /// When the request was sent.
+    sent: MonoTime,
 }
 
 impl UpstreamListener {
-/// Creates a listener for the answer to a request that is sent now.
-pub fn new(shared: Arc<GatewayShared>, upstream: Arc<Upstream>) -> Self {
-let sent = shared.now();
-Self { shared, upstream, sent }
-}
-
-/// Counts and logs a header value that cannot be parsed. The header is ignored.
-fn record_unreadable(&self, header: &str, value: &HeaderValue) {
-self.shared.metrics.count_event("upstream_signal_unreadable");
-if self.shared.quota.take(false) {
-let upstream = self.upstream.name();
-tracing::warn!(%upstream, header, ?value, "a header of an upstream cannot be parsed");
-}
-}
-
-fn is_leaving(&self, head: &Parts) -> bool {
-let name = &self.shared.names.leaving;
-let Some(value) = head.headers.get(name) else { return false };
-let is_leaving = value == LEAVING_VALUE;
-if !is_leaving {
-self.record_unreadable(name.as_str(), value);
-}
-is_leaving
-}
-
-/// Returns the back-off that an upstream requests when it declines a request with status 503.
-fn backoff(&self, head: &Parts) -> Option<Duration> {
-if head.status != StatusCode::SERVICE_UNAVAILABLE {
-return None;
-}
-let value = head.headers.get(RETRY_AFTER)?;
-let backoff = parse_seconds(value);
-if backoff.is_none() {
-self.record_unreadable(RETRY_AFTER.as_str(), value);
-}
-backoff
-}
-
-/// Starts a back-off. The jitter spreads the VMs that were declined at the same time.
-fn start_backoff(&self, asked: Duration) {
-let span = asked.min(MAX_BACKOFF).mul_f64(1.0 + BACKOFF_JITTER * rand::random::<f64>());
-let is_new = self.upstream.back_off_until(self.shared.now() + span, self.shared.now());
-self.shared.metrics.count_event("upstream_backoff_asked");
-if is_new && self.shared.quota.take(false) {
-tracing::info!(
-upstream = %self.upstream.name(),
-birth = self.upstream.identity.birth.0,
-asked_ms = asked.as_millis() as u64,
-given_ms = span.as_millis() as u64,
-requests = self.upstream.load.share().in_flight,
-"an upstream requested a back-off"
-);
-}
-}
-
-fn rate_limit(&self, head: &Parts) -> Option<RequestRate> {
-let name = &self.shared.names.rate_limit;
-let value = head.headers.get(name)?;
-let limit = parse_rate(value);
-if limit.is_none() {
-self.record_unreadable(name.as_str(), value);
-}
-limit
-}
+    /// Creates a listener for the answer to a request that is sent now.
+    pub fn new(shared: Arc<GatewayShared>, upstream: Arc<Upstream>) -> Self {
+        let sent = shared.now();
+        Self { shared, upstream, sent }
+    }
+
+    /// Counts and logs a header value that cannot be parsed. The header is ignored.
+    fn record_unreadable(&self, header: &str, value: &HeaderValue) {
+        self.shared.metrics.count_event("upstream_signal_unreadable");
+        if self.shared.quota.take(false) {
+            let upstream = self.upstream.name();
+            tracing::warn!(%upstream, header, ?value, "a header of an upstream cannot be parsed");
+        }
+    }
+
+    fn is_leaving(&self, head: &Parts) -> bool {
+        let name = &self.shared.names.leaving;
+        let Some(value) = head.headers.get(name) else { return false };
+        let is_leaving = value == LEAVING_VALUE;
+        if !is_leaving {
+            self.record_unreadable(name.as_str(), value);
+        }
+        is_leaving
+    }
+
+    /// Returns the back-off that an upstream requests when it declines a request with status 503.
+    fn backoff(&self, head: &Parts) -> Option<Duration> {
+        if head.status != StatusCode::SERVICE_UNAVAILABLE {
+            return None;
+        }
+        let value = head.headers.get(RETRY_AFTER)?;
+        let backoff = parse_seconds(value);
+        if backoff.is_none() {
+            self.record_unreadable(RETRY_AFTER.as_str(), value);
+        }
+        backoff
+    }
+
+    /// Starts a back-off. The jitter spreads the VMs that were declined at the same time.
+    fn start_backoff(&self, asked: Duration) {
+        let span = asked.min(MAX_BACKOFF).mul_f64(1.0 + BACKOFF_JITTER * rand::random::<f64>());
+        let is_new = self.upstream.back_off_until(self.shared.now() + span, self.shared.now());
+        self.shared.metrics.count_event("upstream_backoff_asked");
+        if is_new && self.shared.quota.take(false) {
+            tracing::info!(
+            upstream = %self.upstream.name(),
+            birth = self.upstream.identity.birth.0,
+            asked_ms = asked.as_millis() as u64,
+            given_ms = span.as_millis() as u64,
+            requests = self.upstream.load.share().in_flight,
+            "an upstream requested a back-off"
+            );
+        }
+    }
+
+    fn rate_limit(&self, head: &Parts) -> Option<RequestRate> {
+        let name = &self.shared.names.rate_limit;
+        let value = head.headers.get(name)?;
+        let limit = parse_rate(value);
+        if limit.is_none() {
+            self.record_unreadable(name.as_str(), value);
+        }
+        limit
+    }
 }
 
 impl HeadListener for UpstreamListener {
-fn on_head(&self, head: &Parts) {
-// Another process has the address now.
-if head.status == StatusCode::MISDIRECTED_REQUEST {
-return;
-}
-let moment = AnswerTiming { sent: self.sent, received: self.shared.now() };
-let limit = self.rate_limit(head);
-self.shared.upstream_limits.record_answer(&self.shared, &self.upstream, limit, moment);
-if let Some(backoff) = self.backoff(head) {
-self.start_backoff(backoff);
-}
-if self.is_leaving(head) {
-self.shared.leaving_upstreams.record_answer(&self.shared, &self.upstream);
-}
-}
+    fn on_head(&self, head: &Parts) {
+        // Another process has the address now.
+        if head.status == StatusCode::MISDIRECTED_REQUEST {
+            return;
+        }
+        let moment = AnswerTiming { sent: self.sent, received: self.shared.now() };
+        let limit = self.rate_limit(head);
+        self.shared.upstream_limits.record_answer(&self.shared, &self.upstream, limit, moment);
+        if let Some(backoff) = self.backoff(head) {
+            self.start_backoff(backoff);
+        }
+        if self.is_leaving(head) {
+            self.shared.leaving_upstreams.record_answer(&self.shared, &self.upstream);
+        }
+    }
 }
 
 /// Parses the rate in an upstream's header: a decimal number of requests per second.
 fn parse_rate(value: &HeaderValue) -> Option<RequestRate> {
-let per_s: f64 = value.to_str().ok()?.trim().parse().ok()?;
-RequestRate::from_per_s(per_s).ok()
+    let per_s: f64 = value.to_str().ok()?.trim().parse().ok()?;
+    RequestRate::from_per_s(per_s).ok()
 }
 
 /// Parses the duration in an upstream's header: a number of seconds. Dates are not accepted, since
 /// clocks differ.
 fn parse_seconds(value: &HeaderValue) -> Option<Duration> {
-let seconds: f64 = value.to_str().ok()?.trim().parse().ok()?;
-let is_span = seconds.is_finite() && seconds >= 0.0;
-is_span.then(|| Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX))
+    let seconds: f64 = value.to_str().ok()?.trim().parse().ok()?;
+    let is_span = seconds.is_finite() && seconds >= 0.0;
+    is_span.then(|| Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX))
 }
 
 /// Ignores the heads of answers.
 pub struct NoopListener;
 
 impl HeadListener for NoopListener {
-fn on_head(&self, _: &Parts) {}
+    fn on_head(&self, _: &Parts) {}
 }
