--- a/crates/foldhavend/src/control/keeper/descriptions.rs
+++ b/crates/foldhavend/src/control/actor/descriptions.rs
@@ -1,23 +1,23 @@
-//! Descriptions: which is adopted, and what others are told of it.
+//! Adopts descriptions and answers queries about the adopted one.
 
 use foldhaven_core::description::DescriptionIndex;
 use xtra::{Context, Handler};
 
-use super::ControlKeeper;
+use super::ControlActor;
 use crate::control::messages::*;
 
-impl Handler<NoteStamp> for ControlKeeper {
+impl Handler<RecordStamp> for ControlActor {
     type Return = ();
 
-    async fn handle(&mut self, message: NoteStamp, context: &mut Context<Self>) {
+    async fn handle(&mut self, message: RecordStamp, context: &mut Context<Self>) {
         if Some(message.stamp) > self.stamp() {
-            let keeper = context.mailbox().address().try_upgrade().expect("it runs");
-            self.fetch_from(message.source, &keeper);
+            let actor = context.mailbox().address().try_upgrade().expect("it runs");
+            self.fetch_from(message.source, &actor);
         }
     }
 }
 
-impl Handler<EndFetch> for ControlKeeper {
+impl Handler<EndFetch> for ControlActor {
     type Return = ();
 
     async fn handle(&mut self, _: EndFetch, _: &mut Context<Self>) {
@@ -25,7 +25,7 @@
     }
 }
 
-impl Handler<OfferDescription> for ControlKeeper {
+impl Handler<OfferDescription> for ControlActor {
     type Return = bool;
 
     async fn handle(&mut self, message: OfferDescription, _: &mut Context<Self>) -> bool {
@@ -37,8 +37,8 @@
             Ok(index) => {
                 tracing::info!(stamp = %offered, peer = message.source, "description adopted");
                 self.index = Some(index);
-                self.adopted = self.now();
-                self.refused = None;
+                self.adopted_at = self.now();
+                self.last_refusal = None;
                 self.publish();
                 self.shared.exchange_now.notify_one();
                 true
@@ -52,16 +52,17 @@
                     error = %error,
                     "description refused"
                 );
-                self.refused = Some(refused);
+                self.last_refusal = Some(refused);
                 false
             }
         }
     }
 }
 
-impl ControlKeeper {
-    /// Logs once for each description that no request waits any more that an older one placed.
-    pub(super) fn note_in_force(&mut self) {
+impl ControlActor {
+    /// Logs once for each description when it is in force: no waiting request was routed by an older
+    /// one.
+    pub(super) fn log_in_force(&mut self) {
         let in_force = self.stamp_in_force();
         if in_force.is_none() || in_force == self.logged_in_force || in_force != self.stamp() {
             return;
@@ -69,18 +70,18 @@
         self.logged_in_force = in_force;
         tracing::info!(
             stamp = in_force.map(|stamp| stamp.to_string()),
-            adopted_ms = self.now().since(self.adopted).as_millis() as u64,
+            adopted_ms = self.now().since(self.adopted_at).as_millis() as u64,
             "description in force"
         );
     }
 }
 
-impl Handler<ReadState> for ControlKeeper {
-    type Return = ControlDigest;
+impl Handler<ReadState> for ControlActor {
+    type Return = ControlSnapshot;
 
-    async fn handle(&mut self, _: ReadState, _: &mut Context<Self>) -> ControlDigest {
+    async fn handle(&mut self, _: ReadState, _: &mut Context<Self>) -> ControlSnapshot {
         let index = self.index.as_ref();
-        ControlDigest {
+        ControlSnapshot {
             stamp: self.stamp(),
             manifest: index.map(|index| index.manifest.clone()),
             sections: index.map(|index| index.sections.clone()).unwrap_or_default(),
@@ -91,7 +92,7 @@
     }
 }
 
-impl Handler<ReadSections> for ControlKeeper {
+impl Handler<ReadSections> for ControlActor {
     type Return = Vec<String>;
 
     async fn handle(&mut self, message: ReadSections, _: &mut Context<Self>) -> Vec<String> {
--- a/crates/foldhavend/src/control/keeper/exchanges.rs
+++ b/crates/foldhavend/src/control/actor/exchanges.rs
@@ -1,4 +1,4 @@
-//! Whom this daemon exchanges what it knows with, and what comes of it.
+//! Plans the exchanges of heartbeats and summaries with other daemons, and applies their results.
 
 use std::collections::BTreeSet;
 
@@ -7,33 +7,35 @@
 use foldhaven_wire::control::{ExchangeReply, ExchangeRequest};
 use xtra::{Context, Handler};
 
-use super::ControlKeeper;
+use super::ControlActor;
 use crate::control::messages::*;
 
-/// Seeds whose data centre is not seen are tried in every n-th round.
-const SEED_ROUNDS: u64 = 4;
-/// Other data centres are met in every n-th round, and less often when there are many partners.
-const CENTRE_ROUNDS: u64 = 2;
-const CENTRE_ROUNDS_MANY: u64 = 4;
+/// A seed that has not answered yet is called once in this many rounds, and in every round while
+/// this daemon has no description.
+const ROUNDS_PER_SEED_CALL: u64 = 4;
+/// Delegates exchange summaries with other data centres once in this many rounds.
+const ROUNDS_PER_SUMMARY: u64 = 2;
+/// The same with more than [`MANY_PARTNERS`] exchange partners.
+const ROUNDS_PER_SUMMARY_MANY: u64 = 4;
 const MANY_PARTNERS: usize = 4;
 
-impl ControlKeeper {
+impl ControlActor {
     fn plan_member_exchanges(&mut self, targets: &mut Vec<ExchangeTarget>) {
         let now = self.now();
-        let named = |beat: &VmHeartbeat| (beat.vm.clone(), beat.addresses.control);
-        let members: Vec<_> = match std::mem::take(&mut self.meets_all) {
-            true => self.members.members(now).map(|(beat, _)| named(beat)).collect(),
+        let named = |heartbeat: &VmHeartbeat| (heartbeat.vm.clone(), heartbeat.addresses.control);
+        let members: Vec<_> = match std::mem::take(&mut self.has_update_for_all) {
+            true => self.members.members(now).map(|(heartbeat, _)| named(heartbeat)).collect(),
             false => self.members.heartbeat_targets(self.round).into_iter().map(named).collect(),
         };
         for (at, (vm, address)) in members.into_iter().enumerate() {
-            // One of them is asked for newer summaries; whoever has them passes them on.
+            // Only one member is asked for newer summaries. They spread from member to member.
             let held = (at == 0).then(|| self.members.summary_versions());
-            let request = ExchangeRequest { beat: self.make_beat(), held, own: None };
+            let request = ExchangeRequest { beat: self.make_heartbeat(), held, own: None };
             targets.push(ExchangeTarget { vm: Some(vm), address, request });
         }
     }
 
-    /// The data centres with which this one starts exchanges.
+    /// Returns the data centres with which this one starts exchanges.
     fn partners(&self) -> BTreeSet<DataCentreName> {
         let Some(index) = &self.index else { return BTreeSet::new() };
         let regions = index.description.regions.iter();
@@ -48,23 +50,23 @@
             return;
         }
         let partners = self.partners();
-        let many = partners.len() > MANY_PARTNERS;
-        let rounds = if many { CENTRE_ROUNDS_MANY } else { CENTRE_ROUNDS };
+        let has_many_partners = partners.len() > MANY_PARTNERS;
+        let rounds = if has_many_partners { ROUNDS_PER_SUMMARY_MANY } else { ROUNDS_PER_SUMMARY };
         if !self.round.is_multiple_of(rounds) {
             return;
         }
         let seen = self.members.summaries(now);
         let mut addresses = Vec::new();
         for seen in seen.iter().filter(|it| partners.contains(&it.summary.data_centre)) {
-            // Two delegates turn through the VMs of the partner in step with the rounds.
+            // Both delegates rotate through the partner's VMs by the round number.
             let vms = &seen.summary.vms;
             let at = (self.round / rounds) as usize % vms.len().max(1);
             let centre = seen.summary.data_centre.clone();
-            addresses.extend(vms.get(at).map(|brief| (centre, brief.addresses.control)));
+            addresses.extend(vms.get(at).map(|contact| (centre, contact.addresses.control)));
         }
         for (centre, address) in addresses {
             let own = Some(self.make_summary(Some(&centre)));
-            let request = ExchangeRequest { beat: self.make_beat(), held: None, own };
+            let request = ExchangeRequest { beat: self.make_heartbeat(), held: None, own };
             targets.push(ExchangeTarget { vm: None, address, request });
         }
     }
@@ -72,26 +74,26 @@
     fn plan_seed_exchanges(&mut self, targets: &mut Vec<ExchangeTarget>) {
         let now = self.now();
         let is_delegate = self.members.is_delegate(self.serves(), now);
-        let mut missed = self.partners();
+        let mut unseen_partners = self.partners();
         for seen in self.members.summaries(now) {
-            missed.remove(&seen.summary.data_centre);
+            unseen_partners.remove(&seen.summary.data_centre);
         }
         for address in self.shared.settings.seeds.clone() {
-            let due = match self.answered.get(&address) {
-                None => self.index.is_none() || self.round.is_multiple_of(SEED_ROUNDS),
-                Some(centre) => is_delegate && missed.contains(centre),
+            let is_due = match self.answered_centres.get(&address) {
+                None => self.index.is_none() || self.round.is_multiple_of(ROUNDS_PER_SEED_CALL),
+                Some(centre) => is_delegate && unseen_partners.contains(centre),
             };
-            if !due {
+            if !is_due {
                 continue;
             }
             let own = self.index.is_some().then(|| self.make_summary(None));
-            let request = ExchangeRequest { beat: self.make_beat(), held: None, own };
+            let request = ExchangeRequest { beat: self.make_heartbeat(), held: None, own };
             targets.push(ExchangeTarget { vm: None, address, request });
         }
     }
 }
 
-impl Handler<PlanExchanges> for ControlKeeper {
+impl Handler<PlanExchanges> for ControlActor {
     type Return = Vec<ExchangeTarget>;
 
     async fn handle(&mut self, _: PlanExchanges, _: &mut Context<Self>) -> Vec<ExchangeTarget> {
@@ -104,17 +106,17 @@
     }
 }
 
-impl Handler<HearExchange> for ControlKeeper {
+impl Handler<ReceiveExchange> for ControlActor {
     type Return = ExchangeReply;
 
     async fn handle(
         &mut self,
-        message: HearExchange,
+        message: ReceiveExchange,
         context: &mut Context<Self>,
     ) -> ExchangeReply {
         let now = self.now();
         let ExchangeRequest { beat, held, own } = message.request;
-        self.hear_beat(&beat, &context.mailbox().address().try_upgrade().expect("it runs"));
+        self.receive_heartbeat(&beat, &context.mailbox().address().try_upgrade().expect("it runs"));
         let mut summaries = Vec::new();
         if let Some(own) = own {
             let asker = own.data_centre.clone();
@@ -126,11 +128,11 @@
         if let Some(held) = held {
             summaries.extend(self.members.summaries_newer_than(&held, now));
         }
-        ExchangeReply { beat: self.make_beat(), summaries }
+        ExchangeReply { beat: self.make_heartbeat(), summaries }
     }
 }
 
-impl Handler<EndExchange> for ControlKeeper {
+impl Handler<EndExchange> for ControlActor {
     type Return = ();
 
     async fn handle(&mut self, message: EndExchange, context: &mut Context<Self>) {
@@ -141,8 +143,11 @@
             }
             return;
         };
-        self.answered.insert(message.target.address, reply.beat.data_centre.clone());
-        self.hear_beat(&reply.beat, &context.mailbox().address().try_upgrade().expect("it runs"));
+        self.answered_centres.insert(message.target.address, reply.beat.data_centre.clone());
+        self.receive_heartbeat(
+            &reply.beat,
+            &context.mailbox().address().try_upgrade().expect("it runs"),
+        );
         self.members.record_reached(&reply.beat.vm, now);
         for summary in reply.summaries {
             self.members.apply_summary(summary, now);
--- a/crates/foldhavend/src/control/keeper/mod.rs
+++ b/crates/foldhavend/src/control/actor/mod.rs
@@ -1,4 +1,4 @@
-//! The control actor: the one place where control state changes.
+//! The control actor, the only owner of the control state.
 
 mod descriptions;
 mod exchanges;
@@ -22,70 +22,76 @@
 use crate::control::messages::*;
 use crate::shared::SharedState;
 
-/// A load report older than this says nothing any more.
-const LOAD_LIFETIME: Duration = Duration::from_secs(8);
-/// An engine of which its poller says nothing for this long is not used.
-const UNREPORTED_LIMIT: Duration = Duration::from_millis(1_500);
-/// An engine that does not answer this many polls in a row is not used.
-const FAILED_POLLS: u32 = 2;
-/// The key by which the reader of the platform is ranked.
+/// Maximum age of a load report. Older ones are ignored.
+const MAX_LOAD_AGE: Duration = Duration::from_secs(8);
+/// Time after which an engine's load is removed if the VM that polls it no longer reports it.
+const MAX_UNREPORTED_TIME: Duration = Duration::from_millis(1_500);
+/// Number of consecutive unanswered polls after which an engine is not used.
+const MAX_FAILED_POLLS: u32 = 2;
+/// The key by which the VMs of a data centre are ranked to choose the reader of the platform.
 const READER_KEY: &str = "platform-reader";
 
 /// The control state of one daemon.
 #[derive(xtra::Actor)]
-pub struct ControlKeeper {
+pub struct ControlActor {
     pub(super) shared: Arc<SharedState>,
     pub(super) index: Option<Arc<DescriptionIndex>>,
-    pub(super) refused: Option<String>,
+    /// The last description that was refused since one was adopted, with its source and the reason.
+    pub(super) last_refusal: Option<String>,
     /// When the description in `index` was adopted.
-    adopted: MonoTime,
-    /// The description that was logged last as in force for all requests.
+    adopted_at: MonoTime,
+    /// The description that was last logged as in force for all requests.
     logged_in_force: Option<DescriptionStamp>,
     pub(super) members: MemberTable,
     pub(super) list: Option<UpstreamList>,
+    /// The last load report of each engine.
     pub(super) loads: BTreeMap<UpstreamName, EngineView>,
-    pub(super) started: MonoTime,
-    /// Whether a view has been published.
-    pub(super) warm: bool,
-    /// Upstreams seen leaving, with the process lifetime that leaves.
+    pub(super) started_at: MonoTime,
+    /// Whether the daemon has warmed up and publishes views.
+    pub(super) is_warm: bool,
+    /// Upstreams that were seen leaving, each with its leaving incarnation.
     pub(super) leaving: BTreeMap<UpstreamName, u64>,
     pub(super) summaries_written: u64,
+    /// Number of the last cache event that was read from each engine.
     cache_positions: BTreeMap<UpstreamName, u64>,
-    /// Polls in a row that an engine did not answer.
+    /// Number of consecutive unanswered polls of each engine.
     failed_polls: BTreeMap<UpstreamName, u32>,
-    /// The data centres of the control addresses that answered.
-    answered: BTreeMap<SocketAddr, DataCentreName>,
-    /// Whether the next round meets every member, because there is news for all.
-    meets_all: bool,
-    beats: u64,
+    /// Control addresses that answered an exchange, with their data centres.
+    answered_centres: BTreeMap<SocketAddr, DataCentreName>,
+    /// Whether the next round exchanges with every member, because all of them need an update.
+    has_update_for_all: bool,
+    /// Number of heartbeats written, the sequence number of the last one.
+    heartbeats_sent: u64,
+    /// Number of exchange rounds planned.
     round: u64,
+    /// Whether a fetch from a peer is in flight.
     fetching: bool,
 }
 
-impl ControlKeeper {
+impl ControlActor {
     pub fn new(shared: Arc<SharedState>) -> Self {
         let settings = &shared.settings;
         let times = settings.times.membership();
         let members = MemberTable::new(settings.vm.clone(), settings.data_centre.clone(), times);
-        let started = shared.now();
+        let started_at = shared.now();
         Self {
             shared,
             index: None,
-            refused: None,
-            adopted: started,
+            last_refusal: None,
+            adopted_at: started_at,
             logged_in_force: None,
             members,
             list: None,
             loads: BTreeMap::new(),
-            started,
-            warm: false,
+            started_at,
+            is_warm: false,
             leaving: BTreeMap::new(),
             summaries_written: 0,
             cache_positions: BTreeMap::new(),
             failed_polls: BTreeMap::new(),
-            answered: BTreeMap::new(),
-            meets_all: true,
-            beats: 0,
+            answered_centres: BTreeMap::new(),
+            has_update_for_all: true,
+            heartbeats_sent: 0,
             round: 0,
             fetching: false,
         }
@@ -95,51 +101,56 @@
         self.shared.now()
     }
 
+    /// Returns whether this daemon accepts requests of callers.
     pub(super) fn serves(&self) -> bool {
         self.index.is_some() && !self.shared.is_leaving()
     }
 
+    /// Returns the stamp of the adopted description.
     pub(super) fn stamp(&self) -> Option<DescriptionStamp> {
         self.index.as_ref().map(|index| index.stamp)
     }
 
-    /// The description that operators may rely on: no request that waits was placed by an older one.
+    /// Returns the description that operators can rely on: no waiting request was routed by an older
+    /// one.
     pub(super) fn stamp_in_force(&self) -> Option<DescriptionStamp> {
-        // Before the first view no request has been placed at all.
+        // Before the first view, no request has been routed.
         self.shared.stamp_in_force().or_else(|| self.stamp())
     }
 
-    /// The upstreams of this data centre, leaving ones included.
+    /// Returns the upstreams of this data centre, including leaving ones.
     pub(super) fn upstreams(&self) -> impl Iterator<Item = &UpstreamEntry> {
         let centre = &self.shared.settings.data_centre;
         let all = self.list.iter().flat_map(|list| &list.upstreams);
         all.filter(move |entry| entry.data_centre == *centre)
     }
 
-    /// Whether an upstream gets no new work, by any input: the list, its load report, a refusal,
-    /// or another member. Only a later process lifetime of it makes it good again.
+    /// Returns whether an upstream gets no new work because the list, its load report, a refusal or
+    /// another member said that it is leaving. Only a later incarnation of it gets work again.
     pub(super) fn is_leaving(&self, entry: &UpstreamEntry) -> bool {
         let ended = self.leaving.get(&entry.name);
-        entry.leaving || ended.is_some_and(|lifetime| entry.incarnation <= *lifetime)
+        entry.leaving || ended.is_some_and(|incarnation| entry.incarnation <= *incarnation)
     }
 
-    fn mark_leaving(&mut self, upstream: &UpstreamName, lifetime: u64) {
-        let mark = self.leaving.entry(upstream.clone()).or_insert(lifetime);
-        *mark = (*mark).max(lifetime);
+    fn record_leaving(&mut self, upstream: &UpstreamName, incarnation: u64) {
+        let mark = self.leaving.entry(upstream.clone()).or_insert(incarnation);
+        *mark = (*mark).max(incarnation);
     }
 
-    fn lifetime_of(&self, upstream: &UpstreamName) -> u64 {
+    /// Returns an upstream's incarnation according to the list, 0 if it is not listed.
+    fn listed_incarnation(&self, upstream: &UpstreamName) -> u64 {
         let listed = self.upstreams().find(|entry| entry.name == *upstream);
         listed.map_or(0, |entry| entry.incarnation)
     }
 
-    /// The loads of engines that are fresh, in the order of names.
+    /// Returns the load reports that are younger than [`MAX_LOAD_AGE`], sorted by engine name.
     pub(super) fn fresh_loads(&self) -> Vec<&EngineView> {
         let now = self.now();
-        let fresh = |view: &&EngineView| now.since(view.observed) < LOAD_LIFETIME;
-        self.loads.values().filter(fresh).collect()
+        let is_fresh = |view: &&EngineView| now.since(view.observed) < MAX_LOAD_AGE;
+        self.loads.values().filter(is_fresh).collect()
     }
 
+    /// Returns the engines that this daemon polls.
     fn polled_engines(&self) -> Vec<&UpstreamEntry> {
         let serving = self.members.serving(self.serves(), self.now());
         let own = &self.shared.settings.vm;
@@ -147,8 +158,8 @@
         engines.filter(|entry| issuer_of(&entry.name, &serving) == Some(own)).collect()
     }
 
-    pub(super) fn make_beat(&mut self) -> VmHeartbeat {
-        self.beats += 1;
+    pub(super) fn make_heartbeat(&mut self) -> VmHeartbeat {
+        self.heartbeats_sent += 1;
         let now = self.now();
         let polled = self.polled_engines();
         let own_loads = polled.iter().filter_map(|entry| self.loads.get(&entry.name));
@@ -158,7 +169,7 @@
             vm: settings.vm.clone(),
             data_centre: settings.data_centre.clone(),
             incarnation: self.shared.incarnation,
-            sequence: self.beats,
+            sequence: self.heartbeats_sent,
             leaving: self.shared.is_leaving(),
             stamp: self.stamp(),
             in_flight: self.shared.in_flight(),
@@ -170,49 +181,50 @@
         }
     }
 
-    fn hear_beat(&mut self, beat: &VmHeartbeat, keeper: &xtra::Address<Self>) {
+    fn receive_heartbeat(&mut self, heartbeat: &VmHeartbeat, actor: &xtra::Address<Self>) {
         let now = self.now();
-        let source = self.shared.settings.reroute(beat.addresses.control);
+        let source = self.shared.settings.reroute(heartbeat.addresses.control);
         let list_revision = self.list.as_ref().map_or(0, |list| list.revision);
-        let same_centre = beat.data_centre == self.shared.settings.data_centre;
-        let news = beat.stamp > self.stamp();
-        let list_news = same_centre && beat.list_revision > list_revision;
-        if news || list_news {
-            self.fetch_from(source, keeper);
+        let is_same_centre = heartbeat.data_centre == self.shared.settings.data_centre;
+        let is_newer_description = heartbeat.stamp > self.stamp();
+        let is_newer_list = is_same_centre && heartbeat.list_revision > list_revision;
+        if is_newer_description || is_newer_list {
+            self.fetch_from(source, actor);
         }
-        if !self.members.apply_heartbeat(beat.clone(), now) {
+        if !self.members.apply_heartbeat(heartbeat.clone(), now) {
             return;
         }
-        for (upstream, lifetime) in &beat.leaving_upstreams {
-            self.mark_leaving(upstream, *lifetime);
+        for (upstream, incarnation) in &heartbeat.leaving_upstreams {
+            self.record_leaving(upstream, *incarnation);
         }
-        for load in &beat.loads {
-            self.take_load(load.clone());
+        for load in &heartbeat.loads {
+            self.apply_load(load.clone());
         }
-        self.drop_unreported(beat);
+        self.remove_unreported(heartbeat);
     }
 
-    /// Forgets engines that their poller does not report any more: they do not answer it.
-    fn drop_unreported(&mut self, beat: &VmHeartbeat) {
+    /// Removes the loads of engines that the sender polls but no longer reports, because they do not
+    /// answer it.
+    fn remove_unreported(&mut self, heartbeat: &VmHeartbeat) {
         let serving = self.members.serving(self.serves(), self.now());
         let now = self.now();
         let is_gone = |engine: &UpstreamName, view: &EngineView| {
-            issuer_of(engine, &serving) == Some(&beat.vm)
-                && now.since(view.observed) > UNREPORTED_LIMIT
-                && !beat.loads.iter().any(|load| load.engine == *engine)
+            issuer_of(engine, &serving) == Some(&heartbeat.vm)
+                && now.since(view.observed) > MAX_UNREPORTED_TIME
+                && !heartbeat.loads.iter().any(|load| load.engine == *engine)
         };
         self.loads.retain(|engine, view| !is_gone(engine, view));
     }
 
-    fn take_load(&mut self, load: EngineLoad) {
+    fn apply_load(&mut self, load: EngineLoad) {
         let age = Duration::from_millis(load.age_ms.into());
         let observed = self.now() - age;
         if load.leaving {
-            self.mark_leaving(&load.engine, load.incarnation);
+            self.record_leaving(&load.engine, load.incarnation);
         }
         let view = EngineView { load, observed };
         let known = self.loads.get(&view.load.engine);
-        let is_news = known.is_none_or(|known| known.load.models != view.load.models);
+        let has_new_models = known.is_none_or(|known| known.load.models != view.load.models);
         match self.loads.get_mut(&view.load.engine) {
             Some(known) if known.load.incarnation > view.load.incarnation => {}
             Some(known) => {
@@ -226,22 +238,23 @@
             }
             None => drop(self.loads.insert(view.load.engine.clone(), view)),
         }
-        if is_news {
-            // What engines hold decides where requests can run; other news waits for the tick.
+        if has_new_models {
+            // The models that engines hold determine where requests can run, so that a change is
+            // published at once. Other updates are published at the next tick.
             self.publish();
         }
     }
 
-    /// Starts one fetch of what another daemon has in force, unless one is under way.
-    fn fetch_from(&mut self, source: SocketAddr, keeper: &xtra::Address<Self>) {
+    /// Starts to fetch newer state from another daemon, unless a fetch is already in flight.
+    fn fetch_from(&mut self, source: SocketAddr, actor: &xtra::Address<Self>) {
         if self.fetching {
             return;
         }
         self.fetching = true;
-        tokio::spawn(fetch::fetch_from_peer(self.shared.clone(), keeper.clone(), source));
+        tokio::spawn(fetch::fetch_from_peer(self.shared.clone(), actor.clone(), source));
     }
 
-    /// Whether this daemon is the one that reads the platform for its data centre.
+    /// Returns whether this daemon reads the platform for its data centre.
     fn is_reader(&self) -> bool {
         let mut names = self.members.serving(!self.shared.is_leaving(), self.now());
         let own = &self.shared.settings.vm;
@@ -251,14 +264,14 @@
         rank_by(READER_KEY, &names, |name| name.as_str()).first() == Some(&own)
     }
 
-    /// Control addresses to ask for what is in force: own data centre first, then others, then
-    /// seeds.
+    /// Returns the control addresses of daemons to fetch state from: members of the own data centre,
+    /// then one VM of each other data centre, then seeds.
     fn peer_addresses(&self) -> Vec<SocketAddr> {
         let now = self.now();
-        let members = self.members.members(now).map(|(beat, _)| beat.addresses.control);
+        let members = self.members.members(now).map(|(heartbeat, _)| heartbeat.addresses.control);
         let summaries = self.members.summaries(now);
         let others = summaries.iter().filter_map(|seen| seen.summary.vms.first());
-        let others = others.map(|brief| brief.addresses.control);
+        let others = others.map(|contact| contact.addresses.control);
         let seeds = self.shared.settings.seeds.iter().copied();
         let mut addresses = Vec::new();
         for address in members.chain(others).chain(seeds) {
@@ -276,7 +289,7 @@
     EngineLoad { age_ms, ..view.load.clone() }
 }
 
-impl Handler<PlanPolls> for ControlKeeper {
+impl Handler<PlanPolls> for ControlActor {
     type Return = Vec<PollTarget>;
 
     async fn handle(&mut self, _: PlanPolls, _: &mut Context<Self>) -> Vec<PollTarget> {
@@ -289,37 +302,37 @@
     }
 }
 
-impl Handler<NoteLoad> for ControlKeeper {
+impl Handler<RecordLoad> for ControlActor {
     type Return = ();
 
-    async fn handle(&mut self, message: NoteLoad, _: &mut Context<Self>) {
+    async fn handle(&mut self, message: RecordLoad, _: &mut Context<Self>) {
         self.failed_polls.remove(&message.load.engine);
-        self.take_load(message.load);
+        self.apply_load(message.load);
     }
 }
 
-impl Handler<NoteLoadFailure> for ControlKeeper {
+impl Handler<RecordLoadFailure> for ControlActor {
     type Return = ();
 
-    async fn handle(&mut self, message: NoteLoadFailure, _: &mut Context<Self>) {
+    async fn handle(&mut self, message: RecordLoadFailure, _: &mut Context<Self>) {
         let failed = self.failed_polls.entry(message.engine.clone()).or_default();
         *failed += 1;
-        if *failed >= FAILED_POLLS && self.loads.remove(&message.engine).is_some() {
-            tracing::warn!(step = "polling", peer = %message.engine, "the engine does not answer");
+        if *failed >= MAX_FAILED_POLLS && self.loads.remove(&message.engine).is_some() {
+            tracing::warn!(step = "polling", peer = %message.engine, "engine does not answer polls");
             self.publish();
         }
     }
 }
 
-impl Handler<NoteCachePosition> for ControlKeeper {
+impl Handler<RecordCachePosition> for ControlActor {
     type Return = ();
 
-    async fn handle(&mut self, message: NoteCachePosition, _: &mut Context<Self>) {
+    async fn handle(&mut self, message: RecordCachePosition, _: &mut Context<Self>) {
         self.cache_positions.insert(message.engine, message.last);
     }
 }
 
-impl Handler<PlanOrders> for ControlKeeper {
+impl Handler<PlanOrders> for ControlActor {
     type Return = Vec<AddressedOrder>;
 
     async fn handle(&mut self, _: PlanOrders, _: &mut Context<Self>) -> Vec<AddressedOrder> {
@@ -342,7 +355,7 @@
     }
 }
 
-impl Handler<OfferList> for ControlKeeper {
+impl Handler<OfferList> for ControlActor {
     type Return = ();
 
     async fn handle(&mut self, message: OfferList, _: &mut Context<Self>) {
@@ -351,7 +364,7 @@
             return;
         }
         for entry in message.list.upstreams.iter().filter(|entry| entry.leaving) {
-            self.mark_leaving(&entry.name, entry.incarnation);
+            self.record_leaving(&entry.name, entry.incarnation);
         }
         self.list = Some(message.list);
         let listed: BTreeSet<UpstreamName> =
@@ -361,44 +374,44 @@
     }
 }
 
-impl Handler<NoteUpstreamLeaving> for ControlKeeper {
+impl Handler<RecordUpstreamLeaving> for ControlActor {
     type Return = ();
 
-    async fn handle(&mut self, message: NoteUpstreamLeaving, _: &mut Context<Self>) {
-        let lifetime = self.lifetime_of(&message.upstream);
-        self.mark_leaving(&message.upstream, lifetime);
+    async fn handle(&mut self, message: RecordUpstreamLeaving, _: &mut Context<Self>) {
+        let incarnation = self.listed_incarnation(&message.upstream);
+        self.record_leaving(&message.upstream, incarnation);
         self.publish();
         self.shared.exchange_now.notify_one();
     }
 }
 
-impl Handler<StartLeaving> for ControlKeeper {
+impl Handler<StartLeaving> for ControlActor {
     type Return = ();
 
     async fn handle(&mut self, _: StartLeaving, _: &mut Context<Self>) {
-        self.meets_all = true;
+        self.has_update_for_all = true;
         self.publish();
         self.shared.exchange_now.notify_one();
     }
 }
 
-impl Handler<TickControl> for ControlKeeper {
+impl Handler<TickControl> for ControlActor {
     type Return = ();
 
     async fn handle(&mut self, _: TickControl, context: &mut Context<Self>) {
         if let Some(pause) = self.shared.tick() {
             tracing::warn!(pause_ms = pause.as_millis() as u64, "this process slept");
-            let keeper = context.mailbox().address().try_upgrade().expect("it runs");
-            tokio::spawn(fetch::refresh_after_pause(self.shared.clone(), keeper));
+            let actor = context.mailbox().address().try_upgrade().expect("it runs");
+            tokio::spawn(fetch::refresh_after_pause(self.shared.clone(), actor));
         }
         let now = self.now();
         self.members.evict_stale(now);
         self.publish();
-        self.note_in_force();
+        self.log_in_force();
     }
 }
 
-/// Whether a member gets requests of callers.
-pub(super) fn takes_work(state: MemberState) -> bool {
+/// Returns whether a member gets requests.
+pub(super) fn accepts_work(state: MemberState) -> bool {
     state == MemberState::Live
 }
--- a/crates/foldhavend/src/control/exchange.rs
+++ b/crates/foldhavend/src/control/exchange.rs
@@ -1,4 +1,4 @@
-//! The loop that exchanges heartbeats and summaries with other daemons.
+//! The task that exchanges heartbeats and summaries with other daemons.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,21 +8,23 @@
 use foldhaven_wire::control::{ExchangeReply, PeerControlClient, connect_control};
 use parking_lot::Mutex;
 
-use super::KeeperAddress;
+use super::ControlAddress;
 use super::messages::{EndExchange, ExchangeTarget, PlanExchanges};
 use crate::shared::SharedState;
 
-/// A call that takes longer than this counts as not answered.
-pub(super) const CALL_LIMIT: Duration = Duration::from_millis(1_000);
+/// Time after which a call counts as unanswered.
+pub(super) const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Connections to control addresses, kept while calls on them succeed.
+/// Connections to control addresses. A connection is kept while calls on it succeed.
 #[derive(Clone, Default)]
 struct PeerConnections {
-    open: Arc<Mutex<BTreeMap<SocketAddr, PeerControlClient>>>,
-    calling: Arc<Mutex<std::collections::BTreeSet<SocketAddr>>>,
+    clients: Arc<Mutex<BTreeMap<SocketAddr, PeerControlClient>>>,
+    /// Addresses with a call in flight.
+    in_flight: Arc<Mutex<std::collections::BTreeSet<SocketAddr>>>,
 }
 
-/// One call under way to an address; no second one is started until it ends.
+/// Marks a call in flight to an address. No second call to it is started until the guard is
+/// dropped.
 struct CallGuard {
     connections: PeerConnections,
     address: SocketAddr,
@@ -30,47 +32,48 @@
 
 impl Drop for CallGuard {
     fn drop(&mut self) {
-        self.connections.calling.lock().remove(&self.address);
+        self.connections.in_flight.lock().remove(&self.address);
     }
 }
 
 impl PeerConnections {
     fn start_call(&self, address: SocketAddr) -> Option<CallGuard> {
-        let started = self.calling.lock().insert(address);
+        let started = self.in_flight.lock().insert(address);
         started.then(|| CallGuard { connections: self.clone(), address })
     }
 
     async fn client(&self, shared: &SharedState, address: SocketAddr) -> Option<PeerControlClient> {
-        if let Some(client) = self.open.lock().get(&address) {
+        if let Some(client) = self.clients.lock().get(&address) {
             return Some(client.clone());
         }
         let connecting = connect_control(address, shared.control_bytes.clone());
-        let client = tokio::time::timeout(CALL_LIMIT, connecting).await.ok()?.ok()?;
-        self.open.lock().insert(address, client.clone());
+        let client = tokio::time::timeout(CALL_TIMEOUT, connecting).await.ok()?.ok()?;
+        self.clients.lock().insert(address, client.clone());
         Some(client)
     }
 
-    fn drop_client(&self, address: SocketAddr) {
-        self.open.lock().remove(&address);
+    fn close(&self, address: SocketAddr) {
+        self.clients.lock().remove(&address);
     }
 }
 
-/// A context for one call that is given up after [`CALL_LIMIT`].
+/// Returns the context of a call that times out after [`CALL_TIMEOUT`].
 pub(super) fn call_context() -> tarpc::context::Context {
     let mut context = tarpc::context::current();
-    context.deadline = Instant::now() + CALL_LIMIT;
+    context.deadline = Instant::now() + CALL_TIMEOUT;
     context
 }
 
-/// Runs a round of exchanges at each interval, and at once when there is news.
-pub(super) async fn exchange_loop(shared: Arc<SharedState>, keeper: KeeperAddress) {
+/// Runs a round of exchanges at each heartbeat interval, and at once when there is an update to
+/// announce.
+pub(super) async fn exchange_loop(shared: Arc<SharedState>, actor: ControlAddress) {
     let connections = PeerConnections::default();
     let interval = shared.settings.times.heartbeat.0;
     loop {
-        let Ok(targets) = keeper.send(PlanExchanges).await else { return };
+        let Ok(targets) = actor.send(PlanExchanges).await else { return };
         for target in targets {
             let Some(guard) = connections.start_call(target.address) else { continue };
-            tokio::spawn(run_exchange(shared.clone(), keeper.clone(), target, guard));
+            tokio::spawn(run_exchange(shared.clone(), actor.clone(), target, guard));
         }
         tokio::select! {
             () = tokio::time::sleep(interval) => {}
@@ -81,19 +84,19 @@
 
 async fn run_exchange(
     shared: Arc<SharedState>,
-    keeper: KeeperAddress,
+    actor: ControlAddress,
     target: ExchangeTarget,
     guard: CallGuard,
 ) {
     let reply = call_exchange(&shared, &target, &guard.connections).await;
     if reply.is_none() {
         let dialled = shared.settings.reroute(target.address);
-        guard.connections.drop_client(dialled);
-        tracing::debug!(step = "exchange", peer = %target.address, vm = ?target.vm, "not answered");
+        guard.connections.close(dialled);
+        tracing::debug!(step = "exchange", peer = %target.address, vm = ?target.vm, "exchange not answered");
     }
     drop(guard);
-    // The actor ends only with the process.
-    let _ = keeper.send(EndExchange { target, reply }).await;
+    // Sending fails only when the process ends.
+    let _ = actor.send(EndExchange { target, reply }).await;
 }
 
 async fn call_exchange(
--- a/crates/foldhavend/src/control/fetch.rs
+++ b/crates/foldhavend/src/control/fetch.rs
@@ -1,4 +1,5 @@
-//! Fetching what other daemons have in force: at the start, on news, and after a pause.
+//! Fetches descriptions and lists of upstreams from other daemons: at the start, when a newer one is
+//! announced, and after a pause of the process.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,55 +9,56 @@
 use foldhaven_wire::control::{PeerControlClient, connect_control};
 use tokio::time::timeout;
 
-use super::KeeperAddress;
-use super::exchange::{CALL_LIMIT, call_context};
+use super::ControlAddress;
+use super::exchange::{CALL_TIMEOUT, call_context};
 use super::messages::{EndFetch, OfferDescription, OfferList, ReadState};
 use crate::shared::SharedState;
 
-/// After a pause, others are asked for this long; then this data centre counts as cut off and goes
-/// on with what it knows.
-const REFRESH_LIMIT: Duration = Duration::from_millis(1_000);
-/// How often peers are asked while none answers: on a busy machine they may need longer.
-const REFRESH_ATTEMPTS: u32 = 3;
+/// Timeout of one attempt to fetch the peers' state after a pause. An attempt that times out counts
+/// as unanswered. If no attempt is answered, the VM may be partitioned and continues with its state.
+const REFRESH_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Maximum number of attempts while no peer answers. On a busy machine, peers may need longer than
+/// one [`REFRESH_TIMEOUT`].
+const MAX_REFRESH_ATTEMPTS: u32 = 3;
 
-/// Fetches the newer parts of what a daemon has in force and offers them to the actor.
+/// Fetches newer state from another daemon and offers it to the actor.
 pub(super) async fn fetch_from_peer(
     shared: Arc<SharedState>,
-    keeper: KeeperAddress,
+    actor: ControlAddress,
     source: SocketAddr,
 ) {
-    let fetched = timeout(CALL_LIMIT * 3, fetch_newer(&shared, &keeper, source)).await;
+    let fetched = timeout(CALL_TIMEOUT * 3, fetch_newer(&shared, &actor, source)).await;
     if !matches!(fetched, Ok(Some(()))) {
-        tracing::debug!(step = "fetching a description", peer = %source, "not answered");
+        tracing::debug!(step = "fetching a description", peer = %source, "peer did not answer");
     }
-    // The actor ends only with the process.
-    let _ = keeper.send(EndFetch).await;
+    // Sending fails only when the process ends.
+    let _ = actor.send(EndFetch).await;
 }
 
-/// Compares the state with a peer's and takes over what is newer. Returns nothing when the peer
-/// did not answer.
+/// Compares this daemon's state with a peer's and offers what is newer to the actor. Returns `None`
+/// if the peer did not answer.
 async fn fetch_newer(
     shared: &SharedState,
-    keeper: &KeeperAddress,
+    actor: &ControlAddress,
     source: SocketAddr,
 ) -> Option<()> {
     let counter = shared.control_bytes.clone();
     let client = connect_control(source, counter).await.ok()?;
     let state = client.state(call_context()).await.ok()?;
-    let held = keeper.send(ReadState).await.ok()?;
-    let same_centre = state.data_centre == shared.settings.data_centre;
-    if let Some(list) = state.upstreams.filter(|_| same_centre) {
-        keeper.send(OfferList { list }).await.ok()?;
+    let snapshot = actor.send(ReadState).await.ok()?;
+    let is_same_centre = state.data_centre == shared.settings.data_centre;
+    if let Some(list) = state.upstreams.filter(|_| is_same_centre) {
+        actor.send(OfferList { list }).await.ok()?;
     }
-    if state.stamp > held.stamp {
-        fetch_description(&client, keeper, held.sections, source).await?;
+    if state.stamp > snapshot.stamp {
+        fetch_description(&client, actor, snapshot.sections, source).await?;
     }
     Some(())
 }
 
 async fn fetch_description(
     client: &PeerControlClient,
-    keeper: &KeeperAddress,
+    actor: &ControlAddress,
     mut sections: SectionSet,
     source: SocketAddr,
 ) -> Option<()> {
@@ -66,22 +68,22 @@
         sections.insert(content.into());
     }
     let source = source.to_string();
-    keeper.send(OfferDescription { manifest, sections, source }).await.ok()?;
+    actor.send(OfferDescription { manifest, sections, source }).await.ok()?;
     Some(())
 }
 
-/// Asks the peers, own data centre first, for what is in force, and stops once `enough` answered.
-/// Returns how many answered.
+/// Fetches newer state from all known peers concurrently and stops once `enough` of them answered.
+/// Returns the number of peers that answered.
 pub(super) async fn ask_peers(
     shared: &Arc<SharedState>,
-    keeper: &KeeperAddress,
+    actor: &ControlAddress,
     enough: usize,
 ) -> usize {
-    let Ok(held) = keeper.send(ReadState).await else { return 0 };
+    let Ok(snapshot) = actor.send(ReadState).await else { return 0 };
     let mut calls = tokio::task::JoinSet::new();
-    for source in held.peers {
-        let (shared, keeper) = (shared.clone(), keeper.clone());
-        calls.spawn(async move { fetch_newer(&shared, &keeper, source).await.is_some() });
+    for source in snapshot.peers {
+        let (shared, actor) = (shared.clone(), actor.clone());
+        calls.spawn(async move { fetch_newer(&shared, &actor, source).await.is_some() });
     }
     let mut answered = 0;
     while let Some(result) = calls.join_next().await {
@@ -93,20 +95,21 @@
     answered
 }
 
-/// After this process slept: compares its view with others' before traffic acts on it again.
+/// Compares this daemon's state with its peers' after a pause of the process, before traffic threads
+/// act on it again.
 ///
-/// All peers of the data centre and one of each other are asked; one answer of each half is not
-/// waited for longer than [`REFRESH_LIMIT`].
-pub(super) async fn refresh_after_pause(shared: Arc<SharedState>, keeper: KeeperAddress) {
-    for attempt in 1..=REFRESH_ATTEMPTS {
-        let asked = timeout(REFRESH_LIMIT, ask_peers(&shared, &keeper, usize::MAX)).await;
+/// Asks all peers of the data centre, one VM of each other data centre, and the seeds. Each attempt
+/// takes at most [`REFRESH_TIMEOUT`].
+pub(super) async fn refresh_after_pause(shared: Arc<SharedState>, actor: ControlAddress) {
+    for attempt in 1..=MAX_REFRESH_ATTEMPTS {
+        let asked = timeout(REFRESH_TIMEOUT, ask_peers(&shared, &actor, usize::MAX)).await;
         let answered = asked.unwrap_or_default();
         let step = "refreshing after a pause";
-        tracing::info!(step, answered, attempt, "view compared with peers");
+        tracing::info!(step, answered, attempt, "state compared with peers");
         if answered > 0 {
             break;
         }
     }
-    // A VM that nobody answers may be cut off, and then has to go on with what it has.
+    // A VM that gets no answer may be partitioned. It then has to continue with the state it has.
     shared.note_refreshed();
 }
--- a/crates/foldhavend/src/control/loads.rs
+++ b/crates/foldhavend/src/control/loads.rs
@@ -1,4 +1,4 @@
-//! The loop that polls engines for their load and their cache events.
+//! The task that polls engines for their load and their cache events.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,25 +6,24 @@
 use foldhaven_core::load::EngineLoad;
 use foldhaven_wire::engine::{CacheChange, CacheEventPage};
 
-use super::KeeperAddress;
-use super::messages::{NoteCachePosition, NoteLoad, NoteLoadFailure, PlanPolls, PollTarget};
+use super::ControlAddress;
+use super::messages::{PlanPolls, PollTarget, RecordCachePosition, RecordLoad, RecordLoadFailure};
 use crate::shared::SharedState;
 
-const POLL_LIMIT: Duration = Duration::from_millis(800);
+const POLL_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Polls the engines that this daemon is the poller of.
-pub(super) async fn poll_loop(shared: Arc<SharedState>, keeper: KeeperAddress) {
-    let client = reqwest::Client::builder().timeout(POLL_LIMIT).build();
+/// Polls the engines that are assigned to this daemon.
+pub(super) async fn poll_loop(shared: Arc<SharedState>, actor: ControlAddress) {
+    let client = reqwest::Client::builder().timeout(POLL_TIMEOUT).build();
     let Ok(client) = client else {
-        return tracing::error!(step = "making the poll client", "no engine can be polled");
+        return tracing::error!(step = "making the poll client", "no engines can be polled");
     };
     let mut interval = tokio::time::interval(shared.settings.times.load_poll.0);
     interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         interval.tick().await;
-        let Ok(targets) = keeper.send(PlanPolls).await else { return };
-        let polls =
-            targets.into_iter().map(|target| poll_engine(&shared, &client, &keeper, target));
+        let Ok(targets) = actor.send(PlanPolls).await else { return };
+        let polls = targets.into_iter().map(|target| poll_engine(&shared, &client, &actor, target));
         futures::future::join_all(polls).await;
     }
 }
@@ -32,30 +31,30 @@
 async fn poll_engine(
     shared: &SharedState,
     client: &reqwest::Client,
-    keeper: &KeeperAddress,
+    actor: &ControlAddress,
     target: PollTarget,
 ) {
     let (load, events) =
         tokio::join!(read_load(client, &target), read_cache_events(client, &target));
     match load {
         Ok(load) if load.engine == target.engine => {
-            // The actor ends only with the process.
-            let _ = keeper.send(NoteLoad { load }).await;
+            // Sending fails only when the process ends.
+            let _ = actor.send(RecordLoad { load }).await;
         }
         Ok(load) => tracing::warn!(
             step = "reading a load report",
             peer = %target.engine,
             got = %load.engine,
-            "the report names another engine"
+            "load report names another engine"
         ),
         Err(error) => {
             let peer = &target.engine;
-            tracing::debug!(step = "reading a load report", %peer, %error, "not answered");
-            let _ = keeper.send(NoteLoadFailure { engine: target.engine.clone() }).await;
+            tracing::debug!(step = "reading a load report", %peer, %error, "load poll failed");
+            let _ = actor.send(RecordLoadFailure { engine: target.engine.clone() }).await;
         }
     }
     if let Ok(page) = events {
-        note_cache_events(shared, keeper, &target, page).await;
+        apply_cache_events(shared, actor, &target, page).await;
     }
 }
 
@@ -72,10 +71,11 @@
     client.get(url).send().await?.error_for_status()?.json().await
 }
 
-/// Takes events in as hints. After a gap nothing is known any more of what the engine holds.
-async fn note_cache_events(
+/// Applies cache events to the estimate of an engine's cache. A gap in the event numbers clears the
+/// estimate, since missed events may have changed any part of the cache.
+async fn apply_cache_events(
     shared: &SharedState,
-    keeper: &KeeperAddress,
+    actor: &ControlAddress,
     target: &PollTarget,
     page: CacheEventPage,
 ) {
@@ -95,5 +95,5 @@
         }
     }
     let engine = target.engine.clone();
-    let _ = keeper.send(NoteCachePosition { engine, last: page.last }).await;
+    let _ = actor.send(RecordCachePosition { engine, last: page.last }).await;
 }
--- a/crates/foldhavend/src/control/messages.rs
+++ b/crates/foldhavend/src/control/messages.rs
@@ -1,4 +1,4 @@
-//! The messages that the control actor takes.
+//! The messages that the control actor handles.
 
 use std::net::SocketAddr;
 
@@ -9,32 +9,34 @@
 use foldhaven_wire::control::{ExchangeReply, ExchangeRequest};
 use foldhaven_wire::platform::UpstreamList;
 
-/// Looks the state over and publishes a view.
+/// Checks the state and publishes a view.
 pub struct TickControl;
 
-/// A peer started an exchange.
-pub struct HearExchange {
+/// Applies an exchange that a peer started and answers it.
+pub struct ReceiveExchange {
     pub request: ExchangeRequest,
 }
 
-/// An exchange of ours was answered, or was not.
+/// Records the end of an exchange that this daemon started. `reply` is `None` if it was not
+/// answered.
 pub struct EndExchange {
     pub target: ExchangeTarget,
     pub reply: Option<ExchangeReply>,
 }
 
-/// Asks whom to exchange with in this round.
+/// Returns the exchanges to start in this round.
 pub struct PlanExchanges;
 
-/// One exchange that is due.
+/// An exchange to start.
 #[derive(Debug, Clone)]
 pub struct ExchangeTarget {
+    /// The member to call, `None` if the address belongs to another data centre or a seed.
     pub vm: Option<VmName>,
     pub address: SocketAddr,
     pub request: ExchangeRequest,
 }
 
-/// Asks which engines to poll.
+/// Returns the engines to poll.
 pub struct PlanPolls;
 
 /// An engine to poll.
@@ -42,82 +44,85 @@
 pub struct PollTarget {
     pub engine: UpstreamName,
     pub address: SocketAddr,
+    /// Number of the last cache event that was read, 0 if there is none.
     pub cache_after: u64,
 }
 
-/// An engine reported its load.
-pub struct NoteLoad {
+/// Records the load that an engine reported.
+pub struct RecordLoad {
     pub load: EngineLoad,
 }
 
-/// An engine did not answer when it was polled.
-pub struct NoteLoadFailure {
+/// Records that an engine did not answer a poll.
+pub struct RecordLoadFailure {
     pub engine: UpstreamName,
 }
 
-/// How far the cache events of an engine have been read.
-pub struct NoteCachePosition {
+/// Records the number of the last cache event that was read from an engine.
+pub struct RecordCachePosition {
     pub engine: UpstreamName,
     pub last: u64,
 }
 
-/// Asks which orders are due.
+/// Returns the orders that are due.
 pub struct PlanOrders;
 
-/// An order with the address of its engine.
+/// An order and the address of its engine.
 #[derive(Debug, Clone)]
 pub struct AddressedOrder {
     pub order: EngineOrder,
     pub address: SocketAddr,
 }
 
-/// Somebody offers a list of upstreams.
+/// Offers a list of upstreams. It is adopted if its revision is newer than the current one.
 pub struct OfferList {
     pub list: UpstreamList,
 }
 
-/// Somebody has a description in force.
-pub struct NoteStamp {
+/// Records that the daemon at `source` has a description in force, which is fetched if it is newer.
+pub struct RecordStamp {
     pub stamp: DescriptionStamp,
     pub source: SocketAddr,
 }
 
-/// Somebody offers a whole description.
+/// Offers a complete description. It is adopted if it is valid and newer than the current one.
 pub struct OfferDescription {
     pub manifest: SectionManifest,
     pub sections: SectionSet,
+    /// Where the description comes from, for log lines and the status report.
     pub source: String,
 }
 
-/// A fetch of a description ended.
+/// Records that a fetch from a peer ended.
 pub struct EndFetch;
 
-/// What a starting, fetching or asked daemon needs to know of the state.
+/// Returns the state that is compared with other daemons and with the platform.
 pub struct ReadState;
 
 /// The answer to [`ReadState`].
-pub struct ControlDigest {
+pub struct ControlSnapshot {
     pub stamp: Option<DescriptionStamp>,
     pub manifest: Option<SectionManifest>,
     pub sections: SectionSet,
     pub list: Option<UpstreamList>,
+    /// Whether this daemon reads the platform for its data centre.
     pub is_reader: bool,
-    /// Control addresses to ask for what is in force: own data centre first.
+    /// Control addresses of daemons to fetch the current state from, own data centre first.
     pub peers: Vec<SocketAddr>,
 }
 
-/// Asks for the contents of sections in force.
+/// Returns the contents of sections of the adopted description. Unknown sections are left out.
 pub struct ReadSections {
     pub digests: Vec<SectionDigest>,
 }
 
-/// An upstream said that it is leaving.
-pub struct NoteUpstreamLeaving {
+/// Records that an upstream announced that it is leaving.
+pub struct RecordUpstreamLeaving {
     pub upstream: UpstreamName,
 }
 
-/// This daemon starts to leave.
+/// Starts to drain this daemon.
 pub struct StartLeaving;
 
-/// Asks for what operators are told.
-pub struct MakeStatus;
+/// Returns the status report for operators.
+pub struct ReadStatus;
--- a/crates/foldhavend/src/control/mod.rs
+++ b/crates/foldhavend/src/control/mod.rs
@@ -1,9 +1,9 @@
-//! The control thread: one thread with one actor that holds the control state, and the loops that
-//! carry messages to and from it.
+//! The control thread: runs the actor that owns the control state, and the tasks that exchange
+//! messages with it.
 
+mod actor;
 mod exchange;
 mod fetch;
-mod keeper;
 mod loads;
 mod messages;
 mod orders;
@@ -25,67 +25,68 @@
 use foldhaven_wire::operator::StatusAnswer;
 use xtra::Mailbox;
 
-use self::keeper::ControlKeeper;
-use self::messages::{MakeStatus, NoteStamp, NoteUpstreamLeaving, StartLeaving, TickControl};
+use self::actor::ControlActor;
+use self::messages::{ReadStatus, RecordStamp, RecordUpstreamLeaving, StartLeaving, TickControl};
 use self::server::ControlServer;
 use crate::platform::PlatformSource;
 use crate::shared::SharedState;
 
-/// How often the control state is looked over and a new view is published.
-const TICK: Duration = Duration::from_millis(100);
+/// Interval at which the control state is checked and a new view is published.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-type KeeperAddress = xtra::Address<ControlKeeper>;
+type ControlAddress = xtra::Address<ControlActor>;
 
 /// The control thread cannot listen at {peer}: {source}
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub struct ControlError {
-    /// The control address.
+    /// The control address of this daemon.
     pub peer: SocketAddr,
-    /// What went wrong.
+    /// The I/O error.
     pub source: io::Error,
 }
 
-/// How traffic threads tell the control thread something, without waiting for it.
+/// Sends messages from traffic threads to the control thread without waiting for it to handle them.
 #[derive(Clone)]
 pub struct ControlHandle {
-    address: KeeperAddress,
+    address: ControlAddress,
 }
 
 impl ControlHandle {
-    /// An upstream said that it is leaving.
-    pub fn note_upstream_leaving(&self, upstream: UpstreamName) {
-        self.tell(NoteUpstreamLeaving { upstream });
+    /// Records that an upstream announced that it is leaving.
+    pub fn record_upstream_leaving(&self, upstream: UpstreamName) {
+        self.send(RecordUpstreamLeaving { upstream });
     }
 
-    /// Somebody at a control address has this description in force.
-    pub fn note_stamp(&self, stamp: DescriptionStamp, source: SocketAddr) {
-        self.tell(NoteStamp { stamp, source });
+    /// Records that the daemon with the control address `source` has this description in force.
+    pub fn record_stamp(&self, stamp: DescriptionStamp, source: SocketAddr) {
+        self.send(RecordStamp { stamp, source });
     }
 
-    /// This daemon starts to leave, and says so at once.
+    /// Starts to drain this daemon and announces that to other daemons at once.
     pub fn start_leaving(&self) {
-        self.tell(StartLeaving);
+        self.send(StartLeaving);
     }
 
-    /// What operators are told.
+    /// Returns the status report for operators, `None` if the control actor has ended.
     pub async fn status(&self) -> Option<StatusAnswer> {
-        self.address.send(MakeStatus).await.ok()
+        self.address.send(ReadStatus).await.ok()
     }
 
-    fn tell<M: Send + 'static>(&self, message: M)
+    fn send<M: Send + 'static>(&self, message: M)
     where
-        ControlKeeper: xtra::Handler<M>,
+        ControlActor: xtra::Handler<M>,
     {
         // The mailbox is unbounded and the actor lives as long as the process.
         drop(self.address.send(message).detach());
     }
 }
 
-/// Starts the control thread and returns once it listens.
+/// Starts the control thread and returns once it listens on the control address.
 ///
 /// # Errors
 ///
-/// When the control address cannot be bound.
+/// Returns an error if the thread or its runtime cannot be started, or if the control address
+/// cannot be bound.
 pub fn start_control(
     shared: Arc<SharedState>,
     platform: Arc<dyn PlatformSource>,
@@ -110,34 +111,34 @@
         Err(error) => return drop(ready.send(Err(error))),
     };
     runtime.block_on(async move {
-        let keeper = ControlKeeper::new(shared.clone());
-        let address = xtra::spawn_tokio(keeper, Mailbox::unbounded());
-        let server = ControlServer { keeper: address.clone(), shared: shared.clone() };
+        let actor = ControlActor::new(shared.clone());
+        let address = xtra::spawn_tokio(actor, Mailbox::unbounded());
+        let server = ControlServer { actor: address.clone(), shared: shared.clone() };
         let control = shared.settings.addresses.control;
-        let serving = serve_control(control, server, shared.control_bytes.clone()).await;
-        let serving = match serving {
-            Ok(serving) => serving,
+        let listening = serve_control(control, server, shared.control_bytes.clone()).await;
+        let listening = match listening {
+            Ok(listening) => listening,
             Err(error) => return drop(ready.send(Err(error))),
         };
-        // A second start in one process would be a fault of the caller; the first one stays.
+        // A second start in one process is a bug of the caller. The first handle is kept.
         let _ = shared.control.set(ControlHandle { address: address.clone() });
         tokio::spawn(tick_loop(address.clone()));
         tokio::spawn(exchange::exchange_loop(shared.clone(), address.clone()));
         tokio::spawn(loads::poll_loop(shared.clone(), address.clone()));
         tokio::spawn(orders::order_loop(shared.clone(), address.clone()));
         tokio::spawn(watch::manifest_loop(shared.clone(), address.clone(), platform.clone()));
-        tokio::spawn(watch::list_loop(shared.clone(), address.clone(), platform));
+        tokio::spawn(watch::upstream_list_loop(shared.clone(), address.clone(), platform));
         let _ = ready.send(Ok(()));
-        serving.await;
+        listening.await;
     });
 }
 
-async fn tick_loop(keeper: KeeperAddress) {
-    let mut interval = tokio::time::interval(TICK);
+async fn tick_loop(actor: ControlAddress) {
+    let mut interval = tokio::time::interval(TICK_INTERVAL);
     interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         interval.tick().await;
-        if keeper.send(TickControl).await.is_err() {
+        if actor.send(TickControl).await.is_err() {
             return;
         }
     }
--- a/crates/foldhavend/src/control/orders.rs
+++ b/crates/foldhavend/src/control/orders.rs
@@ -1,25 +1,26 @@
-//! The loop that gives engines their orders.
+//! The task that sends orders to engines.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use foldhaven_core::placement::EngineOrder;
 
-use super::KeeperAddress;
+use super::ControlAddress;
 use super::messages::{AddressedOrder, PlanOrders};
 use crate::shared::SharedState;
 
-const INTERVAL: Duration = Duration::from_millis(500);
-const ORDER_LIMIT: Duration = Duration::from_millis(800);
+/// Interval between two rounds of orders.
+const ORDER_INTERVAL: Duration = Duration::from_millis(500);
+const ORDER_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Sends the orders that are due. One that is lost is simply due again in the next round.
-pub(super) async fn order_loop(shared: Arc<SharedState>, keeper: KeeperAddress) {
-    let Ok(client) = reqwest::Client::builder().timeout(ORDER_LIMIT).build() else {
-        return tracing::error!(step = "making the order client", "no engine can be ordered");
+/// Sends the orders that are due. A lost order is due again in the next round.
+pub(super) async fn order_loop(shared: Arc<SharedState>, actor: ControlAddress) {
+    let Ok(client) = reqwest::Client::builder().timeout(ORDER_TIMEOUT).build() else {
+        return tracing::error!(step = "making the order client", "no orders can be sent");
     };
     loop {
-        tokio::time::sleep(INTERVAL).await;
-        let Ok(orders) = keeper.send(PlanOrders).await else { return };
+        tokio::time::sleep(ORDER_INTERVAL).await;
+        let Ok(orders) = actor.send(PlanOrders).await else { return };
         for AddressedOrder { order, address } in orders {
             let sent = send_order(&client, &order, address).await;
             shared.metrics.count_event("order");
--- a/crates/foldhavend/src/control/publish.rs
+++ b/crates/foldhavend/src/control/publish.rs
@@ -1,4 +1,4 @@
-//! Makes the view that traffic reads out of the control state.
+//! Derives the view that traffic threads read from the control state.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,26 +9,26 @@
 use foldhaven_core::time::MonoTime;
 use foldhaven_wire::platform::{UpstreamEntry, UpstreamKind};
 
-use super::keeper::ControlKeeper;
+use super::actor::ControlActor;
 use crate::views::{MemberView, PublishedView, ServiceInstance};
 
-/// A daemon that starts takes requests after this long even if it knows of no engine.
-const WARM_LIMIT: Duration = Duration::from_secs(3);
+/// Time after the start at which a daemon accepts requests even if it knows no engine's load.
+const MAX_WARM_UP_TIME: Duration = Duration::from_secs(3);
 
-impl ControlKeeper {
-    /// Publishes a view, unless there is no description yet, or nothing to route to is known yet.
+impl ControlActor {
+    /// Publishes a view, unless there is no description yet or the daemon is still warming up.
     pub(super) fn publish(&mut self) {
         let Some(index) = self.index.clone() else { return };
         let now = self.now();
-        if !self.is_warm(now) {
+        if !self.update_warm_state(now) {
             return;
         }
         let settings = &self.shared.settings;
         let serving = self.members.serving(self.serves(), now);
-        let takes_work: Vec<&UpstreamEntry> =
+        let accepting_entries: Vec<&UpstreamEntry> =
             self.upstreams().filter(|entry| !self.is_leaving(entry)).collect();
         let loads = self.fresh_loads();
-        let engines = takes_work.iter().filter_map(|entry| {
+        let engines = accepting_entries.iter().filter_map(|entry| {
             loads.iter().find(|view| view.load.engine == entry.name).map(|view| (*view).clone())
         });
         let centres = self.members.summaries(now).into_iter().map(|seen| centre_view(&seen, now));
@@ -38,16 +38,16 @@
             engines: engines.collect(),
             centres: centres.collect(),
         };
-        self.hold_offers(&route.centres, serving.len() as u32);
+        self.update_offers(&route.centres, serving.len() as u32);
         let view = PublishedView {
             route,
             made: now,
-            engines: takes_work
+            engines: accepting_entries
                 .iter()
                 .filter(|entry| entry.kind == UpstreamKind::Engine)
                 .map(|entry| (entry.name.clone(), settings.reroute(entry.address)))
                 .collect(),
-            services: self.service_instances(&takes_work),
+            services: self.service_instances(&accepting_entries),
             members: self.member_views(now),
             serving: serving.len() as u32,
         };
@@ -55,18 +55,19 @@
         self.shared.publish(view);
     }
 
-    /// Whether this daemon knows the load of its engines, or has waited long enough to go on
-    /// without.
-    fn is_warm(&mut self, now: MonoTime) -> bool {
+    /// Returns whether this daemon has warmed up: it knows the list of upstreams and, if that lists
+    /// engines, the load of one of them, or [`MAX_WARM_UP_TIME`] has passed. Once warm, it stays warm.
+    fn update_warm_state(&mut self, now: MonoTime) -> bool {
         let has_engines = self.upstreams().any(|entry| entry.kind == UpstreamKind::Engine);
         let knows_loads = !has_engines || !self.fresh_loads().is_empty();
         let knows_list = self.list.is_some();
-        let waited = now.since(self.started) > WARM_LIMIT;
-        self.warm |= waited || (knows_list && knows_loads);
-        self.warm
+        let waited = now.since(self.started_at) > MAX_WARM_UP_TIME;
+        self.is_warm |= waited || (knows_list && knows_loads);
+        self.is_warm
     }
 
-    fn hold_offers(&self, centres: &[CentreView], members: u32) {
+    /// Passes the other data centres' offers to this data centre on to the traffic threads.
+    fn update_offers(&self, centres: &[CentreView], members: u32) {
         let now = self.now();
         let here = &self.shared.settings.data_centre;
         for centre in centres {
@@ -94,12 +95,12 @@
     }
 
     fn member_views(&self, now: MonoTime) -> Vec<MemberView> {
-        let view = |(beat, state): (&foldhaven_core::membership::VmHeartbeat, _)| MemberView {
-            vm: beat.vm.clone(),
-            incarnation: beat.incarnation,
-            addresses: beat.addresses.clone(),
+        let view = |(heartbeat, state): (&foldhaven_core::membership::VmHeartbeat, _)| MemberView {
+            vm: heartbeat.vm.clone(),
+            incarnation: heartbeat.incarnation,
+            addresses: heartbeat.addresses.clone(),
             state,
-            in_flight: beat.in_flight,
+            in_flight: heartbeat.in_flight,
         };
         self.members.members(now).map(view).collect()
     }
--- a/crates/foldhavend/src/control/summary.rs
+++ b/crates/foldhavend/src/control/summary.rs
@@ -1,4 +1,5 @@
-//! What this data centre says of itself to others, and to operators.
+//! Writes the summary of this data centre for other data centres, and the status report for
+//! operators.
 
 use foldhaven_core::description::ModelConfig;
 use foldhaven_core::ids::{DataCentreName, ModelName};
@@ -13,32 +14,34 @@
 use foldhaven_wire::platform::{UpstreamEntry, UpstreamKind};
 use xtra::{Context, Handler};
 
-use super::keeper::{ControlKeeper, takes_work};
-use super::messages::MakeStatus;
+use super::actor::{ControlActor, accepts_work};
+use super::messages::ReadStatus;
 
-/// Own requests that wait for longer than this take lent capacity back, in milliseconds.
-const SHORT_WAIT_MS: u32 = 50;
-/// The demand that a data centre is taken to have when it shows none.
-const LEAST_DEMAND: f64 = 0.1;
+/// Expected wait of this data centre's own requests above which lent capacity is reclaimed, in
+/// milliseconds.
+const RECLAIM_WAIT_MS: u32 = 50;
+/// Minimum demand of a data centre, also assumed if its summary does not list the model.
+const MIN_DEMAND: f64 = 0.1;
 
-impl ControlKeeper {
-    /// Writes a summary, with only the offers for `to` when that is given.
+impl ControlActor {
+    /// Writes a summary of this data centre. If `to` is given, it contains only the offers to that
+    /// data centre.
     pub(super) fn make_summary(&mut self, to: Option<&DataCentreName>) -> CentreSummary {
         let now = self.now();
         self.summaries_written += 1;
         let models = self.model_capacities();
         let mut offers: Vec<SpareOffer> =
-            models.iter().flat_map(|capacity| self.offers_of(capacity)).collect();
+            models.iter().flat_map(|capacity| self.spare_offers(capacity)).collect();
         offers.retain(|offer| to.is_none_or(|to| offer.to == *to));
         let mut vms = Vec::new();
         if self.serves() {
-            vms.push(self.own_brief());
+            vms.push(self.own_contact());
         }
-        let live = self.members.members(now).filter(|(_, state)| takes_work(*state));
-        vms.extend(live.map(|(beat, _)| VmContact {
-            vm: beat.vm.clone(),
-            incarnation: beat.incarnation,
-            addresses: beat.addresses.clone(),
+        let live = self.members.members(now).filter(|(_, state)| accepts_work(*state));
+        vms.extend(live.map(|(heartbeat, _)| VmContact {
+            vm: heartbeat.vm.clone(),
+            incarnation: heartbeat.incarnation,
+            addresses: heartbeat.addresses.clone(),
         }));
         vms.sort_by(|left, right| left.vm.cmp(&right.vm));
         let serving = vms.len() as u32;
@@ -57,7 +60,7 @@
         }
     }
 
-    fn own_brief(&self) -> VmContact {
+    fn own_contact(&self) -> VmContact {
         VmContact {
             vm: self.shared.settings.vm.clone(),
             incarnation: self.shared.incarnation,
@@ -71,15 +74,15 @@
         foldhaven_core::description::DescriptionStamp,
         foldhaven_core::description::DescriptionStamp,
     )> {
-        let live = self.members.members(self.now()).filter(|(_, state)| takes_work(*state));
-        let stamps = live.filter_map(|(beat, _)| beat.stamp).chain(self.stamp());
+        let live = self.members.members(self.now()).filter(|(_, state)| accepts_work(*state));
+        let stamps = live.filter_map(|(heartbeat, _)| heartbeat.stamp).chain(self.stamp());
         let stamps: Vec<_> = stamps.collect();
         Some((*stamps.iter().min()?, *stamps.iter().max()?))
     }
 
     fn service_names(&self) -> Vec<foldhaven_core::ids::ServiceName> {
-        let open = self.upstreams().filter(|entry| !self.is_leaving(entry));
-        let mut names: Vec<_> = open
+        let accepting = self.upstreams().filter(|entry| !self.is_leaving(entry));
+        let mut names: Vec<_> = accepting
             .filter_map(|entry| match &entry.kind {
                 UpstreamKind::Service(name) => Some(name.clone()),
                 UpstreamKind::Engine => None,
@@ -98,13 +101,13 @@
 
     fn capacity_of(&self, model: &ModelConfig) -> ModelCapacity {
         let now = self.now();
-        let open: Vec<&UpstreamEntry> =
+        let accepting: Vec<&UpstreamEntry> =
             self.upstreams().filter(|entry| !self.is_leaving(entry)).collect();
         let loads = self.fresh_loads();
         let holding: Vec<_> = loads
             .iter()
             .filter(|view| view.load.holds(model))
-            .filter(|view| open.iter().any(|entry| entry.name == view.load.engine))
+            .filter(|view| accepting.iter().any(|entry| entry.name == view.load.engine))
             .collect();
         let free = |load: &foldhaven_core::load::EngineLoad| {
             load.slots.saturating_sub(load.running + load.queued)
@@ -118,31 +121,32 @@
         }
     }
 
-    fn offers_of(&self, capacity: &ModelCapacity) -> Vec<SpareOffer> {
+    fn spare_offers(&self, capacity: &ModelCapacity) -> Vec<SpareOffer> {
         let model = &capacity.model;
-        let lent = self.lent_of(model);
-        // While own requests wait, what is lent is taken back by halves.
-        let is_short = capacity.wait_ms > SHORT_WAIT_MS;
+        let lent = self.lent_slots(model);
+        // While own requests wait, lent capacity is reclaimed by halves.
+        let is_short = capacity.wait_ms > RECLAIM_WAIT_MS;
         let lent = if is_short { lent / 2 } else { lent };
         let spare = capacity.slots.min(capacity.free + lent);
         divide_spare(model, spare, &self.demands_for(model))
     }
 
-    /// Requests of other data centres under way at all members, which the offers cover already.
-    fn lent_of(&self, model: &ModelName) -> u32 {
+    /// Returns the number of requests from other data centres in flight at all VMs of this data
+    /// centre. They already use offered slots.
+    fn lent_slots(&self, model: &ModelName) -> u32 {
         let own = self.shared.facts.lent();
         let members = self.members.members(self.now());
-        let theirs = members.flat_map(|(beat, _)| &beat.lent_requests);
+        let theirs = members.flat_map(|(heartbeat, _)| &heartbeat.lent_requests);
         own.iter().chain(theirs).filter(|(name, _)| name == model).map(|(_, count)| count).sum()
     }
 
-    /// How much each other data centre would like to send here, by its own summary.
+    /// Returns the demand of each other data centre for slots here, estimated from its summary.
     fn demands_for(&self, model: &ModelName) -> Vec<OfferDemand> {
         let demand = |seen: foldhaven_core::membership::AgedSummary<'_>| {
             let capacity = seen.summary.models.iter().find(|it| it.model == *model);
-            let weight = capacity.map_or(LEAST_DEMAND, |it| {
+            let weight = capacity.map_or(MIN_DEMAND, |it| {
                 let busy = 1.0 - f64::from(it.free) / f64::from(it.slots.max(1));
-                LEAST_DEMAND + busy * busy + f64::from(it.wait_ms) / 500.0
+                MIN_DEMAND + busy * busy + f64::from(it.wait_ms) / 500.0
             });
             OfferDemand {
                 centre: seen.summary.data_centre.clone(),
@@ -156,16 +160,16 @@
     fn member_statuses(&self) -> Vec<MemberStatus> {
         let members = self.members.members(self.now());
         members
-            .map(|(beat, state)| MemberStatus {
-                vm: beat.vm.clone(),
+            .map(|(heartbeat, state)| MemberStatus {
+                vm: heartbeat.vm.clone(),
                 state: match state {
                     MemberState::Live => "live",
                     MemberState::Leaving => "leaving",
                     MemberState::Suspect => "suspect",
                 }
                 .to_owned(),
-                stamp: beat.stamp.map(|stamp| stamp.to_string()),
-                peer: beat.addresses.peer.to_string(),
+                stamp: heartbeat.stamp.map(|stamp| stamp.to_string()),
+                peer: heartbeat.addresses.peer.to_string(),
             })
             .collect()
     }
@@ -200,16 +204,21 @@
             age_ms: seen.age.as_millis() as u64,
             serving: seen.summary.serving,
             stamps: seen.summary.stamps.map(|(low, high)| (low.to_string(), high.to_string())),
-            peers: seen.summary.vms.iter().map(|brief| brief.addresses.peer.to_string()).collect(),
+            peers: seen
+                .summary
+                .vms
+                .iter()
+                .map(|contact| contact.addresses.peer.to_string())
+                .collect(),
         };
         self.members.summaries(self.now()).into_iter().map(status).collect()
     }
 }
 
-impl Handler<MakeStatus> for ControlKeeper {
+impl Handler<ReadStatus> for ControlActor {
     type Return = StatusAnswer;
 
-    async fn handle(&mut self, _: MakeStatus, _: &mut Context<Self>) -> StatusAnswer {
+    async fn handle(&mut self, _: ReadStatus, _: &mut Context<Self>) -> StatusAnswer {
         let state = match (self.shared.is_leaving(), self.index.is_some()) {
             (true, _) => DaemonState::Leaving,
             (false, true) => DaemonState::Serving,
@@ -223,7 +232,7 @@
             stamp: self.stamp_in_force().map(|stamp| stamp.to_string()),
             content: None,
             belief_age_ms: None,
-            refused: self.refused.clone(),
+            refused: self.last_refusal.clone(),
             in_flight: self.shared.in_flight(),
             members: self.member_statuses(),
             upstreams: self.upstream_statuses(),
--- a/crates/foldhavend/src/control/watch.rs
+++ b/crates/foldhavend/src/control/watch.rs
@@ -1,41 +1,43 @@
-//! The loops that watch the platform: one reader per data centre, the others only now and then.
+//! The tasks that watch the platform. One daemon per data centre, the reader, watches it
+//! continuously; the others read it at long intervals.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use foldhaven_core::description::{SectionDigest, SectionManifest, SectionSet};
 
-use super::KeeperAddress;
+use super::ControlAddress;
 use super::fetch::ask_peers;
 use super::messages::{OfferDescription, OfferList, ReadState};
 use crate::platform::{PlatformError, PlatformSource, Revised};
 use crate::shared::SharedState;
 
-/// How long a daemon that is not the reader waits between looks at the platform.
-const STANDBY: Duration = Duration::from_secs(10);
-/// How often it looks whether it has become the reader.
-const STANDBY_CHECK: Duration = Duration::from_millis(500);
-/// The wait after the platform failed.
-const AFTER_FAILURE: Duration = Duration::from_millis(500);
-/// At the start, peers are asked for this long before the platform's word is taken.
-const PEERS_FIRST: Duration = Duration::from_millis(600);
+/// Time between two reads of the platform by a daemon that is not the reader.
+const STANDBY_INTERVAL: Duration = Duration::from_secs(10);
+/// Interval at which a daemon that is not the reader checks whether it became the reader.
+const READER_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Delay after a failed read of the platform.
+const FAILURE_DELAY: Duration = Duration::from_millis(500);
+/// Maximum time at the start for which peers are asked before the platform is read: its answer may
+/// be older than the peers' state.
+const PEER_FETCH_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Watches the manifest of the description and offers each new one.
+/// Watches the manifest of the description and offers each new description to the actor.
 pub(super) async fn manifest_loop(
     shared: Arc<SharedState>,
-    keeper: KeeperAddress,
+    actor: ControlAddress,
     platform: Arc<dyn PlatformSource>,
 ) {
-    let _ = tokio::time::timeout(PEERS_FIRST, ask_peers(&shared, &keeper, usize::MAX)).await;
+    let _ = tokio::time::timeout(PEER_FETCH_TIMEOUT, ask_peers(&shared, &actor, usize::MAX)).await;
     let mut after = None;
     let mut fetched = SectionSet::default();
     loop {
-        let Ok(held) = keeper.send(ReadState).await else { return };
+        let Ok(snapshot) = actor.send(ReadState).await else { return };
         let wait = shared.settings.times.platform_wait.0;
         match platform.manifest(after, wait).await {
             Ok(Some(read)) => {
-                let taken = take_manifest(&keeper, platform.as_ref(), &read, &mut fetched).await;
-                match taken {
+                let offered = offer_manifest(&actor, platform.as_ref(), &read, &mut fetched).await;
+                match offered {
                     Ok(()) => after = Some(read.revision),
                     Err(error) => report_failure(&error).await,
                 }
@@ -46,24 +48,25 @@
                 continue;
             }
         }
-        if !held.is_reader && held.stamp.is_some() && !stand_by(&keeper).await {
+        if !snapshot.is_reader && snapshot.stamp.is_some() && !wait_standby(&actor).await {
             return;
         }
     }
 }
 
 async fn report_failure(error: &PlatformError) {
-    tracing::debug!(error = %error, "the platform could not be read");
-    tokio::time::sleep(AFTER_FAILURE).await;
+    tracing::debug!(error = %error, "reading the platform failed");
+    tokio::time::sleep(FAILURE_DELAY).await;
 }
 
-/// Waits until this daemon is the reader, or for [`STANDBY`]. Returns whether the actor runs.
-async fn stand_by(keeper: &KeeperAddress) -> bool {
-    let checks = STANDBY.as_millis() / STANDBY_CHECK.as_millis();
+/// Waits until this daemon is the reader, at most for [`STANDBY_INTERVAL`]. Returns `false` if the actor has
+/// ended.
+async fn wait_standby(actor: &ControlAddress) -> bool {
+    let checks = STANDBY_INTERVAL.as_millis() / READER_CHECK_INTERVAL.as_millis();
     for _ in 0..checks {
-        tokio::time::sleep(STANDBY_CHECK).await;
-        match keeper.send(ReadState).await {
-            Ok(held) if held.is_reader => return true,
+        tokio::time::sleep(READER_CHECK_INTERVAL).await;
+        match actor.send(ReadState).await {
+            Ok(snapshot) if snapshot.is_reader => return true,
             Ok(_) => {}
             Err(_) => return false,
         }
@@ -71,23 +74,23 @@
     true
 }
 
-/// Reads the sections that a newer manifest names and offers the whole. A manifest that is not
-/// newer is ignored: the platform may be stale.
+/// Reads the missing sections of a newer manifest and offers the description to the actor. A
+/// manifest that is not newer is ignored, because the platform may be stale.
 ///
-/// `fetched` keeps sections between tries: a platform that answers with old and new content in
-/// turn gives them one by one.
-async fn take_manifest(
-    keeper: &KeeperAddress,
+/// `fetched` keeps sections between attempts: a platform that alternates between old and new content
+/// may return only some of the sections in each attempt.
+async fn offer_manifest(
+    actor: &ControlAddress,
     platform: &dyn PlatformSource,
     read: &Revised<SectionManifest>,
     fetched: &mut SectionSet,
 ) -> Result<(), PlatformError> {
     let manifest = read.value.clone();
-    let Ok(held) = keeper.send(ReadState).await else { return Ok(()) };
-    if Some(manifest.stamp()) <= held.stamp {
+    let Ok(snapshot) = actor.send(ReadState).await else { return Ok(()) };
+    if Some(manifest.stamp()) <= snapshot.stamp {
         return Ok(());
     }
-    let mut sections = held.sections;
+    let mut sections = snapshot.sections;
     for digest in manifest.missing_from(&sections) {
         if fetched.get(&digest).is_none() {
             fetched.insert(read_section(platform, &digest).await?.into());
@@ -98,8 +101,8 @@
     }
     fetched.retain(&manifest);
     let source = "platform".to_owned();
-    // The actor ends only with the process.
-    let _ = keeper.send(OfferDescription { manifest, sections, source }).await;
+    // Sending fails only when the process ends.
+    let _ = actor.send(OfferDescription { manifest, sections, source }).await;
     Ok(())
 }
 
@@ -107,32 +110,32 @@
     platform: &dyn PlatformSource,
     digest: &SectionDigest,
 ) -> Result<String, PlatformError> {
-    const TRIES: usize = 3;
-    const PAUSE: Duration = Duration::from_millis(50);
-    for _ in 1..TRIES {
+    const ATTEMPTS: usize = 3;
+    const RETRY_DELAY: Duration = Duration::from_millis(50);
+    for _ in 1..ATTEMPTS {
         if let Ok(content) = platform.section(digest).await {
             return Ok(content);
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
     platform.section(digest).await
 }
 
-/// Watches the list of upstreams and offers each new one.
-pub(super) async fn list_loop(
+/// Watches the list of upstreams and offers each new list to the actor.
+pub(super) async fn upstream_list_loop(
     shared: Arc<SharedState>,
-    keeper: KeeperAddress,
+    actor: ControlAddress,
     platform: Arc<dyn PlatformSource>,
 ) {
     let centre = shared.settings.data_centre.clone();
     let mut after = None;
     loop {
-        let Ok(held) = keeper.send(ReadState).await else { return };
+        let Ok(snapshot) = actor.send(ReadState).await else { return };
         let wait = shared.settings.times.platform_wait.0;
         match platform.upstreams(&centre, after, wait).await {
             Ok(Some(list)) => {
                 after = Some(list.revision);
-                let _ = keeper.send(OfferList { list }).await;
+                let _ = actor.send(OfferList { list }).await;
             }
             Ok(None) => {}
             Err(error) => {
@@ -140,7 +143,7 @@
                 continue;
             }
         }
-        if !held.is_reader && held.list.is_some() && !stand_by(&keeper).await {
+        if !snapshot.is_reader && snapshot.list.is_some() && !wait_standby(&actor).await {
             return;
         }
     }
--- a/crates/foldhavend/src/traffic/faults.rs
+++ b/crates/foldhavend/src/traffic/faults.rs
@@ -20,7 +20,7 @@
     match (target, fault) {
         (RouteTarget::Engine(engine), CallFault::Refused { reason, .. }) => {
             if let (RefusalReason::Leaving, Some(control)) = (reason, shared.control.get()) {
-                control.note_upstream_leaving(engine.clone());
+                control.record_upstream_leaving(engine.clone());
             }
         }
         (RouteTarget::Centre(centre), CallFault::Refused { .. }) => {
--- a/crates/foldhavend/src/traffic/receiver.rs
+++ b/crates/foldhavend/src/traffic/receiver.rs
@@ -99,7 +99,7 @@
     let vms = view.route.centres.iter().flat_map(|centre| &centre.summary.vms);
     let sender = vms.into_iter().find(|brief| brief.vm == head.attempt.origin);
     if let (Some(sender), Some(control)) = (sender, shared.control.get()) {
-        control.note_stamp(theirs, shared.settings.reroute(sender.addresses.control));
+        control.record_stamp(theirs, shared.settings.reroute(sender.addresses.control));
     }
 }
 
--- a/crates/foldhavend/src/traffic/service.rs
+++ b/crates/foldhavend/src/traffic/service.rs
@@ -464,7 +464,7 @@
     match fault {
         CallFault::Refused { reason: RefusalReason::Leaving, .. } => {
             if let (RouteTarget::Engine(instance), Some(control)) = (target, shared.control.get()) {
-                control.note_upstream_leaving(instance.clone());
+                control.record_upstream_leaving(instance.clone());
             }
         }
         CallFault::Refused { .. } => {}
