--- a/crates/foldhavend/src/control/actor/mod.rs
+++ b/crates/foldhavend/src/control/actor/mod.rs
@@ -176,14 +176,14 @@
             addresses: settings.addresses.clone(),
             loads,
             leaving_upstreams: self.leaving.iter().map(|(name, it)| (name.clone(), *it)).collect(),
-            lent_requests: self.shared.facts.lent(),
+            lent_requests: self.shared.traffic_state.lent(),
             list_revision: self.list.as_ref().map_or(0, |list| list.revision),
         }
     }
 
     fn receive_heartbeat(&mut self, heartbeat: &VmHeartbeat, actor: &xtra::Address<Self>) {
         let now = self.now();
-        let source = self.shared.settings.reroute(heartbeat.addresses.control);
+        let source = self.shared.settings.dial_address(heartbeat.addresses.control);
         let list_revision = self.list.as_ref().map_or(0, |list| list.revision);
         let is_same_centre = heartbeat.data_centre == self.shared.settings.data_centre;
         let is_newer_description = heartbeat.stamp > self.stamp();
@@ -230,7 +230,7 @@
             Some(known) => {
                 let restarted = view.load.incarnation > known.load.incarnation;
                 if restarted {
-                    self.shared.facts.forget_cache(&view.load.engine);
+                    self.shared.traffic_state.forget_cache(&view.load.engine);
                 }
                 if restarted || view.observed > known.observed {
                     *known = view;
@@ -275,7 +275,7 @@
         let seeds = self.shared.settings.seeds.iter().copied();
         let mut addresses = Vec::new();
         for address in members.chain(others).chain(seeds) {
-            let address = self.shared.settings.reroute(address);
+            let address = self.shared.settings.dial_address(address);
             if !addresses.contains(&address) {
                 addresses.push(address);
             }
@@ -295,7 +295,7 @@
     async fn handle(&mut self, _: PlanPolls, _: &mut Context<Self>) -> Vec<PollTarget> {
         let target = |entry: &UpstreamEntry| PollTarget {
             engine: entry.name.clone(),
-            address: self.shared.settings.reroute(entry.address),
+            address: self.shared.settings.dial_address(entry.address),
             cache_after: self.cache_positions.get(&entry.name).copied().unwrap_or_default(),
         };
         self.polled_engines().into_iter().map(target).collect()
@@ -348,7 +348,7 @@
         let orders = due_orders(&index, &settings.data_centre, &loads, issuer, &serving);
         let address = |order: EngineOrder| {
             let entry = self.upstreams().find(|entry| entry.name == order.engine)?;
-            let address = settings.reroute(entry.address);
+            let address = settings.dial_address(entry.address);
             Some(AddressedOrder { order, address })
         };
         orders.into_iter().filter_map(address).collect()
--- a/crates/foldhavend/src/control/exchange.rs
+++ b/crates/foldhavend/src/control/exchange.rs
@@ -90,7 +90,7 @@
 ) {
     let reply = call_exchange(&shared, &target, &guard.connections).await;
     if reply.is_none() {
-        let dialled = shared.settings.reroute(target.address);
+        let dialled = shared.settings.dial_address(target.address);
         guard.connections.close(dialled);
         tracing::debug!(step = "exchange", peer = %target.address, vm = ?target.vm, "exchange not answered");
     }
@@ -104,7 +104,7 @@
     target: &ExchangeTarget,
     connections: &PeerConnections,
 ) -> Option<ExchangeReply> {
-    let address = shared.settings.reroute(target.address);
+    let address = shared.settings.dial_address(target.address);
     let client = connections.client(shared, address).await?;
     client.exchange(call_context(), target.request.clone()).await.ok()
 }
--- a/crates/foldhavend/src/control/loads.rs
+++ b/crates/foldhavend/src/control/loads.rs
@@ -82,15 +82,15 @@
     let mut expected = target.cache_after + 1;
     for (number, change) in &page.events {
         if *number != expected {
-            shared.facts.forget_cache(&target.engine);
+            shared.traffic_state.forget_cache(&target.engine);
         }
         expected = number + 1;
         match change {
             CacheChange::Stored(blocks) => {
-                shared.facts.note_cache_stored(&target.engine, blocks, shared.now());
+                shared.traffic_state.note_cache_stored(&target.engine, blocks, shared.now());
             }
             CacheChange::Evicted(blocks) => {
-                shared.facts.note_cache_evicted(&target.engine, blocks);
+                shared.traffic_state.note_cache_evicted(&target.engine, blocks);
             }
         }
     }
--- a/crates/foldhavend/src/control/publish.rs
+++ b/crates/foldhavend/src/control/publish.rs
@@ -45,13 +45,13 @@
             engines: accepting_entries
                 .iter()
                 .filter(|entry| entry.kind == UpstreamKind::Engine)
-                .map(|entry| (entry.name.clone(), settings.reroute(entry.address)))
+                .map(|entry| (entry.name.clone(), settings.dial_address(entry.address)))
                 .collect(),
             services: self.service_instances(&accepting_entries),
             members: self.member_views(now),
             serving: serving.len() as u32,
         };
-        self.shared.facts.set_peers(view.serving);
+        self.shared.traffic_state.set_peers(view.serving);
         self.shared.publish(view);
     }
 
@@ -73,7 +73,7 @@
         for centre in centres {
             let from = &centre.summary.data_centre;
             for offer in centre.summary.offers.iter().filter(|offer| offer.to == *here) {
-                let facts = &self.shared.facts;
+                let facts = &self.shared.traffic_state;
                 let span = (now, centre.observed);
                 facts.hold_offer(from, &offer.model, offer.slots, members, span);
             }
@@ -87,7 +87,7 @@
         let mut services: BTreeMap<ServiceName, Vec<ServiceInstance>> = BTreeMap::new();
         for entry in entries {
             let UpstreamKind::Service(service) = &entry.kind else { continue };
-            let address = self.shared.settings.reroute(entry.address);
+            let address = self.shared.settings.dial_address(entry.address);
             let instance = ServiceInstance { name: entry.name.clone(), address };
             services.entry(service.clone()).or_default().push(instance);
         }
--- a/crates/foldhavend/src/control/summary.rs
+++ b/crates/foldhavend/src/control/summary.rs
@@ -134,7 +134,7 @@
     /// Returns the number of requests from other data centres in flight at all VMs of this data
     /// centre. They already use offered slots.
     fn lent_slots(&self, model: &ModelName) -> u32 {
-        let own = self.shared.facts.lent();
+        let own = self.shared.traffic_state.lent();
         let members = self.members.members(self.now());
         let theirs = members.flat_map(|(heartbeat, _)| &heartbeat.lent_requests);
         own.iter().chain(theirs).filter(|(name, _)| name == model).map(|(_, count)| count).sum()
--- a/crates/foldhavend/src/daemon.rs
+++ b/crates/foldhavend/src/daemon.rs
@@ -71,7 +71,7 @@
         .build()
         .map_err(DaemonError::Client)?;
     let platform =
-        HttpPlatform::new(reader, settings.reroute(settings.platform), settings.platform);
+        HttpPlatform::new(reader, settings.dial_address(settings.platform), settings.platform);
     let shared = SharedState::new(settings);
     start_control(shared.clone(), Arc::new(platform)).map_err(DaemonError::Control)?;
     let context = TrafficContext { shared: shared.clone(), upstream: Arc::new(upstream) };
--- a/crates/foldhavend/src/metrics.rs
+++ b/crates/foldhavend/src/metrics.rs
@@ -63,7 +63,7 @@
     }
 
     /// Notes how long something took, for a class.
-    pub fn note_time(&self, name: &'static str, class: &str, span: Duration) {
+    pub fn record_time(&self, name: &'static str, class: &str, span: Duration) {
         let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
         let mut inner = self.inner.lock();
         let times = inner.times.entry((name, class.to_owned())).or_default();
@@ -76,7 +76,7 @@
     }
 
     /// The page that `/metrics` shows.
-    pub fn page(&self) -> String {
+    pub fn render(&self) -> String {
         let inner = self.inner.lock();
         let mut page = String::new();
         for ((class, outcome), count) in &inner.outcomes {
--- a/crates/foldhavend/src/settings.rs
+++ b/crates/foldhavend/src/settings.rs
@@ -137,7 +137,7 @@
     }
 
     /// The address to dial for one that others name.
-    pub fn reroute(&self, address: SocketAddr) -> SocketAddr {
+    pub fn dial_address(&self, address: SocketAddr) -> SocketAddr {
         self.reroutes.get(&address).copied().unwrap_or(address)
     }
 }
--- a/crates/foldhavend/src/shared.rs
+++ b/crates/foldhavend/src/shared.rs
@@ -33,7 +33,7 @@
     pub settings: DaemonSettings,
     pub clock: Arc<dyn Clock>,
     pub incarnation: IncarnationId,
-    pub facts: TrafficFacts,
+    pub traffic_state: TrafficFacts,
     pub tickets: TicketDesk,
     pub metrics: MetricsBook,
     pub burn: Mutex<BurnMeter>,
@@ -63,7 +63,7 @@
             settings,
             clock: Arc::new(clock),
             incarnation,
-            facts: TrafficFacts::default(),
+            traffic_state: TrafficFacts::default(),
             tickets,
             metrics: MetricsBook::default(),
             burn: Mutex::default(),
@@ -122,7 +122,7 @@
     }
 
     /// Whether what a view says of other data centres may still be acted on.
-    pub fn is_current(&self, view: &PublishedView) -> bool {
+    pub fn is_fresh(&self, view: &PublishedView) -> bool {
         self.now().since(view.made) < VIEW_LIFETIME
     }
 
@@ -186,7 +186,7 @@
     /// # Errors
     ///
     /// A refusal, `not_run` for this step, when that takes longer than [`FRESH_LIMIT`].
-    pub async fn await_fresh(&self) -> Result<(), RefusalAnswer> {
+    pub async fn wait_fresh(&self) -> Result<(), RefusalAnswer> {
         const FRESH_LIMIT: Duration = Duration::from_millis(2_500);
         const CHECK: Duration = Duration::from_millis(10);
         let started = self.now();
@@ -228,7 +228,7 @@
 
 impl WaitGuard {
     /// Notes that the request is permitted by the description with this stamp.
-    pub fn note_permitted(&mut self, stamp: DescriptionStamp) {
+    pub fn record_permitted(&mut self, stamp: DescriptionStamp) {
         if self.checked != Some(stamp) {
             self.shared.waits.lock().recheck(self.checked, Some(stamp));
             self.checked = Some(stamp);
--- a/crates/foldhavend/src/traffic/entries.rs
+++ b/crates/foldhavend/src/traffic/entries.rs
@@ -38,7 +38,7 @@
         weight: weight_of(member.in_flight),
         preference: preference(view, here, home),
     }));
-    if shared.is_current(view) {
+    if shared.is_fresh(view) {
         entries.extend(other_entries(view, home));
     }
     entries.sort_by(|left, right| {
--- a/crates/foldhavend/src/traffic/faults.rs
+++ b/crates/foldhavend/src/traffic/faults.rs
@@ -24,13 +24,13 @@
             }
         }
         (RouteTarget::Centre(centre), CallFault::Refused { .. }) => {
-            shared.facts.void_offer(centre, model, now);
+            shared.traffic_state.void_offer(centre, model, now);
         }
-        (_, CallFault::NotSent(_)) => shared.facts.note_failure(target.name(), true, now),
+        (_, CallFault::NotSent(_)) => shared.traffic_state.note_failure(target.name(), true, now),
         // A peer that tells what failed behind it is itself in order.
         (RouteTarget::Centre(_), CallFault::Failed { .. }) => {}
         (_, CallFault::Broken(_) | CallFault::Failed { .. }) => {
-            shared.facts.note_failure(target.name(), false, now)
+            shared.traffic_state.note_failure(target.name(), false, now)
         }
     }
 }
--- a/crates/foldhavend/src/traffic/origin.rs
+++ b/crates/foldhavend/src/traffic/origin.rs
@@ -112,11 +112,11 @@
             prompt_tokens: job.prompt_tokens,
             output_tokens: job.max_tokens,
             blocks: &job.blocks,
-            is_origin: is_origin && self.shared().is_current(view),
+            is_origin: is_origin && self.shared().is_fresh(view),
             excluded: tried,
         };
         let draw = rand::random();
-        let plan = self.policy.plan(&query, &view.route, &self.shared().facts, now, draw);
+        let plan = self.policy.plan(&query, &view.route, &self.shared().traffic_state, now, draw);
         let scope = match is_origin {
             true => SearchScope::Anywhere,
             false => SearchScope::DataCentre(&view.route.centre),
@@ -197,7 +197,7 @@
         parts: &mpsc::Sender<JobEvent>,
     ) -> Result<(), Option<RefusalAnswer>> {
         loop {
-            self.shared().await_fresh().await.map_err(Some)?;
+            self.shared().wait_fresh().await.map_err(Some)?;
             let waiting = self.shared().enter_wait();
             let view = self.shared().view().map_err(Some)?;
             let option = match self.choose(job, &view, true, &progress.tried) {
@@ -218,7 +218,7 @@
             }
             let may_try = progress.log.may_retry(true);
             let is_last = !may_try || progress.tried.len() >= MAX_ATTEMPTS;
-            if is_last || !(is_free || self.shared().facts.take_retry()) {
+            if is_last || !(is_free || self.shared().traffic_state.take_retry()) {
                 return Err(progress.last_fault.take());
             }
             self.shared().metrics.count_event("retry");
@@ -265,11 +265,21 @@
                     progress.position,
                     &attempt,
                 );
-                shared.facts.note_dispatch(engine, option.slot_time, &job.blocks, shared.now());
+                shared.traffic_state.note_dispatch(
+                    engine,
+                    option.slot_time,
+                    &job.blocks,
+                    shared.now(),
+                );
                 call
             }
             RouteTarget::Centre(centre) => {
-                shared.facts.spend_offer(centre, &job.model, option.slot_time, shared.now());
+                shared.traffic_state.spend_offer(
+                    centre,
+                    &job.model,
+                    option.slot_time,
+                    shared.now(),
+                );
                 peer_call(self.shared(), job, view, centre, progress.position, &attempt)
             }
         };
@@ -280,7 +290,7 @@
         if let Some(account) = view.route.index.account(&job.head.account) {
             let now = shared.now();
             let worth = job.head.worth;
-            shared.facts.note_usage(account, &job.model, worth, option.slot_time, now);
+            shared.traffic_state.note_usage(account, &job.model, worth, option.slot_time, now);
         }
         let started = shared.now();
         tracing::debug!(
@@ -296,9 +306,10 @@
         match &result {
             Ok(()) => {
                 progress.log.record(AttemptState::Complete);
-                shared.facts.note_success(&target);
-                let spread =
-                    shared.facts.note_estimate(option.estimate, shared.now().since(started));
+                shared.traffic_state.note_success(&target);
+                let spread = shared
+                    .traffic_state
+                    .note_estimate(option.estimate, shared.now().since(started));
                 shared.metrics.set_estimate_error(spread);
             }
             Err(TryEnd::Fault(CallFault::NotSent(_))) => progress.log.record_not_connected(),
@@ -369,7 +380,7 @@
                 if !is_permitted(job, &view, target) {
                     return;
                 }
-                waiting.note_permitted(view.route.index.stamp);
+                waiting.record_permitted(view.route.index.stamp);
             }
             if stamps.changed().await.is_err() {
                 return std::future::pending().await;
@@ -396,7 +407,7 @@
             RefusalAnswer::not_run(ROUTE_STEP, RefusalReason::NoUpstream, detail)
         })?;
         let shared = self.shared();
-        shared.facts.note_dispatch(engine, option.slot_time, &job.blocks, shared.now());
+        shared.traffic_state.note_dispatch(engine, option.slot_time, &job.blocks, shared.now());
         Ok(LocalChoice { engine: engine.clone(), call })
     }
 
@@ -445,10 +456,10 @@
         shared.burn.lock().record(&head.account, &head.class, event, head.worth, now);
         shared.metrics.count_outcome(class, outcome);
         if let Some(first) = progress.first_token {
-            shared.metrics.note_time("first_token", class, first.since(head.started));
+            shared.metrics.record_time("first_token", class, first.since(head.started));
         }
         match failure {
-            None => shared.metrics.note_time("whole", class, now.since(head.started)),
+            None => shared.metrics.record_time("whole", class, now.since(head.started)),
             Some(answer) => shared.metrics.count_reason(answer.reason.code()),
         }
         tracing::info!(
--- a/crates/foldhavend/src/traffic/outgoing.rs
+++ b/crates/foldhavend/src/traffic/outgoing.rs
@@ -63,7 +63,7 @@
     set_header(&mut map, headers::VISITED, shared.settings.data_centre.as_str());
     set_header(&mut map, headers::STAMP, &stamp);
     Some(UpstreamCall {
-        address: shared.settings.reroute(peer.addresses.peer),
+        address: shared.settings.dial_address(peer.addresses.peer),
         method: Method::POST,
         path: PEER_COMPLETIONS.to_owned(),
         headers: map,
--- a/crates/foldhavend/src/traffic/peer_front.rs
+++ b/crates/foldhavend/src/traffic/peer_front.rs
@@ -88,7 +88,7 @@
 
     fn metrics(&self) -> Response {
         let shared = &self.context.shared;
-        let mut page = shared.metrics.page();
+        let mut page = shared.metrics.render();
         let bytes = &shared.control_bytes;
         let lines = [
             ("foldhaven_in_flight", u64::from(shared.in_flight())),
--- a/crates/foldhavend/src/traffic/receiver.rs
+++ b/crates/foldhavend/src/traffic/receiver.rs
@@ -70,7 +70,7 @@
     if shared.is_leaving() {
         return Err(refuse(RefusalReason::Leaving, "this VM is leaving"));
     }
-    shared.await_fresh().await?;
+    shared.wait_fresh().await?;
     let started = shared.now();
     loop {
         let view = shared.view()?;
@@ -99,7 +99,7 @@
     let vms = view.route.centres.iter().flat_map(|centre| &centre.summary.vms);
     let sender = vms.into_iter().find(|brief| brief.vm == head.attempt.origin);
     if let (Some(sender), Some(control)) = (sender, shared.control.get()) {
-        control.record_stamp(theirs, shared.settings.reroute(sender.addresses.control));
+        control.record_stamp(theirs, shared.settings.dial_address(sender.addresses.control));
     }
 }
 
@@ -199,7 +199,7 @@
     let served_by = desk.context.shared.settings.data_centre.to_string();
     tokio::spawn(async move {
         let _in_flight = desk.context.shared.enter();
-        let _lent = desk.context.shared.facts.lend(&job.model);
+        let _lent = desk.context.shared.traffic_state.lend(&job.model);
         let mut writer = AnswerWriter::new(&job, position);
         let remaining = job.head.remaining(desk.context.shared.now());
         let origin = &sender;
--- a/crates/foldhavend/src/traffic/service.rs
+++ b/crates/foldhavend/src/traffic/service.rs
@@ -177,7 +177,7 @@
     ) -> ServiceResult {
         let mut last_fault = None;
         loop {
-            self.shared().await_fresh().await?;
+            self.shared().wait_fresh().await?;
             let view = self.shared().view()?;
             let place = match self.choose(job, &view, tried) {
                 Ok(place) => place,
@@ -191,7 +191,8 @@
             note_service_fault(self.shared(), &target, &fault);
             let answer = fault_answer(&fault, &target).at_peer(target.name());
             let may_try = log.may_retry(job.head.is_repeatable);
-            if !may_try || tried.len() >= MAX_ATTEMPTS || !self.shared().facts.take_retry() {
+            if !may_try || tried.len() >= MAX_ATTEMPTS || !self.shared().traffic_state.take_retry()
+            {
                 return Err(answer);
             }
             self.shared().metrics.count_event("retry");
@@ -216,7 +217,7 @@
             let name = &centre.summary.data_centre;
             let has = centre.summary.services.contains(&job.service);
             let is_tried = tried.iter().any(|it| it == name.as_str());
-            let is_open = has && !is_tried && self.shared().is_current(view);
+            let is_open = has && !is_tried && self.shared().is_fresh(view);
             if is_open && permits(&job.head, view, name) {
                 return Ok(ServicePlace::Centre(name.clone()));
             }
@@ -236,7 +237,7 @@
         view: &PublishedView,
         tried: &[String],
     ) -> Option<ServiceInstance> {
-        let facts = &self.shared().facts;
+        let facts = &self.shared().traffic_state;
         let now = self.shared().now();
         let instances = view.services.get(&job.service)?;
         let untried: Vec<&ServiceInstance> = instances
@@ -275,7 +276,7 @@
         let attempt = attempt.to_string();
         let (call, _guard) = match place {
             ServicePlace::Instance(instance) => {
-                let guard = shared.facts.enter_service(&instance.name);
+                let guard = shared.traffic_state.enter_service(&instance.name);
                 (job.call(instance.address, job.rest_path(), map, attempt), Some(guard))
             }
             ServicePlace::Centre(centre) => {
@@ -285,7 +286,7 @@
                 };
                 add_forward_headers(&mut map, job, view);
                 let path = format!("{PEER_SERVICE}{}{}", job.service, job.rest);
-                let address = shared.settings.reroute(peer.addresses.peer);
+                let address = shared.settings.dial_address(peer.addresses.peer);
                 (job.call(address, path, map, attempt), None)
             }
         };
@@ -296,7 +297,7 @@
         match &result {
             Ok(_) => {
                 log.record(AttemptState::Complete);
-                shared.facts.note_success(&target);
+                shared.traffic_state.note_success(&target);
             }
             Err(CallFault::NotSent(_)) => log.record_not_connected(),
             Err(CallFault::Refused { .. }) => log.record(AttemptState::Refused),
@@ -374,7 +375,7 @@
         shared.metrics.count_outcome(head.class.as_str(), outcome);
         let elapsed = now.since(head.started);
         match result {
-            Ok(_) => shared.metrics.note_time("whole", head.class.as_str(), elapsed),
+            Ok(_) => shared.metrics.record_time("whole", head.class.as_str(), elapsed),
             Err(answer) => shared.metrics.count_reason(answer.reason.code()),
         }
         tracing::info!(
@@ -468,9 +469,9 @@
             }
         }
         CallFault::Refused { .. } => {}
-        CallFault::NotSent(_) => shared.facts.note_failure(target.name(), true, now),
+        CallFault::NotSent(_) => shared.traffic_state.note_failure(target.name(), true, now),
         CallFault::Broken(_) | CallFault::Failed { .. } => {
-            shared.facts.note_failure(target.name(), false, now);
+            shared.traffic_state.note_failure(target.name(), false, now);
         }
     }
 }
--- a/crates/foldhavend/src/traffic/ticketed.rs
+++ b/crates/foldhavend/src/traffic/ticketed.rs
@@ -108,7 +108,7 @@
         let here = shared.settings.data_centre.as_str();
         set_header(&mut map, headers::FORWARDED_TICKET, here);
         let call = UpstreamCall {
-            address: shared.settings.reroute(address),
+            address: shared.settings.dial_address(address),
             method: raw.method.clone(),
             path: format!("{PEER_TICKETED}{}{}", job.service, job.rest),
             headers: map,
