--- a/crates/foldhavend/src/clock.rs
+++ b/crates/foldhavend/src/clock.rs
@@ -1,51 +1,52 @@
-//! The clock border: monotonic readings for the core, and the start time that names a lifetime.
+//! Clocks: monotonic time for `foldhaven-core`, and the start time that identifies an incarnation.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use foldhaven_core::ids::IncarnationId;
 use foldhaven_core::time::MonoTime;
 
-/// Where time comes from.
+/// A source of monotonic time.
 pub trait Clock: Send + Sync {
-    /// The present reading.
+    /// Returns the current time.
     fn now(&self) -> MonoTime;
 
-    /// The instant of the runtime's timers that a reading stands for.
+    /// Converts a time to the [`Instant`] that the runtime's timers use.
     fn instant(&self, time: MonoTime) -> Instant;
 }
 
 /// The monotonic clock of this process.
 #[derive(Debug, Clone)]
 pub struct SystemClock {
-    zero: Instant,
+    started_at: Instant,
 }
 
-/// Readings start well above zero, so that spans can be taken off early ones.
-const HEAD_START: Duration = Duration::from_secs(3_600);
+/// Initial time of the clock. It is well above zero, so that durations can be subtracted from early
+/// times.
+const INITIAL_TIME: Duration = Duration::from_secs(3_600);
 
 impl Default for SystemClock {
     fn default() -> Self {
-        Self { zero: Instant::now() }
+        Self { started_at: Instant::now() }
     }
 }
 
 impl Clock for SystemClock {
     fn now(&self) -> MonoTime {
-        MonoTime::default() + (self.zero.elapsed() + HEAD_START)
+        MonoTime::default() + (self.started_at.elapsed() + INITIAL_TIME)
     }
 
     fn instant(&self, time: MonoTime) -> Instant {
-        self.zero + time.since(MonoTime::default() + HEAD_START)
+        self.started_at + time.since(MonoTime::default() + INITIAL_TIME)
     }
 }
 
-/// The incarnation of a process that starts now.
+/// Returns the incarnation of a process that starts now: the milliseconds since the epoch.
 pub fn new_incarnation() -> IncarnationId {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     IncarnationId(since_epoch.as_millis() as u64)
 }
 
-/// The present time in seconds since the epoch, for the `created` field of answers.
+/// Returns the current time in seconds since the epoch, for the `created` field of answers.
 pub fn epoch_secs() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs()
 }
--- a/crates/foldhavend/src/cmd/check.rs
+++ b/crates/foldhavend/src/cmd/check.rs
@@ -1,4 +1,4 @@
-//! `foldhavend check`: checks a settings file and says what it stands for.
+//! `foldhavend check`: checks a settings file.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -8,12 +8,12 @@
 use super::run::settings_arg;
 use crate::settings::DaemonSettings;
 
-/// The arguments of `check`.
+/// Returns the command-line definition of `check`.
 pub fn make_subcommand() -> Command {
     Command::new("check").about("Checks a settings file without serving").arg(settings_arg())
 }
 
-/// Carries `check` out. Exits with 0 when the settings are good, else with 2.
+/// Runs `check`. Returns exit code 0 if the settings are valid, else 2.
 pub fn execute(args: &ArgMatches) -> ExitCode {
     let path: &PathBuf = args.get_one("settings").expect("the argument is required");
     match DaemonSettings::read(path) {
--- a/crates/foldhavend/src/cmd/mod.rs
+++ b/crates/foldhavend/src/cmd/mod.rs
@@ -7,7 +7,7 @@
 
 use clap::Command;
 
-/// The whole command line.
+/// Returns the command-line definition of the daemon.
 pub fn make_command() -> Command {
     Command::new("foldhavend")
         .about("Serves model and service requests on one entry VM")
@@ -18,7 +18,7 @@
         .subcommand(check::make_subcommand())
 }
 
-/// Reads the command line and carries it out.
+/// Parses the command line and runs the subcommand.
 pub fn main() -> ExitCode {
     match make_command().get_matches().subcommand() {
         Some(("run", args)) => run::execute(args),
--- a/crates/foldhavend/src/cmd/run.rs
+++ b/crates/foldhavend/src/cmd/run.rs
@@ -1,4 +1,4 @@
-//! `foldhavend run`: serves until it is told to stop.
+//! `foldhavend run`: serves until SIGTERM or SIGINT.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -9,7 +9,7 @@
 use crate::logging::start_logging;
 use crate::settings::DaemonSettings;
 
-/// The arguments of `run`.
+/// Returns the command-line definition of `run`.
 pub fn make_subcommand() -> Command {
     Command::new("run")
         .about("Serves until it is told to stop")
@@ -17,7 +17,7 @@
         .arg(settings_arg())
 }
 
-/// The argument that names the settings file.
+/// Returns the argument for the path of the settings file.
 pub fn settings_arg() -> Arg {
     Arg::new("settings")
         .long("settings")
@@ -27,7 +27,8 @@
         .help("The settings of this daemon, in YAML")
 }
 
-/// Carries `run` out. Exits with 0 after a planned stop, 2 for bad settings, 1 for other failures.
+/// Runs `run`. Returns exit code 0 after a planned stop, 2 for invalid settings, and 1 for other
+/// failures.
 pub fn execute(args: &ArgMatches) -> ExitCode {
     let path: &PathBuf = args.get_one("settings").expect("the argument is required");
     let settings = match DaemonSettings::read(path) {
--- a/crates/foldhavend/src/control/actor/descriptions.rs
+++ b/crates/foldhavend/src/control/actor/descriptions.rs
@@ -40,7 +40,7 @@
                 self.adopted_at = self.now();
                 self.last_refusal = None;
                 self.publish();
-                self.shared.exchange_now.notify_one();
+                self.shared.exchange_wakeup.notify_one();
                 true
             }
             Err(error) => {
@@ -60,8 +60,8 @@
 }
 
 impl ControlActor {
-    /// Logs once for each description when it is in force: no waiting request was routed by an older
-    /// one.
+    /// Logs once for each description when it is in force: no waiting request was routed by an
+    /// older one.
     pub(super) fn log_in_force(&mut self) {
         let in_force = self.stamp_in_force();
         if in_force.is_none() || in_force == self.logged_in_force || in_force != self.stamp() {
--- a/crates/foldhavend/src/control/actor/mod.rs
+++ b/crates/foldhavend/src/control/actor/mod.rs
@@ -111,8 +111,8 @@
         self.index.as_ref().map(|index| index.stamp)
     }
 
-    /// Returns the description that operators can rely on: no waiting request was routed by an older
-    /// one.
+    /// Returns the description that operators can rely on: no waiting request was routed by an
+    /// older one.
     pub(super) fn stamp_in_force(&self) -> Option<DescriptionStamp> {
         // Before the first view, no request has been routed.
         self.shared.stamp_in_force().or_else(|| self.stamp())
@@ -203,8 +203,8 @@
         self.remove_unreported(heartbeat);
     }
 
-    /// Removes the loads of engines that the sender polls but no longer reports, because they do not
-    /// answer it.
+    /// Removes the loads of engines that the sender polls but no longer reports, because they do
+    /// not answer it.
     fn remove_unreported(&mut self, heartbeat: &VmHeartbeat) {
         let serving = self.members.serving(self.serves(), self.now());
         let now = self.now();
@@ -264,8 +264,8 @@
         rank_by(READER_KEY, &names, |name| name.as_str()).first() == Some(&own)
     }
 
-    /// Returns the control addresses of daemons to fetch state from: members of the own data centre,
-    /// then one VM of each other data centre, then seeds.
+    /// Returns the control addresses of daemons to fetch state from: members of the own data
+    /// centre, then one VM of each other data centre, then seeds.
     fn peer_addresses(&self) -> Vec<SocketAddr> {
         let now = self.now();
         let members = self.members.members(now).map(|(heartbeat, _)| heartbeat.addresses.control);
@@ -381,7 +381,7 @@
         let incarnation = self.listed_incarnation(&message.upstream);
         self.record_leaving(&message.upstream, incarnation);
         self.publish();
-        self.shared.exchange_now.notify_one();
+        self.shared.exchange_wakeup.notify_one();
     }
 }
 
@@ -391,7 +391,7 @@
     async fn handle(&mut self, _: StartLeaving, _: &mut Context<Self>) {
         self.has_update_for_all = true;
         self.publish();
-        self.shared.exchange_now.notify_one();
+        self.shared.exchange_wakeup.notify_one();
     }
 }
 
--- a/crates/foldhavend/src/control/exchange.rs
+++ b/crates/foldhavend/src/control/exchange.rs
@@ -77,7 +77,7 @@
         }
         tokio::select! {
             () = tokio::time::sleep(interval) => {}
-            () = shared.exchange_now.notified() => {}
+            () = shared.exchange_wakeup.notified() => {}
         }
     }
 }
--- a/crates/foldhavend/src/control/fetch.rs
+++ b/crates/foldhavend/src/control/fetch.rs
@@ -1,5 +1,5 @@
-//! Fetches descriptions and lists of upstreams from other daemons: at the start, when a newer one is
-//! announced, and after a pause of the process.
+//! Fetches descriptions and lists of upstreams from other daemons: at the start, when a newer one
+//! is announced, and after a pause of the process.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,7 +15,8 @@
 use crate::shared::SharedState;
 
 /// Timeout of one attempt to fetch the peers' state after a pause. An attempt that times out counts
-/// as unanswered. If no attempt is answered, the VM may be partitioned and continues with its state.
+/// as unanswered. If no attempt is answered, the VM may be partitioned and continues with its
+/// state.
 const REFRESH_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Maximum number of attempts while no peer answers. On a busy machine, peers may need longer than
 /// one [`REFRESH_TIMEOUT`].
@@ -95,8 +96,8 @@
     answered
 }
 
-/// Compares this daemon's state with its peers' after a pause of the process, before traffic threads
-/// act on it again.
+/// Compares this daemon's state with its peers' after a pause of the process, before traffic
+/// threads act on it again.
 ///
 /// Asks all peers of the data centre, one VM of each other data centre, and the seeds. Each attempt
 /// takes at most [`REFRESH_TIMEOUT`].
@@ -111,5 +112,5 @@
         }
     }
     // A VM that gets no answer may be partitioned. It then has to continue with the state it has.
-    shared.note_refreshed();
+    shared.record_refresh();
 }
--- a/crates/foldhavend/src/control/publish.rs
+++ b/crates/foldhavend/src/control/publish.rs
@@ -41,7 +41,7 @@
         self.update_offers(&route.centres, serving.len() as u32);
         let view = PublishedView {
             route,
-            made: now,
+            published_at: now,
             engines: accepting_entries
                 .iter()
                 .filter(|entry| entry.kind == UpstreamKind::Engine)
@@ -49,14 +49,15 @@
                 .collect(),
             services: self.service_instances(&accepting_entries),
             members: self.member_views(now),
-            serving: serving.len() as u32,
+            serving_vms: serving.len() as u32,
         };
-        self.shared.traffic_state.set_peers(view.serving);
+        self.shared.traffic_state.set_peers(view.serving_vms);
         self.shared.publish(view);
     }
 
     /// Returns whether this daemon has warmed up: it knows the list of upstreams and, if that lists
-    /// engines, the load of one of them, or [`MAX_WARM_UP_TIME`] has passed. Once warm, it stays warm.
+    /// engines, the load of one of them, or [`MAX_WARM_UP_TIME`] has passed. Once warm, it stays
+    /// warm.
     fn update_warm_state(&mut self, now: MonoTime) -> bool {
         let has_engines = self.upstreams().any(|entry| entry.kind == UpstreamKind::Engine);
         let knows_loads = !has_engines || !self.fresh_loads().is_empty();
--- a/crates/foldhavend/src/control/watch.rs
+++ b/crates/foldhavend/src/control/watch.rs
@@ -59,8 +59,8 @@
     tokio::time::sleep(FAILURE_DELAY).await;
 }
 
-/// Waits until this daemon is the reader, at most for [`STANDBY_INTERVAL`]. Returns `false` if the actor has
-/// ended.
+/// Waits until this daemon is the reader, at most for [`STANDBY_INTERVAL`]. Returns `false` if the
+/// actor has ended.
 async fn wait_standby(actor: &ControlAddress) -> bool {
     let checks = STANDBY_INTERVAL.as_millis() / READER_CHECK_INTERVAL.as_millis();
     for _ in 0..checks {
@@ -77,8 +77,8 @@
 /// Reads the missing sections of a newer manifest and offers the description to the actor. A
 /// manifest that is not newer is ignored, because the platform may be stale.
 ///
-/// `fetched` keeps sections between attempts: a platform that alternates between old and new content
-/// may return only some of the sections in each attempt.
+/// `fetched` keeps sections between attempts: a platform that alternates between old and new
+/// content may return only some of the sections in each attempt.
 async fn offer_manifest(
     actor: &ControlAddress,
     platform: &dyn PlatformSource,
--- a/crates/foldhavend/src/daemon.rs
+++ b/crates/foldhavend/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The life of a daemon: start, serve, and a planned stop that cuts nothing off.
+//! Starts a daemon, serves, and stops it without aborting requests.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,24 +17,24 @@
 use crate::shared::SharedState;
 use crate::traffic::{HttpUpstream, TrafficContext, serve_callers, serve_peers};
 
-/// After the last request has ended, open connections are given this long to be closed.
-const CLOSING_LIMIT: Duration = Duration::from_secs(2);
+/// Time for open connections to close after the last request has ended.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why a daemon could not serve.
+/// Errors that prevent a daemon from serving.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum DaemonError {
     /// listening at {peer}: {source}
     Listen {
-        /// The address.
+        /// The listening address.
         peer: SocketAddr,
-        /// What went wrong.
+        /// The I/O error.
         source: io::Error,
     },
     /// setting up {step}: {source}
     Setup {
         /// What was being set up.
         step: &'static str,
-        /// What went wrong.
+        /// The I/O error.
         source: io::Error,
     },
     /// setting up the HTTP client: {0}
@@ -43,12 +43,13 @@
     Control(ControlError),
 }
 
-/// Serves until SIGTERM or SIGINT, then leaves: new work is sent elsewhere, and the daemon ends
-/// once everything under way has ended.
+/// Serves until SIGTERM or SIGINT, then drains: other VMs and callers send no new requests here,
+/// and the daemon ends once all requests in flight have ended or the stop limit is reached.
 ///
 /// # Errors
 ///
-/// When an address cannot be bound or the runtime cannot be set up.
+/// Returns an error if an address cannot be bound, or if the runtime, the HTTP client, the control
+/// thread or the signal handlers cannot be set up.
 pub fn run_daemon(settings: DaemonSettings) -> Result<(), DaemonError> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(settings.threads)
@@ -66,17 +67,20 @@
     let callers = listen(addresses.caller)?;
     let peers = listen(addresses.peer)?;
     let upstream = HttpUpstream::new().map_err(DaemonError::Client)?;
-    let reader = reqwest::Client::builder()
+    let platform_client = reqwest::Client::builder()
         .connect_timeout(Duration::from_secs(1))
         .build()
         .map_err(DaemonError::Client)?;
-    let platform =
-        HttpPlatform::new(reader, settings.dial_address(settings.platform), settings.platform);
+    let platform = HttpPlatform::new(
+        platform_client,
+        settings.dial_address(settings.platform),
+        settings.platform,
+    );
     let shared = SharedState::new(settings);
     start_control(shared.clone(), Arc::new(platform)).map_err(DaemonError::Control)?;
     let context = TrafficContext { shared: shared.clone(), upstream: Arc::new(upstream) };
     let (stop, stopping) = watch::channel(false);
-    let fronts = [
+    let servers = [
         tokio::spawn(serve_callers(callers, context.clone(), stopping.clone())),
         tokio::spawn(serve_peers(peers, context, stopping)),
     ];
@@ -87,12 +91,12 @@
         caller = %addresses.caller,
         "serving"
     );
-    wait_for_stop().await?;
+    wait_for_signal().await?;
     leave(&shared).await;
     stop.send_replace(true);
-    for front in fronts {
-        // A connection that its peer keeps open is cut; nothing is under way on it.
-        let _ = timeout(CLOSING_LIMIT, front).await;
+    for server in servers {
+        // A connection that is still open afterwards is dropped. No request is in flight on it.
+        let _ = timeout(CLOSE_TIMEOUT, server).await;
     }
     tracing::info!(vm = %shared.settings.vm, "ended after a planned stop");
     Ok(())
@@ -102,7 +106,7 @@
     listen_at(address).map_err(|source| DaemonError::Listen { peer: address, source })
 }
 
-async fn wait_for_stop() -> Result<(), DaemonError> {
+async fn wait_for_signal() -> Result<(), DaemonError> {
     let watch =
         |kind| signal(kind).map_err(|source| DaemonError::Setup { step: "the signals", source });
     let mut terminate = watch(SignalKind::terminate())?;
@@ -114,27 +118,27 @@
     Ok(())
 }
 
-/// Says that this VM is leaving, and waits until nobody is sent here any more and nothing is under
-/// way.
+/// Announces that this VM is leaving, and waits until no more requests arrive and none is in
+/// flight.
 async fn leave(shared: &Arc<SharedState>) {
     tracing::info!(vm = %shared.settings.vm, in_flight = shared.in_flight(), "leaving");
     shared.start_leaving();
     if let Some(control) = shared.control.get() {
         control.start_leaving();
     }
-    let linger = shared.settings.times.entries_hold.0;
-    let settle = async {
-        tokio::time::sleep(linger).await;
-        // Callers who were given a ticket before had this time to use it.
+    let entries_validity = shared.settings.times.entries_hold.0;
+    let drain = async {
+        tokio::time::sleep(entries_validity).await;
+        // Callers that were issued a ticket before had this time to use it.
         shared.tickets.close();
-        shared.wait_settled().await;
+        shared.wait_idle().await;
     };
     match shared.settings.times.stop_limit {
-        None => settle.await,
+        None => drain.await,
         Some(limit) => {
-            if timeout(limit.0, settle).await.is_err() {
+            if timeout(limit.0, drain).await.is_err() {
                 let in_flight = shared.in_flight();
-                tracing::warn!(in_flight, "the stop limit cuts requests in flight");
+                tracing::warn!(in_flight, "stop limit reached, aborting requests in flight");
             }
         }
     }
--- a/crates/foldhavend/src/lib.rs
+++ b/crates/foldhavend/src/lib.rs
@@ -1,7 +1,7 @@
-//! The foldhaven daemon: sockets, timers and threads around the decisions of `foldhaven-core`.
+//! The foldhaven daemon: sockets, timers and threads around the decision logic of `foldhaven-core`.
 //!
-//! One thread holds the control state (description, membership, load, placement); the traffic
-//! threads read immutable views that it publishes and never wait for it.
+//! The control thread owns the control state (description, membership, load, placement). The
+//! traffic threads read immutable views that it publishes, and never wait for it.
 
 pub mod clock;
 pub mod cmd;
--- a/crates/foldhavend/src/logging.rs
+++ b/crates/foldhavend/src/logging.rs
@@ -1,8 +1,9 @@
-//! Logs as JSON lines on standard error.
+//! Writes logs as JSON lines to standard error.
 
 use tracing_subscriber::EnvFilter;
 
-/// Starts logging at a level and above. A second call in one process has no effect.
+/// Starts logging this crate's events at `level` and above, and those of other crates from `warn`
+/// on. A second call in one process has no effect.
 pub fn start_logging(level: &str) {
     let filter = EnvFilter::try_new(format!("warn,foldhavend={level}"))
         .unwrap_or_else(|_| EnvFilter::new("info"));
@@ -12,6 +13,6 @@
         .with_env_filter(filter)
         .with_writer(std::io::stderr)
         .finish();
-    // A process that already logs keeps its subscriber.
+    // A process that has a subscriber already keeps it.
     let _ = tracing::subscriber::set_global_default(subscriber);
 }
--- a/crates/foldhavend/src/metrics.rs
+++ b/crates/foldhavend/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of one daemon, as the text of `/metrics`.
+//! Counters and histograms of one daemon, rendered as the text of `/metrics`.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -10,9 +10,9 @@
 
 const QUANTILES: [f64; 3] = [0.5, 0.95, 0.99];
 
-/// Everything that is counted.
+/// The metrics of one daemon.
 #[derive(Debug, Default)]
-pub struct MetricsBook {
+pub struct MetricsRegistry {
     inner: Mutex<MetricsInner>,
 }
 
@@ -35,8 +35,8 @@
     }
 }
 
-impl MetricsBook {
-    /// Counts how a request of a class ended.
+impl MetricsRegistry {
+    /// Counts the outcome of a request of a class.
     pub fn count_outcome(&self, class: &str, outcome: RequestOutcome) {
         let label = match outcome {
             RequestOutcome::Complete => "complete",
@@ -47,7 +47,7 @@
         *self.inner.lock().outcomes.entry(key).or_default() += 1;
     }
 
-    /// Counts why a request was not served whole.
+    /// Counts the reason why a request was refused or not answered completely.
     pub fn count_reason(&self, reason: String) {
         *self.inner.lock().reasons.entry(reason).or_default() += 1;
     }
@@ -62,7 +62,7 @@
         *self.inner.lock().events.entry(event).or_default() += number;
     }
 
-    /// Notes how long something took, for a class.
+    /// Records a duration for a class. The metric is named `foldhaven_{name}_seconds`.
     pub fn record_time(&self, name: &'static str, class: &str, span: Duration) {
         let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
         let mut inner = self.inner.lock();
@@ -70,44 +70,44 @@
         times.0.saturating_record(micros.max(1));
     }
 
-    /// Notes the running spread of estimates.
+    /// Sets the moving spread of the time estimates.
     pub fn set_estimate_error(&self, spread: f64) {
         self.inner.lock().estimate_error = spread;
     }
 
-    /// The page that `/metrics` shows.
+    /// Returns the text of `/metrics`.
     pub fn render(&self) -> String {
         let inner = self.inner.lock();
-        let mut page = String::new();
+        let mut text = String::new();
         for ((class, outcome), count) in &inner.outcomes {
             let labels = format!("class=\"{class}\",outcome=\"{outcome}\"");
-            put_line(&mut page, "foldhaven_requests_total", &labels, *count as f64);
+            write_sample(&mut text, "foldhaven_requests_total", &labels, *count as f64);
         }
         for (reason, count) in &inner.reasons {
             let labels = format!("reason=\"{reason}\"");
-            put_line(&mut page, "foldhaven_refusals_total", &labels, *count as f64);
+            write_sample(&mut text, "foldhaven_refusals_total", &labels, *count as f64);
         }
         for (event, count) in &inner.events {
             let labels = format!("event=\"{event}\"");
-            put_line(&mut page, "foldhaven_events_total", &labels, *count as f64);
+            write_sample(&mut text, "foldhaven_events_total", &labels, *count as f64);
         }
         for ((name, class), times) in &inner.times {
             for quantile in QUANTILES {
                 let micros = times.0.value_at_quantile(quantile);
                 let labels = format!("class=\"{class}\",quantile=\"{quantile}\"");
                 let metric = format!("foldhaven_{name}_seconds");
-                put_line(&mut page, &metric, &labels, micros as f64 / 1e6);
+                write_sample(&mut text, &metric, &labels, micros as f64 / 1e6);
             }
         }
-        put_line(&mut page, "foldhaven_estimate_error_ratio", "", inner.estimate_error);
-        page
+        write_sample(&mut text, "foldhaven_estimate_error_ratio", "", inner.estimate_error);
+        text
     }
 }
 
-fn put_line(page: &mut String, name: &str, labels: &str, value: f64) {
+fn write_sample(text: &mut String, name: &str, labels: &str, value: f64) {
     // Writing to a string cannot fail.
     let _ = match labels {
-        "" => writeln!(page, "{name} {value}"),
-        labels => writeln!(page, "{name}{{{labels}}} {value}"),
+        "" => writeln!(text, "{name} {value}"),
+        labels => writeln!(text, "{name}{{{labels}}} {value}"),
     };
 }
--- a/crates/foldhavend/src/settings.rs
+++ b/crates/foldhavend/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of one daemon: where it is, its addresses, and whom it asks first.
+//! The settings of one daemon: its names, addresses, seeds and intervals.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,34 +12,34 @@
 use foldhaven_wire::settings_file::{CheckedSettings, SettingsError, SettingsFault, read_settings};
 use serde::{Deserialize, Serialize};
 
-/// The settings of one daemon, as they stand in YAML.
+/// The settings of one daemon, read from YAML.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DaemonSettings {
     /// The name of this VM.
     pub vm: VmName,
-    /// The data centre that it stands in.
+    /// The data centre of this VM.
     pub data_centre: DataCentreName,
-    /// The addresses on which it listens, and at which others reach it.
+    /// The addresses on which the daemon listens and at which others reach it.
     pub addresses: VmAddresses,
-    /// The address of the platform's service.
+    /// The address of the platform's HTTP service.
     pub platform: SocketAddr,
-    /// Control addresses of some other VMs, asked at the start; own data centre first.
+    /// Control addresses of some other VMs, called at the start. Own data centre first.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Other addresses to dial in place of the ones that others name, as behind translation.
+    /// Addresses to dial instead of the announced ones, for example behind address translation.
     #[serde(default)]
     pub reroutes: BTreeMap<SocketAddr, SocketAddr>,
-    /// How requests are routed.
+    /// The routing policy.
     #[serde(default)]
     pub policy: PolicyKind,
-    /// Spans of time.
+    /// Intervals and timeouts.
     #[serde(default)]
     pub times: TimeSettings,
-    /// The least severe level that is logged: `error`, `warn`, `info`, `debug` or `trace`.
+    /// The log level: `error`, `warn`, `info`, `debug` or `trace`. Default: `info`.
     #[serde(default = "default_log")]
     pub log: String,
-    /// How many threads serve traffic.
+    /// Number of threads that serve traffic. Default: 2.
     #[serde(default = "default_threads")]
     pub threads: usize,
 }
@@ -52,23 +52,26 @@
     2
 }
 
-/// Spans of time by which a daemon acts.
+/// Intervals and timeouts of a daemon.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct TimeSettings {
-    /// Between two heartbeats.
+    /// Interval between two rounds of heartbeats. Default: 500 ms.
     pub heartbeat: TimeSpan,
-    /// A member or data centre silent for this long gets no new work.
+    /// Time without contact after which a member gets no new work. Summaries of other data centres
+    /// are used for twice this time, at least for 1 s. Default: 2 s.
     pub suspect: TimeSpan,
-    /// Between two load reports asked of an engine.
+    /// Interval between two load polls of an engine. Default: 200 ms.
     pub load_poll: TimeSpan,
-    /// A gap of this length in the control thread's ticks counts as a pause of the process.
+    /// Gap between two ticks of the control thread above which the process counts as paused.
+    /// Default: 1 s.
     pub pause: TimeSpan,
-    /// How long one wait for news of the platform lasts.
+    /// Maximum duration of one long poll of the platform. Default: 20 s.
     pub platform_wait: TimeSpan,
-    /// How long the answer to a caller's question for entry VMs holds.
+    /// How long a list of entry VMs that a caller requested is valid. Default: 2 s.
     pub entries_hold: TimeSpan,
-    /// After how long a planned stop cuts requests in flight; never when absent.
+    /// Time after which a planned stop aborts requests in flight, `None` for no limit. Default:
+    /// `None`.
     pub stop_limit: Option<TimeSpan>,
 }
 
@@ -87,7 +90,7 @@
 }
 
 impl TimeSettings {
-    /// The spans by which members are judged.
+    /// Returns the times by which members are classified.
     pub fn membership(&self) -> MembershipTimes {
         MembershipTimes {
             heartbeat_interval: self.heartbeat.0,
@@ -131,12 +134,13 @@
     ///
     /// # Errors
     ///
-    /// When the file cannot be read, is not YAML of the right shape, or has a value out of range.
+    /// Returns an error if the file cannot be read, is not YAML with the expected fields, or has a
+    /// value out of range.
     pub fn read(path: &Path) -> Result<Self, SettingsError> {
         read_settings(path)
     }
 
-    /// The address to dial for one that others name.
+    /// Returns the address to dial for an announced address.
     pub fn dial_address(&self, address: SocketAddr) -> SocketAddr {
         self.reroutes.get(&address).copied().unwrap_or(address)
     }
--- a/crates/foldhavend/src/views.rs
+++ b/crates/foldhavend/src/views.rs
@@ -1,5 +1,5 @@
-//! The plain views that the control thread publishes and traffic reads. Both sides know them; they
-//! know neither side.
+//! The view types that the control thread publishes and traffic threads read. They depend on
+//! neither side.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,31 +9,38 @@
 use foldhaven_core::planner::RouteView;
 use foldhaven_core::time::MonoTime;
 
-/// A member of this data centre as traffic sees it.
+/// A member of this data centre in the published view.
 #[derive(Debug, Clone)]
 pub struct MemberView {
     pub vm: VmName,
     pub incarnation: IncarnationId,
     pub addresses: VmAddresses,
     pub state: MemberState,
+    /// Number of requests in flight at the member, from its last heartbeat.
     pub in_flight: u32,
 }
 
-/// An instance of a plain service.
+/// An instance of a plain service, one that serves no model.
 #[derive(Debug, Clone)]
 pub struct ServiceInstance {
     pub name: UpstreamName,
+    /// The address to dial.
     pub address: SocketAddr,
 }
 
-/// What the control thread publishes for traffic; replaced as a whole, never changed.
+/// The view that the control thread publishes for traffic threads. It is immutable, and replaced as
+/// a whole.
 #[derive(Debug)]
 pub struct PublishedView {
     pub route: RouteView,
-    pub made: MonoTime,
+    /// When the view was published.
+    pub published_at: MonoTime,
+    /// The engines that accept work, with the addresses to dial.
     pub engines: BTreeMap<UpstreamName, SocketAddr>,
+    /// The service instances that accept work.
     pub services: BTreeMap<ServiceName, Vec<ServiceInstance>>,
+    /// The other members of this data centre, in any state.
     pub members: Vec<MemberView>,
-    /// How many VMs of this data centre serve, this one included.
-    pub serving: u32,
+    /// Number of VMs of this data centre that serve requests, including this one if it does.
+    pub serving_vms: u32,
 }
--- a/crates/foldhavend/tests/testsuite/main.rs
+++ b/crates/foldhavend/tests/testsuite/main.rs
@@ -16,14 +16,14 @@
 }
 
 #[test]
-fn good_settings_take_the_defaults() {
+fn valid_settings_use_the_defaults() {
     let settings = read(TEXT).unwrap();
     assert_eq!(settings.threads, 2);
     assert_eq!(settings.times.heartbeat.to_string(), "500ms");
 }
 
 #[test]
-fn the_example_is_good() {
+fn example_settings_are_valid() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/foldhavend.yaml");
     DaemonSettings::read(path.as_ref()).unwrap();
 }
@@ -34,7 +34,7 @@
 #[case::bad_name("vm: west-1", "vm: 'west 1'", "VM name")]
 #[case::short_suspect("platform", "times: { suspect: 600ms }\nplatform", "times.suspect")]
 #[case::no_threads("platform", "threads: 0\nplatform", "threads: expected at least 1")]
-fn bad_settings_name_the_field(#[case] from: &str, #[case] to: &str, #[case] expected: &str) {
+fn invalid_settings_name_the_field(#[case] from: &str, #[case] to: &str, #[case] expected: &str) {
     let error = read(&TEXT.replacen(from, to, 1)).unwrap_err();
     assert!(error.contains(expected), "{error}");
 }
