--- a/crates/foldhavenctl/src/burn.rs
+++ b/crates/foldhavenctl/src/burn.rs
@@ -1,4 +1,4 @@
-//! Puts the counts of all VMs together into the report on service-level burn.
+//! Aggregates the burn counts of all VMs into a report on error-budget burn.
 
 use std::collections::BTreeMap;
 
@@ -6,49 +6,51 @@
 use foldhaven_wire::operator::BurnAnswer;
 use serde::Serialize;
 
-/// The target where a class names none any more.
+/// Target of a class for which no VM reports one.
 const DEFAULT_TARGET: f64 = 0.99;
-/// How many contributors a row names.
+/// Maximum number of VMs listed per line.
 const CONTRIBUTORS: usize = 3;
 
-/// A VM's part in what an account and class lost.
+/// A VM's share of the failures of an account and class.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct BurnContributor {
     /// The VM.
     pub vm: String,
-    /// Its requests that were not whole and on time, over the long window.
+    /// Number of requests at the VM that were not answered completely and in time, over the long
+    /// window.
     pub bad: u64,
 }
 
-/// One account and class.
+/// The burn of one account and class.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct BurnLine {
     /// The account.
     pub account: String,
     /// The class.
     pub class: String,
-    /// The share that is to be whole and on time.
+    /// The target share of requests that are answered completely and in time.
     pub target: f64,
-    /// The part of the error budget that is left over the long window; negative when overdrawn.
+    /// The share of the error budget that is left over the long window. Negative if it is exceeded.
     pub budget_left: f64,
-    /// How many times faster than allowed the budget is used up, over the short window.
+    /// The burn rate over the short window. At 1, the error budget is used up exactly as fast as
+    /// allowed.
     pub burn_short: f64,
-    /// The same over the long window.
+    /// The burn rate over the long window.
     pub burn_long: f64,
     /// The counts over the long window.
     pub counts: BurnCount,
-    /// The VMs that lost most.
+    /// The VMs with the most failures, at most 3.
     pub worst: Vec<BurnContributor>,
 }
 
-/// The whole report.
+/// The report on all accounts and classes.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct BurnReport {
-    /// A line per account and class, the fastest burn first.
+    /// One line per account and class, the highest burn rate over the short window first.
     pub lines: Vec<BurnLine>,
     /// The VMs that answered.
     pub vms: Vec<String>,
-    /// The addresses that could not be reached: their requests are missing here.
+    /// The addresses that could not be reached. Their requests are missing from the report.
     pub unreachable: Vec<String>,
 }
 
@@ -59,7 +61,7 @@
     by_vm: BTreeMap<String, u64>,
 }
 
-/// Adds up what the VMs answered.
+/// Aggregates the answers of the VMs.
 pub fn gather_burn(answers: &[BurnAnswer], unreachable: Vec<String>) -> BurnReport {
     let mut gathered: BTreeMap<(String, String), Gathered> = BTreeMap::new();
     let mut targets: BTreeMap<&str, f64> = BTreeMap::new();
--- a/crates/foldhavenctl/src/client.rs
+++ b/crates/foldhavenctl/src/client.rs
@@ -1,4 +1,4 @@
-//! Asks daemons, starting from a few and finding the others through them.
+//! Queries daemons over HTTP, and discovers all VMs of a deployment from a few addresses.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -11,9 +11,10 @@
 
 use crate::error::CtlError;
 
+/// Timeout of one query.
 const ANSWER_LIMIT: Duration = Duration::from_secs(2);
 
-/// What was found of a whole deployment.
+/// The state of a deployment, as far as its VMs were reached.
 #[derive(Debug, Clone, Default)]
 pub struct FleetState {
     /// The status of each VM that answered, by its peer address.
@@ -23,7 +24,8 @@
 }
 
 impl FleetState {
-    /// The highest stamp in force anywhere, with a VM that has it.
+    /// Returns the highest stamp in force at any VM, with the address of a VM that has it. `None`
+    /// if no VM has a description.
     pub fn highest(&self) -> Option<(DescriptionStamp, SocketAddr)> {
         let stamps = self.vms.iter().filter_map(|(address, status)| {
             let stamp = status.stamp.as_ref()?.parse().ok()?;
@@ -33,18 +35,18 @@
     }
 }
 
-/// Asks daemons over HTTP.
+/// A client for the operator API of daemons.
 pub struct OperatorClient {
     client: reqwest::Client,
     first: Vec<SocketAddr>,
 }
 
 impl OperatorClient {
-    /// A client that starts from these peer addresses.
+    /// Creates a client that starts from these peer addresses.
     ///
     /// # Errors
     ///
-    /// When no address is given or the HTTP client cannot be set up.
+    /// Returns an error if no address is given or the HTTP client cannot be set up.
     pub fn new(first: Vec<SocketAddr>) -> Result<Self, CtlError> {
         if first.is_empty() {
             let expected = "expected --vm ADDRESS or FOLDHAVEN_VMS=ADDRESS,...";
@@ -55,16 +57,16 @@
         Ok(Self { client, first })
     }
 
-    /// The addresses to start from.
+    /// Returns the addresses to start from.
     pub fn first(&self) -> &[SocketAddr] {
         &self.first
     }
 
-    /// Reads a JSON answer of one VM.
+    /// Sends a GET request to one VM and reads its JSON answer.
     ///
     /// # Errors
     ///
-    /// When the VM does not answer, or answers something else.
+    /// Returns an error if the VM does not answer, or not with the expected JSON.
     pub async fn get<T: DeserializeOwned>(
         &self,
         step: &'static str,
@@ -75,11 +77,11 @@
         self.send(step, peer, asked).await
     }
 
-    /// Has one VM do something, and reads its JSON answer.
+    /// Sends a POST request to one VM and reads its JSON answer.
     ///
     /// # Errors
     ///
-    /// When the VM does not answer, or answers something else.
+    /// Returns an error if the VM does not answer, or not with the expected JSON.
     pub async fn post<T: DeserializeOwned>(
         &self,
         step: &'static str,
@@ -107,11 +109,12 @@
         serde_json::from_str(&body).map_err(|error| fault(error.to_string()))
     }
 
-    /// Asks every VM that can be found, through the members and data centres that others name.
+    /// Reads the status of every VM that can be discovered through the members and data centres
+    /// that other VMs list.
     ///
     /// # Errors
     ///
-    /// When none of the first addresses answers.
+    /// Returns an error if no VM answers.
     pub async fn survey(&self) -> Result<FleetState, CtlError> {
         let mut state = FleetState::default();
         let mut waiting: BTreeSet<SocketAddr> = self.first.iter().copied().collect();
@@ -139,11 +142,11 @@
         Ok(state)
     }
 
-    /// The description with the highest stamp in force anywhere; nothing when there is none.
+    /// Reads the description with the highest stamp in force at any VM, `None` if there is none.
     ///
     /// # Errors
     ///
-    /// When the VM that has it does not answer any more.
+    /// Returns an error if the VM that has it does not answer.
     pub async fn in_force(
         &self,
         state: &FleetState,
--- a/crates/foldhavenctl/src/cmd/accounts.rs
+++ b/crates/foldhavenctl/src/cmd/accounts.rs
@@ -1,4 +1,5 @@
-//! `foldhavenctl accounts`: shows the accounts that one VM knows, their limits and its parts of them.
+//! `foldhavenctl accounts`: shows the accounts that one VM knows, their limits and the VM's shares
+//! of them.
 
 use clap::{ArgMatches, Command};
 use foldhaven_wire::operator::AccountsAnswer;
@@ -8,7 +9,7 @@
 use crate::error::CtlError;
 use crate::table::lay_out;
 
-/// The arguments of `accounts`.
+/// Returns the command-line definition of `accounts`.
 pub fn make_subcommand() -> Command {
     Command::new("accounts")
         .about("Shows the accounts that one VM knows, their limits and its parts of them")
@@ -21,11 +22,11 @@
         .arg(json_arg())
 }
 
-/// Carries `accounts` out.
+/// Runs `accounts`.
 ///
 /// # Errors
 ///
-/// When the VM cannot be reached.
+/// Returns an error if the VM cannot be reached.
 pub async fn execute(args: &ArgMatches) -> Result<(), CtlError> {
     let answer = list(&client_of(args)?).await?;
     match args.get_flag("json") {
@@ -35,16 +36,16 @@
     Ok(())
 }
 
-/// Reads the accounts of the first VM.
+/// Reads the accounts from the first VM.
 ///
 /// # Errors
 ///
-/// When the VM cannot be reached.
+/// Returns an error if the VM cannot be reached.
 pub async fn list(client: &OperatorClient) -> Result<AccountsAnswer, CtlError> {
     client.get("reading accounts", client.first()[0], "/operator/v1/accounts").await
 }
 
-/// Who shares the limits, and the accounts as a table.
+/// Returns the accounts as a table, below a line on the VMs and regions that share the limits.
 pub fn accounts_text(answer: &AccountsAnswer) -> String {
     let heading = [
         "account",
--- a/crates/foldhavenctl/src/cmd/apply.rs
+++ b/crates/foldhavenctl/src/cmd/apply.rs
@@ -16,9 +16,10 @@
 use crate::source::{read_description, write_file};
 use crate::table::lay_out;
 
+/// Interval between two surveys of the deployment.
 const POLL: Duration = Duration::from_millis(200);
 
-/// The arguments of `apply`.
+/// Returns the command-line definition of `apply`.
 pub fn make_subcommand() -> Command {
     Command::new("apply")
         .about("Stamps a description for publishing, and waits until it is in force")
@@ -48,21 +49,24 @@
         .arg(json_arg())
 }
 
-/// How one data centre stands to a new description.
+/// The adoption of a new description in one data centre.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 struct CentreProgress {
     data_centre: String,
+    /// Number of VMs at which the description is in force.
     in_force: usize,
+    /// Number of VMs that were reached.
     vms: usize,
+    /// For each other VM, what it has in force instead.
     why_not: Vec<String>,
 }
 
-/// Carries `apply` out.
+/// Runs `apply`.
 ///
 /// # Errors
 ///
-/// When the description has faults, no VM can be reached, another operator was faster, or the
-/// description is not in force everywhere in time.
+/// Returns an error if the description has faults, no VM can be reached, another operator's
+/// description is in force instead, or the description is not in force at all VMs in time.
 pub async fn execute(args: &ArgMatches) -> Result<(), CtlError> {
     let path: &PathBuf = args.get_one("file").expect("the argument is required");
     let out: &PathBuf = args.get_one("out").expect("the argument is required");
@@ -98,7 +102,8 @@
     result
 }
 
-/// Waits until a stamp is in force everywhere, a larger one is seen, or time is up.
+/// Waits until a stamp is in force at all VMs, a higher one is in force at any VM, or the time is
+/// up.
 async fn follow(
     client: &OperatorClient,
     stamp: DescriptionStamp,
--- a/crates/foldhavenctl/src/cmd/check.rs
+++ b/crates/foldhavenctl/src/cmd/check.rs
@@ -1,4 +1,4 @@
-//! `foldhavenctl check`: checks a description without asking anybody.
+//! `foldhavenctl check`: checks a description offline.
 
 use std::path::PathBuf;
 
@@ -9,7 +9,7 @@
 use crate::error::CtlError;
 use crate::source::read_description;
 
-/// The arguments of `check`.
+/// Returns the command-line definition of `check`.
 pub fn make_subcommand() -> Command {
     Command::new("check")
         .about("Checks a description without asking anybody")
@@ -18,11 +18,11 @@
         .arg(json_arg())
 }
 
-/// Carries `check` out.
+/// Runs `check`.
 ///
 /// # Errors
 ///
-/// With all faults of the description.
+/// Returns an error if the file cannot be read, or with all faults of the description.
 pub fn execute(args: &ArgMatches) -> Result<(), CtlError> {
     let path: &PathBuf = args.get_one("file").expect("the argument is required");
     let description = read_description(path)?;
--- a/crates/foldhavenctl/src/cmd/completions.rs
+++ b/crates/foldhavenctl/src/cmd/completions.rs
@@ -1,4 +1,4 @@
-//! `foldhavenctl completions`: prints completions for a shell.
+//! `foldhavenctl completions`: prints a shell completion script.
 
 use clap::{Arg, ArgMatches, Command, value_parser};
 use clap_complete::{Shell, generate};
@@ -6,7 +6,7 @@
 use super::make_command;
 use crate::error::CtlError;
 
-/// The arguments of `completions`.
+/// Returns the command-line definition of `completions`.
 pub fn make_subcommand() -> Command {
     Command::new("completions")
         .about("Prints completions for a shell")
@@ -14,11 +14,11 @@
         .arg(Arg::new("shell").required(true).value_parser(value_parser!(Shell)))
 }
 
-/// Carries `completions` out.
+/// Runs `completions`.
 ///
 /// # Errors
 ///
-/// None; the signature is that of the other commands.
+/// Returns no error. The signature is that of the other commands.
 pub fn execute(args: &ArgMatches) -> Result<(), CtlError> {
     let shell: &Shell = args.get_one("shell").expect("the argument is required");
     generate(*shell, &mut make_command(), "foldhavenctl", &mut std::io::stdout());
--- a/crates/foldhavenctl/src/cmd/entries.rs
+++ b/crates/foldhavenctl/src/cmd/entries.rs
@@ -1,4 +1,4 @@
-//! `foldhavenctl entries`: shows which entry VMs a caller would be told to use.
+//! `foldhavenctl entries`: shows the entry VMs that a caller would get.
 
 use std::net::SocketAddr;
 
@@ -10,7 +10,7 @@
 use crate::error::CtlError;
 use crate::table::lay_out;
 
-/// The arguments of `entries`.
+/// Returns the command-line definition of `entries`.
 pub fn make_subcommand() -> Command {
     Command::new("entries")
         .about("Shows which entry VMs a caller would be told to use")
@@ -27,11 +27,11 @@
         .arg(json_arg())
 }
 
-/// Carries `entries` out.
+/// Runs `entries`.
 ///
 /// # Errors
 ///
-/// When the VM cannot be reached.
+/// Returns an error if the VM cannot be reached.
 pub async fn execute(args: &ArgMatches) -> Result<(), CtlError> {
     let address = *args.get_one::<SocketAddr>("caller").expect("the argument is required");
     let account = args.get_one::<String>("account").map_or("", String::as_str);
--- a/crates/foldhavenctl/src/cmd/explain.rs
+++ b/crates/foldhavenctl/src/cmd/explain.rs
@@ -1,4 +1,4 @@
-//! `foldhavenctl explain`: shows where a request would go, and why.
+//! `foldhavenctl explain`: shows where a request would be routed, and why.
 
 use clap::{Arg, ArgMatches, Command};
 use foldhaven_core::planner::RouteTarget;
@@ -8,7 +8,7 @@
 use crate::error::CtlError;
 use crate::table::lay_out;
 
-/// The field of the query, the name of the argument, and its help.
+/// Each query field with the name of its argument and its help text.
 const FIELDS: [(&str, &str, &str); 6] = [
     ("account", "account", "The account"),
     ("class", "class", "The request class"),
@@ -18,7 +18,7 @@
     ("max_tokens", "max-tokens", "The longest answer"),
 ];
 
-/// The arguments of `explain`.
+/// Returns the command-line definition of `explain`.
 pub fn make_subcommand() -> Command {
     let command = Command::new("explain")
         .about("Shows where a request would go, and why")
@@ -35,11 +35,11 @@
     })
 }
 
-/// Carries `explain` out.
+/// Runs `explain`.
 ///
 /// # Errors
 ///
-/// When the VM cannot be reached or refuses the question.
+/// Returns an error if the VM cannot be reached or refuses the query.
 pub async fn execute(args: &ArgMatches) -> Result<(), CtlError> {
     let client = client_of(args)?;
     let pairs = FIELDS.iter().filter_map(|(name, ..)| {
--- a/crates/foldhavenctl/src/cmd/explain_route.rs
+++ b/crates/foldhavenctl/src/cmd/explain_route.rs
@@ -1,4 +1,4 @@
-//! `foldhavenctl explain-route`: shows where an opaque request would go, and why.
+//! `foldhavenctl explain-route`: shows where the gateway would route an opaque request, and why.
 
 use clap::{Arg, ArgMatches, Command};
 use foldhaven_wire::operator::RouteExplanation;
@@ -7,7 +7,7 @@
 use crate::error::CtlError;
 use crate::table::lay_out;
 
-/// The field of the query, the name of the argument, and its help.
+/// Each query field with the name of its argument and its help text.
 const FIELDS: [(&str, &str, &str); 5] = [
     ("host", "host", "The host that the request names"),
     ("path", "path", "Its path"),
@@ -16,7 +16,7 @@
     ("body_bytes", "body-bytes", "The length of its body"),
 ];
 
-/// The arguments of `explain-route`.
+/// Returns the command-line definition of `explain-route`.
 pub fn make_subcommand() -> Command {
     let command = Command::new("explain-route")
         .about("Shows where a request of the gateway would go, and why")
@@ -34,11 +34,11 @@
     })
 }
 
-/// Carries `explain-route` out.
+/// Runs `explain-route`.
 ///
 /// # Errors
 ///
-/// When the VM cannot be reached or refuses the question.
+/// Returns an error if the VM cannot be reached or refuses the query.
 pub async fn execute(args: &ArgMatches) -> Result<(), CtlError> {
     let client = client_of(args)?;
     let pairs = FIELDS.iter().filter_map(|(name, ..)| {
@@ -54,7 +54,7 @@
     Ok(())
 }
 
-/// The explanation as text with a table.
+/// Returns the explanation as text with a table of the destinations.
 pub fn explanation_text(answer: &RouteExplanation) -> String {
     let homes = match answer.homes.as_slice() {
         [] => "any region".to_owned(),
--- a/crates/foldhavenctl/src/cmd/members.rs
+++ b/crates/foldhavenctl/src/cmd/members.rs
@@ -1,4 +1,4 @@
-//! `foldhavenctl members`: shows which VMs of its data centre each VM knows, and marks what differs.
+//! `foldhavenctl members`: shows which VMs of its data centre each VM knows, and marks differences.
 
 use std::collections::BTreeSet;
 
@@ -12,7 +12,7 @@
 use crate::error::CtlError;
 use crate::table::lay_out;
 
-/// The arguments of `members`.
+/// Returns the command-line definition of `members`.
 pub fn make_subcommand() -> Command {
     Command::new("members")
         .about("Shows which VMs of its data centre each VM knows, and marks what differs")
@@ -26,11 +26,11 @@
         .arg(json_arg())
 }
 
-/// Carries `members` out.
+/// Runs `members`.
 ///
 /// # Errors
 ///
-/// When no VM can be reached.
+/// Returns an error if no VM can be reached.
 pub async fn execute(args: &ArgMatches) -> Result<(), CtlError> {
     let state = client_of(args)?.survey().await?;
     let views = views_of(&state);
@@ -41,29 +41,30 @@
     Ok(())
 }
 
-/// Which VMs of its data centre one VM knows.
+/// The VMs of its data centre that one VM knows, compared with those that were found.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct MemberView {
     /// The VM.
     pub vm: VmName,
     /// Its data centre.
     pub data_centre: DataCentreName,
-    /// The others that it knows.
+    /// The other VMs that it knows.
     pub knows: Vec<VmName>,
-    /// Those that serve, by their own word, and that it does not know.
+    /// VMs that were found and report that they serve, but that it does not know.
     pub lacks: Vec<VmName>,
-    /// Those that it knows and that were not found.
+    /// VMs that it knows but that were not found.
     pub not_found: Vec<VmName>,
 }
 
 impl MemberView {
-    /// Whether it knows exactly those that were found.
+    /// Returns whether the VM lacks no serving VM and knows none that was not found.
     pub fn is_complete(&self) -> bool {
         self.lacks.is_empty() && self.not_found.is_empty()
     }
 }
 
-/// The view of each VM that answered, held against those that did.
+/// Compares the view of each VM that answered with the VMs that were found. Sorted by data centre
+/// and VM.
 pub fn views_of(state: &FleetState) -> Vec<MemberView> {
     let mut views: Vec<MemberView> =
         state.vms.values().map(|status| view_of(status, state)).collect();
@@ -88,7 +89,7 @@
     }
 }
 
-/// The views as a table.
+/// Returns the views as a table.
 pub fn views_table(views: &[MemberView]) -> String {
     let heading = ["vm", "data centre", "knows", "lacks", "not found", "view"];
     let mut rows = vec![heading.map(str::to_owned).to_vec()];
--- a/crates/foldhavenctl/src/cmd/mod.rs
+++ b/crates/foldhavenctl/src/cmd/mod.rs
@@ -25,7 +25,7 @@
 arguments or description, 3 not in force everywhere in time, 4 another operator's description is \
 in force instead.";
 
-/// The whole command line.
+/// Returns the command-line definition of the tool.
 pub fn make_command() -> Command {
     Command::new("foldhavenctl")
         .about("Checks, compares and follows descriptions, and shows how a deployment fares")
@@ -47,12 +47,12 @@
         .subcommand(completions::make_subcommand())
 }
 
-/// Reads the command line and carries it out.
+/// Parses the command line and runs the subcommand.
 pub fn main() -> ExitCode {
     run_command(&make_command().get_matches()).into()
 }
 
-/// Carries a command out and prints its error.
+/// Runs a subcommand and prints its error, if any, to standard error.
 pub fn run_command(matches: &ArgMatches) -> ExitStatus {
     let result = match matches.subcommand() {
         Some(("check", args)) => check::execute(args),
@@ -84,7 +84,7 @@
     runtime.block_on(future)
 }
 
-/// The argument that names VMs to ask.
+/// Returns the argument for the addresses of VMs to query first.
 pub fn vm_arg() -> Arg {
     Arg::new("vm")
         .long("vm")
@@ -96,12 +96,12 @@
         .help("Peer address of a VM to ask first; the others are found through it")
 }
 
-/// The argument for output that programs read.
+/// Returns the flag for JSON output.
 pub fn json_arg() -> Arg {
     Arg::new("json").long("json").action(ArgAction::SetTrue).help("Print JSON")
 }
 
-/// The argument that names a description.
+/// Returns the argument for the path of a description.
 pub fn file_arg() -> Arg {
     Arg::new("file")
         .value_name("FILE")
@@ -110,11 +110,11 @@
         .help("The description, in YAML")
 }
 
-/// The client for the VMs that the arguments name.
+/// Creates the client for the VMs given in the arguments.
 ///
 /// # Errors
 ///
-/// When none is named.
+/// Returns an error if no VM is given or the HTTP client cannot be set up.
 pub fn client_of(args: &ArgMatches) -> Result<OperatorClient, CtlError> {
     let first = args.get_many::<SocketAddr>("vm").unwrap_or_default();
     OperatorClient::new(first.copied().collect())
--- a/crates/foldhavenctl/src/cmd/plan.rs
+++ b/crates/foldhavenctl/src/cmd/plan.rs
@@ -1,4 +1,4 @@
-//! `foldhavenctl plan`: shows what would change against what is in force.
+//! `foldhavenctl plan`: shows the changes from the description in force to a new one.
 
 use std::path::PathBuf;
 
@@ -9,7 +9,7 @@
 use crate::error::CtlError;
 use crate::source::read_description;
 
-/// The arguments of `plan`.
+/// Returns the command-line definition of `plan`.
 pub fn make_subcommand() -> Command {
     Command::new("plan")
         .about("Shows what would change against what is in force")
@@ -19,11 +19,11 @@
         .arg(json_arg())
 }
 
-/// Carries `plan` out.
+/// Runs `plan`.
 ///
 /// # Errors
 ///
-/// When the description has faults or no VM can be reached.
+/// Returns an error if the description has faults or no VM can be reached.
 pub async fn execute(args: &ArgMatches) -> Result<(), CtlError> {
     let path: &PathBuf = args.get_one("file").expect("the argument is required");
     let next = read_description(path)?;
--- a/crates/foldhavenctl/src/cmd/report.rs
+++ b/crates/foldhavenctl/src/cmd/report.rs
@@ -1,4 +1,4 @@
-//! `foldhavenctl report`: the report on service-level burn.
+//! `foldhavenctl report`: reports error-budget burn per account and class.
 
 use std::path::PathBuf;
 
@@ -14,7 +14,7 @@
 use crate::source::write_file;
 use crate::table::lay_out;
 
-/// The arguments of `report`.
+/// Returns the command-line definition of `report`.
 pub fn make_subcommand() -> Command {
     Command::new("report")
         .about("Reports service-level burn per account and class, from every VM that answers")
@@ -33,11 +33,11 @@
         )
 }
 
-/// Carries `report` out.
+/// Runs `report`.
 ///
 /// # Errors
 ///
-/// When no VM can be reached or the page cannot be written.
+/// Returns an error if no VM can be reached or the HTML page cannot be written.
 pub async fn execute(args: &ArgMatches) -> Result<(), CtlError> {
     let report = gather(&client_of(args)?).await?;
     if let Some(path) = args.get_one::<PathBuf>("html") {
@@ -51,11 +51,11 @@
     Ok(())
 }
 
-/// Asks every VM that can be found.
+/// Reads the burn counts of every VM that can be discovered, and aggregates them.
 ///
 /// # Errors
 ///
-/// When no VM can be reached.
+/// Returns an error if no VM can be reached.
 pub async fn gather(client: &OperatorClient) -> Result<BurnReport, CtlError> {
     let state = client.survey().await?;
     let peers: Vec<_> = state.vms.keys().copied().collect();
@@ -72,7 +72,7 @@
     Ok(gather_burn(&answers, unreachable))
 }
 
-/// The report as a table, with what could not be reached below it.
+/// Returns the report as a table, followed by the addresses that could not be reached.
 pub fn report_table(report: &BurnReport) -> String {
     let heading = [
         "account",
--- a/crates/foldhavenctl/src/cmd/status.rs
+++ b/crates/foldhavenctl/src/cmd/status.rs
@@ -1,4 +1,4 @@
-//! `foldhavenctl status`: shows every VM that can be found.
+//! `foldhavenctl status`: shows every VM that can be discovered, and the upstreams.
 
 use std::collections::BTreeMap;
 
@@ -10,10 +10,10 @@
 use crate::error::CtlError;
 use crate::table::lay_out;
 
-/// The digits of a digest that are shown to people.
+/// Maximum number of characters shown of a stamp.
 const SHORT_STAMP: usize = 14;
 
-/// The arguments of `status`.
+/// Returns the command-line definition of `status`.
 pub fn make_subcommand() -> Command {
     Command::new("status")
         .about("Shows every VM that can be found, and the upstreams of its data centre")
@@ -22,11 +22,11 @@
         .arg(json_arg())
 }
 
-/// Carries `status` out.
+/// Runs `status`.
 ///
 /// # Errors
 ///
-/// When no VM can be reached.
+/// Returns an error if no VM can be reached.
 pub async fn execute(args: &ArgMatches) -> Result<(), CtlError> {
     let state = client_of(args)?.survey().await?;
     if args.get_flag("json") {
@@ -43,7 +43,7 @@
     Ok(())
 }
 
-/// What most VMs of each stamp hold.
+/// Returns, for each stamp, the content digest that most VMs with the stamp report.
 fn usual_contents(state: &FleetState) -> BTreeMap<String, String> {
     let mut counts: BTreeMap<(&String, &String), usize> = BTreeMap::new();
     for status in state.vms.values() {
@@ -56,7 +56,8 @@
     by_count.into_iter().map(|((stamp, content), _)| (stamp.clone(), content.clone())).collect()
 }
 
-/// The stamp in force at a VM, and whether what it holds differs from what most others of that stamp do.
+/// Returns the shortened stamp in force at a VM, marked if the VM's content differs from that of
+/// most VMs with the stamp. `-` if there is none.
 fn shown_stamp(status: &StatusAnswer, usual: &BTreeMap<String, String>) -> String {
     let Some(stamp) = &status.stamp else { return "-".to_owned() };
     let short: String = stamp.chars().take(SHORT_STAMP).collect();
@@ -66,7 +67,7 @@
     }
 }
 
-/// The table of all VMs that were found.
+/// Returns the table of all VMs that were found.
 pub fn vm_table(state: &FleetState) -> String {
     let usual = usual_contents(state);
     let heading =
@@ -91,8 +92,7 @@
     lay_out(&rows)
 }
 
-/// The upstreams of each data centre, as the first VM of it sees them.
-/// What an upstream takes.
+/// Returns whether an upstream accepts work, and its request limit if it has one.
 fn upstream_state(upstream: &UpstreamStatus) -> String {
     match (upstream.leaving, &upstream.limit) {
         (true, _) => "leaving".to_owned(),
@@ -101,6 +101,7 @@
     }
 }
 
+/// Returns the table of the upstreams of each data centre, as seen by the data centre's first VM.
 fn upstream_table(state: &FleetState) -> String {
     let heading = ["upstream", "data centre", "holds", "busy", "slots", "state"];
     let mut rows = vec![heading.map(str::to_owned).to_vec()];
--- a/crates/foldhavenctl/src/cmd/suspects.rs
+++ b/crates/foldhavenctl/src/cmd/suspects.rs
@@ -1,4 +1,5 @@
-//! `foldhavenctl suspects`: shows the requests under which upstreams ended, and clears one.
+//! `foldhavenctl suspects`: shows the requests that are suspected of crashing upstreams, and clears
+//! one.
 
 use clap::{Arg, ArgMatches, Command};
 use foldhaven_wire::operator::{ClearAnswer, SuspectsAnswer};
@@ -8,7 +9,7 @@
 use crate::error::CtlError;
 use crate::table::lay_out;
 
-/// The arguments of `suspects`.
+/// Returns the command-line definition of `suspects`.
 pub fn make_subcommand() -> Command {
     Command::new("suspects")
         .about("Shows the requests under which upstreams ended, and clears one")
@@ -23,11 +24,11 @@
         .arg(Arg::new("clear").long("clear").value_name("PRINT").help("Clear this fingerprint"))
 }
 
-/// Carries `suspects` out.
+/// Runs `suspects`.
 ///
 /// # Errors
 ///
-/// When the VM cannot be reached or does not know such a fingerprint.
+/// Returns an error if the VM cannot be reached or does not suspect a request with the fingerprint.
 pub async fn execute(args: &ArgMatches) -> Result<(), CtlError> {
     let client = client_of(args)?;
     if let Some(print) = args.get_one::<String>("clear") {
@@ -41,30 +42,32 @@
     Ok(())
 }
 
-/// Reads the suspected requests of the first VM.
+/// Reads the suspected requests from the first VM.
 ///
 /// # Errors
 ///
-/// When the VM cannot be reached.
+/// Returns an error if the VM cannot be reached.
 pub async fn list(client: &OperatorClient) -> Result<SuspectsAnswer, CtlError> {
     client.get("reading suspects", client.first()[0], "/operator/v1/suspects").await
 }
 
-/// Clears a request at the first VM.
+/// Clears a suspected request at the first VM, which announces that to the other VMs.
 ///
 /// # Errors
 ///
-/// When the VM cannot be reached, or nothing is held against the request.
+/// Returns an error if the VM cannot be reached or does not suspect the request.
 pub async fn clear(client: &OperatorClient, print: &str) -> Result<(), CtlError> {
     let path = format!("/operator/v1/suspects/clear?print={print}");
     let answer: ClearAnswer = client.post("clearing", client.first()[0], &path).await?;
     match answer.is_cleared {
         true => Ok(()),
-        false => Err(CtlError::Usage(format!("nothing is held against {print} there"))),
+        false => Err(CtlError::Usage(format!(
+            "no request with the fingerprint {print} is suspected at this VM"
+        ))),
     }
 }
 
-/// The suspects as a table.
+/// Returns the suspected requests as a table.
 pub fn suspects_table(answer: &SuspectsAnswer) -> String {
     let heading =
         ["fingerprint", "route", "state", "upstreams ended", "trials", "since", "next try"];
--- a/crates/foldhavenctl/src/error.rs
+++ b/crates/foldhavenctl/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong, and the exit code that goes with it.
+//! The errors of commands and their exit codes.
 
 use std::process::ExitCode;
 
@@ -7,13 +7,13 @@
 /// The exit codes of the tool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExitStatus {
-    /// All went well.
+    /// The command succeeded.
     Success = 0,
     /// Something could not be reached or read.
     Failure = 1,
     /// The arguments or the description are wrong.
     BadInput = 2,
-    /// A description is not in force everywhere in time.
+    /// The description was not in force at all VMs in time.
     NotInForce = 3,
     /// Another operator's description is in force instead.
     LostRace = 4,
@@ -25,7 +25,7 @@
     }
 }
 
-/// Why a command failed.
+/// Errors of commands.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum CtlError {
     /// {step} {peer}: {source}
@@ -34,16 +34,16 @@
         step: &'static str,
         /// The file.
         peer: String,
-        /// What went wrong.
+        /// The I/O error.
         source: std::io::Error,
     },
     /// {step} at {peer}: {message}
     Peer {
         /// What was being done.
         step: &'static str,
-        /// The VM.
+        /// The address of the VM.
         peer: String,
-        /// What went wrong.
+        /// The error.
         message: String,
     },
     /// {0}
@@ -58,7 +58,7 @@
     NotInForce(String),
 }
 
-/// All faults of a description.
+/// The faults of a description, displayed one per line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FaultList(pub Vec<CheckFault>);
 
@@ -70,7 +70,7 @@
 }
 
 impl CtlError {
-    /// The exit code that goes with the error.
+    /// Returns the exit code of the error.
     pub fn status(&self) -> ExitStatus {
         match self {
             Self::Io { .. } | Self::Peer { .. } | Self::Unreachable(_) => ExitStatus::Failure,
--- a/crates/foldhavenctl/src/html.rs
+++ b/crates/foldhavenctl/src/html.rs
@@ -1,4 +1,4 @@
-//! The report on service-level burn as one HTML page with plots, which opens from a file.
+//! The report on error-budget burn as a self-contained HTML page with plots.
 
 use plotters::prelude::*;
 
@@ -7,18 +7,18 @@
 const WIDTH: u32 = 900;
 const BAR: u32 = 26;
 const MARGIN: u32 = 70;
-/// Bars are drawn up to this rate; faster ones end there and are given in the table.
+/// Highest burn rate that the plots show. Longer bars are clipped; the table has their values.
 const MAX_RATE: f64 = 20.0;
 
 /// A plot could not be drawn: {0}
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub struct PlotError(String);
 
-/// Writes the page.
+/// Returns the page.
 ///
 /// # Errors
 ///
-/// When a plot cannot be drawn.
+/// Returns an error if a plot cannot be drawn.
 pub fn burn_page(report: &BurnReport) -> Result<String, PlotError> {
     let short = plot_rates("Burn over 5 minutes", &report.lines, |line| line.burn_short)?;
     let long = plot_rates("Burn over 1 hour", &report.lines, |line| line.burn_long)?;
@@ -70,7 +70,7 @@
     )
 }
 
-/// A bar per account and class; the line marks a burn of 1.
+/// Plots one bar per account and class, and a line at a burn rate of 1.
 fn plot_rates(
     title: &str,
     lines: &[BurnLine],
--- a/crates/foldhavenctl/src/lib.rs
+++ b/crates/foldhavenctl/src/lib.rs
@@ -1,7 +1,8 @@
 //! The command-line tool of foldhaven for operators.
 //!
-//! It reads: a description is checked, compared and stamped here, and published by the operators'
-//! own means; the tool then waits until it is in force. Nothing is ever changed on a live system.
+//! The tool checks, compares and stamps descriptions. Operators publish them with the platform's
+//! own tools, and this tool then waits until they are in force. It changes nothing on a live
+//! system, except that `suspects --clear` clears a suspected request.
 
 pub mod burn;
 pub mod client;
--- a/crates/foldhavenctl/src/source.rs
+++ b/crates/foldhavenctl/src/source.rs
@@ -1,4 +1,4 @@
-//! Reads description files.
+//! Reads description files and writes output files.
 
 use std::path::Path;
 
@@ -10,7 +10,7 @@
 ///
 /// # Errors
 ///
-/// When the file cannot be read, or with all faults of the description.
+/// Returns an error if the file cannot be read, or with all faults of the description.
 pub fn read_description(path: &Path) -> Result<Description, CtlError> {
     let peer = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|source| CtlError::Io {
@@ -25,7 +25,7 @@
 ///
 /// # Errors
 ///
-/// When the file cannot be written.
+/// Returns an error if the file cannot be written.
 pub fn write_file(path: &Path, content: &str) -> Result<(), CtlError> {
     let peer = path.display().to_string();
     std::fs::write(path, content).map_err(|source| CtlError::Io { step: "writing", peer, source })
--- a/crates/foldhavenctl/src/table.rs
+++ b/crates/foldhavenctl/src/table.rs
@@ -1,6 +1,6 @@
-//! Plain tables for people.
+//! Plain-text tables.
 
-/// Lays rows out in columns as wide as their widest cell; the first row is the heading.
+/// Formats rows in columns that are as wide as their widest cells. The first row is the heading.
 ///
 /// ```
 /// use foldhavenctl::table::lay_out;
--- a/crates/foldhavenctl/tests/testsuite/main.rs
+++ b/crates/foldhavenctl/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the tool's parts that ask nobody.
+//! Tests of the commands that need no running VM.
 
 use std::net::SocketAddr;
 
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn the_report_adds_up_all_vms_and_says_what_is_missing() {
+fn report_aggregates_all_vms_and_lists_unreachable_ones() {
     let report =
         gather_burn(&[answer("vm-1", 6), answer("vm-2", 0)], vec!["127.0.0.9:1".to_owned()]);
     insta::assert_snapshot!(report_table(&report), @r"
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn the_page_opens_by_itself() {
+fn html_page_loads_no_external_resources() {
     let report = gather_burn(&[answer("vm-1", 6)], Vec::new());
     let page = burn_page(&report).unwrap();
     assert!(page.starts_with("<!doctype html>") && page.trim_end().ends_with("</html>"));
@@ -54,7 +54,7 @@
     assert!(!page.contains("src=") && !page.contains("href="), "nothing is loaded from elsewhere");
 }
 
-/// The status of a VM that knows these others.
+/// Returns the status of a VM that knows these other VMs.
 fn status(vm: &str, members: &[&str], state: DaemonState) -> StatusAnswer {
     let member = |name: &&str| MemberStatus {
         vm: name.parse().unwrap(),
@@ -78,9 +78,10 @@
     }
 }
 
-/// Two VMs of one version that hold different routes, and one whose belief is old.
+/// Guards against a `status` that hides VMs with the same stamp but different content, or the
+/// staleness of a VM's view.
 #[test]
-fn status_marks_who_differs_and_whose_belief_is_old() {
+fn status_marks_differing_content_and_shows_staleness() {
     let of = |vm: &str, content: &str, age: u64| StatusAnswer {
         stamp: Some("13".to_owned()),
         content: Some(content.to_owned()),
@@ -97,9 +98,10 @@
     assert!(row("vm-3").contains("13 differs"), "{table}");
 }
 
-/// Two VMs that know only a third, as after a start in which that one came last.
+/// Two VMs know a third one but not each other, as can happen when all start at once and the third
+/// starts last.
 #[test]
-fn members_marks_who_lacks_whom() {
+fn members_marks_vms_with_incomplete_views() {
     let statuses = [
         status("vm-1", &["vm-3"], DaemonState::Serving),
         status("vm-2", &["vm-3", "vm-9"], DaemonState::Serving),
@@ -127,23 +129,24 @@
 #[case(&["members", "--vm", "127.0.0.1:1"], ExitStatus::Failure)]
 #[case(&["status", "--vm", "127.0.0.1:1"], ExitStatus::Failure)]
 #[case(&["completions", "bash"], ExitStatus::Success)]
-fn commands_end_with_documented_codes(#[case] words: &[&str], #[case] status: ExitStatus) {
+fn commands_return_the_documented_exit_codes(#[case] words: &[&str], #[case] status: ExitStatus) {
     let words = std::iter::once(&"foldhavenctl").chain(words);
     let matches = make_command().try_get_matches_from(words).unwrap();
     assert_eq!(run_command(&matches), status);
 }
 
 #[test]
-fn every_command_has_help_with_an_example() {
+fn every_command_has_an_example_in_its_help() {
     for command in make_command().get_subcommands_mut() {
         let help = command.render_long_help().to_string();
         assert!(help.contains("Example"), "{}: {help}", command.get_name());
     }
 }
 
-/// Who is not heard decides how small a part is, so that it stands above the parts.
+/// The number of VMs and regions that are not heard from determines how small the VM's shares are,
+/// so it is shown above them.
 #[test]
-fn accounts_are_shown_with_who_shares_their_limits() {
+fn accounts_are_shown_with_the_vms_that_share_their_limits() {
     let limited = AccountRow {
         account: "desk".to_owned(),
         keys: 2,
