--- a/crates/foldhavenctl/src/client.rs
+++ b/crates/foldhavenctl/src/client.rs
@@ -38,7 +38,7 @@
 /// A client for the operator API of daemons.
 pub struct OperatorClient {
     client: reqwest::Client,
-    first: Vec<SocketAddr>,
+    seed_addresses: Vec<SocketAddr>,
 }
 
 impl OperatorClient {
@@ -47,19 +47,19 @@
     /// # Errors
     ///
     /// Returns an error if no address is given or the HTTP client cannot be set up.
-    pub fn new(first: Vec<SocketAddr>) -> Result<Self, CtlError> {
-        if first.is_empty() {
+    pub fn new(seed_addresses: Vec<SocketAddr>) -> Result<Self, CtlError> {
+        if seed_addresses.is_empty() {
             let expected = "expected --vm ADDRESS or FOLDHAVEN_VMS=ADDRESS,...";
             return Err(CtlError::Usage(expected.to_owned()));
         }
         let client = reqwest::Client::builder().timeout(ANSWER_LIMIT).build();
         let client = client.map_err(|error| CtlError::Usage(error.to_string()))?;
-        Ok(Self { client, first })
+        Ok(Self { client, seed_addresses })
     }
 
     /// Returns the addresses to start from.
-    pub fn first(&self) -> &[SocketAddr] {
-        &self.first
+    pub fn seed_addresses(&self) -> &[SocketAddr] {
+        &self.seed_addresses
     }
 
     /// Sends a GET request to one VM and reads its JSON answer.
@@ -117,7 +117,7 @@
     /// Returns an error if no VM answers.
     pub async fn survey(&self) -> Result<FleetState, CtlError> {
         let mut state = FleetState::default();
-        let mut waiting: BTreeSet<SocketAddr> = self.first.iter().copied().collect();
+        let mut waiting: BTreeSet<SocketAddr> = self.seed_addresses.iter().copied().collect();
         while !waiting.is_empty() {
             let asked: Vec<SocketAddr> = std::mem::take(&mut waiting).into_iter().collect();
             let path = "/operator/v1/status";
@@ -136,7 +136,7 @@
                 .retain(|peer| !state.vms.contains_key(peer) && !state.unreachable.contains(peer));
         }
         if state.vms.is_empty() {
-            let tried: Vec<String> = self.first.iter().map(|it| it.to_string()).collect();
+            let tried: Vec<String> = self.seed_addresses.iter().map(|it| it.to_string()).collect();
             return Err(CtlError::Unreachable(tried.join(", ")));
         }
         Ok(state)
--- a/crates/foldhavenctl/src/cmd/accounts.rs
+++ b/crates/foldhavenctl/src/cmd/accounts.rs
@@ -42,7 +42,7 @@
 ///
 /// Returns an error if the VM cannot be reached.
 pub async fn list(client: &OperatorClient) -> Result<AccountsAnswer, CtlError> {
-    client.get("reading accounts", client.first()[0], "/operator/v1/accounts").await
+    client.get("reading accounts", client.seed_addresses()[0], "/operator/v1/accounts").await
 }
 
 /// Returns the accounts as a table, below a line on the VMs and regions that share the limits.
--- a/crates/foldhavenctl/src/cmd/explain.rs
+++ b/crates/foldhavenctl/src/cmd/explain.rs
@@ -47,7 +47,7 @@
     });
     let query: Vec<String> = pairs.collect();
     let path = format!("/operator/v1/explain?{}", query.join("&"));
-    let answer: ExplainAnswer = client.get("explaining", client.first()[0], &path).await?;
+    let answer: ExplainAnswer = client.get("explaining", client.seed_addresses()[0], &path).await?;
     if args.get_flag("json") {
         print_json(&answer);
         return Ok(());
--- a/crates/foldhavenctl/src/cmd/explain_route.rs
+++ b/crates/foldhavenctl/src/cmd/explain_route.rs
@@ -46,7 +46,8 @@
     });
     let query: Vec<String> = pairs.collect();
     let path = format!("/operator/v1/explain-route?{}", query.join("&"));
-    let answer: RouteExplanation = client.get("explaining", client.first()[0], &path).await?;
+    let answer: RouteExplanation =
+        client.get("explaining", client.seed_addresses()[0], &path).await?;
     match args.get_flag("json") {
         true => print_json(&answer),
         false => print!("{}", explanation_text(&answer)),
--- a/crates/foldhavenctl/src/cmd/mod.rs
+++ b/crates/foldhavenctl/src/cmd/mod.rs
@@ -116,8 +116,8 @@
 ///
 /// Returns an error if no VM is given or the HTTP client cannot be set up.
 pub fn client_of(args: &ArgMatches) -> Result<OperatorClient, CtlError> {
-    let first = args.get_many::<SocketAddr>("vm").unwrap_or_default();
-    OperatorClient::new(first.copied().collect())
+    let seed_addresses = args.get_many::<SocketAddr>("vm").unwrap_or_default();
+    OperatorClient::new(seed_addresses.copied().collect())
 }
 
 /// Prints a value as JSON.
--- a/crates/foldhavenctl/src/cmd/report.rs
+++ b/crates/foldhavenctl/src/cmd/report.rs
@@ -39,7 +39,7 @@
 ///
 /// Returns an error if no VM can be reached or the HTML page cannot be written.
 pub async fn execute(args: &ArgMatches) -> Result<(), CtlError> {
-    let report = gather(&client_of(args)?).await?;
+    let report = collect_report(&client_of(args)?).await?;
     if let Some(path) = args.get_one::<PathBuf>("html") {
         let page = burn_page(&report).map_err(|error| CtlError::Usage(error.to_string()))?;
         write_file(path, &page)?;
@@ -56,7 +56,7 @@
 /// # Errors
 ///
 /// Returns an error if no VM can be reached.
-pub async fn gather(client: &OperatorClient) -> Result<BurnReport, CtlError> {
+pub async fn collect_report(client: &OperatorClient) -> Result<BurnReport, CtlError> {
     let state = client.survey().await?;
     let peers: Vec<_> = state.vms.keys().copied().collect();
     let path = "/operator/v1/burn";
--- a/crates/foldhavenctl/src/cmd/suspects.rs
+++ b/crates/foldhavenctl/src/cmd/suspects.rs
@@ -48,7 +48,7 @@
 ///
 /// Returns an error if the VM cannot be reached.
 pub async fn list(client: &OperatorClient) -> Result<SuspectsAnswer, CtlError> {
-    client.get("reading suspects", client.first()[0], "/operator/v1/suspects").await
+    client.get("reading suspects", client.seed_addresses()[0], "/operator/v1/suspects").await
 }
 
 /// Clears a suspected request at the first VM, which announces that to the other VMs.
@@ -58,7 +58,7 @@
 /// Returns an error if the VM cannot be reached or does not suspect the request.
 pub async fn clear(client: &OperatorClient, print: &str) -> Result<(), CtlError> {
     let path = format!("/operator/v1/suspects/clear?print={print}");
-    let answer: ClearAnswer = client.post("clearing", client.first()[0], &path).await?;
+    let answer: ClearAnswer = client.post("clearing", client.seed_addresses()[0], &path).await?;
     match answer.is_cleared {
         true => Ok(()),
         false => Err(CtlError::Usage(format!(
