--- a/crates/foldhavenctl/src/burn.rs
+++ b/crates/foldhavenctl/src/burn.rs
@@ -9,7 +9,7 @@
 /// Target of a class for which no VM reports one.
 const DEFAULT_TARGET: f64 = 0.99;
 /// Maximum number of VMs listed per line.
-const CONTRIBUTORS: usize = 3;
+const MAX_CONTRIBUTORS: usize = 3;
 
 /// A VM's share of the failures of an account and class.
 #[derive(Debug, Clone, PartialEq, Serialize)]
@@ -55,27 +55,27 @@
 }
 
 #[derive(Default)]
-struct Gathered {
+struct BurnSums {
     short: BurnCount,
     long: BurnCount,
     by_vm: BTreeMap<String, u64>,
 }
 
 /// Aggregates the answers of the VMs.
-pub fn gather_burn(answers: &[BurnAnswer], unreachable: Vec<String>) -> BurnReport {
-    let mut gathered: BTreeMap<(String, String), Gathered> = BTreeMap::new();
+pub fn aggregate_burn(answers: &[BurnAnswer], unreachable: Vec<String>) -> BurnReport {
+    let mut sums: BTreeMap<(String, String), BurnSums> = BTreeMap::new();
     let mut targets: BTreeMap<&str, f64> = BTreeMap::new();
     for answer in answers {
         targets.extend(answer.targets.iter().map(|(class, target)| (class.as_str(), *target)));
         for row in &answer.rows {
             let key = (row.account.to_string(), row.class.to_string());
-            let sum = gathered.entry(key).or_default();
+            let sum = sums.entry(key).or_default();
             sum.short.add(&row.short);
             sum.long.add(&row.long);
             *sum.by_vm.entry(answer.vm.to_string()).or_default() += row.long.bad;
         }
     }
-    let line = |((account, class), sum): ((String, String), Gathered)| {
+    let line = |((account, class), sum): ((String, String), BurnSums)| {
         let target = targets.get(class.as_str()).copied().unwrap_or(DEFAULT_TARGET);
         BurnLine {
             budget_left: sum.long.budget_left(target),
@@ -88,7 +88,7 @@
             target,
         }
     };
-    let mut lines: Vec<BurnLine> = gathered.into_iter().map(line).collect();
+    let mut lines: Vec<BurnLine> = sums.into_iter().map(line).collect();
     lines.sort_by(|left, right| right.burn_short.total_cmp(&left.burn_short));
     let vms = answers.iter().map(|answer| answer.vm.to_string()).collect();
     BurnReport { lines, vms, unreachable }
@@ -98,6 +98,6 @@
     let all = by_vm.into_iter().map(|(vm, bad)| BurnContributor { vm, bad });
     let mut worst: Vec<BurnContributor> = all.filter(|it| it.bad > 0).collect();
     worst.sort_by_key(|it| std::cmp::Reverse(it.bad));
-    worst.truncate(CONTRIBUTORS);
+    worst.truncate(MAX_CONTRIBUTORS);
     worst
 }
--- a/crates/foldhavenctl/src/client.rs
+++ b/crates/foldhavenctl/src/client.rs
@@ -12,7 +12,7 @@
 use crate::error::CtlError;
 
 /// Timeout of one query.
-const ANSWER_LIMIT: Duration = Duration::from_secs(2);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The state of a deployment, as far as its VMs were reached.
 #[derive(Debug, Clone, Default)]
@@ -52,7 +52,7 @@
             let expected = "expected --vm ADDRESS or FOLDHAVEN_VMS=ADDRESS,...";
             return Err(CtlError::Usage(expected.to_owned()));
         }
-        let client = reqwest::Client::builder().timeout(ANSWER_LIMIT).build();
+        let client = reqwest::Client::builder().timeout(ANSWER_TIMEOUT).build();
         let client = client.map_err(|error| CtlError::Usage(error.to_string()))?;
         Ok(Self { client, seed_addresses })
     }
@@ -73,8 +73,8 @@
         peer: SocketAddr,
         path: &str,
     ) -> Result<T, CtlError> {
-        let asked = self.client.get(format!("http://{peer}{path}"));
-        self.send(step, peer, asked).await
+        let request = self.client.get(format!("http://{peer}{path}"));
+        self.send(step, peer, request).await
     }
 
     /// Sends a POST request to one VM and reads its JSON answer.
@@ -88,25 +88,25 @@
         peer: SocketAddr,
         path: &str,
     ) -> Result<T, CtlError> {
-        let asked = self.client.post(format!("http://{peer}{path}"));
-        self.send(step, peer, asked).await
+        let request = self.client.post(format!("http://{peer}{path}"));
+        self.send(step, peer, request).await
     }
 
     async fn send<T: DeserializeOwned>(
         &self,
         step: &'static str,
         peer: SocketAddr,
-        asked: reqwest::RequestBuilder,
+        request: reqwest::RequestBuilder,
     ) -> Result<T, CtlError> {
-        let fault = |message: String| CtlError::Peer { step, peer: peer.to_string(), message };
-        let sent = asked.send().await;
-        let response = sent.map_err(|error| fault(error.to_string()))?;
+        let peer_error = |message: String| CtlError::Peer { step, peer: peer.to_string(), message };
+        let sent = request.send().await;
+        let response = sent.map_err(|error| peer_error(error.to_string()))?;
         let status = response.status();
-        let body = response.text().await.map_err(|error| fault(error.to_string()))?;
+        let body = response.text().await.map_err(|error| peer_error(error.to_string()))?;
         if !status.is_success() {
-            return Err(fault(format!("status {status}: {body}")));
+            return Err(peer_error(format!("status {status}: {body}")));
         }
-        serde_json::from_str(&body).map_err(|error| fault(error.to_string()))
+        serde_json::from_str(&body).map_err(|error| peer_error(error.to_string()))
     }
 
     /// Reads the status of every VM that can be discovered through the members and data centres
@@ -117,22 +117,22 @@
     /// Returns an error if no VM answers.
     pub async fn survey(&self) -> Result<FleetState, CtlError> {
         let mut state = FleetState::default();
-        let mut waiting: BTreeSet<SocketAddr> = self.seed_addresses.iter().copied().collect();
-        while !waiting.is_empty() {
-            let asked: Vec<SocketAddr> = std::mem::take(&mut waiting).into_iter().collect();
+        let mut unqueried: BTreeSet<SocketAddr> = self.seed_addresses.iter().copied().collect();
+        while !unqueried.is_empty() {
+            let addresses: Vec<SocketAddr> = std::mem::take(&mut unqueried).into_iter().collect();
             let path = "/operator/v1/status";
-            let reads = asked.iter().map(|peer| self.get("reading the state", *peer, path));
-            for (peer, read) in asked.iter().zip(join_all(reads).await) {
+            let reads = addresses.iter().map(|peer| self.get("reading the state", *peer, path));
+            for (peer, read) in addresses.iter().zip(join_all(reads).await) {
                 let read: Result<StatusAnswer, CtlError> = read;
                 match read {
                     Ok(status) => {
-                        waiting.extend(named_peers(&status));
+                        unqueried.extend(listed_peers(&status));
                         state.vms.insert(*peer, status);
                     }
                     Err(_) => drop(state.unreachable.insert(*peer)),
                 }
             }
-            waiting
+            unqueried
                 .retain(|peer| !state.vms.contains_key(peer) && !state.unreachable.contains(peer));
         }
         if state.vms.is_empty() {
@@ -158,7 +158,7 @@
     }
 }
 
-fn named_peers(status: &StatusAnswer) -> Vec<SocketAddr> {
+fn listed_peers(status: &StatusAnswer) -> Vec<SocketAddr> {
     let members = status.members.iter().map(|member| &member.peer);
     let others = status.centres.iter().flat_map(|centre| &centre.peers);
     members.chain(others).filter_map(|address| address.parse().ok()).collect()
--- a/crates/foldhavenctl/src/cmd/accounts.rs
+++ b/crates/foldhavenctl/src/cmd/accounts.rs
@@ -4,10 +4,10 @@
 use clap::{ArgMatches, Command};
 use foldhaven_wire::operator::AccountsAnswer;
 
-use super::{client_of, json_arg, print_json, vm_arg};
+use super::{json_arg, make_client, print_json, vm_arg};
 use crate::client::OperatorClient;
 use crate::error::CtlError;
-use crate::table::lay_out;
+use crate::table::format_table;
 
 /// Returns the command-line definition of `accounts`.
 pub fn make_subcommand() -> Command {
@@ -28,7 +28,7 @@
 ///
 /// Returns an error if the VM cannot be reached.
 pub async fn execute(args: &ArgMatches) -> Result<(), CtlError> {
-    let answer = list(&client_of(args)?).await?;
+    let answer = list(&make_client(args)?).await?;
     match args.get_flag("json") {
         true => print_json(&answer),
         false => print!("{}", accounts_text(&answer)),
@@ -81,6 +81,6 @@
     format!(
         "{vm}: {vms} VMs in the region, {silent_vms} not heard; {regions} regions, {silent_regions} not \
          heard or not hearing this one{learning}\n{}",
-        lay_out(&rows)
+        format_table(&rows)
     )
 }
--- a/crates/foldhavenctl/src/cmd/apply.rs
+++ b/crates/foldhavenctl/src/cmd/apply.rs
@@ -10,14 +10,14 @@
 use foldhaven_wire::platform::ValueBundle;
 use serde::Serialize;
 
-use super::{client_of, file_arg, json_arg, print_json, vm_arg};
+use super::{file_arg, json_arg, make_client, print_json, vm_arg};
 use crate::client::{FleetState, OperatorClient};
 use crate::error::CtlError;
 use crate::source::{read_description, write_file};
-use crate::table::lay_out;
+use crate::table::format_table;
 
 /// Interval between two surveys of the deployment.
-const POLL: Duration = Duration::from_millis(200);
+const SURVEY_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Returns the command-line definition of `apply`.
 pub fn make_subcommand() -> Command {
@@ -72,7 +72,7 @@
     let out: &PathBuf = args.get_one("out").expect("the argument is required");
     let wait: &TimeSpan = args.get_one("wait").expect("the argument has a default");
     let mut next = read_description(path)?;
-    let client = client_of(args)?;
+    let client = make_client(args)?;
     let state = client.survey().await?;
     if let Some((stamp, current)) = client.in_force(&state).await? {
         if next.parent.as_ref().is_some_and(|parent| *parent != stamp.to_string()) {
@@ -97,14 +97,14 @@
     if wait.0.is_zero() {
         return Ok(());
     }
-    let (progress, result) = follow(&client, stamp, wait.0).await?;
-    show(&progress, stamp, args.get_flag("json"));
+    let (progress, result) = wait_in_force(&client, stamp, wait.0).await?;
+    print_progress(&progress, stamp, args.get_flag("json"));
     result
 }
 
 /// Waits until a stamp is in force at all VMs, a higher one is in force at any VM, or the time is
 /// up.
-async fn follow(
+async fn wait_in_force(
     client: &OperatorClient,
     stamp: DescriptionStamp,
     wait: Duration,
@@ -117,18 +117,18 @@
             let message = format!("another operator's description {other} is in force, on {vm}");
             return Ok((progress, Err(CtlError::LostRace(message))));
         }
-        let open = progress.iter().filter(|centre| centre.in_force < centre.vms).count();
-        if open == 0 && state.unreachable.is_empty() {
+        let pending_centres = progress.iter().filter(|centre| centre.in_force < centre.vms).count();
+        if pending_centres == 0 && state.unreachable.is_empty() {
             return Ok((progress, Ok(())));
         }
         if started.elapsed() > wait {
             let missing = state.unreachable.len();
             let message = format!(
-                "{stamp} is not in force in {open} data centre(s), {missing} VM(s) unreachable"
+                "{stamp} is not in force in {pending_centres} data centre(s), {missing} VM(s) unreachable"
             );
             return Ok((progress, Err(CtlError::NotInForce(message))));
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(SURVEY_INTERVAL).await;
     }
 }
 
@@ -156,7 +156,7 @@
     centres.into_values().collect()
 }
 
-fn show(progress: &[CentreProgress], stamp: DescriptionStamp, json: bool) {
+fn print_progress(progress: &[CentreProgress], stamp: DescriptionStamp, json: bool) {
     if json {
         let stamp = stamp.to_string();
         return print_json(&serde_json::json!({ "stamp": stamp, "data_centres": progress }));
@@ -169,5 +169,5 @@
         let share = format!("{} of {}", centre.in_force, centre.vms);
         vec![centre.data_centre.clone(), share, reasons.join("; ")]
     }));
-    print!("{}", lay_out(&rows));
+    print!("{}", format_table(&rows));
 }
--- a/crates/foldhavenctl/src/cmd/entries.rs
+++ b/crates/foldhavenctl/src/cmd/entries.rs
@@ -8,7 +8,7 @@
 use super::{json_arg, print_json};
 use crate::client::OperatorClient;
 use crate::error::CtlError;
-use crate::table::lay_out;
+use crate::table::format_table;
 
 /// Returns the command-line definition of `entries`.
 pub fn make_subcommand() -> Command {
@@ -53,7 +53,7 @@
             entry.address.to_string(),
         ]
     }));
-    print!("{}", lay_out(&rows));
+    print!("{}", format_table(&rows));
     println!("holds for {}ms", answer.holds_ms);
     Ok(())
 }
--- a/crates/foldhavenctl/src/cmd/explain.rs
+++ b/crates/foldhavenctl/src/cmd/explain.rs
@@ -4,9 +4,9 @@
 use foldhaven_core::planner::RouteTarget;
 use foldhaven_wire::operator::ExplainAnswer;
 
-use super::{client_of, json_arg, print_json, vm_arg};
+use super::{json_arg, make_client, print_json, vm_arg};
 use crate::error::CtlError;
-use crate::table::lay_out;
+use crate::table::format_table;
 
 /// Each query field with the name of its argument and its help text.
 const FIELDS: [(&str, &str, &str); 6] = [
@@ -41,7 +41,7 @@
 ///
 /// Returns an error if the VM cannot be reached or refuses the query.
 pub async fn execute(args: &ArgMatches) -> Result<(), CtlError> {
-    let client = client_of(args)?;
+    let client = make_client(args)?;
     let pairs = FIELDS.iter().filter_map(|(name, ..)| {
         args.get_one::<String>(name).map(|value| format!("{name}={value}"))
     });
@@ -88,5 +88,5 @@
             format!("{:.4}", price.total()),
         ]);
     }
-    lay_out(&rows)
+    format_table(&rows)
 }
--- a/crates/foldhavenctl/src/cmd/explain_route.rs
+++ b/crates/foldhavenctl/src/cmd/explain_route.rs
@@ -3,9 +3,9 @@
 use clap::{Arg, ArgMatches, Command};
 use foldhaven_wire::operator::RouteExplanation;
 
-use super::{client_of, json_arg, print_json, vm_arg};
+use super::{json_arg, make_client, print_json, vm_arg};
 use crate::error::CtlError;
-use crate::table::lay_out;
+use crate::table::format_table;
 
 /// Each query field with the name of its argument and its help text.
 const FIELDS: [(&str, &str, &str); 5] = [
@@ -40,7 +40,7 @@
 ///
 /// Returns an error if the VM cannot be reached or refuses the query.
 pub async fn execute(args: &ArgMatches) -> Result<(), CtlError> {
-    let client = client_of(args)?;
+    let client = make_client(args)?;
     let pairs = FIELDS.iter().filter_map(|(name, ..)| {
         args.get_one::<String>(name).map(|value| format!("{name}={value}"))
     });
@@ -65,12 +65,12 @@
     format!(
         "{vm} in {data_centre}, by version {version}\nroute {route}, service {service}, may run in \
          {homes}\n{}another region must be cheaper by {:.2}\n",
-        place_table(answer),
+        destination_table(answer),
         answer.region_margin,
     )
 }
 
-fn place_table(answer: &RouteExplanation) -> String {
+fn destination_table(answer: &RouteExplanation) -> String {
     let heading = [
         "place",
         "kind",
@@ -99,5 +99,5 @@
             format!("{:.3}", parts.total().0),
         ]);
     }
-    lay_out(&rows)
+    format_table(&rows)
 }
--- a/crates/foldhavenctl/src/cmd/members.rs
+++ b/crates/foldhavenctl/src/cmd/members.rs
@@ -7,10 +7,10 @@
 use foldhaven_wire::operator::{DaemonState, StatusAnswer};
 use serde::Serialize;
 
-use super::{client_of, json_arg, print_json, vm_arg};
+use super::{json_arg, make_client, print_json, vm_arg};
 use crate::client::FleetState;
 use crate::error::CtlError;
-use crate::table::lay_out;
+use crate::table::format_table;
 
 /// Returns the command-line definition of `members`.
 pub fn make_subcommand() -> Command {
@@ -32,8 +32,8 @@
 ///
 /// Returns an error if no VM can be reached.
 pub async fn execute(args: &ArgMatches) -> Result<(), CtlError> {
-    let state = client_of(args)?.survey().await?;
-    let views = views_of(&state);
+    let state = make_client(args)?.survey().await?;
+    let views = compare_views(&state);
     match args.get_flag("json") {
         true => print_json(&views),
         false => print!("{}", views_table(&views)),
@@ -65,18 +65,18 @@
 
 /// Compares the view of each VM that answered with the VMs that were found. Sorted by data centre
 /// and VM.
-pub fn views_of(state: &FleetState) -> Vec<MemberView> {
+pub fn compare_views(state: &FleetState) -> Vec<MemberView> {
     let mut views: Vec<MemberView> =
-        state.vms.values().map(|status| view_of(status, state)).collect();
+        state.vms.values().map(|status| compare_view(status, state)).collect();
     views
         .sort_by(|left, right| (&left.data_centre, &left.vm).cmp(&(&right.data_centre, &right.vm)));
     views
 }
 
-fn view_of(status: &StatusAnswer, state: &FleetState) -> MemberView {
+fn compare_view(status: &StatusAnswer, state: &FleetState) -> MemberView {
     let knows: BTreeSet<VmName> = status.members.iter().map(|member| member.vm.clone()).collect();
-    let same = state.vms.values().filter(|other| other.data_centre == status.data_centre);
-    let others: Vec<&StatusAnswer> = same.filter(|other| other.vm != status.vm).collect();
+    let same_centre = state.vms.values().filter(|other| other.data_centre == status.data_centre);
+    let others: Vec<&StatusAnswer> = same_centre.filter(|other| other.vm != status.vm).collect();
     let found: BTreeSet<VmName> = others.iter().map(|other| other.vm.clone()).collect();
     let serving = others.iter().filter(|other| other.state == DaemonState::Serving);
     let lacks = serving.map(|other| other.vm.clone()).filter(|vm| !knows.contains(vm)).collect();
@@ -98,15 +98,15 @@
             view.vm.to_string(),
             view.data_centre.to_string(),
             view.knows.len().to_string(),
-            names(&view.lacks),
-            names(&view.not_found),
+            format_names(&view.lacks),
+            format_names(&view.not_found),
             if view.is_complete() { "agrees" } else { "DIFFERS" }.to_owned(),
         ]);
     }
-    lay_out(&rows)
+    format_table(&rows)
 }
 
-fn names(vms: &[VmName]) -> String {
+fn format_names(vms: &[VmName]) -> String {
     match vms {
         [] => "-".to_owned(),
         vms => vms.iter().map(VmName::as_str).collect::<Vec<&str>>().join(" "),
--- a/crates/foldhavenctl/src/cmd/mod.rs
+++ b/crates/foldhavenctl/src/cmd/mod.rs
@@ -115,7 +115,7 @@
 /// # Errors
 ///
 /// Returns an error if no VM is given or the HTTP client cannot be set up.
-pub fn client_of(args: &ArgMatches) -> Result<OperatorClient, CtlError> {
+pub fn make_client(args: &ArgMatches) -> Result<OperatorClient, CtlError> {
     let seed_addresses = args.get_many::<SocketAddr>("vm").unwrap_or_default();
     OperatorClient::new(seed_addresses.copied().collect())
 }
--- a/crates/foldhavenctl/src/cmd/plan.rs
+++ b/crates/foldhavenctl/src/cmd/plan.rs
@@ -5,7 +5,7 @@
 use clap::{ArgMatches, Command};
 use foldhaven_core::description::describe_changes;
 
-use super::{client_of, file_arg, json_arg, print_json, vm_arg};
+use super::{file_arg, json_arg, make_client, print_json, vm_arg};
 use crate::error::CtlError;
 use crate::source::read_description;
 
@@ -27,7 +27,7 @@
 pub async fn execute(args: &ArgMatches) -> Result<(), CtlError> {
     let path: &PathBuf = args.get_one("file").expect("the argument is required");
     let next = read_description(path)?;
-    let client = client_of(args)?;
+    let client = make_client(args)?;
     let state = client.survey().await?;
     let Some((stamp, current)) = client.in_force(&state).await? else {
         println!("nothing is in force yet; everything would be new");
--- a/crates/foldhavenctl/src/cmd/report.rs
+++ b/crates/foldhavenctl/src/cmd/report.rs
@@ -6,13 +6,13 @@
 use foldhaven_wire::operator::BurnAnswer;
 use futures::future::join_all;
 
-use super::{client_of, json_arg, print_json, vm_arg};
-use crate::burn::{BurnReport, gather_burn};
+use super::{json_arg, make_client, print_json, vm_arg};
+use crate::burn::{BurnReport, aggregate_burn};
 use crate::client::OperatorClient;
 use crate::error::CtlError;
 use crate::html::burn_page;
 use crate::source::write_file;
-use crate::table::lay_out;
+use crate::table::format_table;
 
 /// Returns the command-line definition of `report`.
 pub fn make_subcommand() -> Command {
@@ -39,7 +39,7 @@
 ///
 /// Returns an error if no VM can be reached or the HTML page cannot be written.
 pub async fn execute(args: &ArgMatches) -> Result<(), CtlError> {
-    let report = collect_report(&client_of(args)?).await?;
+    let report = collect_report(&make_client(args)?).await?;
     if let Some(path) = args.get_one::<PathBuf>("html") {
         let page = burn_page(&report).map_err(|error| CtlError::Usage(error.to_string()))?;
         write_file(path, &page)?;
@@ -69,7 +69,7 @@
             Err(_) => unreachable.push(peer.to_string()),
         }
     }
-    Ok(gather_burn(&answers, unreachable))
+    Ok(aggregate_burn(&answers, unreachable))
 }
 
 /// Returns the report as a table, followed by the addresses that could not be reached.
@@ -103,7 +103,7 @@
             worst.join(", "),
         ]);
     }
-    let mut text = lay_out(&rows);
+    let mut text = format_table(&rows);
     for address in &report.unreachable {
         text.push_str(&format!("not reached, and missing above: {address}\n"));
     }
--- a/crates/foldhavenctl/src/cmd/status.rs
+++ b/crates/foldhavenctl/src/cmd/status.rs
@@ -5,13 +5,13 @@
 use clap::{ArgMatches, Command};
 use foldhaven_wire::operator::{StatusAnswer, UpstreamStatus};
 
-use super::{client_of, json_arg, print_json, vm_arg};
+use super::{json_arg, make_client, print_json, vm_arg};
 use crate::client::FleetState;
 use crate::error::CtlError;
-use crate::table::lay_out;
+use crate::table::format_table;
 
 /// Maximum number of characters shown of a stamp.
-const SHORT_STAMP: usize = 14;
+const MAX_STAMP_CHARS: usize = 14;
 
 /// Returns the command-line definition of `status`.
 pub fn make_subcommand() -> Command {
@@ -28,7 +28,7 @@
 ///
 /// Returns an error if no VM can be reached.
 pub async fn execute(args: &ArgMatches) -> Result<(), CtlError> {
-    let state = client_of(args)?.survey().await?;
+    let state = make_client(args)?.survey().await?;
     if args.get_flag("json") {
         let vms: Vec<_> = state.vms.values().collect();
         print_json(&serde_json::json!({ "vms": vms, "unreachable": state.unreachable }));
@@ -44,7 +44,7 @@
 }
 
 /// Returns, for each stamp, the content digest that most VMs with the stamp report.
-fn usual_contents(state: &FleetState) -> BTreeMap<String, String> {
+fn majority_contents(state: &FleetState) -> BTreeMap<String, String> {
     let mut counts: BTreeMap<(&String, &String), usize> = BTreeMap::new();
     for status in state.vms.values() {
         if let Some(held) = status.stamp.as_ref().zip(status.content.as_ref()) {
@@ -58,10 +58,10 @@
 
 /// Returns the shortened stamp in force at a VM, marked if the VM's content differs from that of
 /// most VMs with the stamp. `-` if there is none.
-fn shown_stamp(status: &StatusAnswer, usual: &BTreeMap<String, String>) -> String {
+fn stamp_label(status: &StatusAnswer, majority: &BTreeMap<String, String>) -> String {
     let Some(stamp) = &status.stamp else { return "-".to_owned() };
-    let short: String = stamp.chars().take(SHORT_STAMP).collect();
-    match status.content.is_some() && status.content.as_ref() != usual.get(stamp) {
+    let short: String = stamp.chars().take(MAX_STAMP_CHARS).collect();
+    match status.content.is_some() && status.content.as_ref() != majority.get(stamp) {
         true => format!("{short} differs"),
         false => short,
     }
@@ -69,27 +69,28 @@
 
 /// Returns the table of all VMs that were found.
 pub fn vm_table(state: &FleetState) -> String {
-    let usual = usual_contents(state);
+    let majority = majority_contents(state);
     let heading =
         ["vm", "data centre", "state", "in force", "proven", "in flight", "members", "sees"];
     let mut rows = vec![heading.map(str::to_owned).to_vec()];
     for status in state.vms.values() {
         let live = status.members.iter().filter(|member| member.state == "live").count();
-        let stamp = shown_stamp(status, &usual);
-        let proven = status.belief_age_ms.map(|age_ms| format!("{:.1} s ago", age_ms as f64 / 1e3));
+        let stamp = stamp_label(status, &majority);
+        let confirmed =
+            status.belief_age_ms.map(|age_ms| format!("{:.1} s ago", age_ms as f64 / 1e3));
         let name = serde_json::to_value(status.state).unwrap_or_default();
         rows.push(vec![
             status.vm.to_string(),
             status.data_centre.to_string(),
             name.as_str().unwrap_or_default().to_owned(),
             stamp,
-            proven.unwrap_or_else(|| "-".to_owned()),
+            confirmed.unwrap_or_else(|| "-".to_owned()),
             status.in_flight.to_string(),
             format!("{live} of {} live", status.members.len()),
             format!("{} other data centres", status.centres.len()),
         ]);
     }
-    lay_out(&rows)
+    format_table(&rows)
 }
 
 /// Returns whether an upstream accepts work, and its request limit if it has one.
@@ -105,9 +106,9 @@
 fn upstream_table(state: &FleetState) -> String {
     let heading = ["upstream", "data centre", "holds", "busy", "slots", "state"];
     let mut rows = vec![heading.map(str::to_owned).to_vec()];
-    let mut shown = std::collections::BTreeSet::new();
+    let mut shown_centres = std::collections::BTreeSet::new();
     for status in state.vms.values() {
-        if !shown.insert(status.data_centre.clone()) {
+        if !shown_centres.insert(status.data_centre.clone()) {
             continue;
         }
         for upstream in &status.upstreams {
@@ -121,5 +122,5 @@
             ]);
         }
     }
-    lay_out(&rows)
+    format_table(&rows)
 }
--- a/crates/foldhavenctl/src/cmd/suspects.rs
+++ b/crates/foldhavenctl/src/cmd/suspects.rs
@@ -4,10 +4,10 @@
 use clap::{Arg, ArgMatches, Command};
 use foldhaven_wire::operator::{ClearAnswer, SuspectsAnswer};
 
-use super::{client_of, json_arg, print_json, vm_arg};
+use super::{json_arg, make_client, print_json, vm_arg};
 use crate::client::OperatorClient;
 use crate::error::CtlError;
-use crate::table::lay_out;
+use crate::table::format_table;
 
 /// Returns the command-line definition of `suspects`.
 pub fn make_subcommand() -> Command {
@@ -30,7 +30,7 @@
 ///
 /// Returns an error if the VM cannot be reached or does not suspect a request with the fingerprint.
 pub async fn execute(args: &ArgMatches) -> Result<(), CtlError> {
-    let client = client_of(args)?;
+    let client = make_client(args)?;
     if let Some(print) = args.get_one::<String>("clear") {
         return clear(&client, print).await;
     }
@@ -83,5 +83,5 @@
             row.opens_ms.map_or("-".to_owned(), |opens| format!("{} s", opens / 1_000)),
         ]);
     }
-    lay_out(&rows)
+    format_table(&rows)
 }
--- a/crates/foldhavenctl/src/html.rs
+++ b/crates/foldhavenctl/src/html.rs
@@ -5,7 +5,7 @@
 use crate::burn::{BurnLine, BurnReport};
 
 const WIDTH: u32 = 900;
-const BAR: u32 = 26;
+const BAR_HEIGHT: u32 = 26;
 const MARGIN: u32 = 70;
 /// Highest burn rate that the plots show. Longer bars are clipped; the table has their values.
 const MAX_RATE: f64 = 20.0;
@@ -76,10 +76,10 @@
     lines: &[BurnLine],
     rate: impl Fn(&BurnLine) -> f64,
 ) -> Result<String, PlotError> {
-    let fault = |error: &dyn std::fmt::Display| PlotError(error.to_string());
+    let plot_error = |error: &dyn std::fmt::Display| PlotError(error.to_string());
     let mut svg = String::new();
     let count = lines.len().max(1);
-    let size = (WIDTH, MARGIN + BAR * count as u32);
+    let size = (WIDTH, MARGIN + BAR_HEIGHT * count as u32);
     {
         let area = SVGBackend::with_string(&mut svg, size).into_drawing_area();
         let highest = lines.iter().map(&rate).fold(1.5, f64::max).min(MAX_RATE);
@@ -89,7 +89,7 @@
             .y_label_area_size(240)
             .margin(8)
             .build_cartesian_2d(0.0..highest, 0.0..count as f64)
-            .map_err(|error| fault(&error))?;
+            .map_err(|error| plot_error(&error))?;
         let name = |at: &f64| {
             let line = lines.get(*at as usize).filter(|_| at.fract() > 0.4 && at.fract() < 0.6);
             line.map_or(String::new(), |line| format!("{} / {}", line.account, line.class))
@@ -100,17 +100,17 @@
             .y_labels(2 * count + 1)
             .y_label_formatter(&name)
             .draw()
-            .map_err(|error| fault(&error))?;
+            .map_err(|error| plot_error(&error))?;
         let bars = lines.iter().enumerate().map(|(at, line)| {
             let value = rate(line).clamp(0.0, highest);
             let color = if value > 1.0 { RGBColor(190, 40, 40) } else { RGBColor(60, 120, 70) };
             let low = at as f64;
             Rectangle::new([(0.0, low + 0.15), (value, low + 0.85)], color.filled())
         });
-        chart.draw_series(bars).map_err(|error| fault(&error))?;
+        chart.draw_series(bars).map_err(|error| plot_error(&error))?;
         let limit = [(1.0, 0.0), (1.0, count as f64)];
-        chart.draw_series(LineSeries::new(limit, &BLACK)).map_err(|error| fault(&error))?;
-        area.present().map_err(|error| fault(&error))?;
+        chart.draw_series(LineSeries::new(limit, &BLACK)).map_err(|error| plot_error(&error))?;
+        area.present().map_err(|error| plot_error(&error))?;
     }
     Ok(svg)
 }
--- a/crates/foldhavenctl/src/table.rs
+++ b/crates/foldhavenctl/src/table.rs
@@ -3,11 +3,11 @@
 /// Formats rows in columns that are as wide as their widest cells. The first row is the heading.
 ///
 /// ```
-/// use foldhavenctl::table::lay_out;
+/// use foldhavenctl::table::format_table;
 /// let rows = [["vm", "state"], ["west-1", "serving"]];
-/// assert_eq!(lay_out(&rows), "vm      state\nwest-1  serving\n");
+/// assert_eq!(format_table(&rows), "vm      state\nwest-1  serving\n");
 /// ```
-pub fn lay_out<R, C>(rows: &[R]) -> String
+pub fn format_table<R, C>(rows: &[R]) -> String
 where
     R: AsRef<[C]>,
     C: AsRef<str>,
--- a/crates/foldhavenctl/tests/testsuite/main.rs
+++ b/crates/foldhavenctl/tests/testsuite/main.rs
@@ -8,10 +8,10 @@
     AccountRow, AccountsAnswer, BurnAnswer, DaemonState, MemberStatus, StatusAnswer,
 };
 use foldhavenctl::ExitStatus;
-use foldhavenctl::burn::gather_burn;
+use foldhavenctl::burn::aggregate_burn;
 use foldhavenctl::client::FleetState;
 use foldhavenctl::cmd::accounts::accounts_text;
-use foldhavenctl::cmd::members::{views_of, views_table};
+use foldhavenctl::cmd::members::{compare_views, views_table};
 use foldhavenctl::cmd::report::report_table;
 use foldhavenctl::cmd::status::vm_table;
 use foldhavenctl::cmd::{make_command, run_command};
@@ -37,7 +37,7 @@
 #[test]
 fn report_aggregates_all_vms_and_lists_unreachable_ones() {
     let report =
-        gather_burn(&[answer("vm-1", 6), answer("vm-2", 0)], vec!["127.0.0.9:1".to_owned()]);
+        aggregate_burn(&[answer("vm-1", 6), answer("vm-2", 0)], vec!["127.0.0.9:1".to_owned()]);
     insta::assert_snapshot!(report_table(&report), @r"
     account  class   target  budget left  burn 5m  burn 1h  requests  bad  refused  worst VMs
     bar      digest  99.00%  -50%         1.50     1.50     400       6    3        vm-1 (6)
@@ -47,7 +47,7 @@
 
 #[test]
 fn html_page_loads_no_external_resources() {
-    let report = gather_burn(&[answer("vm-1", 6)], Vec::new());
+    let report = aggregate_burn(&[answer("vm-1", 6)], Vec::new());
     let page = burn_page(&report).unwrap();
     assert!(page.starts_with("<!doctype html>") && page.trim_end().ends_with("</html>"));
     assert_eq!(page.matches("<svg").count(), 2);
@@ -110,7 +110,7 @@
     ];
     let addresses = (1..).map(|port| SocketAddr::from(([127, 0, 0, 1], port)));
     let vms = addresses.zip(statuses).collect();
-    let views = views_of(&FleetState { vms, ..FleetState::default() });
+    let views = compare_views(&FleetState { vms, ..FleetState::default() });
     insta::assert_snapshot!(views_table(&views), @r"
     vm    data centre  knows  lacks  not found  view
     vm-1  west-1       1      vm-2   -          DIFFERS
