--- a/crates/foldhavend/src/control/actor/descriptions.rs
+++ b/crates/foldhavend/src/control/actor/descriptions.rs
@@ -11,7 +11,7 @@
 
     async fn handle(&mut self, message: RecordStamp, context: &mut Context<Self>) {
         if Some(message.stamp) > self.stamp() {
-            let actor = context.mailbox().address().try_upgrade().expect("it runs");
+            let actor = context.mailbox().address().try_upgrade().expect("the actor is running");
             self.fetch_from(message.source, &actor);
         }
     }
@@ -21,7 +21,7 @@
     type Return = ();
 
     async fn handle(&mut self, _: EndFetch, _: &mut Context<Self>) {
-        self.fetching = false;
+        self.is_fetching = false;
     }
 }
 
--- a/crates/foldhavend/src/control/actor/exchanges.rs
+++ b/crates/foldhavend/src/control/actor/exchanges.rs
@@ -22,10 +22,10 @@
 impl ControlActor {
     fn plan_member_exchanges(&mut self, targets: &mut Vec<ExchangeTarget>) {
         let now = self.now();
-        let named = |heartbeat: &VmHeartbeat| (heartbeat.vm.clone(), heartbeat.addresses.control);
+        let contact = |heartbeat: &VmHeartbeat| (heartbeat.vm.clone(), heartbeat.addresses.control);
         let members: Vec<_> = match std::mem::take(&mut self.has_update_for_all) {
-            true => self.members.members(now).map(|(heartbeat, _)| named(heartbeat)).collect(),
-            false => self.members.heartbeat_targets(self.round).into_iter().map(named).collect(),
+            true => self.members.members(now).map(|(heartbeat, _)| contact(heartbeat)).collect(),
+            false => self.members.heartbeat_targets(self.round).into_iter().map(contact).collect(),
         };
         for (at, (vm, address)) in members.into_iter().enumerate() {
             // Only one member is asked for newer summaries. They spread from member to member.
@@ -39,8 +39,9 @@
     fn partners(&self) -> BTreeSet<DataCentreName> {
         let Some(index) = &self.index else { return BTreeSet::new() };
         let regions = index.description.regions.iter();
-        let named = regions.flat_map(|it| it.data_centres.iter().map(|dc| (dc, &it.name)));
-        let centres: Vec<_> = named.map(|(dc, region)| (dc.clone(), region.clone())).collect();
+        let centre_regions = regions.flat_map(|it| it.data_centres.iter().map(|dc| (dc, &it.name)));
+        let centres: Vec<_> =
+            centre_regions.map(|(dc, region)| (dc.clone(), region.clone())).collect();
         exchange_partners(&self.shared.settings.data_centre, &centres)
     }
 
@@ -116,7 +117,10 @@
     ) -> ExchangeReply {
         let now = self.now();
         let ExchangeRequest { beat, held, own } = message.request;
-        self.receive_heartbeat(&beat, &context.mailbox().address().try_upgrade().expect("it runs"));
+        self.receive_heartbeat(
+            &beat,
+            &context.mailbox().address().try_upgrade().expect("the actor is running"),
+        );
         let mut summaries = Vec::new();
         if let Some(own) = own {
             let asker = own.data_centre.clone();
@@ -146,7 +150,7 @@
         self.answered_centres.insert(message.target.address, reply.beat.data_centre.clone());
         self.receive_heartbeat(
             &reply.beat,
-            &context.mailbox().address().try_upgrade().expect("it runs"),
+            &context.mailbox().address().try_upgrade().expect("the actor is running"),
         );
         self.members.record_reached(&reply.beat.vm, now);
         for summary in reply.summaries {
--- a/crates/foldhavend/src/control/actor/mod.rs
+++ b/crates/foldhavend/src/control/actor/mod.rs
@@ -60,12 +60,12 @@
     answered_centres: BTreeMap<SocketAddr, DataCentreName>,
     /// Whether the next round exchanges with every member, because all of them need an update.
     has_update_for_all: bool,
-    /// Number of heartbeats written, the sequence number of the last one.
-    heartbeats_sent: u64,
+    /// Sequence number of the last heartbeat, 0 before the first one.
+    heartbeat_sequence: u64,
     /// Number of exchange rounds planned.
     round: u64,
     /// Whether a fetch from a peer is in flight.
-    fetching: bool,
+    is_fetching: bool,
 }
 
 impl ControlActor {
@@ -91,9 +91,9 @@
             failed_polls: BTreeMap::new(),
             answered_centres: BTreeMap::new(),
             has_update_for_all: true,
-            heartbeats_sent: 0,
+            heartbeat_sequence: 0,
             round: 0,
-            fetching: false,
+            is_fetching: false,
         }
     }
 
@@ -159,7 +159,7 @@
     }
 
     pub(super) fn make_heartbeat(&mut self) -> VmHeartbeat {
-        self.heartbeats_sent += 1;
+        self.heartbeat_sequence += 1;
         let now = self.now();
         let polled = self.polled_engines();
         let own_loads = polled.iter().filter_map(|entry| self.loads.get(&entry.name));
@@ -169,7 +169,7 @@
             vm: settings.vm.clone(),
             data_centre: settings.data_centre.clone(),
             incarnation: self.shared.incarnation,
-            sequence: self.heartbeats_sent,
+            sequence: self.heartbeat_sequence,
             leaving: self.shared.is_leaving(),
             stamp: self.stamp(),
             in_flight: self.shared.in_flight(),
@@ -228,11 +228,11 @@
         match self.loads.get_mut(&view.load.engine) {
             Some(known) if known.load.incarnation > view.load.incarnation => {}
             Some(known) => {
-                let restarted = view.load.incarnation > known.load.incarnation;
-                if restarted {
+                let is_restart = view.load.incarnation > known.load.incarnation;
+                if is_restart {
                     self.shared.traffic_state.forget_cache(&view.load.engine);
                 }
-                if restarted || view.observed > known.observed {
+                if is_restart || view.observed > known.observed {
                     *known = view;
                 }
             }
@@ -247,10 +247,10 @@
 
     /// Starts to fetch newer state from another daemon, unless a fetch is already in flight.
     fn fetch_from(&mut self, source: SocketAddr, actor: &xtra::Address<Self>) {
-        if self.fetching {
+        if self.is_fetching {
             return;
         }
-        self.fetching = true;
+        self.is_fetching = true;
         tokio::spawn(fetch::fetch_from_peer(self.shared.clone(), actor.clone(), source));
     }
 
@@ -401,7 +401,7 @@
     async fn handle(&mut self, _: TickControl, context: &mut Context<Self>) {
         if let Some(pause) = self.shared.tick() {
             tracing::warn!(pause_ms = pause.as_millis() as u64, "this process slept");
-            let actor = context.mailbox().address().try_upgrade().expect("it runs");
+            let actor = context.mailbox().address().try_upgrade().expect("the actor is running");
             tokio::spawn(fetch::refresh_after_pause(self.shared.clone(), actor));
         }
         let now = self.now();
--- a/crates/foldhavend/src/control/loads.rs
+++ b/crates/foldhavend/src/control/loads.rs
@@ -10,6 +10,7 @@
 use super::messages::{PlanPolls, PollTarget, RecordCachePosition, RecordLoad, RecordLoadFailure};
 use crate::shared::SharedState;
 
+/// Timeout of one load poll.
 const POLL_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Polls the engines that are assigned to this daemon.
--- a/crates/foldhavend/src/control/orders.rs
+++ b/crates/foldhavend/src/control/orders.rs
@@ -11,6 +11,7 @@
 
 /// Interval between two rounds of orders.
 const ORDER_INTERVAL: Duration = Duration::from_millis(500);
+/// Timeout of one order.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Sends the orders that are due. A lost order is due again in the next round.
--- a/crates/foldhavend/src/control/publish.rs
+++ b/crates/foldhavend/src/control/publish.rs
@@ -62,18 +62,18 @@
         let has_engines = self.upstreams().any(|entry| entry.kind == UpstreamKind::Engine);
         let knows_loads = !has_engines || !self.fresh_loads().is_empty();
         let knows_list = self.list.is_some();
-        let waited = now.since(self.started_at) > MAX_WARM_UP_TIME;
-        self.is_warm |= waited || (knows_list && knows_loads);
+        let has_waited = now.since(self.started_at) > MAX_WARM_UP_TIME;
+        self.is_warm |= has_waited || (knows_list && knows_loads);
         self.is_warm
     }
 
     /// Passes the other data centres' offers to this data centre on to the traffic threads.
     fn update_offers(&self, centres: &[CentreView], members: u32) {
         let now = self.now();
-        let here = &self.shared.settings.data_centre;
+        let own_centre = &self.shared.settings.data_centre;
         for centre in centres {
             let from = &centre.summary.data_centre;
-            for offer in centre.summary.offers.iter().filter(|offer| offer.to == *here) {
+            for offer in centre.summary.offers.iter().filter(|offer| offer.to == *own_centre) {
                 let facts = &self.shared.traffic_state;
                 let span = (now, centre.observed);
                 facts.hold_offer(from, &offer.model, offer.slots, members, span);
