--- a/crates/foldhavend/src/control/actor/mod.rs
+++ b/crates/foldhavend/src/control/actor/mod.rs
@@ -400,7 +400,7 @@
 
     async fn handle(&mut self, _: TickControl, context: &mut Context<Self>) {
         if let Some(pause) = self.shared.tick() {
-            tracing::warn!(pause_ms = pause.as_millis() as u64, "this process slept");
+            tracing::warn!(pause_ms = pause.as_millis() as u64, "the process was suspended");
             let actor = context.mailbox().address().try_upgrade().expect("the actor is running");
             tokio::spawn(fetch::refresh_after_pause(self.shared.clone(), actor));
         }
