--- a/crates/foldhavenctl/src/client.rs
+++ b/crates/foldhavenctl/src/client.rs
@@ -1,4 +1,4 @@
-//! Asks daemons, starting from a few and finding the others through them.
+//! Queries daemons over HTTP, and discovers all VMs of a deployment from a few addresses.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -11,9 +11,10 @@
 
 use crate::error::CtlError;
 
-const ANSWER_LIMIT: Duration = Duration::from_secs(2);
+/// Timeout of one query.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What was found of a whole deployment.
+/// The state of a deployment, as far as its VMs were reached.
 #[derive(Debug, Clone, Default)]
 pub struct FleetState {
     /// The status of each VM that answered, by its peer address.
@@ -23,7 +24,8 @@
 }
 
 impl FleetState {
-    /// The highest stamp in force anywhere, with a VM that has it.
+    /// Returns the highest stamp in force at any VM, with the address of a VM that has it. `None`
+    /// if no VM has a description.
     pub fn highest(&self) -> Option<(DescriptionStamp, SocketAddr)> {
         let stamps = self.vms.iter().filter_map(|(address, status)| {
             let stamp = status.stamp.as_ref()?.parse().ok()?;
@@ -33,117 +35,118 @@
     }
 }
 
-/// Asks daemons over HTTP.
+/// A client for the operator API of daemons.
 pub struct OperatorClient {
     client: reqwest::Client,
-    first: Vec<SocketAddr>,
+    seed_addresses: Vec<SocketAddr>,
 }
 
 impl OperatorClient {
-    /// A client that starts from these peer addresses.
+    /// Creates a client that starts from these peer addresses.
     ///
     /// # Errors
     ///
-    /// When no address is given or the HTTP client cannot be set up.
-    pub fn new(first: Vec<SocketAddr>) -> Result<Self, CtlError> {
-        if first.is_empty() {
+    /// Returns an error if no address is given or the HTTP client cannot be set up.
+    pub fn new(seed_addresses: Vec<SocketAddr>) -> Result<Self, CtlError> {
+        if seed_addresses.is_empty() {
             let expected = "expected --vm ADDRESS or FOLDHAVEN_VMS=ADDRESS,...";
             return Err(CtlError::Usage(expected.to_owned()));
         }
-        let client = reqwest::Client::builder().timeout(ANSWER_LIMIT).build();
+        let client = reqwest::Client::builder().timeout(ANSWER_TIMEOUT).build();
         let client = client.map_err(|error| CtlError::Usage(error.to_string()))?;
-        Ok(Self { client, first })
+        Ok(Self { client, seed_addresses })
     }
 
-    /// The addresses to start from.
-    pub fn first(&self) -> &[SocketAddr] {
-        &self.first
+    /// Returns the addresses to start from.
+    pub fn seed_addresses(&self) -> &[SocketAddr] {
+        &self.seed_addresses
     }
 
-    /// Reads a JSON answer of one VM.
+    /// Sends a GET request to one VM and reads its JSON answer.
     ///
     /// # Errors
     ///
-    /// When the VM does not answer, or answers something else.
+    /// Returns an error if the VM does not answer, or not with the expected JSON.
     pub async fn get<T: DeserializeOwned>(
         &self,
         step: &'static str,
         peer: SocketAddr,
         path: &str,
     ) -> Result<T, CtlError> {
-        let asked = self.client.get(format!("http://{peer}{path}"));
-        self.send(step, peer, asked).await
+        let request = self.client.get(format!("http://{peer}{path}"));
+        self.send(step, peer, request).await
     }
 
-    /// Has one VM do something, and reads its JSON answer.
+    /// Sends a POST request to one VM and reads its JSON answer.
     ///
     /// # Errors
     ///
-    /// When the VM does not answer, or answers something else.
+    /// Returns an error if the VM does not answer, or not with the expected JSON.
     pub async fn post<T: DeserializeOwned>(
         &self,
         step: &'static str,
         peer: SocketAddr,
         path: &str,
     ) -> Result<T, CtlError> {
-        let asked = self.client.post(format!("http://{peer}{path}"));
-        self.send(step, peer, asked).await
+        let request = self.client.post(format!("http://{peer}{path}"));
+        self.send(step, peer, request).await
     }
 
     async fn send<T: DeserializeOwned>(
         &self,
         step: &'static str,
         peer: SocketAddr,
-        asked: reqwest::RequestBuilder,
+        request: reqwest::RequestBuilder,
     ) -> Result<T, CtlError> {
-        let fault = |message: String| CtlError::Peer { step, peer: peer.to_string(), message };
-        let sent = asked.send().await;
-        let response = sent.map_err(|error| fault(error.to_string()))?;
+        let peer_error = |message: String| CtlError::Peer { step, peer: peer.to_string(), message };
+        let sent = request.send().await;
+        let response = sent.map_err(|error| peer_error(error.to_string()))?;
         let status = response.status();
-        let body = response.text().await.map_err(|error| fault(error.to_string()))?;
+        let body = response.text().await.map_err(|error| peer_error(error.to_string()))?;
         if !status.is_success() {
-            return Err(fault(format!("status {status}: {body}")));
+            return Err(peer_error(format!("status {status}: {body}")));
         }
-        serde_json::from_str(&body).map_err(|error| fault(error.to_string()))
+        serde_json::from_str(&body).map_err(|error| peer_error(error.to_string()))
     }
 
-    /// Asks every VM that can be found, through the members and data centres that others name.
+    /// Reads the status of every VM that can be discovered through the members and data centres
+    /// that other VMs list.
     ///
     /// # Errors
     ///
-    /// When none of the first addresses answers.
+    /// Returns an error if no VM answers.
     pub async fn survey(&self) -> Result<FleetState, CtlError> {
         let mut state = FleetState::default();
-        let mut waiting: BTreeSet<SocketAddr> = self.first.iter().copied().collect();
-        while !waiting.is_empty() {
-            let asked: Vec<SocketAddr> = std::mem::take(&mut waiting).into_iter().collect();
+        let mut unqueried: BTreeSet<SocketAddr> = self.seed_addresses.iter().copied().collect();
+        while !unqueried.is_empty() {
+            let addresses: Vec<SocketAddr> = std::mem::take(&mut unqueried).into_iter().collect();
             let path = "/operator/v1/status";
-            let reads = asked.iter().map(|peer| self.get("reading the state", *peer, path));
-            for (peer, read) in asked.iter().zip(join_all(reads).await) {
+            let reads = addresses.iter().map(|peer| self.get("reading the state", *peer, path));
+            for (peer, read) in addresses.iter().zip(join_all(reads).await) {
                 let read: Result<StatusAnswer, CtlError> = read;
                 match read {
                     Ok(status) => {
-                        waiting.extend(named_peers(&status));
+                        unqueried.extend(listed_peers(&status));
                         state.vms.insert(*peer, status);
                     }
                     Err(_) => drop(state.unreachable.insert(*peer)),
                 }
             }
-            waiting
+            unqueried
                 .retain(|peer| !state.vms.contains_key(peer) && !state.unreachable.contains(peer));
         }
         if state.vms.is_empty() {
-            let tried: Vec<String> = self.first.iter().map(|it| it.to_string()).collect();
+            let tried: Vec<String> = self.seed_addresses.iter().map(|it| it.to_string()).collect();
             return Err(CtlError::Unreachable(tried.join(", ")));
         }
         Ok(state)
     }
 
-    /// The description with the highest stamp in force anywhere; nothing when there is none.
+    /// Reads the description with the highest stamp in force at any VM, `None` if there is none.
     ///
     /// # Errors
     ///
-    /// When the VM that has it does not answer any more.
+    /// Returns an error if the VM that has it does not answer.
     pub async fn in_force(
         &self,
         state: &FleetState,
@@ -155,7 +158,7 @@
     }
 }
 
-fn named_peers(status: &StatusAnswer) -> Vec<SocketAddr> {
+fn listed_peers(status: &StatusAnswer) -> Vec<SocketAddr> {
     let members = status.members.iter().map(|member| &member.peer);
     let others = status.centres.iter().flat_map(|centre| &centre.peers);
     members.chain(others).filter_map(|address| address.parse().ok()).collect()
--- a/crates/foldhavenctl/src/cmd/explain.rs
+++ b/crates/foldhavenctl/src/cmd/explain.rs
@@ -1,14 +1,14 @@
-//! `foldhavenctl explain`: shows where a request would go, and why.
+//! `foldhavenctl explain`: shows where a request would be routed, and why.
 
 use clap::{Arg, ArgMatches, Command};
 use foldhaven_core::planner::RouteTarget;
 use foldhaven_wire::operator::ExplainAnswer;
 
-use super::{client_of, json_arg, print_json, vm_arg};
+use super::{json_arg, make_client, print_json, vm_arg};
 use crate::error::CtlError;
-use crate::table::lay_out;
+use crate::table::format_table;
 
-/// The field of the query, the name of the argument, and its help.
+/// Each query field with the name of its argument and its help text.
 const FIELDS: [(&str, &str, &str); 6] = [
     ("account", "account", "The account"),
     ("class", "class", "The request class"),
@@ -18,7 +18,7 @@
     ("max_tokens", "max-tokens", "The longest answer"),
 ];
 
-/// The arguments of `explain`.
+/// Returns the command-line definition of `explain`.
 pub fn make_subcommand() -> Command {
     let command = Command::new("explain")
         .about("Shows where a request would go, and why")
@@ -35,19 +35,19 @@
     })
 }
 
-/// Carries `explain` out.
+/// Runs `explain`.
 ///
 /// # Errors
 ///
-/// When the VM cannot be reached or refuses the question.
+/// Returns an error if the VM cannot be reached or refuses the query.
 pub async fn execute(args: &ArgMatches) -> Result<(), CtlError> {
-    let client = client_of(args)?;
+    let client = make_client(args)?;
     let pairs = FIELDS.iter().filter_map(|(name, ..)| {
         args.get_one::<String>(name).map(|value| format!("{name}={value}"))
     });
     let query: Vec<String> = pairs.collect();
     let path = format!("/operator/v1/explain?{}", query.join("&"));
-    let answer: ExplainAnswer = client.get("explaining", client.first()[0], &path).await?;
+    let answer: ExplainAnswer = client.get("explaining", client.seed_addresses()[0], &path).await?;
     if args.get_flag("json") {
         print_json(&answer);
         return Ok(());
@@ -88,5 +88,5 @@
             format!("{:.4}", price.total()),
         ]);
     }
-    lay_out(&rows)
+    format_table(&rows)
 }
--- a/crates/foldhavenctl/src/cmd/report.rs
+++ b/crates/foldhavenctl/src/cmd/report.rs
@@ -1,4 +1,4 @@
-//! `foldhavenctl report`: the report on service-level burn.
+//! `foldhavenctl report`: reports error-budget burn per account and class.
 
 use std::path::PathBuf;
 
@@ -6,15 +6,15 @@
 use foldhaven_wire::operator::BurnAnswer;
 use futures::future::join_all;
 
-use super::{client_of, json_arg, print_json, vm_arg};
-use crate::burn::{BurnReport, gather_burn};
+use super::{json_arg, make_client, print_json, vm_arg};
+use crate::burn::{BurnReport, aggregate_burn};
 use crate::client::OperatorClient;
 use crate::error::CtlError;
 use crate::html::burn_page;
 use crate::source::write_file;
-use crate::table::lay_out;
+use crate::table::format_table;
 
-/// The arguments of `report`.
+/// Returns the command-line definition of `report`.
 pub fn make_subcommand() -> Command {
     Command::new("report")
         .about("Reports service-level burn per account and class, from every VM that answers")
@@ -33,13 +33,13 @@
         )
 }
 
-/// Carries `report` out.
+/// Runs `report`.
 ///
 /// # Errors
 ///
-/// When no VM can be reached or the page cannot be written.
+/// Returns an error if no VM can be reached or the HTML page cannot be written.
 pub async fn execute(args: &ArgMatches) -> Result<(), CtlError> {
-    let report = gather(&client_of(args)?).await?;
+    let report = collect_report(&make_client(args)?).await?;
     if let Some(path) = args.get_one::<PathBuf>("html") {
         let page = burn_page(&report).map_err(|error| CtlError::Usage(error.to_string()))?;
         write_file(path, &page)?;
@@ -51,12 +51,12 @@
     Ok(())
 }
 
-/// Asks every VM that can be found.
+/// Reads the burn counts of every VM that can be discovered, and aggregates them.
 ///
 /// # Errors
 ///
-/// When no VM can be reached.
-pub async fn gather(client: &OperatorClient) -> Result<BurnReport, CtlError> {
+/// Returns an error if no VM can be reached.
+pub async fn collect_report(client: &OperatorClient) -> Result<BurnReport, CtlError> {
     let state = client.survey().await?;
     let peers: Vec<_> = state.vms.keys().copied().collect();
     let path = "/operator/v1/burn";
@@ -69,10 +69,10 @@
             Err(_) => unreachable.push(peer.to_string()),
         }
     }
-    Ok(gather_burn(&answers, unreachable))
+    Ok(aggregate_burn(&answers, unreachable))
 }
 
-/// The report as a table, with what could not be reached below it.
+/// Returns the report as a table, followed by the addresses that could not be reached.
 pub fn report_table(report: &BurnReport) -> String {
     let heading = [
         "account",
@@ -103,7 +103,7 @@
             worst.join(", "),
         ]);
     }
-    let mut text = lay_out(&rows);
+    let mut text = format_table(&rows);
     for address in &report.unreachable {
         text.push_str(&format!("not reached, and missing above: {address}\n"));
     }
