--- a/crates/foldhaven-core/tests/testsuite/opaque_limits.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_limits.rs
@@ -28,90 +28,90 @@
 }
 
 proptest! {
-/// VMs that all retry as often as they can, and that are killed at any moment, together stay
-/// within the budget in every window.
-#[test]
-fn retries_of_all_vms_stay_within_the_budget(
-vms in 1usize..12,
-rates in prop::collection::vec(0u32..30, 12),
-kills in prop::collection::vec((0usize..12, 0u64..300), 0..10),
-) {
-let zero = MonoTime::from_millis(1_000_000);
-// The processes have run long enough for their fixed shares to be fully grown.
-let mut fleet: Vec<RetryVm> = (0..vms)
-.map(|_| RetryVm {
-started: zero - Duration::from_secs(600),
-share: RetryShare::new(LIMITS),
-})
-.collect();
-let mut requests: BTreeMap<u64, u32> = BTreeMap::new();
-let mut retries: BTreeMap<u64, u32> = BTreeMap::new();
-for step in 0u64..300 {
-let now = zero + Duration::from_millis(100 * step);
-for (at, it) in fleet.iter_mut().enumerate() {
-if kills.contains(&(at, step)) {
-*it = RetryVm { started: now, share: RetryShare::new(LIMITS) };
-}
-for _ in 0..rates[at] {
-it.share.record_request(now);
-*requests.entry(step).or_default() += 1;
-}
-let uptime = now.since(it.started);
-while it.share.try_withdraw(Some(vms), uptime, now) {
-*retries.entry(step).or_default() += 1;
-}
-}
-}
-for first in 0..200u64 {
-let window = first..first + 100;
-let in_window = |counts: &BTreeMap<u64, u32>, window: std::ops::Range<u64>| {
-counts.range(window).map(|(_, count)| *count).sum::<u32>()
-};
-let sent = in_window(&retries, window.clone());
-// The budget counts the requests of this window, the previous one, or one that starts
-// half a window earlier.
-let before = first.saturating_sub(100)..first;
-let most = in_window(&requests, window).max(in_window(&requests, before));
-let permitted = LIMITS.ratio * f64::from(most) + LIMITS.extra;
-prop_assert!(f64::from(sent) <= permitted, "{sent} retries, {permitted} permitted");
-}
-}
+    /// VMs that all retry as often as they can, and that are killed at any moment, together stay
+    /// within the budget in every window.
+    #[test]
+    fn retries_of_all_vms_stay_within_the_budget(
+        vms in 1usize..12,
+        rates in prop::collection::vec(0u32..30, 12),
+        kills in prop::collection::vec((0usize..12, 0u64..300), 0..10),
+    ) {
+        let zero = MonoTime::from_millis(1_000_000);
+        // The processes have run long enough for their fixed shares to be fully grown.
+        let mut fleet: Vec<RetryVm> = (0..vms)
+            .map(|_| RetryVm {
+                started: zero - Duration::from_secs(600),
+                share: RetryShare::new(LIMITS),
+            })
+            .collect();
+        let mut requests: BTreeMap<u64, u32> = BTreeMap::new();
+        let mut retries: BTreeMap<u64, u32> = BTreeMap::new();
+        for step in 0u64..300 {
+            let now = zero + Duration::from_millis(100 * step);
+            for (at, it) in fleet.iter_mut().enumerate() {
+                if kills.contains(&(at, step)) {
+                    *it = RetryVm { started: now, share: RetryShare::new(LIMITS) };
+                }
+                for _ in 0..rates[at] {
+                    it.share.record_request(now);
+                    *requests.entry(step).or_default() += 1;
+                }
+                let uptime = now.since(it.started);
+                while it.share.try_withdraw(Some(vms), uptime, now) {
+                    *retries.entry(step).or_default() += 1;
+                }
+            }
+        }
+        for first in 0..200u64 {
+            let window = first..first + 100;
+            let in_window = |counts: &BTreeMap<u64, u32>, window: std::ops::Range<u64>| {
+                counts.range(window).map(|(_, count)| *count).sum::<u32>()
+            };
+            let sent = in_window(&retries, window.clone());
+            // The budget counts the requests of this window, the previous one, or one that starts
+            // half a window earlier.
+            let before = first.saturating_sub(100)..first;
+            let most = in_window(&requests, window).max(in_window(&requests, before));
+            let permitted = LIMITS.ratio * f64::from(most) + LIMITS.extra;
+            prop_assert!(f64::from(sent) <= permitted, "{sent} retries, {permitted} permitted");
+        }
+    }
 
-/// VMs that see each other send no more to a cold upstream than its rate, whatever its name.
-#[test]
-fn cold_upstream_gets_no_more_than_its_rate(vms in 1usize..60, name in 0u32..1000) {
-let upstream: UpstreamName = format!("i-{name}").parse().unwrap();
-let live: Vec<VmName> = (0..vms).map(vm).collect();
-let rates: Vec<f64> = live.iter().map(|own| share(&upstream, own, &live, &live)).collect();
-prop_assert!(rates.iter().sum::<f64>() <= 9.7);
-prop_assert!(rates.iter().filter(|rate| **rate > 0.0).count() <= MAX_SENDERS);
-prop_assert!(rates.iter().any(|rate| *rate > 0.0));
-}
+    /// VMs that see each other send no more to a cold upstream than its rate, whatever its name.
+    #[test]
+    fn cold_upstream_gets_no_more_than_its_rate(vms in 1usize..60, name in 0u32..1000) {
+        let upstream: UpstreamName = format!("i-{name}").parse().unwrap();
+        let live: Vec<VmName> = (0..vms).map(vm).collect();
+        let rates: Vec<f64> = live.iter().map(|own| share(&upstream, own, &live, &live)).collect();
+        prop_assert!(rates.iter().sum::<f64>() <= 9.7);
+        prop_assert!(rates.iter().filter(|rate| **rate > 0.0).count() <= MAX_SENDERS);
+        prop_assert!(rates.iter().any(|rate| *rate > 0.0));
+    }
 
-/// Guards against VMs that disagree on who is live: if some VMs see one VM and others do not,
-/// the total rate grows by one sender's share at most.
-#[test]
-fn one_disputed_vm_adds_at_most_one_share(
-vms in 4usize..60,
-name in 0u32..1000,
-disputed in 0usize..60,
-) {
-let upstream: UpstreamName = format!("i-{name}").parse().unwrap();
-let all: Vec<VmName> = (0..vms).map(vm).collect();
-let without: Vec<VmName> =
-all.iter().filter(|it| **it != vm(disputed % vms)).cloned().collect();
-// Each VM may hold either view; the sum takes the worse one for each.
-let worst = |own: &VmName| {
-let sees = share(&upstream, own, &all, &all);
-let misses = match without.contains(own) {
-true => share(&upstream, own, &without, &without),
-false => 0.0,
-};
-sees.max(misses)
-};
-let sum: f64 = all.iter().map(worst).sum();
-prop_assert!(sum <= 9.7 * (MAX_SENDERS as f64 + 1.0) / MAX_SENDERS as f64);
-}
+    /// Guards against VMs that disagree on who is live: if some VMs see one VM and others do not,
+    /// the total rate grows by one sender's share at most.
+    #[test]
+    fn one_disputed_vm_adds_at_most_one_share(
+        vms in 4usize..60,
+        name in 0u32..1000,
+        disputed in 0usize..60,
+    ) {
+        let upstream: UpstreamName = format!("i-{name}").parse().unwrap();
+        let all: Vec<VmName> = (0..vms).map(vm).collect();
+        let without: Vec<VmName> =
+            all.iter().filter(|it| **it != vm(disputed % vms)).cloned().collect();
+        // Each VM may hold either view; the sum takes the worse one for each.
+        let worst = |own: &VmName| {
+            let sees = share(&upstream, own, &all, &all);
+            let misses = match without.contains(own) {
+                true => share(&upstream, own, &without, &without),
+                false => 0.0,
+            };
+            sees.max(misses)
+        };
+        let sum: f64 = all.iter().map(worst).sum();
+        prop_assert!(sum <= 9.7 * (MAX_SENDERS as f64 + 1.0) / MAX_SENDERS as f64);
+    }
 }
 
 /// The share of a VM in a rate of 9.7 requests per second, given the live VMs and those that may be
--- a/crates/foldhaven-gateway/src/datagrams.rs
+++ b/crates/foldhaven-gateway/src/datagrams.rs
@@ -64,12 +64,18 @@
     let urgent: Vec<NumberedChange> = urgent.cloned().collect();
     let mut is_offered = false;
     let bytes = PeerMessage::Changes(changes).bytes().or_else(|error| {
-is_offered = true;
-shared.metrics.count_event("changes_too_large");
-let early = urgent.len();
-tracing::warn!(revision, count, early, error = %error, "changes do not fit into a datagram and have to be requested");
-PeerMessage::Early(urgent).bytes()
-});
+        is_offered = true;
+        shared.metrics.count_event("changes_too_large");
+        let early = urgent.len();
+        tracing::warn!(
+            revision,
+            count,
+            early,
+            error = %error,
+            "changes do not fit into a datagram and have to be requested"
+        );
+        PeerMessage::Early(urgent).bytes()
+    });
     match bytes {
         Ok(bytes) => {
             let sum = (bytes.len() * targets.len()) as u64;
--- a/crates/foldhavenctl/src/cmd/accounts.rs
+++ b/crates/foldhavenctl/src/cmd/accounts.rs
@@ -12,14 +12,14 @@
 /// Returns the command-line definition of `accounts`.
 pub fn make_subcommand() -> Command {
     Command::new("accounts")
-.about("Shows the accounts that one VM knows, their limits and its parts of them")
-.after_help(
-"Example: foldhavenctl accounts --vm 127.10.1.1:8146\n\nA limit holds over all VMs together. \
+        .about("Shows the accounts that one VM knows, their limits and its parts of them")
+        .after_help(
+            "Example: foldhavenctl accounts --vm 127.10.1.1:8146\n\nA limit holds over all VMs together. \
              Each tells what its callers want, and has a part by that. For VMs and regions that it does not \
              hear a part is set aside; the first line says how many these are.",
-)
-.arg(vm_arg())
-.arg(json_arg())
+        )
+        .arg(vm_arg())
+        .arg(json_arg())
 }
 
 /// Runs `accounts`.
--- a/crates/foldhavenctl/src/cmd/suspects.rs
+++ b/crates/foldhavenctl/src/cmd/suspects.rs
@@ -12,16 +12,16 @@
 /// Returns the command-line definition of `suspects`.
 pub fn make_subcommand() -> Command {
     Command::new("suspects")
-.about("Shows the requests under which upstreams ended, and clears one")
-.after_help(
-"Example: foldhavenctl suspects --vm 127.10.1.1:8146\n\nA request at whose sending one upstream \
+        .about("Shows the requests under which upstreams ended, and clears one")
+        .after_help(
+            "Example: foldhavenctl suspects --vm 127.10.1.1:8146\n\nA request at whose sending one upstream \
              ended is noted, after two it is tried by one VM at a time, after three it is refused. A whole \
              answer clears it. --clear does the same by hand: the VM tells all others, and nothing is written \
              anywhere else. Fingerprints stand in the log lines of requests.",
-)
-.arg(vm_arg())
-.arg(json_arg())
-.arg(Arg::new("clear").long("clear").value_name("PRINT").help("Clear this fingerprint"))
+        )
+        .arg(vm_arg())
+        .arg(json_arg())
+        .arg(Arg::new("clear").long("clear").value_name("PRINT").help("Clear this fingerprint"))
 }
 
 /// Runs `suspects`.
