--- a/crates/foldhaven-testkit/src/caller.rs
+++ b/crates/foldhaven-testkit/src/caller.rs
@@ -1,4 +1,5 @@
-//! A caller as the users have them: asks for entry VMs, sends, and checks what comes back.
+//! A caller that asks for entry VMs, sends requests and reads the answers, as the users' clients
+//! do.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -12,73 +13,74 @@
 /// A request to a model.
 #[derive(Debug, Clone)]
 pub struct ModelAsk {
-    /// The account.
+    /// Account.
     pub account: String,
-    /// The class.
+    /// Class.
     pub class: String,
-    /// The request id.
+    /// Request id.
     pub request: String,
-    /// The prompt.
+    /// Prompt.
     pub prompt: String,
-    /// The most tokens of the answer.
+    /// Maximum number of tokens in the answer.
     pub max_tokens: u64,
-    /// Whether to stream.
+    /// Whether to stream the answer.
     pub stream: bool,
-    /// Whether to ask in the chat shape.
+    /// Whether to use the chat completions API.
     pub chat: bool,
-    /// The deadline, if not the one of the class.
+    /// Deadline. If `None`, the one of the class applies.
     pub deadline: Option<Duration>,
-    /// The worth, if not the one of the class.
+    /// Worth. If `None`, the one of the class applies.
     pub worth: Option<f64>,
 }
 
 /// A request to a plain service.
 #[derive(Debug, Clone)]
 pub struct ServiceAsk {
-    /// The account.
+    /// Account.
     pub account: String,
-    /// The class.
+    /// Class.
     pub class: String,
-    /// The request id.
+    /// Request id.
     pub request: String,
-    /// The path from `/service/`.
+    /// Path below `/service/`.
     pub path: String,
-    /// The body.
+    /// Request body.
     pub body: String,
-    /// The ticket, for a request that is not repeatable.
+    /// Ticket of a request that is not repeatable.
     pub ticket: Option<String>,
-    /// The deadline, if not the one of the class.
+    /// Deadline. If `None`, the one of the class applies.
     pub deadline: Option<Duration>,
 }
 
-/// What a caller received.
+/// The answer that a caller received.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CallerAnswer {
-    /// The HTTP status; 0 when there was no answer at all.
+    /// HTTP status. 0 if there was no answer.
     pub status: u16,
-    /// The outcome that was told, `unknown` when there was none.
+    /// Outcome reported by the answer. `Unknown` if there is none.
     pub outcome: RequestOutcome,
-    /// The text of the answer.
+    /// Text of the answer.
     pub text: String,
-    /// The error's code, for an error.
+    /// Error code, if the answer is an error.
     pub error: Option<String>,
-    /// The error in words.
+    /// Error message, if the answer is an error.
     pub message: Option<String>,
-    /// When to come back, if that was told.
+    /// Delay after which to retry, if the answer contains one.
     pub retry_after: Option<Duration>,
-    /// A ticket for the next try, if one was handed out.
+    /// Ticket for the next attempt, if the answer contains one.
     pub ticket: Option<String>,
-    /// The data centre that served.
+    /// Data centre that served the request.
     pub served_by: String,
-    /// The time to the first token.
+    /// Time to the first event of a streamed answer.
     pub first: Option<Duration>,
-    /// The time to the end.
+    /// Time to the end of the answer.
     pub whole: Duration,
-    /// Where a leaving VM sent the caller.
+    /// Value of the `location` header, by which a leaving VM redirects the caller.
     pub location: Option<String>,
 }
 
 impl CallerAnswer {
+    /// Creates the result of a request without a valid answer.
     fn lost(started: Instant, message: String) -> Self {
         Self {
             status: 0,
@@ -95,26 +97,26 @@
         }
     }
 
-    /// Whether the answer is whole.
+    /// Returns whether the answer is complete.
     pub fn is_complete(&self) -> bool {
         self.outcome == RequestOutcome::Complete
     }
 }
 
-/// A caller with its connections.
+/// A caller with a connection pool.
 #[derive(Clone)]
 pub struct CallerClient {
     client: reqwest::Client,
-    /// The time between the caller and its entry VM, one way.
+    /// Network delay between the caller and its entry VM, one way.
     one_way: Duration,
 }
 
 impl CallerClient {
-    /// A caller so far away.
+    /// Creates a caller with a one-way network delay to its entry VMs.
     ///
     /// # Panics
     ///
-    /// When the HTTP client cannot be set up.
+    /// Panics if the HTTP client cannot be created.
     pub fn new(one_way: Duration) -> Self {
         let client = reqwest::Client::builder()
             .redirect(reqwest::redirect::Policy::none())
@@ -122,18 +124,20 @@
             .pool_max_idle_per_host(1_024)
             .tcp_nodelay(true)
             .build()
-            .expect("the HTTP client can be set up");
+            .expect("the HTTP client can be created");
         Self { client, one_way }
     }
 
-    /// Lets the time to the entry VM pass. A timer takes a millisecond even for no time at all.
+    /// Waits for the network delay to the entry VM. Skips a delay of zero, because a timer takes a
+    /// millisecond even then.
     async fn travel(&self) {
         if !self.one_way.is_zero() {
             tokio::time::sleep(self.one_way).await;
         }
     }
 
-    /// Asks an entry VM which VMs to use.
+    /// Asks an entry VM which VMs to use, and for tickets. Returns `None` if it does not answer
+    /// within two seconds.
     pub async fn entries(
         &self,
         entry: SocketAddr,
@@ -145,7 +149,7 @@
         request.send().await.ok()?.json().await.ok()
     }
 
-    /// Sends a model request to an entry VM and takes its answer to the end.
+    /// Sends a model request to an entry VM and reads the answer to its end.
     pub async fn ask_model(&self, entry: SocketAddr, ask: &ModelAsk) -> CallerAnswer {
         let started = Instant::now();
         self.travel().await;
@@ -176,7 +180,7 @@
         answer
     }
 
-    /// Sends a service request to an entry VM.
+    /// Sends a service request to an entry VM and reads the answer to its end.
     pub async fn ask_service(&self, entry: SocketAddr, ask: &ServiceAsk) -> CallerAnswer {
         let started = Instant::now();
         self.travel().await;
@@ -204,7 +208,8 @@
     }
 }
 
-/// Callers wait a little longer than their deadline for the final answer.
+/// Returns how long a caller waits for the end of the answer: 3 seconds longer than its deadline,
+/// which is taken as 15 seconds if it is not set.
 fn caller_patience(deadline: Option<Duration>) -> Duration {
     deadline.unwrap_or(Duration::from_secs(15)) + Duration::from_secs(3)
 }
@@ -220,7 +225,7 @@
     serde_json::json!({ "prompt": ask.prompt, "max_tokens": max_tokens, "stream": stream })
 }
 
-/// The prompt as an engine sees it.
+/// Returns the prompt as an engine receives it.
 pub fn engine_prompt(ask: &ModelAsk) -> String {
     if ask.chat { format!("user: {}\n", ask.prompt) } else { ask.prompt.clone() }
 }
--- a/crates/foldhaven-testkit/src/demo.rs
+++ b/crates/foldhaven-testkit/src/demo.rs
@@ -1,5 +1,5 @@
-//! The demonstration: both users' deployments, every class, and a check of each answer against
-//! what the upstreams recorded.
+//! Demonstration that serves the deployments of both users, sends requests of every class and
+//! checks each answer against the records of the upstreams.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -16,10 +16,10 @@
 use crate::stand_in::ledger::{LedgerEvent, LedgerLine};
 use crate::stand_in::service::service_answer;
 
-/// Requests of each account, class and shape.
+/// Number of requests per account and class.
 const ROUNDS: usize = 6;
 
-/// Why the demonstration could not run.
+/// Error that prevents the demonstration from running.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum DemoError {
     /// {0}
@@ -28,7 +28,7 @@
     Description(String),
 }
 
-/// What one request of the demonstration was, and what came back.
+/// A request of the demonstration with its expected and actual answer.
 struct DemoRecord {
     class: ClassConfig,
     home: RegionName,
@@ -37,7 +37,7 @@
     answer: CallerAnswer,
 }
 
-/// What is checked of one user's deployment.
+/// Results of the checks of one deployment.
 #[derive(Default)]
 struct DemoChecks {
     failures: Vec<String>,
@@ -53,12 +53,12 @@
     }
 }
 
-/// Serves both deployments and prints a table for each; the last line is one JSON object. Returns
-/// whether every check held.
+/// Runs the demonstration. Prints a table for each deployment and a JSON object as the last line.
+/// Returns whether all checks passed.
 ///
 /// # Errors
 ///
-/// When a description cannot be read or a deployment cannot be started.
+/// Returns an error if a description cannot be read or a deployment cannot be started.
 pub async fn run_demo(examples: &Path) -> Result<bool, DemoError> {
     let program = std::env::current_exe()?;
     let mut users = BTreeMap::new();
@@ -77,11 +77,11 @@
     Ok(is_ok)
 }
 
-/// Reads one of the example descriptions.
+/// Reads the description of a user from a folder of examples.
 ///
 /// # Errors
 ///
-/// When the file cannot be read or does not pass its checks.
+/// Returns an error if the file cannot be read or the description is invalid.
 pub fn read_example(examples: &Path, user: &str) -> Result<Description, DemoError> {
     let path = examples.join(format!("{user}.yaml"));
     let text = std::fs::read_to_string(&path)?;
@@ -103,7 +103,7 @@
         check_record(&fleet, record, &ledger, &mut checks);
     }
     let writes = fleet.platform_counts().await.map_or(u64::MAX, |counts| counts.writes);
-    checks.check(writes == 0, || format!("{writes} calls to the platform would have written"));
+    checks.check(writes == 0, || format!("{writes} attempted writes to the platform"));
     print_table(&fleet, user, &records);
     let summary = serde_json::json!({
         "requests": records.len(),
@@ -113,13 +113,14 @@
     (checks, summary)
 }
 
-/// A VM of a region, by the client directory.
+/// Returns the caller address of a VM in a region.
 fn entry_in(fleet: &Fleet, region: &str) -> std::net::SocketAddr {
     let found = fleet.vms.values().find(|vm| vm.region == region);
     found.expect("each region has a VM").settings.addresses.caller
 }
 
-/// Every account, class and shape, a few at a time.
+/// Sends requests of every account and repeatable class, spread over time, and varies their form
+/// (streamed or not, completion or chat).
 async fn run_everything(fleet: &Arc<Fleet>, caller: &CallerClient) -> Vec<DemoRecord> {
     let mut tasks = tokio::task::JoinSet::new();
     for account in fleet.description.accounts.clone() {
@@ -131,7 +132,7 @@
                 tasks.spawn(async move {
                     tokio::time::sleep(spread).await;
                     let entry = entry_in(&fleet, account.home.as_str());
-                    // A caller starts from the directory and asks which VMs to use.
+                    // Like any caller, ask a VM of the client directory which VMs to use.
                     let entries = caller.entries(entry, account.name.as_str(), 0).await;
                     let listed = entries.and_then(|it| it.entries.first().map(|it| it.address));
                     let entry = listed.unwrap_or(entry);
@@ -184,7 +185,8 @@
     DemoRecord { class, home, request, expected, answer }
 }
 
-/// A request that enters in another region than its home, which alone is permitted to run it.
+/// Sends a request to a region other than the only one that may run it, the home region of its
+/// account.
 async fn run_away(fleet: &Fleet, caller: &CallerClient, checks: &mut DemoChecks) -> DemoRecord {
     let bound = fleet.description.accounts.iter().find(|account| account.residency.is_some());
     let account = bound.expect("each example binds an account").clone();
@@ -198,11 +200,12 @@
     let record = run_one(caller, entry, (account.name.as_str(), home), class, 100).await;
     let region = region_of(fleet, &record.answer.served_by);
     let expected = Some(account.home.to_string());
-    checks.check(region == expected, || format!("the away request ran in {region:?}"));
+    checks
+        .check(region == expected, || format!("the request from another region ran in {region:?}"));
     record
 }
 
-/// A request that cannot be on time is refused at once, with when to come back.
+/// Checks that a request that cannot meet its deadline is refused with a retry delay and never run.
 async fn run_refusal(fleet: &Fleet, caller: &CallerClient, checks: &mut DemoChecks) {
     let account = &fleet.description.accounts[0];
     let class = &fleet.description.classes[0];
@@ -220,13 +223,13 @@
     let answer = caller.ask_model(entry_in(fleet, account.home.as_str()), &ask).await;
     let refused = answer.status == 429 && answer.error.as_deref() == Some("deadline");
     checks.check(refused, || format!("expected a refusal by deadline, got {answer:?}"));
-    checks.check(answer.retry_after.is_some(), || "the refusal does not say when".to_owned());
+    checks.check(answer.retry_after.is_some(), || "the refusal has no retry delay".to_owned());
     let ran = fleet.ledger().iter().any(|line| line.request == ask.request);
     checks.check(!ran, || "a refused request ran".to_owned());
 }
 
-/// A request that is not repeatable: refused without a ticket, then run once however often it is
-/// sent, at any VM.
+/// Checks that a request that is not repeatable is refused without a ticket, and runs once even if
+/// it is sent to every VM.
 async fn run_once(fleet: &Fleet, caller: &CallerClient, checks: &mut DemoChecks) {
     let account = &fleet.description.accounts[0];
     let classes = &fleet.description.classes;
@@ -275,14 +278,16 @@
 ) {
     let DemoRecord { request, answer, expected, .. } = record;
     checks.check(answer.is_complete(), || format!("{request}: {answer:?}"));
-    checks.check(answer.text == *expected, || format!("{request}: not its own whole answer"));
+    checks.check(answer.text == *expected, || format!("{request}: not the expected answer"));
     let ended = ledger
         .iter()
         .filter(|line| line.request == *request && line.event == LedgerEvent::End)
         .map(|line| line.data_centre.as_str());
     let served = region_of(fleet, &answer.served_by);
     let recorded = ended.clone().any(|centre| region_of(fleet, centre) == served);
-    checks.check(recorded, || format!("{request}: {} recorded no end", answer.served_by));
+    checks.check(recorded, || {
+        format!("{request}: no upstream in the region of {} recorded the end", answer.served_by)
+    });
 }
 
 fn print_table(fleet: &Fleet, user: &str, records: &[DemoRecord]) {
@@ -317,7 +322,7 @@
     }
 }
 
-/// The median and the 99th percentile in milliseconds.
+/// Returns the median and the 99th percentile in milliseconds.
 fn quantiles(times: impl Iterator<Item = Duration>) -> (f64, f64) {
     let mut histogram =
         Histogram::<u64>::new_with_bounds(1, 3_600_000_000, 3).expect("valid bounds");
--- a/crates/foldhaven-testkit/src/fleet/mod.rs
+++ b/crates/foldhaven-testkit/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Starts a whole deployment as separate processes on addresses of 127.0.0.0/8, and ends them.
+//! Starts and ends a complete deployment as separate processes on addresses in 127.0.0.0/8.
 
 mod places;
 
@@ -27,30 +27,31 @@
 use crate::stand_in::ledger::{LedgerLine, read_ledgers};
 use crate::stand_in::platform::{PlatformContent, PlatformCounts, PlatformMode};
 
-/// The name by which scenarios call the platform.
+/// Name of the platform in scenarios.
 pub const PLATFORM: &str = "platform";
+/// Maximum time to wait for each process, and then for the whole fleet, to become ready.
 const READY_LIMIT: Duration = Duration::from_secs(40);
 
-/// How large a fleet is and how it behaves.
+/// Size and behaviour of a fleet.
 #[derive(Debug, Clone)]
 pub struct FleetOptions {
     /// Entry VMs per data centre.
     pub vms: usize,
     /// Instances of each plain service per data centre.
     pub services: usize,
-    /// Whether links pass the relay, with the delays of the description.
+    /// Whether links go through the relay, which adds the delays of the description.
     pub relay: bool,
-    /// How requests are routed.
+    /// Routing policy.
     pub policy: PolicyKind,
-    /// The spans of time of the daemons.
+    /// Time settings of the daemons.
     pub times: TimeSettings,
-    /// How old load reports are.
+    /// Minimum age of the load reports of engines.
     pub report_lag: Duration,
-    /// How many prefix blocks an engine's cache holds.
+    /// Capacity of an engine's prefix cache in blocks.
     pub cache_blocks: usize,
-    /// How far the platform's lists lag behind.
+    /// Delay after which a change shows in the platform's lists.
     pub list_lag: Duration,
-    /// The least severe level that daemons log.
+    /// Log level of the daemons.
     pub log: String,
 }
 
@@ -70,7 +71,7 @@
     }
 }
 
-/// A process that is ended with its guard.
+/// Kills its process on drop.
 struct ProcessGuard {
     child: Child,
 }
@@ -78,7 +79,7 @@
 impl ProcessGuard {
     fn signal(&self, signal: Signal) {
         let pid = Pid::from_raw(self.child.id() as i32);
-        // A process that has ended already needs no signal.
+        // An error means that the process has exited and needs no signal.
         let _ = kill(pid, signal);
     }
 }
@@ -90,28 +91,28 @@
     }
 }
 
-/// One entry VM of the fleet.
+/// An entry VM of a fleet.
 #[derive(Debug, Clone)]
 pub struct FleetVm {
-    /// Its settings.
+    /// Settings of its daemon.
     pub settings: DaemonSettings,
-    /// Its region.
+    /// Region of the VM.
     pub region: String,
 }
 
-/// A deployment that runs.
+/// A running deployment.
 pub struct Fleet {
-    /// The description that it was started with.
+    /// Description with which the fleet was started.
     pub description: Description,
-    /// The entry VMs by name.
+    /// Entry VMs by name.
     pub vms: BTreeMap<String, FleetVm>,
-    /// The upstreams, as the platform lists them.
+    /// Upstreams as in the platform's list.
     pub upstreams: Vec<UpstreamEntry>,
-    /// The links between processes.
+    /// Links between processes.
     pub relay: LinkRelay,
-    /// Where the platform stands.
+    /// Address of the platform.
     pub platform: SocketAddr,
-    /// A client without limits of its own.
+    /// HTTP client without default timeouts.
     pub client: reqwest::Client,
     processes: BTreeMap<String, ProcessGuard>,
     folder: TempDir,
@@ -121,13 +122,13 @@
 
 impl Fleet {
     /// Starts the platform, the upstreams and the daemons, and waits until all daemons serve and
-    /// all deployments are in place.
+    /// all models are loaded.
     ///
-    /// `program` is the testkit's own binary, which contains every process as a subcommand.
+    /// `program` is the binary of the testkit, which contains every process as a subcommand.
     ///
     /// # Errors
     ///
-    /// When a process cannot be started or does not become ready in time.
+    /// Returns an error if a process cannot be started or does not become ready in time.
     pub async fn start(
         program: PathBuf,
         description: Description,
@@ -165,7 +166,7 @@
         Ok(fleet)
     }
 
-    /// The folder for ledgers, settings and logs.
+    /// Returns the folder with ledgers, settings and logs.
     pub fn folder(&self) -> &std::path::Path {
         self.folder.path()
     }
@@ -200,7 +201,7 @@
     ///
     /// # Errors
     ///
-    /// When the process cannot be started.
+    /// Returns an error if the process cannot be started.
     pub fn start_upstream(&mut self, entry: &UpstreamEntry) -> io::Result<()> {
         let ledger = self.folder.path().join(format!("{}.ledger", entry.name));
         let is_engine = entry.kind == UpstreamKind::Engine;
@@ -230,7 +231,7 @@
     ///
     /// # Errors
     ///
-    /// When the process cannot be started.
+    /// Returns an error if the process cannot be started.
     pub fn start_vm(&mut self, name: &str) -> io::Result<()> {
         let vm = self.vms.get(name).ok_or_else(|| unknown(name))?;
         let path = self.folder.path().join(format!("{name}.yaml"));
@@ -245,7 +246,7 @@
         let log = std::fs::OpenOptions::new().create(true).append(true).open(log)?;
         let child = Command::new(&self.program)
             .args(arguments)
-            // The pipe closes when this process ends, however it ends, and the child ends too.
+            // The pipe closes whenever this process ends, which makes the child exit as well.
             .stdin(Stdio::piped())
             .stdout(Stdio::null())
             .stderr(log)
@@ -254,7 +255,8 @@
         Ok(())
     }
 
-    /// Lays relays between all pairs of processes that talk, and tells the daemons to use them.
+    /// Opens a relayed link for each connection that a daemon may dial and sets the link addresses
+    /// in its settings.
     fn lay_links(&mut self) {
         if !self.options.relay {
             return;
@@ -326,7 +328,8 @@
         waited.map_err(|_| io::Error::other("the fleet did not become ready"))
     }
 
-    /// Whether a VM serves, sees every deployment of its data centre in place, and all the others.
+    /// Returns whether a VM serves, sees all models of its data centre loaded, all VMs of its data
+    /// centre, and a complete set of serving VMs in the data centres it exchanges summaries with.
     async fn is_ready(&self, name: &str) -> bool {
         let Some(status) = self.status(name).await else { return false };
         let centre = &status.data_centre;
@@ -350,7 +353,7 @@
             && status.centres.iter().all(full)
     }
 
-    /// The data centres that the delegates of one turn to by themselves.
+    /// Returns the data centres with which the delegates of a data centre start exchanges.
     fn exchange_partners(&self, centre: &DataCentreName) -> BTreeSet<DataCentreName> {
         let regions = self.description.regions.iter();
         let named = regions.flat_map(|it| it.data_centres.iter().map(|dc| (dc, &it.name)));
@@ -358,7 +361,7 @@
         exchange_partners(centre, &all)
     }
 
-    /// What a VM tells operators.
+    /// Returns the status of a VM, or `None` if it does not answer within one second.
     pub async fn status(&self, name: &str) -> Option<StatusAnswer> {
         let address = self.vms.get(name)?.settings.addresses.peer;
         let url = format!("http://{address}/operator/v1/status");
@@ -366,7 +369,8 @@
         request.send().await.ok()?.json().await.ok()
     }
 
-    /// The entries that a VM gives to callers.
+    /// Returns the entry VMs and tickets that a VM gives to callers, or `None` if it does not
+    /// answer within two seconds.
     pub async fn entries(
         &self,
         name: &str,
@@ -379,23 +383,23 @@
         request.send().await.ok()?.json().await.ok()
     }
 
-    /// Kills a process at once.
+    /// Kills a process immediately.
     pub fn kill(&mut self, name: &str) {
         self.processes.remove(name);
         self.relay.note_killed(name);
     }
 
-    /// Stops a process in its tracks, as when its VM is paused.
+    /// Suspends a process, like a paused VM.
     pub fn freeze(&self, name: &str) {
         self.signal(name, Signal::SIGSTOP);
     }
 
-    /// Lets a frozen process go on.
+    /// Resumes a suspended process.
     pub fn thaw(&self, name: &str) {
         self.signal(name, Signal::SIGCONT);
     }
 
-    /// Asks a daemon to leave.
+    /// Asks a daemon to shut down gracefully.
     pub fn stop(&self, name: &str) {
         self.signal(name, Signal::SIGTERM);
     }
@@ -406,31 +410,31 @@
         }
     }
 
-    /// The exit code of a process that has ended by itself.
+    /// Returns the exit code of a process that has exited by itself.
     pub fn exit_code(&mut self, name: &str) -> Option<i32> {
         let process = self.processes.get_mut(name)?;
         process.child.try_wait().ok().flatten()?.code()
     }
 
-    /// The process id of a running process.
+    /// Returns the id of a running process.
     pub fn process_id(&self, name: &str) -> Option<u32> {
         self.processes.get(name).map(|process| process.child.id())
     }
 
-    /// Publishes values, as operators do.
+    /// Publishes values, as an operator does.
     ///
     /// # Errors
     ///
-    /// When the platform stand-in does not answer.
+    /// Returns an error if the platform stand-in does not answer.
     pub async fn publish(&self, bundle: &ValueBundle) -> reqwest::Result<()> {
         self.post_admin("publish", bundle).await
     }
 
-    /// Sets how the platform fares.
+    /// Sets the mode of the platform.
     ///
     /// # Errors
     ///
-    /// When the platform stand-in does not answer.
+    /// Returns an error if the platform stand-in does not answer.
     pub async fn set_platform(&self, mode: PlatformMode) -> reqwest::Result<()> {
         self.post_admin("mode", &mode).await
     }
@@ -439,7 +443,7 @@
     ///
     /// # Errors
     ///
-    /// When the platform stand-in does not answer.
+    /// Returns an error if the platform stand-in does not answer.
     pub async fn publish_upstreams(&self) -> reqwest::Result<()> {
         self.post_admin("upstreams", &self.upstreams).await
     }
@@ -449,17 +453,17 @@
         self.client.post(url).json(body).send().await?.error_for_status().map(drop)
     }
 
-    /// What the platform counted.
+    /// Returns the call counts of the platform, or `None` if it does not answer.
     pub async fn platform_counts(&self) -> Option<PlatformCounts> {
         let url = format!("http://{}/admin/counts", self.platform);
         self.client.get(url).send().await.ok()?.json().await.ok()
     }
 
-    /// Tells an upstream to take no new work.
+    /// Tells an upstream to refuse new requests.
     ///
     /// # Errors
     ///
-    /// When the upstream is not known or does not answer.
+    /// Returns an error if the upstream is unknown or does not answer.
     pub async fn leave_upstream(&self, name: &str) -> io::Result<()> {
         let entry = self.upstreams.iter().find(|entry| entry.name.as_str() == name);
         let address = entry.ok_or_else(|| unknown(name))?.address;
@@ -467,20 +471,20 @@
         self.client.post(url).send().await.map(drop).map_err(io::Error::other)
     }
 
-    /// What the upstreams really did so far.
+    /// Returns what all upstreams have recorded so far.
     pub fn ledger(&self) -> Vec<LedgerLine> {
         read_ledgers(self.folder.path()).unwrap_or_default()
     }
 }
 
 fn unknown(name: &str) -> io::Error {
-    io::Error::other(format!("nothing in the fleet is called {name}"))
+    io::Error::other(format!("no process of the fleet is called {name}"))
 }
 
 fn directory_entry(vm: &FleetVm) -> DirectoryEntry {
     DirectoryEntry {
         vm: vm.settings.vm.clone(),
-        region: vm.region.parse().expect("it was a region name"),
+        region: vm.region.parse().expect("a valid region name"),
         data_centre: vm.settings.data_centre.clone(),
         caller: vm.settings.addresses.caller,
     }
--- a/crates/foldhaven-testkit/src/fleet/places.rs
+++ b/crates/foldhaven-testkit/src/fleet/places.rs
@@ -1,4 +1,5 @@
-//! Where the processes of a fleet stand: one address each, out of a block of its own.
+//! Assigns addresses to the processes of a fleet. Each fleet uses its own address block, and each
+//! process its own address in it.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -11,15 +12,15 @@
 
 use super::{FleetOptions, FleetVm};
 
-// Each process has an address of its own, so that all VMs, and all upstreams, can use the same ports.
+// Each process has its own address, so all VMs and all upstreams can use the same ports.
 const CALLER_PORT: u16 = 7000;
 const PEER_PORT: u16 = 7001;
 const CONTROL_PORT: u16 = 7002;
 pub(super) const UPSTREAM_PORT: u16 = 7200;
-/// How many fleets this process has started.
+/// Number of fleets that this process has started.
 static NEXT_FLEET: AtomicU32 = AtomicU32::new(0);
 
-/// Gives out addresses of one block of 127.0.0.0/8.
+/// Allocates addresses from one block of 127.0.0.0/8.
 pub(super) struct AddressBlock {
     block: [u8; 2],
     next: u8,
@@ -41,6 +42,7 @@
     }
 }
 
+/// Returns the entry VMs of a fleet by name, with their settings.
 pub(super) fn place_vms(
     description: &Description,
     options: &FleetOptions,
@@ -60,7 +62,7 @@
                 vms.push((
                     region.name.to_string(),
                     DaemonSettings {
-                        vm: format!("{centre}-vm-{number}").parse().expect("a VM name"),
+                        vm: format!("{centre}-vm-{number}").parse().expect("a valid VM name"),
                         data_centre: centre.clone(),
                         addresses,
                         platform,
@@ -90,6 +92,7 @@
     named.collect()
 }
 
+/// Returns the engines and services of a fleet.
 pub(super) fn place_upstreams(
     description: &Description,
     options: &FleetOptions,
@@ -102,7 +105,7 @@
         let engines: u32 = deployments.map(|deployment| deployment.engines).sum();
         let mut add = |name: String, kind: UpstreamKind| {
             upstreams.push(UpstreamEntry {
-                name: name.parse().expect("an upstream name"),
+                name: name.parse().expect("a valid upstream name"),
                 data_centre: centre.clone(),
                 kind,
                 address: SocketAddr::new(block.next(), UPSTREAM_PORT),
--- a/crates/foldhaven-testkit/src/hold_up.rs
+++ b/crates/foldhaven-testkit/src/hold_up.rs
@@ -1,5 +1,5 @@
-//! Notes for how long this process was held up: links, callers and checks share it, so what it measures of others is late by as
-//! much.
+//! Detects stalls of this process. Links, callers and checks run in it, so a stall delays all of
+//! them and distorts what they measure.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,27 +8,28 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
+/// Interval at which the detector checks whether it wakes up on time.
 const TICK: Duration = Duration::from_millis(20);
-/// What is shorter than this is not noted.
+/// Minimum length of a stall. Shorter delays are ignored.
 const LEAST_HOLD_UP: Duration = Duration::from_millis(100);
 
-/// A time for which a task that was due did not run.
+/// A time span during which a task was due but did not run.
 #[derive(Debug, Clone, Copy)]
 pub struct HoldUp {
-    /// When it went on.
+    /// End of the stall.
     pub until: Instant,
-    /// How late it was.
+    /// Length of the stall.
     pub late: Duration,
 }
 
-/// Watches the runtime that it was started on, until it is dropped.
+/// Monitors the runtime on which it was started, until it is dropped.
 pub struct HoldUpMeter {
     noted: Arc<Mutex<Vec<HoldUp>>>,
     task: JoinHandle<()>,
 }
 
 impl HoldUpMeter {
-    /// Starts to watch.
+    /// Starts to monitor the current runtime.
     pub fn start() -> Self {
         let noted: Arc<Mutex<Vec<HoldUp>>> = Arc::default();
         let notes = noted.clone();
@@ -46,7 +47,7 @@
         Self { noted, task }
     }
 
-    /// What was noted so far.
+    /// Returns the stalls detected so far.
     pub fn noted(&self) -> Vec<HoldUp> {
         self.noted.lock().clone()
     }
--- a/crates/foldhaven-testkit/src/html.rs
+++ b/crates/foldhaven-testkit/src/html.rs
@@ -1,6 +1,7 @@
-//! The head that the pages of all experiments share.
+//! HTML shared by the pages of all experiments.
 
-/// The beginning of a page with a title and a table of these columns, up to the table's first row.
+/// Returns the start of a page with a title and a table with the given columns, up to and including
+/// the header row.
 pub fn page_head(title: &str, columns: &[&str]) -> String {
     let cells: String = columns.iter().map(|column| format!("<th>{column}</th>")).collect();
     format!(
--- a/crates/foldhaven-testkit/src/lib.rs
+++ b/crates/foldhaven-testkit/src/lib.rs
@@ -1,7 +1,7 @@
-//! Stand-ins, scenarios and load for foldhaven.
+//! Test toolkit for foldhaven: stand-ins, scenarios, load measurements and simulations.
 //!
-//! This is the only part that starts processes. Its binary contains the daemon and every stand-in
-//! as a subcommand, so that one build gives a whole deployment of separate processes.
+//! This is the only crate that starts processes. Its binary contains the daemon and every stand-in
+//! as a subcommand, so one build provides all processes of a deployment.
 
 pub mod caller;
 pub mod cmd;
--- a/crates/foldhaven-testkit/src/main.rs
+++ b/crates/foldhaven-testkit/src/main.rs
@@ -1,4 +1,4 @@
-//! The testkit of foldhaven.
+//! Command-line entry point of the foldhaven testkit.
 
 use std::process::ExitCode;
 
--- a/crates/foldhaven-testkit/src/relay.rs
+++ b/crates/foldhaven-testkit/src/relay.rs
@@ -1,6 +1,8 @@
-//! A relay between processes on which a link can be delayed, cut, cut one way, and healed.
+//! A TCP relay between processes whose links can be delayed, cut in one or both directions, and
+//! restored.
 //!
-//! A cut link loses nothing: like a partition under TCP, bytes wait and arrive late after the heal.
+//! A cut link loses no bytes: as with TCP in a network partition, they arrive after the link is
+//! restored.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -15,31 +17,31 @@
 use tokio::sync::{broadcast, mpsc, watch};
 use tokio::time::Instant;
 
-/// How a link fares.
+/// State of a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LinkState {
-    /// The time that one byte needs, each way.
+    /// One-way delay, in each direction.
     pub delay: Duration,
-    /// Whether bytes from the dialling side wait.
+    /// Whether bytes from the dialling side are held.
     pub is_cut_there: bool,
-    /// Whether bytes to the dialling side wait.
+    /// Whether bytes to the dialling side are held.
     pub is_cut_back: bool,
 }
 
-/// The two ends of a link, by the names that the scenario uses.
+/// The two ends of a link, by process name.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LinkEnds {
-    /// The side that dials.
+    /// Dialling process.
     pub from: String,
-    /// The side that is dialled.
+    /// Dialled process.
     pub to: String,
 }
 
-/// All links of one fleet.
+/// All links of a fleet.
 #[derive(Clone)]
 pub struct LinkRelay {
     links: Arc<Mutex<BTreeMap<LinkEnds, watch::Sender<LinkState>>>>,
-    /// The name of a process that was just killed, so that links to it refuse at once.
+    /// Sends the names of killed processes, so that links to them refuse connections immediately.
     killed: broadcast::Sender<String>,
     address: IpAddr,
     next_port: Arc<AtomicU16>,
@@ -47,23 +49,23 @@
 
 const FIRST_PORT: u16 = 10_000;
 
-/// How often a target that does not listen is tried.
+/// Interval of connection attempts to a target that does not listen.
 const PROBE: Duration = Duration::from_millis(20);
 
 impl LinkRelay {
-    /// A relay without links, on an address of its own.
+    /// Creates a relay without links that listens on `address`.
     pub fn new(address: IpAddr) -> Self {
         let next_port = Arc::new(AtomicU16::new(FIRST_PORT));
         Self { links: Arc::default(), killed: broadcast::Sender::new(64), address, next_port }
     }
 
-    /// Opens a relay to `target` and returns the address to dial in its place. Several targets may
-    /// belong to one link. While the target does not listen, the relay refuses connections.
+    /// Opens a link to `target` and returns the address to dial instead. Several targets may belong
+    /// to one link.
     ///
-    /// The link is carried from now on, as soon as the target listens.
+    /// The link accepts connections while the target listens, and refuses them otherwise.
     pub fn open(&self, ends: LinkEnds, target: SocketAddr, delay: Duration) -> SocketAddr {
-        // Ports are counted up, not taken from the system: one that is free because its target
-        // does not listen yet must not be given to another link.
+        // The port is not chosen by the system, because a port is unused until its target listens,
+        // and the system could give it to another link.
         let port = self.next_port.fetch_add(1, Ordering::Relaxed);
         let address = SocketAddr::new(self.address, port);
         let name = ends.to.clone();
@@ -73,9 +75,9 @@
         address
     }
 
-    /// Refuses connections to a process that was killed, until it listens again.
+    /// Makes all links to a killed process refuse connections until it listens again.
     pub fn note_killed(&self, name: &str) {
-        // Without links nobody listens.
+        // An error means that there are no links.
         let _ = self.killed.send(name.to_owned());
     }
 
@@ -85,7 +87,8 @@
         links.entry(ends).or_insert_with(|| watch::Sender::new(state)).clone()
     }
 
-    /// Changes the state of all links that `chosen` picks, and returns how many there were.
+    /// Changes the state of all links for which `chosen` returns true. Returns the number of these
+    /// links.
     pub fn change(
         &self,
         chosen: impl Fn(&LinkEnds) -> bool,
@@ -97,6 +100,7 @@
     }
 }
 
+/// Forwards connections from `address` to `target`. Listens only while the target does.
 async fn serve_link(
     address: SocketAddr,
     target: SocketAddr,
@@ -130,7 +134,7 @@
 }
 
 async fn carry(dialled: TcpStream, reached: TcpStream, state: watch::Receiver<LinkState>) {
-    // Without this, small messages wait; a failure only makes the link slower.
+    // Nagle's algorithm would delay small messages. A failure only makes the link slower.
     let _ = (dialled.set_nodelay(true), reached.set_nodelay(true));
     let (there_read, back_write) = dialled.into_split();
     let (back_read, there_write) = reached.into_split();
@@ -139,6 +143,7 @@
     tokio::join!(there, back);
 }
 
+/// Copies bytes in one direction, with the delay of the link, and holds them while it is cut.
 async fn pump(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
@@ -164,7 +169,7 @@
                 return;
             }
         }
-        // The end of the stream waits for the heal like its bytes.
+        // The end of the stream is held on a cut link as well.
         let _ = state.wait_for(|state| !is_cut(state)).await.is_ok();
         let _ = to.shutdown().await;
     };
--- a/crates/foldhaven-testkit/src/scenario/chaos.rs
+++ b/crates/foldhaven-testkit/src/scenario/chaos.rs
@@ -1,4 +1,5 @@
-//! Random schedules of faults over the verbs of the test language, from a seed; and shrinking.
+//! Random fault schedules in the scenario language, generated from a seed, and shrinking of those
+//! that fail.
 
 use std::time::Duration;
 
@@ -10,10 +11,12 @@
 use crate::stand_in::platform::PlatformMode;
 
 const REGIONS: [&str; 3] = ["west", "mid", "east"];
+/// Entry VMs per data centre.
 const VMS: usize = 2;
+/// Range of the number of faults in a schedule.
 const FAULTS: std::ops::RangeInclusive<usize> = 4..=8;
 
-/// A schedule drawn from a seed.
+/// Generates a random fault schedule.
 pub struct ChaosSchedule {
     draw: StdRng,
     steps: Vec<StepKind>,
@@ -22,7 +25,7 @@
 }
 
 impl ChaosSchedule {
-    /// Draws the scenario of a seed. It is for the fleet of `tests/scenarios/small.yaml`.
+    /// Returns the scenario of a seed, for the fleet of `tests/scenarios/small.yaml`.
     pub fn draw(seed: u64) -> Scenario {
         let mut schedule =
             Self { draw: StdRng::seed_from_u64(seed), steps: Vec::new(), left: false, sends: 0 };
@@ -109,7 +112,7 @@
         *[Up, Stale, Down, Flapping, Slow].choose(&mut self.draw).expect("there are modes")
     }
 
-    /// A request that is not repeatable, sent again at another VM.
+    /// Adds a request that is not repeatable and is sent again to another VM.
     fn add_notice(&mut self) {
         self.sends += 1;
         let name = format!("notice-{}", self.sends);
@@ -134,6 +137,7 @@
         self.steps.push(StepKind::Send(format!("{name}-again"), again));
     }
 
+    /// Ends all faults and adds loads that must succeed after the recovery.
     fn add_recovery(&mut self) {
         let all = || "all".to_owned();
         self.steps.extend([
@@ -168,7 +172,8 @@
     }
 }
 
-/// Takes steps out one at a time, as long as the scenario goes on failing. `fails` runs one.
+/// Removes single steps as long as the scenario still fails. `fails` runs a scenario and returns
+/// whether it failed.
 pub async fn shrink_schedule(
     scenario: Scenario,
     mut fails: impl AsyncFnMut(&Scenario) -> bool,
--- a/crates/foldhaven-testkit/src/scenario/judge.rs
+++ b/crates/foldhaven-testkit/src/scenario/judge.rs
@@ -1,4 +1,4 @@
-//! Judges the promises from what upstreams recorded and what callers received.
+//! Checks the guarantees of the system against what upstreams recorded and callers received.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -10,20 +10,20 @@
 use super::traffic::SentRequest;
 use crate::stand_in::ledger::{LedgerEvent, LedgerLine};
 
-/// A leaving upstream gets nothing new after this long.
+/// Time in milliseconds after which a leaving upstream must not get new requests.
 pub const LEAVING_LIMIT_MS: u64 = 3_000;
 
-/// A promise that was broken.
+/// A violated guarantee.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Violation {
-    /// Which promise.
+    /// Name of the guarantee.
     pub promise: &'static str,
-    /// What happened.
+    /// Description of the violation.
     pub detail: String,
 }
 
 impl Violation {
-    /// A broken promise.
+    /// Creates a violation.
     pub fn new(promise: &'static str, detail: String) -> Self {
         Self { promise, detail }
     }
@@ -35,31 +35,32 @@
     }
 }
 
-/// A description and the time during which it may have been acted on.
+/// A description and the time during which a VM may have acted on it.
 #[derive(Debug, Clone)]
 pub struct RuleEpoch {
     /// The description.
     pub description: Description,
-    /// When it was published.
+    /// Time of its publication, in milliseconds since the Unix epoch.
     pub from_ms: u64,
-    /// When a later one was in force everywhere; not yet when absent.
+    /// When a later description was in force on all VMs, in milliseconds since the Unix epoch.
+    /// `None` if that has not happened yet.
     pub until_ms: Option<u64>,
 }
 
-/// Everything that is judged.
+/// Data against which the guarantees are checked.
 pub struct Evidence<'a> {
-    /// What upstreams recorded.
+    /// Records of all upstreams.
     pub ledger: &'a [LedgerLine],
-    /// What callers sent and received.
+    /// Requests of the callers with their answers.
     pub sent: &'a [SentRequest],
-    /// The descriptions, in the order in which they were published.
+    /// Descriptions in order of publication.
     pub epochs: &'a [RuleEpoch],
-    /// When upstreams were made to leave.
+    /// When each upstream was made to leave, in milliseconds since the Unix epoch.
     pub left: &'a BTreeMap<String, u64>,
 }
 
 impl Evidence<'_> {
-    /// All promises that were broken.
+    /// Returns all violated guarantees.
     pub fn violations(&self) -> Vec<Violation> {
         let mut violations = Vec::new();
         self.judge_residency(&mut violations);
@@ -75,6 +76,7 @@
         self.ledger.iter().filter(|line| line.event == LedgerEvent::Start)
     }
 
+    /// Requests run only where a description that may have been in force permits it.
     fn judge_residency(&self, violations: &mut Vec<Violation>) {
         let sent: BTreeMap<&str, &SentRequest> =
             self.sent.iter().map(|sent| (sent.request.as_str(), sent)).collect();
@@ -103,6 +105,7 @@
         }
     }
 
+    /// A complete answer is the expected one.
     fn judge_answers(&self, violations: &mut Vec<Violation>) {
         for sent in self.sent.iter().filter(|sent| sent.answer.is_complete()) {
             if sent.answer.text != sent.expected {
@@ -114,6 +117,7 @@
         }
     }
 
+    /// A request that was reported as not run did not start.
     fn judge_not_run(&self, violations: &mut Vec<Violation>) {
         let started: BTreeSet<&str> = self.starts().map(|line| line.request.as_str()).collect();
         let mut sends: BTreeMap<&str, Vec<&SentRequest>> = BTreeMap::new();
@@ -123,12 +127,13 @@
         for (request, sends) in sends {
             let not_run = |sent: &&SentRequest| sent.answer.outcome == RequestOutcome::NotRun;
             if sends.iter().all(not_run) && started.contains(request) {
-                let detail = format!("{request} was said not to have run, and ran");
+                let detail = format!("{request} was reported as not run but ran");
                 violations.push(Violation::new("not_run is true", detail));
             }
         }
     }
 
+    /// A request that is not repeatable runs at most once.
     fn judge_once(&self, violations: &mut Vec<Violation>) {
         let once: BTreeSet<&str> = self
             .sent
@@ -147,7 +152,7 @@
         }
     }
 
-    /// An attempt that starts at two upstreams was forwarded again by its receiver.
+    /// An attempt starts only once. A second start means that its receiver forwarded it again.
     fn judge_attempts(&self, violations: &mut Vec<Violation>) {
         let mut starts: BTreeMap<&str, usize> = BTreeMap::new();
         for line in self.starts().filter(|line| !line.attempt.is_empty()) {
@@ -159,6 +164,7 @@
         }
     }
 
+    /// A leaving upstream gets no new requests after [`LEAVING_LIMIT_MS`].
     fn judge_leaving(&self, violations: &mut Vec<Violation>) {
         for line in self.ledger {
             let is_new = matches!(line.event, LedgerEvent::Arrive | LedgerEvent::Refuse);
--- a/crates/foldhaven-testkit/src/scenario/mod.rs
+++ b/crates/foldhaven-testkit/src/scenario/mod.rs
@@ -1,4 +1,5 @@
-//! The test language: scenarios of faults against real processes, and the judge of the promises.
+//! The scenario language: sequences of faults against real processes, after which the guarantees of
+//! the system are checked.
 
 mod chaos;
 mod judge;
--- a/crates/foldhaven-testkit/src/scenario/observer.rs
+++ b/crates/foldhaven-testkit/src/scenario/observer.rs
@@ -1,4 +1,4 @@
-//! Watches which description is in force on each VM, to see that none goes back.
+//! Checks that no VM reverts to an older description than it had in force.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,23 +12,24 @@
 
 use super::judge::Violation;
 
+/// Interval at which the status of all VMs is read.
 const INTERVAL: Duration = Duration::from_millis(150);
 
-/// The highest stamp seen on each VM's process lifetime, and what went back.
+/// The highest stamp seen per VM and incarnation, and the violations found.
 #[derive(Default)]
 struct Seen {
     highest: BTreeMap<(String, u64), DescriptionStamp>,
     violations: Vec<Violation>,
 }
 
-/// A watcher that runs until it is dropped.
+/// Observes the stamps of all VMs in the background until it is dropped.
 pub struct StampObserver {
     seen: Arc<Mutex<Seen>>,
     task: JoinHandle<()>,
 }
 
 impl StampObserver {
-    /// Starts to watch VMs, given by name and peer address.
+    /// Starts to observe VMs, given by name and peer address.
     pub fn start(client: reqwest::Client, vms: Vec<(String, SocketAddr)>) -> Self {
         let seen: Arc<Mutex<Seen>> = Arc::default();
         let shared = seen.clone();
@@ -44,7 +45,7 @@
         Self { seen, task }
     }
 
-    /// What went back so far.
+    /// Returns the violations found so far.
     pub fn violations(&self) -> Vec<Violation> {
         self.seen.lock().violations.clone()
     }
@@ -71,8 +72,8 @@
     }
 }
 
-/// Descriptions that a daemon adopted after a larger one, by its log: a moment that is too short to
-/// be seen from outside shows there.
+/// Returns a violation for each description that a daemon adopted after one with a larger stamp,
+/// according to its log. The log also shows reverts that are too short for the status polls.
 pub fn adoption_violations(vm: &str, log: &str) -> Vec<Violation> {
     let mut highest: Option<DescriptionStamp> = None;
     let mut violations = Vec::new();
--- a/crates/foldhaven-testkit/src/scenario/parse.rs
+++ b/crates/foldhaven-testkit/src/scenario/parse.rs
@@ -1,4 +1,5 @@
-//! Reads scenarios: a step per line, `verb word... name=value...`, `#` starts a comment.
+//! Parser for scenarios. Each line is a step, `verb word... name=value...`, and `#` starts a
+//! comment.
 
 use std::time::Duration;
 
@@ -13,13 +14,13 @@
 /// line {line}: {message}
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub struct ParseError {
-    /// The line, counted from 1.
+    /// Line number, counted from 1.
     pub line: usize,
-    /// What was expected.
+    /// Error message.
     pub message: String,
 }
 
-/// The words and the named values of one line.
+/// Words and named values of a line.
 #[derive(Debug)]
 struct Line<'a> {
     words: Vec<&'a str>,
@@ -75,11 +76,11 @@
     text.parse().map_err(|_| format!("expected a number, got {text}"))
 }
 
-/// Reads a scenario.
+/// Parses a scenario.
 ///
 /// # Errors
 ///
-/// The first line that cannot be read.
+/// Returns an error for the first line that cannot be parsed.
 pub fn parse_scenario(text: &str) -> Result<Scenario, ParseError> {
     let mut scenario = Scenario { name: String::new(), vms: 2, steps: Vec::new() };
     for (at, content) in text.lines().enumerate() {
--- a/crates/foldhaven-testkit/src/scenario/runner/awaits.rs
+++ b/crates/foldhaven-testkit/src/scenario/runner/awaits.rs
@@ -1,16 +1,17 @@
-//! The steps that wait for something or check what has happened so far.
+//! Steps that wait for a condition or check what has happened so far.
 
 use std::time::{Duration, Instant};
 
 use super::{ScenarioRunner, stamp_of};
 use crate::stand_in::ledger::{LedgerEvent, epoch_ms};
 
-/// How long an awaited event may take.
+/// Maximum wait for a condition, unless the step has its own limit.
 pub(super) const AWAIT_LIMIT: Duration = Duration::from_secs(20);
+/// Interval at which a condition is checked.
 const POLL: Duration = Duration::from_millis(25);
 
 impl ScenarioRunner {
-    /// The VMs of a group that run and are not frozen.
+    /// Returns the members of a group that are running and not frozen.
     pub(super) fn running(&self, group: &str) -> Vec<String> {
         let mut members = self.members(group);
         members.retain(|name| !self.frozen.contains(name) && !self.ended.contains(name));
@@ -40,12 +41,13 @@
         let took = started.elapsed().as_millis();
         self.note(format!("in force on {} VMs after {took}ms", members.len()));
         if result.is_err() {
-            for text in ["\"description ", "this process slept", "view compared"] {
+            for text in ["\"description ", "this process slept", "compared with peers"] {
                 self.log_lines_with(text).into_iter().for_each(|line| self.note(line));
             }
         }
         if result.is_ok() && group == "all" && !self.is_cut {
-            // Reading the states took a moment; only what begins later is judged by the new rule.
+            // Reading the status of all VMs takes time. Only requests that start after this are
+            // checked against the newest description alone.
             let now = epoch_ms();
             let older = self.epochs.iter_mut().filter(|it| stamp_of(&it.description) != newest);
             for epoch in older {
@@ -91,11 +93,11 @@
                 break code;
             }
             if started.elapsed() > AWAIT_LIMIT {
-                return Err("it has not ended".to_owned());
+                return Err("the process has not exited".to_owned());
             }
             tokio::time::sleep(POLL).await;
         };
-        if code == 0 { Ok(()) } else { Err(format!("it ended with {code}")) }
+        if code == 0 { Ok(()) } else { Err(format!("the process exited with code {code}")) }
     }
 
     pub(super) fn check_runs(&mut self, name: &str, count: usize) -> Result<(), String> {
@@ -103,7 +105,7 @@
         let ledger = self.fleet.ledger();
         let starts = ledger.iter().filter(|it| it.event == LedgerEvent::Start);
         let runs = starts.filter(|it| it.request == request).count();
-        if runs == count { Ok(()) } else { Err(format!("it ran {runs} times")) }
+        if runs == count { Ok(()) } else { Err(format!("the request ran {runs} times")) }
     }
 
     pub(super) fn check_region(&mut self, name: &str, region: &str) -> Result<(), String> {
@@ -117,12 +119,14 @@
         let holds = |centre: &&str| expected.data_centres.iter().any(|it| it.as_str() == *centre);
         match !centres.is_empty() && centres.iter().all(holds) {
             true => Ok(()),
-            false => Err(format!("it ran in {centres:?}")),
+            false => Err(format!("the request ran in {centres:?}")),
         }
     }
 }
 
-/// Looks again and again whether something holds.
+/// Polls a condition until it holds.
+///
+/// Returns an error if it does not hold within `limit`.
 pub(super) async fn await_event(
     limit: Duration,
     holds: impl AsyncFn() -> bool,
@@ -130,7 +134,7 @@
     let started = Instant::now();
     while !holds().await {
         if started.elapsed() > limit {
-            return Err(format!("not within {}ms", limit.as_millis()));
+            return Err(format!("condition not met within {}ms", limit.as_millis()));
         }
         tokio::time::sleep(POLL).await;
     }
--- a/crates/foldhaven-testkit/src/scenario/runner/mod.rs
+++ b/crates/foldhaven-testkit/src/scenario/runner/mod.rs
@@ -1,4 +1,4 @@
-//! Runs a scenario step by step against a fleet of its own.
+//! Runs a scenario step by step against its own fleet.
 
 mod awaits;
 mod requests;
@@ -25,20 +25,20 @@
 use crate::stand_in::ledger::epoch_ms;
 use crate::stand_in::platform::PlatformMode;
 
-/// How a scenario ended.
+/// Result of a scenario.
 #[derive(Debug, Clone)]
 pub struct ScenarioReport {
-    /// Its name.
+    /// Name of the scenario.
     pub name: String,
-    /// Steps that did not hold and promises that were broken.
+    /// Failed steps and violated guarantees.
     pub failures: Vec<String>,
-    /// What was done when.
+    /// Log of the steps and their results, with the time of each in seconds.
     pub timeline: Vec<String>,
-    /// Requests that were judged.
+    /// Number of requests that were checked.
     pub judged: usize,
-    /// Faults that were injected.
+    /// Number of injected faults.
     pub faults: usize,
-    /// The end of each daemon's log, when there were failures.
+    /// Last log lines of each daemon. Empty if there were no failures.
     pub logs: Vec<String>,
 }
 
@@ -65,11 +65,11 @@
     faults: usize,
 }
 
-/// Runs a scenario with the description of its fleet, and judges it.
+/// Runs a scenario against a fleet with the given description and checks the guarantees.
 ///
 /// # Errors
 ///
-/// When the fleet cannot be started.
+/// Returns an error if the fleet cannot be started.
 pub async fn run_scenario(
     program: PathBuf,
     description: Description,
@@ -135,8 +135,8 @@
         self.failures.push(what);
     }
 
-    /// The processes that a name stands for: a process, a data centre's or region's VMs, or `all`
-    /// VMs.
+    /// Returns the processes that a name refers to: `all` VMs, the VMs of a region or data centre,
+    /// or the single process of that name.
     fn members(&self, name: &str) -> Vec<String> {
         let vms = self.fleet.vms.iter().filter(|(vm, it)| {
             name == "all"
@@ -194,7 +194,7 @@
         }
     }
 
-    /// Steps that do something to processes.
+    /// Runs a step that kills, restarts or signals processes.
     fn signal(&mut self, kind: &StepKind) -> Result<(), String> {
         let (StepKind::Kill(name)
         | StepKind::Restart(name)
@@ -202,7 +202,7 @@
         | StepKind::Thaw(name)
         | StepKind::Stop(name)) = kind
         else {
-            return Err("this step is not carried out here".to_owned());
+            return Err("not a step that signals processes".to_owned());
         };
         for member in self.members(name) {
             match kind {
@@ -239,7 +239,7 @@
             self.fleet.start_vm(member)
         } else {
             let entry = self.fleet.upstreams.iter_mut().find(|it| it.name.as_str() == member);
-            let entry = entry.ok_or_else(|| format!("nothing is called {member}"))?;
+            let entry = entry.ok_or_else(|| format!("no process is called {member}"))?;
             entry.incarnation += 1;
             entry.leaving = false;
             let entry = entry.clone();
@@ -249,7 +249,8 @@
         started.map_err(|error| error.to_string())
     }
 
-    /// Picks links by their ends, whichever side dials.
+    /// Returns the two groups of processes whose links a step changes. `others` are all VMs outside
+    /// the first group.
     fn chosen_links(&self, from: &str, to: &str) -> (BTreeSet<String>, BTreeSet<String>) {
         let from: BTreeSet<String> = self.members(from).into_iter().collect();
         let to: BTreeSet<String> = match to {
@@ -269,8 +270,8 @@
         let count = self.fleet.relay.change(
             |ends| goes(ends) || comes(ends),
             |ends, state| {
-                // Bytes from the first group to the second go there on links that it dials, and
-                // back on links that the second dials.
+                // Bytes from the first group to the second flow forward on links that the first
+                // group dials, and backward on links that the second group dials.
                 state.is_cut_there |= !one_way || goes(ends);
                 state.is_cut_back |= !one_way || comes(ends);
             },
@@ -320,7 +321,8 @@
         self.publish_as_current(next).await
     }
 
-    /// Publishes a description that every daemon should adopt, unless a larger one is there.
+    /// Publishes a description that every daemon should adopt unless one with a larger stamp
+    /// exists.
     async fn publish_as_current(&mut self, next: Description) -> Result<(), String> {
         let stamp = stamp_of(&next);
         let epoch = RuleEpoch { description: next.clone(), from_ms: epoch_ms(), until_ms: None };
@@ -352,7 +354,7 @@
         Ok(())
     }
 
-    /// Ends what is under way and judges everything.
+    /// Ends all loads and pending requests, then checks the guarantees.
     async fn finish(&mut self) {
         for name in std::mem::take(&mut self.frozen) {
             self.fleet.thaw(&name);
@@ -377,7 +379,7 @@
             violations.extend(adoption_violations(name, &self.read_log(name)));
         }
         for violation in violations {
-            // Most begin with the request that they are about.
+            // The detail mostly starts with the request id.
             let request = violation.detail.split_whitespace().next().unwrap_or_default();
             let lines = self.log_lines_with(&format!("\"{request}\"")).join("\n");
             self.fail(format!("{violation}\n{lines}"));
@@ -391,12 +393,12 @@
         }
     }
 
-    /// Notes when this process, and all links with it, were held up.
+    /// Records when this process, and with it all links and callers, was stalled.
     fn note_hold_ups(&mut self) {
         for hold_up in self.meter.noted() {
             let until = hold_up.until.into_std().saturating_duration_since(self.started);
             let (until, late) = (until.as_secs_f64(), hold_up.late.as_millis());
-            self.note(format!("links and callers were held up for {late}ms until {until:.3}"));
+            self.note(format!("links and callers were stalled for {late}ms until {until:.3}"));
         }
     }
 
@@ -424,7 +426,7 @@
         std::fs::read_to_string(path).unwrap_or_default()
     }
 
-    /// The lines of any daemon that contain a text.
+    /// Returns the log lines of all daemons that contain a text.
     fn log_lines_with(&self, text: &str) -> Vec<String> {
         let vms = self.fleet.vms.keys();
         let logs = vms.map(|name| (name, self.read_log(name)));
--- a/crates/foldhaven-testkit/src/scenario/runner/requests.rs
+++ b/crates/foldhaven-testkit/src/scenario/runner/requests.rs
@@ -1,4 +1,4 @@
-//! The steps that send requests, one by one or as a load, and take their answers.
+//! Steps that send requests, one by one or as a load, and check their answers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,6 +12,7 @@
 use crate::stand_in::ledger::LedgerEvent;
 
 impl ScenarioRunner {
+    /// Returns the caller addresses of all VMs, those in the home region of the account first.
     pub(super) fn directory(&self, account: &str) -> Vec<SocketAddr> {
         let accounts = &self.current.accounts;
         let home = accounts.iter().find(|it| it.name.as_str() == account);
@@ -46,7 +47,7 @@
             let answer = self.fleet.entries(issuer, &spec.account, 1).await;
             let ticket = answer.and_then(|answer| answer.tickets.into_iter().next());
             let Some(ticket) = ticket else {
-                // Whoever awaits the answer of a request that was not sent fails there.
+                // A later step that awaits the answer to this request fails.
                 self.note(format!("{name} is not sent: {issuer} issued no ticket"));
                 return Ok(());
             };
@@ -64,7 +65,8 @@
         name: &str,
         outcomes: &[RequestOutcome],
     ) -> Result<(), String> {
-        let task = self.waiting.remove(name).ok_or_else(|| "it was not sent".to_owned())?;
+        let task =
+            self.waiting.remove(name).ok_or_else(|| "the request was not sent".to_owned())?;
         let sent = tokio::time::timeout(AWAIT_LIMIT, task).await;
         let sent = sent.map_err(|_| "no answer in time".to_owned())?;
         let sent = sent.map_err(|error| error.to_string())?;
--- a/crates/foldhaven-testkit/src/scenario/steps.rs
+++ b/crates/foldhaven-testkit/src/scenario/steps.rs
@@ -1,4 +1,4 @@
-//! The typed steps of a scenario, and how they are written.
+//! Typed steps of a scenario and their textual form.
 
 use std::fmt;
 use std::time::Duration;
@@ -7,119 +7,120 @@
 
 use crate::stand_in::platform::PlatformMode;
 
-/// A scenario: a fleet and what befalls it.
+/// A fleet and a sequence of steps that run against it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Scenario {
-    /// Its name.
+    /// Name of the scenario.
     pub name: String,
     /// Entry VMs per data centre.
     pub vms: usize,
-    /// The steps in order.
+    /// Steps in order.
     pub steps: Vec<Step>,
 }
 
-/// One step.
+/// A step of a scenario.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Step {
-    /// The line on which it stands, counted from 1.
+    /// Line number in the scenario file, counted from 1.
     pub line: usize,
-    /// What is done.
+    /// Action of the step.
     pub kind: StepKind,
 }
 
-/// One request that is sent.
+/// Properties of a request to send.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct SendSpec {
-    /// The account.
+    /// Account of the request.
     pub account: String,
-    /// The class.
+    /// Class of the request.
     pub class: String,
-    /// The VM that is asked; by the caller's own choice when absent.
+    /// Entry VM. If `None`, the caller chooses it.
     pub entry: Option<String>,
-    /// The deadline.
+    /// Deadline. If `None`, the one of the class applies.
     pub deadline: Option<Duration>,
-    /// The most tokens of the answer.
+    /// Maximum number of tokens in the answer. If 0, the maximum of the class applies.
     pub max_tokens: u64,
-    /// The path at a service.
+    /// Path at a service. `ok` if empty.
     pub path: String,
-    /// The VM that issues the ticket, for a request that is not repeatable.
+    /// VM that issues the ticket of a request that is not repeatable.
     pub ticket_from: Option<String>,
-    /// The earlier request that this one repeats, with its id, ticket and content.
+    /// Earlier request whose id, ticket and content this request repeats.
     pub repeats: Option<String>,
 }
 
-/// How an upstream's leaving becomes known.
+/// How an upstream announces that it is leaving.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaveWay {
-    /// By the platform's list only.
+    /// Only in the platform's list.
     List,
-    /// By its own load reports and refusals only.
+    /// Only in its own load reports and refusals.
     Upstream,
-    /// By both.
+    /// In both ways.
     Both,
 }
 
-/// An edit of the description in force.
+/// An edit of the current description.
 #[derive(Debug, Clone, PartialEq)]
 pub enum EditSpec {
-    /// Nothing but a new generation.
+    /// Only increases the generation.
     Bump,
-    /// Other regions for a residency rule.
+    /// Replaces the regions of a residency rule.
     Residency(String, Vec<String>),
-    /// An edit that does not pass the checks.
+    /// Makes the description invalid.
     Bad,
-    /// Two edits of one generation, published one after the other.
+    /// Publishes two different descriptions of the same generation, one after the other.
     Race,
-    /// The first description, published again.
+    /// Publishes the initial description again.
     Old,
 }
 
-/// What is done in one step.
+/// Action of a step.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StepKind {
     /// Sends a request in the background.
     Send(String, SendSpec),
-    /// Waits for a request's answer, and checks its outcome when that is given.
+    /// Waits for the answer to a request and checks that its outcome is one of those given, if any.
     Answer(String, Vec<RequestOutcome>),
-    /// Waits until an upstream has started a request.
+    /// Waits until an upstream has started to process a request.
     Running(String),
-    /// Sends requests at a steady rate in the background.
+    /// Sends requests in the background at a steady rate per second.
     Load(String, SendSpec, f64),
-    /// Ends a load, waits for its answers, and checks the share that is complete.
+    /// Ends a load, waits for its answers and checks the minimum share of complete ones.
     EndLoad(String, f64),
     /// Kills processes.
     Kill(String),
-    /// Starts processes again that were killed or have ended.
+    /// Kills processes if they still run, and starts them again.
     Restart(String),
-    /// Freezes processes.
+    /// Suspends processes.
     Freeze(String),
-    /// Lets frozen processes go on.
+    /// Resumes suspended processes.
     Thaw(String),
-    /// Asks daemons to leave.
+    /// Asks daemons to shut down gracefully.
     Stop(String),
-    /// Waits until a daemon has ended by itself with exit code 0.
+    /// Waits until a daemon has exited and checks that its exit code is 0.
     Exit(String),
-    /// Cuts the links between two groups; only from the first to the second when one-way.
+    /// Cuts the links between two groups. If the flag is true, only from the first to the second.
     Cut(String, String, bool),
-    /// Heals all links.
+    /// Restores all links.
     Heal,
-    /// Sets the one-way time between two groups.
+    /// Sets the one-way delay between two groups.
     Delay(String, String, Duration),
-    /// Publishes an edit.
+    /// Publishes an edited description.
     Publish(EditSpec),
-    /// Sets how the platform fares.
+    /// Sets the mode of the platform.
     Platform(PlatformMode),
-    /// Has an upstream leave.
+    /// Makes an upstream leave.
     Leave(String, LeaveWay),
-    /// Waits until the newest description is in force on all VMs that run and can hear of it.
+    /// Waits until the newest description is in force on all running, unfrozen VMs of a group, for
+    /// the given time at most.
     InForce(String, Duration),
-    /// Waits until a VM judges another to be `live`, `leaving`, `suspect` or `unknown`.
+    /// Waits until a VM considers another one `live`, `leaving`, `suspect` or `unknown`.
     Judges(String, String, String),
-    /// Waits until VMs serve again.
+    /// Waits until the VMs of a group are serving.
     Serving(String),
-    /// Lets what was done last for a while.
+    /// Waits for the given time.
     Hold(Duration),
-    /// Checks how often a request has run.
+    /// Checks how many times a request has run.
     Runs(String, usize),
     /// Checks in which region a request has run.
     ServedIn(String, String),
--- a/crates/foldhaven-testkit/src/scenario/traffic.rs
+++ b/crates/foldhaven-testkit/src/scenario/traffic.rs
@@ -1,4 +1,5 @@
-//! The requests of a scenario: sent in the background, kept with what was expected of them.
+//! The requests of a scenario, which are sent in the background and kept with their expected
+//! answers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,34 +15,34 @@
 use crate::stand_in::engine::whole_answer;
 use crate::stand_in::service::service_answer;
 
-/// A request with everything that the judge needs.
+/// A sent request with everything that the checks of the guarantees need.
 #[derive(Debug, Clone)]
 pub struct SentRequest {
-    /// Its id.
+    /// Request id.
     pub request: String,
-    /// Its account.
+    /// Account of the request.
     pub account: String,
-    /// Its class.
+    /// Class of the request.
     pub class: String,
-    /// Whether it may run twice.
+    /// Whether the request may run more than once.
     pub is_repeatable: bool,
-    /// The whole answer that it must get.
+    /// The complete answer that the request must get.
     pub expected: String,
-    /// What came back.
+    /// The answer that the caller received.
     pub answer: CallerAnswer,
 }
 
-/// A request ready to be sent, and sent again.
+/// A request that can be sent any number of times.
 #[derive(Debug, Clone)]
 pub enum PreparedAsk {
-    /// To a model.
+    /// A request to a model.
     Model(ModelAsk),
-    /// To a service.
+    /// A request to a service, and whether it is repeatable.
     Service(ServiceAsk, bool),
 }
 
 impl PreparedAsk {
-    /// Prepares a request by its class.
+    /// Prepares a request. Returns `None` if the description has no such class.
     pub fn new(description: &Description, spec: &SendSpec, request: String) -> Option<Self> {
         let class = description.classes.iter().find(|it| it.name.as_str() == spec.class)?;
         let (account, class_name) = (spec.account.clone(), spec.class.clone());
@@ -72,14 +73,14 @@
         }))
     }
 
-    /// Gives a request its ticket.
+    /// Sets the ticket of a service request.
     pub fn set_ticket(&mut self, text: String) {
         if let Self::Service(ask, _) = self {
             ask.ticket = Some(text);
         }
     }
 
-    /// Sends the request and takes its answer.
+    /// Sends the request and waits for its answer.
     pub async fn send(&self, caller: &CallerClient, entry: SocketAddr) -> SentRequest {
         match self {
             Self::Model(ask) => {
@@ -108,23 +109,23 @@
     }
 }
 
-/// How a caller of a load finds its entry VMs.
+/// How the callers of a load find their entry VMs.
 #[derive(Clone)]
 pub struct EntryFinder {
-    /// The client directory, home region first.
+    /// Caller addresses of the VMs, those in the home region first.
     pub directory: Vec<SocketAddr>,
-    /// Whether the caller stays with the first of the directory.
+    /// Whether the callers use only this directory and do not ask VMs for entries.
     pub is_fixed: bool,
 }
 
-/// Requests at a steady rate, until it is told to end.
+/// Sends requests at a steady rate until it is ended.
 pub struct RunningLoad {
     ending: Arc<AtomicBool>,
     task: JoinHandle<Vec<SentRequest>>,
 }
 
 impl RunningLoad {
-    /// Starts a load.
+    /// Starts a load of `rate` requests per second.
     pub fn start(
         name: &str,
         description: Description,
@@ -161,15 +162,15 @@
         Self { ending, task }
     }
 
-    /// Sends no more and waits for all answers.
+    /// Stops sending and waits for all answers.
     pub async fn end(self) -> Vec<SentRequest> {
         self.ending.store(true, Ordering::SeqCst);
         self.task.await.unwrap_or_default()
     }
 }
 
-/// Sends to one of the entries, getting a ticket there first when one is needed; goes on to the
-/// next when an entry VM cannot be connected to or sends the caller elsewhere.
+/// Sends a request to one of the entry VMs, after getting a ticket there if one is needed. Tries
+/// the next VM if the connection is refused or the VM answers 307 or 503.
 async fn send_one(
     caller: CallerClient,
     entries: &Mutex<Vec<SocketAddr>>,
@@ -210,6 +211,7 @@
     }
 }
 
+/// Regularly asks the known VMs which entry VMs to use.
 async fn refresh_entries(
     caller: CallerClient,
     finder: EntryFinder,
--- a/crates/foldhaven-testkit/src/stand_in/engine.rs
+++ b/crates/foldhaven-testkit/src/stand_in/engine.rs
@@ -1,6 +1,8 @@
-//! A stand-in model engine: batches, caches prefixes, honours priority, streams, resumes, cancels.
+//! A stand-in model engine that batches requests, caches prefixes, respects priorities, streams
+//! events, resumes streams and handles cancellation.
 //!
-//! Its tokens are a pure function of the prompt, so that a caller can tell its own whole answer.
+//! Its tokens are a pure function of the prompt, so a caller can check that it got the complete
+//! answer to its own request.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -27,59 +29,60 @@
 use super::ledger::{LedgerEvent, LedgerFile};
 use super::{json, serve};
 
-/// The time for which tokens are gathered into one event.
+/// Decode time in seconds whose tokens are sent as one event.
 const CHUNK_TIME: f64 = 0.010;
-/// Requests beyond this many per slot are refused.
+/// Maximum number of queued requests per slot. Requests that exceed it are refused.
 const QUEUE_PER_SLOT: u32 = 16;
+/// Interval at which the load is recorded.
 const REPORT_STEP: Duration = Duration::from_millis(50);
 
-/// Where a stand-in engine stands.
+/// Settings of a stand-in engine process.
 pub struct EngineSettings {
-    /// How it behaves.
+    /// Options of the simulated engine.
     pub options: EngineOptions,
-    /// Its data centre.
+    /// Data centre of the engine.
     pub data_centre: String,
-    /// Where it listens.
+    /// Address to listen on.
     pub address: SocketAddr,
-    /// Where weights come from.
+    /// Address of the platform, from which weights are fetched.
     pub platform: SocketAddr,
-    /// Its ledger.
+    /// Path of the ledger file.
     pub ledger: PathBuf,
 }
 
-/// One token of the answer to a prompt.
+/// Returns the token at `position` of the answer to a prompt.
 pub fn token(prompt: &str, position: u64) -> String {
     format!("{:05x} ", xxh3_64_with_seed(prompt.as_bytes(), position) & 0xf_ffff)
 }
 
-/// How many tokens the answer to a prompt has, of `max` permitted: 70% to all of them.
+/// Returns the number of tokens in the answer to a prompt: 70% to 100% of `max`.
 pub fn answer_tokens(prompt: &str, max: u64) -> u64 {
     let part = xxh3_64_with_seed(prompt.as_bytes(), u64::MAX) % 31;
     (max * (70 + part) / 100).max(1)
 }
 
-/// The whole answer to a prompt.
+/// Returns the complete answer to a prompt.
 pub fn whole_answer(prompt: &str, max: u64) -> String {
     (0..answer_tokens(prompt, max)).map(|position| token(prompt, position)).collect()
 }
 
-/// What goes wrong when a prompt asks for it, so that tests can see what is made of it.
+/// A fault that a prompt requests, so that tests can check how it is handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum EngineFault {
-    /// An event that is not JSON.
+    /// Sends an event that is not JSON.
     Garbage,
-    /// An event of another request.
+    /// Sends an event with the id of another request.
     OtherRequest,
-    /// A token is left out.
+    /// Leaves out tokens at the start.
     Gap,
-    /// The end marker is missing.
+    /// Omits the end marker.
     NoEnd,
-    /// The end marker comes at once.
+    /// Sends the end marker immediately.
     EarlyEnd,
 }
 
 impl EngineFault {
-    /// Reads `[fault:NAME]` in a prompt.
+    /// Parses `[fault:NAME]` in a prompt. Returns `None` if there is no known fault name.
     fn of(prompt: &str) -> Option<Self> {
         let name = prompt.split_once("[fault:")?.1.split_once(']')?.0;
         match name {
@@ -101,7 +104,7 @@
     client: reqwest::Client,
 }
 
-/// Serves until the process ends.
+/// Serves requests until the process ends.
 pub async fn run_engine(settings: EngineSettings) -> std::io::Result<()> {
     let name = settings.options.name.clone();
     let engine = Engine {
@@ -222,7 +225,7 @@
     }
 }
 
-/// One request under way.
+/// A request that is queued or being processed.
 struct EngineWork {
     engine: Engine,
     request: String,
@@ -277,12 +280,12 @@
             total_tokens: prompt + tokens,
         };
         let end = self.event(position, 0, String::new(), Some(usage)) + &write_event(DONE);
-        // Noted before the last byte, so that nobody who has the answer misses the line.
+        // Recorded before the last byte is sent, so that whoever has the answer finds the line.
         self.note(LedgerEvent::End);
         let _ = sender.send(Ok(end.into())).await;
     }
 
-    /// The event that goes wrong; nothing for a fault that shows only at the end.
+    /// Returns the faulty event to send in place of the answer.
     fn faulty_event(&self, fault: EngineFault) -> Option<String> {
         match fault {
             EngineFault::Garbage => Some(write_event("{ not json")),
@@ -314,6 +317,6 @@
             tokens,
             usage,
         };
-        write_event(&serde_json::to_string(&chunk).expect("a chunk is JSON"))
+        write_event(&serde_json::to_string(&chunk).expect("a chunk can be serialized"))
     }
 }
--- a/crates/foldhaven-testkit/src/stand_in/engine_state.rs
+++ b/crates/foldhaven-testkit/src/stand_in/engine_state.rs
@@ -1,4 +1,4 @@
-//! A stand-in engine's slots, queue, prefix cache, models and lagged load.
+//! State of a stand-in engine: slots, queue, prefix cache, models and delayed load reports.
 
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::sync::Arc;
@@ -10,38 +10,40 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::oneshot;
 
-/// How a model runs, as the weight store says.
+/// Performance of a model, as the weight store returns it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ModelProfile {
-    /// Tokens of a prompt that are read in a second.
+    /// Prefill rate in prompt tokens per second.
     pub prefill: f64,
-    /// Tokens that one slot writes in a second.
+    /// Decode rate of one slot in tokens per second.
     pub decode: f64,
-    /// How many requests are batched.
+    /// Maximum number of requests processed at once.
     pub slots: u32,
 }
 
 /// Settings of one stand-in engine.
 #[derive(Debug, Clone)]
 pub struct EngineOptions {
-    /// Its name.
+    /// Name of the engine.
     pub name: String,
-    /// How many prefix blocks its cache holds.
+    /// Capacity of the prefix cache in blocks.
     pub cache_blocks: usize,
-    /// How old its load reports are.
+    /// Minimum age of the load reports that the engine returns.
     pub report_lag: Duration,
-    /// Whether it refuses orders with an older fence.
+    /// Whether the engine refuses orders whose fence is not newer than the last one.
     pub checks_fences: bool,
-    /// Its process lifetime, as the platform's list has it.
+    /// Incarnation of the process, as in the platform's list of upstreams.
     pub incarnation: u64,
 }
 
+/// A model that is loaded, or being loaded while `profile` is `None`.
 #[derive(Debug)]
 struct HeldEntry {
     version: String,
     profile: Option<ModelProfile>,
 }
 
+/// A request that waits for a slot. Requests of equal priority get slots in the order of arrival.
 struct Waiting {
     priority: u64,
     order: u64,
@@ -83,14 +85,15 @@
     reports: VecDeque<(Instant, EngineLoad)>,
 }
 
-/// The shared state of a stand-in engine.
+/// Shared state of a stand-in engine.
 #[derive(Clone)]
 pub struct EngineState {
     options: Arc<EngineOptions>,
     inner: Arc<Mutex<Inner>>,
 }
 
-/// Work in the queue or in a slot; its part of the backlog and its slot go back on drop.
+/// A request in the queue or in a slot. Dropping it removes its remaining work from the backlog and
+/// releases its slot.
 pub struct SlotGuard {
     state: EngineState,
     work: Duration,
@@ -114,14 +117,15 @@
     }
 }
 
-/// How late cache events are published.
+/// Delay after which cache events are published.
 const EVENT_LAG: Duration = Duration::from_millis(300);
-/// Every n-th cache event is lost.
+/// Every n-th cache event is dropped, to simulate lost events.
 const LOST_EVENT: u64 = 50;
+/// Maximum number of cache events that are kept.
 const MAX_EVENTS: usize = 4_096;
 
 impl EngineState {
-    /// An engine that holds nothing yet.
+    /// Creates an engine without models.
     pub fn new(options: EngineOptions) -> Self {
         Self { options: Arc::new(options), inner: Arc::default() }
     }
@@ -131,22 +135,23 @@
         profiles.map(|profile| profile.slots).max().unwrap_or(1)
     }
 
-    /// The profile of a model that is ready.
+    /// Returns the profile of a model, or `None` if the model is not loaded.
     pub fn profile(&self, model: &str) -> Option<ModelProfile> {
         self.inner.lock().models.get(model)?.profile.clone()
     }
 
-    /// Whether it takes no new work.
+    /// Returns whether the engine refuses new requests.
     pub fn is_leaving(&self) -> bool {
         self.inner.lock().leaving
     }
 
-    /// Takes no new work from now on.
+    /// Refuses new requests from now on.
     pub fn set_leaving(&self) {
         self.inner.lock().leaving = true;
     }
 
-    /// Takes the fence of an order in; returns false when it is older than the last.
+    /// Records the fence of an order. Returns false, if fences are checked, for a fence that is not
+    /// newer than the last one.
     pub fn pass_fence(&self, fence: OrderFence) -> bool {
         let mut inner = self.inner.lock();
         if self.options.checks_fences && fence <= inner.fence {
@@ -156,7 +161,8 @@
         true
     }
 
-    /// Starts to load a model; returns false when it is held or being loaded.
+    /// Marks a model as being loaded. Returns false if this version is already loaded or being
+    /// loaded.
     pub fn begin_load(&self, model: &str, version: &str) -> bool {
         let mut inner = self.inner.lock();
         if inner.models.get(model).is_some_and(|held| held.version == version) {
@@ -167,7 +173,7 @@
         true
     }
 
-    /// Ends the loading of a model.
+    /// Finishes loading a model. A `profile` of `None` means that the weights could not be fetched.
     pub fn end_load(&self, model: &str, profile: Option<ModelProfile>) {
         let mut inner = self.inner.lock();
         match profile {
@@ -180,7 +186,7 @@
         }
     }
 
-    /// Drops a model.
+    /// Unloads a model if it has this version.
     pub fn unload(&self, model: &str, version: &str) {
         let mut inner = self.inner.lock();
         if inner.models.get(model).is_some_and(|held| held.version == version) {
@@ -188,7 +194,7 @@
         }
     }
 
-    /// Waits for a slot, those of higher priority first.
+    /// Waits for a slot. Requests with a higher priority get slots first.
     pub async fn enter(&self, priority: u64, work: Duration) -> SlotGuard {
         let mut guard = SlotGuard { state: self.clone(), work, holds_slot: false };
         let waiting = {
@@ -206,13 +212,13 @@
             waiting
         };
         let mut woken = WokenGuard { waiting, guard: Some(guard) };
-        (&mut woken.waiting).await.expect("the queue wakes every waiter");
-        let mut guard = woken.guard.take().expect("it is taken once");
+        (&mut woken.waiting).await.expect("the queue wakes every waiting request");
+        let mut guard = woken.guard.take().expect("the guard is taken only once");
         guard.holds_slot = true;
         guard
     }
 
-    /// Tokens of a prompt that the cache holds; its blocks are held from now on.
+    /// Returns the number of prompt tokens that were cached, and caches all blocks of the prompt.
     pub fn use_cache(&self, blocks: &[u64]) -> u64 {
         let mut inner = self.inner.lock();
         let held = blocks.iter().take_while(|block| inner.cache.contains(block)).count();
@@ -243,7 +249,7 @@
             as u64
     }
 
-    /// The cache events after a number, as far as they are published.
+    /// Returns the published cache events whose number is greater than `after`.
     pub fn cache_events(&self, after: u64) -> CacheEventPage {
         let inner = self.inner.lock();
         let published = inner.events.iter().filter(|(_, at, _)| at.elapsed() > EVENT_LAG);
@@ -255,7 +261,7 @@
         CacheEventPage { events, last }
     }
 
-    /// Work of a request that was done, and no longer is in the backlog.
+    /// Removes completed work of a request from the backlog.
     pub fn work_off(&self, guard: &mut SlotGuard, done: Duration) {
         let done = done.min(guard.work);
         guard.work -= done;
@@ -263,24 +269,24 @@
         inner.backlog = inner.backlog.saturating_sub(done);
     }
 
-    /// Requests in slots and in the queue.
+    /// Returns the number of running and of queued requests.
     pub fn busy(&self) -> (u32, u32) {
         let inner = self.inner.lock();
         let queued = inner.queue.iter().filter(|waiting| !waiting.wake.is_closed()).count();
         (inner.running, queued as u32)
     }
 
-    /// Notes the present load, to be reported later.
+    /// Records the current load, which is reported later.
     pub fn note_report(&self) {
         let (running, queued) = self.busy();
         let mut inner = self.inner.lock();
         let held = |(name, held): (&String, &HeldEntry)| HeldModel {
-            model: name.parse().expect("a model name"),
+            model: name.parse().expect("a valid model name"),
             version: held.version.clone(),
             ready: held.profile.is_some(),
         };
         let load = EngineLoad {
-            engine: self.options.name.parse().expect("an engine name"),
+            engine: self.options.name.parse().expect("a valid engine name"),
             incarnation: self.options.incarnation,
             age_ms: 0,
             running,
@@ -297,7 +303,7 @@
         }
     }
 
-    /// The newest report that is at least as old as the lag.
+    /// Returns the newest report that is at least `report_lag` old.
     pub fn report(&self) -> Option<EngineLoad> {
         let inner = self.inner.lock();
         let old =
@@ -306,7 +312,7 @@
     }
 }
 
-/// A waiter that is dropped after it was woken gives its slot to the next.
+/// A waiting request. If it is dropped after it was woken, its slot goes to the next request.
 struct WokenGuard {
     waiting: oneshot::Receiver<()>,
     guard: Option<SlotGuard>,
--- a/crates/foldhaven-testkit/src/stand_in/ledger.rs
+++ b/crates/foldhaven-testkit/src/stand_in/ledger.rs
@@ -1,4 +1,5 @@
-//! What a stand-in really did, a JSON line per event, kept outside the process that may be killed.
+//! Ledgers: files in which stand-ins record what they did, one JSON line per event. A ledger
+//! outlives its process, which tests may kill.
 
 use std::fs::{File, OpenOptions};
 use std::io::{self, Write};
@@ -8,64 +9,64 @@
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 
-/// What happened to a request at a stand-in.
+/// An event at a stand-in, mostly of one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LedgerEvent {
-    /// It arrived and was not refused.
+    /// The request arrived and was not refused.
     Arrive,
-    /// Work on it began.
+    /// Processing of the request started.
     Start,
-    /// All of it was done.
+    /// The request was processed completely.
     End,
-    /// It was cancelled.
+    /// The request was cancelled.
     Cancel,
-    /// It was refused before any work.
+    /// The request was refused before any processing.
     Refuse,
-    /// The stand-in was told to take no new work.
+    /// The stand-in was told to refuse new requests.
     Leaving,
 }
 
-/// One line.
+/// A line of a ledger.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LedgerLine {
-    /// When, in milliseconds since the epoch.
+    /// Time of the event, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// The stand-in.
+    /// Name of the stand-in.
     pub upstream: String,
-    /// Its data centre.
+    /// Data centre of the stand-in.
     pub data_centre: String,
-    /// What happened.
+    /// Kind of the event.
     pub event: LedgerEvent,
-    /// The request.
+    /// Request id.
     pub request: String,
-    /// The attempt.
+    /// Attempt id.
     pub attempt: String,
-    /// The path, at a service; the model, at an engine.
+    /// Path for a service, model for an engine.
     pub target: String,
 }
 
-/// Where a stand-in writes its lines.
+/// Appends the events of one stand-in to its ledger.
 pub struct LedgerFile {
     upstream: String,
     data_centre: String,
     file: Mutex<File>,
 }
 
-/// The present time in milliseconds since the epoch.
+/// Returns the current time in milliseconds since the Unix epoch.
 pub fn epoch_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
 impl LedgerFile {
-    /// Opens a file for appending.
+    /// Opens a ledger for appending and creates it if it does not exist.
     pub fn open(path: &Path, upstream: &str, data_centre: &str) -> io::Result<Self> {
         let file = OpenOptions::new().create(true).append(true).open(path)?;
         let (upstream, data_centre) = (upstream.to_owned(), data_centre.to_owned());
         Ok(Self { upstream, data_centre, file: Mutex::new(file) })
     }
 
-    /// Writes a line before it returns.
+    /// Writes a line. The line has been written when this returns.
     pub fn write(&self, event: LedgerEvent, request: &str, attempt: &str, target: &str) {
         let line = LedgerLine {
             at_ms: epoch_ms(),
@@ -76,21 +77,21 @@
             attempt: attempt.to_owned(),
             target: target.to_owned(),
         };
-        let mut text = serde_json::to_string(&line).expect("a line is JSON");
+        let mut text = serde_json::to_string(&line).expect("a line can be serialized");
         text.push('\n');
         let written = self.file.lock().write_all(text.as_bytes());
         written.expect("the ledger can be written");
     }
 }
 
-/// Reads all lines of all ledgers of a folder, in order of time.
+/// Returns all lines of all ledgers in a folder, sorted by time.
 pub fn read_ledgers(folder: &Path) -> io::Result<Vec<LedgerLine>> {
     let mut lines = Vec::new();
     for entry in std::fs::read_dir(folder)? {
         let path: PathBuf = entry?.path();
         if path.extension().is_some_and(|extension| extension == "ledger") {
             let text = std::fs::read_to_string(path)?;
-            // A line that is being written right now is read the next time.
+            // A line that is only partly written is skipped. A later call reads it.
             lines.extend(text.lines().filter_map(|line| serde_json::from_str(line).ok()));
         }
     }
--- a/crates/foldhaven-testkit/src/stand_in/mod.rs
+++ b/crates/foldhaven-testkit/src/stand_in/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for the systems around foldhaven, each a process of its own that speaks the published
-//! protocol and writes what it really did into a ledger.
+//! Stand-ins for the systems around foldhaven. Each runs as its own process, speaks the published
+//! protocol and records what it did. Upstreams write their records to a ledger file.
 
 pub mod engine;
 pub mod engine_state;
@@ -22,9 +22,9 @@
     Ok(())
 }
 
-/// An answer with a status and a JSON body.
+/// Returns a response with the given status and `value` as its JSON body.
 pub fn json(status: u16, value: &impl serde::Serialize) -> Response {
-    let body = serde_json::to_vec(value).expect("typed answers are JSON");
+    let body = serde_json::to_vec(value).expect("a typed answer can be serialized");
     let mut response = Response::new(bytes::Bytes::from(body).into());
     *response.status_mut() = http::StatusCode::from_u16(status).expect("a valid status");
     let json = http::HeaderValue::from_static("application/json");
--- a/crates/foldhaven-testkit/src/stand_in/platform.rs
+++ b/crates/foldhaven-testkit/src/stand_in/platform.rs
@@ -1,8 +1,8 @@
-//! A stand-in platform: values, lists, the directory and the weight store, all read-only; it
-//! counts every call, and can be slow, stale or down.
+//! A stand-in platform with values, lists, the client directory and the weight store, all of them
+//! read-only. It counts calls and can be slow, stale or down.
 //!
-//! The paths under `/admin` are what operators and the platform itself do; the system never uses
-//! them.
+//! The paths under `/admin` stand for actions of operators and of the platform itself. The system
+//! under test never calls them.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -21,59 +21,60 @@
 use super::engine_state::ModelProfile;
 use super::{json, serve};
 
-/// How the platform fares.
+/// How the platform answers calls.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlatformMode {
-    /// It answers.
+    /// Answers normally.
     #[default]
     Up,
-    /// It answers with what it held before its last change.
+    /// Answers with the content from before its last change.
     Stale,
-    /// It refuses every call.
+    /// Refuses reads of values and lists.
     Down,
-    /// It answers old and new content in turn.
+    /// Alternates between old and current content.
     Flapping,
-    /// It answers after a second.
+    /// Delays its answers to reads of values and lists by one second.
     Slow,
 }
 
-/// What the platform starts with.
+/// Initial content of the platform.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct PlatformContent {
     /// Published values.
     pub values: ValueBundle,
-    /// All upstreams.
+    /// All upstreams in all data centres.
     pub upstreams: Vec<UpstreamEntry>,
-    /// The directory for clients.
+    /// Client directory.
     pub directory: Vec<DirectoryEntry>,
-    /// How models run, by name.
+    /// Performance of models by model name.
     pub weights: BTreeMap<String, ModelProfile>,
-    /// How long reading the weights of a model takes, in milliseconds.
+    /// Time to read the weights of a model, in milliseconds.
     pub weight_ms: u64,
-    /// How many readers of weights are served at once; others wait.
+    /// Maximum number of concurrent readers of weights. Further readers wait.
     pub weight_readers: usize,
-    /// How far lists lag behind, in milliseconds.
+    /// Delay in milliseconds after which a change shows in lists.
     pub list_lag_ms: u64,
 }
 
-/// The counts of calls, by kind.
+/// Numbers of calls by kind.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlatformCounts {
-    /// Calls for values, a waiting watch as one.
+    /// Calls for values. A long poll counts once.
     pub values: u64,
-    /// Calls for lists, a waiting watch as one.
+    /// Calls for lists. A long poll counts once.
     pub lists: u64,
-    /// Calls for the directory.
+    /// Calls for the client directory.
     pub directory: u64,
     /// Calls for weights.
     pub weights: u64,
-    /// The most readers of weights that waited or read at once.
+    /// Maximum number of readers of weights that waited or read at the same time.
     pub most_weight_readers: usize,
-    /// Calls that would write, which the system never makes.
+    /// Attempted writes, which the system must never make.
     pub writes: u64,
 }
 
+/// The content of the platform at one revision.
 #[derive(Debug, Clone)]
 struct Version {
     revision: u64,
@@ -85,9 +86,9 @@
 struct Inner {
     mode: PlatformMode,
     now: Version,
-    /// What the platform answers while it is stale.
+    /// Content that is served while the platform is stale or flapping.
     old: Version,
-    /// Earlier versions, for lists that lag.
+    /// Earlier versions, from which delayed lists are served.
     history: VecDeque<Version>,
     counts: PlatformCounts,
     flaps: u64,
@@ -102,7 +103,7 @@
     permits: Arc<tokio::sync::Semaphore>,
 }
 
-/// Serves until the process ends.
+/// Serves requests until the process ends.
 pub async fn run_platform(address: SocketAddr, content: PlatformContent) -> std::io::Result<()> {
     let values = content.values.values.iter();
     let version = Version {
@@ -187,7 +188,7 @@
 }
 
 impl Platform {
-    /// What the platform answers from now: nothing when it is down.
+    /// Returns the version to answer from, or `None` if the platform is down.
     fn version(&self) -> Option<Version> {
         let mut inner = self.inner.lock();
         match inner.mode {
@@ -208,6 +209,8 @@
         tokio::time::sleep(wait).await;
     }
 
+    /// Answers with the value that `read` returns. If its revision equals `after` of the query,
+    /// waits up to `wait_ms` for another revision.
     async fn watch(
         &self,
         query: &Query,
@@ -234,7 +237,7 @@
         }
     }
 
-    /// The list of a data centre as it was a while ago.
+    /// Answers with a list of upstreams as it was `lag` ago, of one data centre or of all.
     async fn lagging(&self, query: &Query, centre: Option<String>, lag: Duration) -> Response {
         let read = |version: &Version| {
             let seen = self.lagged_version(version, lag);
@@ -243,7 +246,7 @@
             };
             let upstreams = seen.upstreams.iter().filter(in_centre).cloned().collect();
             let list = UpstreamList { revision: seen.revision, upstreams };
-            Some((seen.revision, serde_json::to_string(&list).expect("a list is JSON")))
+            Some((seen.revision, serde_json::to_string(&list).expect("a list can be serialized")))
         };
         self.watch(query, read).await
     }
--- a/crates/foldhaven-testkit/src/stand_in/service.rs
+++ b/crates/foldhaven-testkit/src/stand_in/service.rs
@@ -1,9 +1,9 @@
-//! A stand-in plain service, with calls that may not be repeated.
+//! A stand-in plain service, which also serves calls that must not be repeated.
 //!
-//! Every call is noted in the ledger when its effect happens. The first part of the path says how
-//! the call fares: `ok`, `fail` (runs, then answers 500), `cut` (runs, then cuts the answer at the
-//! end of a chunk), `slow` (runs, then answers after `ms` of the query). The answer repeats the
-//! request id and the body.
+//! A call is recorded in the ledger when it takes effect. The first segment of the path selects how
+//! the call is answered: `ok`, `fail` (runs, then answers 500), `cut` (runs, then truncates the
+//! answer at the end of a chunk) or `slow` (runs, then answers after `ms` milliseconds of the
+//! query, 500 by default). The answer repeats the request id and the body.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -22,15 +22,15 @@
 use super::ledger::{LedgerEvent, LedgerFile};
 use super::{json, serve};
 
-/// Where a stand-in service stands.
+/// Settings of a stand-in service process.
 pub struct ServiceSettings {
-    /// Its name.
+    /// Name of the service instance.
     pub name: String,
-    /// Its data centre.
+    /// Data centre of the service instance.
     pub data_centre: String,
-    /// Where it listens.
+    /// Address to listen on.
     pub address: SocketAddr,
-    /// Its ledger.
+    /// Path of the ledger file.
     pub ledger: PathBuf,
 }
 
@@ -40,12 +40,12 @@
     leaving: Arc<AtomicBool>,
 }
 
-/// What a service answers to a request.
+/// Returns the answer of a service to a request.
 pub fn service_answer(request: &str, body: &str) -> String {
     format!("{request}:{body}")
 }
 
-/// Serves until the process ends.
+/// Serves requests until the process ends.
 pub async fn run_service(settings: ServiceSettings) -> std::io::Result<()> {
     let ledger = LedgerFile::open(&settings.ledger, &settings.name, &settings.data_centre)?;
     let service = Service { ledger: Arc::new(ledger), leaving: Arc::default() };
@@ -108,7 +108,7 @@
     }
 }
 
-/// An answer that breaks off exactly at the end of a chunk.
+/// Returns a response that is truncated exactly at the end of a chunk.
 fn cut_answer(answer: String) -> Response {
     let half = answer.len() / 2;
     let parts = [
--- a/crates/foldhaven-testkit/tests/testsuite/callers.rs
+++ b/crates/foldhaven-testkit/tests/testsuite/callers.rs
@@ -1,4 +1,5 @@
-//! The contract with callers, as tables of faults: each gets a typed error, and the daemon goes on.
+//! Errors that callers get: each invalid request and each engine fault gets its typed error, and
+//! the daemon keeps serving.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -11,7 +12,8 @@
 
 use crate::{run, small_fleet};
 
-/// A request with its faults, and the status, code and outcome that it must get.
+/// An invalid request, or one that requests an engine fault, and the status, error code and outcome
+/// that it must get.
 struct FaultCase {
     name: &'static str,
     path: &'static str,
@@ -198,7 +200,8 @@
     });
 }
 
-/// A body that ends early or stalls ends the request, and does not hold the connection for ever.
+/// A truncated or stalled request body ends the request and does not keep the connection open
+/// forever.
 async fn truncated_and_slow_bodies(entry: SocketAddr) {
     let head = "POST /v1/completions HTTP/1.1\r\nhost: x\r\ncontent-type: application/json\r\n\
                 foldhaven-account: west-bar\r\nfoldhaven-class: digest\r\ncontent-length: 100\r\n\r\n";
@@ -224,7 +227,8 @@
     assert_eq!(answer.text, whole_answer(&engine_prompt(&ask), ask.max_tokens));
 }
 
-/// A thousand callers at once each get their own whole answer, or a refusal.
+/// Of 1,000 concurrent requests, each gets its own complete answer or a refusal, and at least 990
+/// get an answer.
 async fn answers_do_not_cross(entry: SocketAddr) {
     let caller = CallerClient::new(Duration::ZERO);
     let asks = (0..1_000).map(|number| ServiceAsk {
@@ -262,7 +266,7 @@
         let answer = caller.ask_model(entry, &ask).await;
         assert_eq!((answer.status, answer.outcome), (429, RequestOutcome::NotRun));
         assert!(answer.retry_after.is_some());
-        // Not a measure of speed: the answer must not be held until the deadline.
+        // The limit is the deadline: the refusal must not be delayed until then.
         assert!(started.elapsed() < Duration::from_millis(150), "{:?}", started.elapsed());
         assert!(fleet.ledger().iter().all(|line| line.request != ask.request));
     });
--- a/crates/foldhaven-testkit/tests/testsuite/operators.rs
+++ b/crates/foldhaven-testkit/tests/testsuite/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' tool against a running fleet.
+//! Runs `foldhavenctl` against a fleet.
 
 use std::path::Path;
 
@@ -13,7 +13,7 @@
     run_command(&make_command().try_get_matches_from(words).unwrap())
 }
 
-/// Runs the tool while the fleet's runtime goes on.
+/// Runs the tool on a blocking thread, so that the runtime of the fleet is not blocked.
 async fn ctl_beside(words: Vec<String>) -> ExitStatus {
     let run = move || ctl(&words.iter().map(String::as_str).collect::<Vec<_>>());
     tokio::task::spawn_blocking(run).await.unwrap()
@@ -23,9 +23,9 @@
     text.split_whitespace().map(str::to_owned).collect()
 }
 
-/// Publishes what the tool wrote, as an operator does with the platform's own means.
+/// Publishes the values that the tool wrote to a file, as an operator does on the platform.
 async fn publish(fleet: &foldhaven_testkit::fleet::Fleet, file: &Path) {
-    // The file may be there before all of it is written: what counts is that it can be read.
+    // The file may exist before it is written completely, so retry until it can be parsed.
     let bundle: ValueBundle = loop {
         let text = std::fs::read_to_string(file).unwrap_or_default();
         match serde_json::from_str(&text) {
@@ -64,13 +64,13 @@
         ] {
             assert_eq!(ctl_beside(words(&command)).await, ExitStatus::Success, "{command}");
         }
-        // Another operator edited from the first description, which is not in force any more.
+        // Another operator edited the first description, which is no longer in force.
         let first = foldhaven_core::description::DescriptionIndex::new(fleet.description.clone());
         edited.parent = Some(first.stamp.to_string());
         std::fs::write(&file, serde_saphyr::to_string(&edited).unwrap()).unwrap();
         let late = words(&format!("apply {file} --out {out_text}.late --vm {vm}"));
         assert_eq!(ctl_beside(late).await, ExitStatus::LostRace);
-        // Nobody publishes this one.
+        // This description is never published.
         edited.parent = None;
         std::fs::write(&file, serde_saphyr::to_string(&edited).unwrap()).unwrap();
         let never = words(&format!("apply {file} --out {out_text}.never --wait 300ms --vm {vm}"));
--- a/crates/foldhaven-testkit/tests/testsuite/peers.rs
+++ b/crates/foldhaven-testkit/tests/testsuite/peers.rs
@@ -1,10 +1,10 @@
-//! The contract between daemons: forwarded requests with missing, forged or stale fields.
+//! Requests forwarded between daemons, with missing, forged or outdated headers.
 
 use foldhaven_core::headers;
 
 use crate::{run, small_fleet};
 
-/// A forwarded request that is in order, for `west-1`, from `mid-1`.
+/// Returns the headers of a valid request forwarded from `mid-1` to `west-1`.
 fn good_headers(stamp: &str) -> Vec<(&'static str, String)> {
     vec![
         ("content-type", "application/json".to_owned()),
@@ -18,7 +18,7 @@
     ]
 }
 
-/// Header, its value (none to leave it out), and the code of the refusal.
+/// Header, its value (`None` to omit it) and the error code of the refusal.
 const CASES: [(&str, Option<&str>, &str); 11] = [
     (headers::VISITED, None, "forward_path"),
     (headers::VISITED, Some(""), "forward_path"),
@@ -60,9 +60,12 @@
                 body.contains(&format!("\"code\":\"{code}\"")),
                 "{name} {value:?}: {status} {body}"
             );
-            assert!(refused || name == headers::ATTEMPT_ID, "{name}: the refusal is not recorded");
+            assert!(
+                refused || name == headers::ATTEMPT_ID,
+                "{name}: the refusal does not name the attempt"
+            );
         }
-        assert!(fleet.ledger().iter().all(|line| line.request != "r1"), "a refused one ran");
+        assert!(fleet.ledger().iter().all(|line| line.request != "r1"), "a refused request ran");
         let (status, _, body) = send(good_headers(&stamp)).await;
         assert_eq!(status, 200, "{body}");
         assert!(body.trim_end().ends_with("[DONE]"));
--- a/crates/foldhaven-testkit/tests/testsuite/refusals.rs
+++ b/crates/foldhaven-testkit/tests/testsuite/refusals.rs
@@ -1,4 +1,4 @@
-//! Which refusals are final: a lack that passes never tells a caller to stay away.
+//! A temporary lack of engines never gets a final refusal, which tells the caller not to retry.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,9 +12,9 @@
 
 use crate::{run, small_fleet};
 
-/// How long a VM takes at most to notice that its engines are gone.
+/// Maximum time until a VM detects that its engines are gone, or until the first answer.
 const NOTICE_LIMIT: Duration = Duration::from_secs(20);
-/// How long requests are sent; engines are lost soon after the first answer.
+/// How long requests are sent. Engines are killed soon after the first answer.
 const SENT_FOR: Duration = Duration::from_secs(8);
 const POLL: Duration = Duration::from_millis(25);
 
@@ -36,7 +36,7 @@
     (1..=2).for_each(|number| fleet.kill(&format!("{centre}-engine-{number}")));
 }
 
-/// Waits until a VM knows of no engine that holds a model.
+/// Waits until a VM knows of no engine with a loaded model.
 async fn await_no_engine(fleet: &Fleet, vm: &str) {
     let is_gone = async {
         loop {
@@ -50,10 +50,11 @@
             tokio::time::sleep(POLL).await;
         }
     };
-    tokio::time::timeout(NOTICE_LIMIT, is_gone).await.expect("the VM notices");
+    tokio::time::timeout(NOTICE_LIMIT, is_gone).await.expect("the VM detects the loss");
 }
 
-/// A receiver that knew of no engine refused forwarded requests with 403 for `residency`, though its region was permitted.
+/// Guards against a receiver without engines that refused forwarded requests with 403 and
+/// `residency`, although its region was permitted.
 #[test]
 fn a_forwarded_request_is_not_forbidden_for_want_of_an_engine() {
     run(async {
@@ -84,7 +85,7 @@
     });
 }
 
-/// Sends requests at a steady rate for some time, and tells when the first one is answered whole.
+/// Sends requests at a steady rate for `span`. Notifies `served` of each complete answer.
 async fn send_steadily(
     entry: SocketAddr,
     span: Duration,
@@ -108,7 +109,8 @@
     sent.join_all().await
 }
 
-/// Callers were refused for `residency` when the data centre that a request was forwarded to had just lost its engines.
+/// Guards against callers being refused with `residency` when the data centre to which a request
+/// was forwarded had just lost its engines.
 #[test]
 fn callers_are_not_forbidden_while_engines_are_lost_elsewhere() {
     run(async {
@@ -118,11 +120,13 @@
         await_no_engine(&fleet, "west-1-vm-1").await;
         let served = Arc::new(Notify::new());
         let sending = tokio::spawn(send_steadily(entry, SENT_FOR, served.clone()));
-        tokio::time::timeout(NOTICE_LIMIT, served.notified()).await.expect("one is forwarded");
+        tokio::time::timeout(NOTICE_LIMIT, served.notified())
+            .await
+            .expect("a request is forwarded");
         kill_engines(&mut fleet, "mid-1");
         kill_engines(&mut fleet, "east-1");
         let answers = sending.await.unwrap();
-        assert!(answers.iter().any(CallerAnswer::is_complete), "some were forwarded");
+        assert!(answers.iter().any(CallerAnswer::is_complete), "some requests were forwarded");
         let refused: Vec<&CallerAnswer> = answers.iter().filter(|it| !it.is_complete()).collect();
         assert!(!refused.is_empty(), "the engines are gone");
         for answer in refused {
@@ -132,7 +136,8 @@
     });
 }
 
-/// A request that had been sent to an engine when its time ran out was answered with 429, which promises that it has not run.
+/// Guards against a 429 answer, which guarantees that a request has not run, to a request that had
+/// been sent to an engine before its deadline passed.
 #[test]
 fn a_request_that_may_have_run_is_not_answered_with_a_promise() {
     run(async {
--- a/crates/foldhaven-testkit/tests/testsuite/scenarios.rs
+++ b/crates/foldhaven-testkit/tests/testsuite/scenarios.rs
@@ -1,4 +1,4 @@
-//! All scenario files, a few at a time, and a fixed set of random schedules.
+//! Runs all scenario files and random fault schedules from fixed seeds.
 
 use std::path::Path;
 
@@ -9,9 +9,9 @@
 
 use crate::{program, run, scenario_folder};
 
-/// How many fleets run at once.
+/// Maximum number of fleets that run at the same time.
 const AT_ONCE: usize = 2;
-/// The seeds that run with the tests; `foldhaven-testkit chaos` runs more.
+/// Seeds of the schedules that run as tests. `foldhaven-testkit chaos` runs more.
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=4;
 
 fn assert_all_passed(reports: &[ScenarioReport]) {
@@ -21,7 +21,7 @@
     assert!(failed.is_empty(), "failed: {failed:?}");
 }
 
-/// Scenarios with tests of their own, so that they are known by name where they fail.
+/// Scenarios with their own tests, so that their failures are reported under their own names.
 const ALONE: [&str; 3] = ["residency-tightened", "stop-each-vm", "residency-newer-sender"];
 
 fn is_named(file: &Path, name: &str) -> bool {
@@ -30,7 +30,8 @@
 
 fn assert_named_passes(name: &str) {
     let files = scenario_files(&scenario_folder()).unwrap();
-    let file = files.into_iter().find(|file| is_named(file, name)).expect("the scenario is there");
+    let file =
+        files.into_iter().find(|file| is_named(file, name)).expect("the scenario file exists");
     let report = run(run_file(program(), &file)).unwrap();
     assert_all_passed(&[report]);
 }
@@ -53,7 +54,7 @@
 #[test]
 fn every_scenario_holds_its_promises() {
     let files = scenario_files(&scenario_folder()).unwrap();
-    assert!(files.len() > 20, "the scenarios are missing");
+    assert!(files.len() > 20, "scenario files are missing");
     let files = files.into_iter().filter(|file| !ALONE.iter().any(|name| is_named(file, name)));
     let reports: Vec<ScenarioReport> = run(futures::stream::iter(files)
         .map(|file| async move { run_file(program(), &file).await.unwrap() })
