--- a/crates/foldhaven-testkit/src/caller.rs
+++ b/crates/foldhaven-testkit/src/caller.rs
@@ -12,7 +12,7 @@
 
 /// A request to a model.
 #[derive(Debug, Clone)]
-pub struct ModelAsk {
+pub struct ModelCall {
     /// Account.
     pub account: String,
     /// Class.
@@ -72,9 +72,9 @@
     /// Data centre that served the request.
     pub served_by: String,
     /// Time to the first event of a streamed answer.
-    pub first: Option<Duration>,
+    pub time_to_first: Option<Duration>,
     /// Time to the end of the answer.
-    pub whole: Duration,
+    pub total_time: Duration,
     /// Value of the `location` header, by which a leaving VM redirects the caller.
     pub location: Option<String>,
 }
@@ -91,8 +91,8 @@
             retry_after: None,
             ticket: None,
             served_by: String::new(),
-            first: None,
-            whole: started.elapsed(),
+            time_to_first: None,
+            total_time: started.elapsed(),
             location: None,
         }
     }
@@ -150,7 +150,7 @@
     }
 
     /// Sends a model request to an entry VM and reads the answer to its end.
-    pub async fn ask_model(&self, entry: SocketAddr, ask: &ModelAsk) -> CallerAnswer {
+    pub async fn call_model(&self, entry: SocketAddr, ask: &ModelCall) -> CallerAnswer {
         let started = Instant::now();
         self.travel().await;
         let path = if ask.chat { "/v1/chat/completions" } else { "/v1/completions" };
@@ -175,8 +175,8 @@
             Ok(response) => read_whole(response, started, Some(ask)).await,
             Err(error) => CallerAnswer::lost(started, format!("{error:?}")),
         };
-        answer.whole += self.one_way;
-        answer.first = answer.first.map(|first| first + self.one_way);
+        answer.total_time += self.one_way;
+        answer.time_to_first = answer.time_to_first.map(|first| first + self.one_way);
         answer
     }
 
@@ -203,7 +203,7 @@
             Ok(response) => read_whole(response, started, None).await,
             Err(error) => CallerAnswer::lost(started, format!("{error:?}")),
         };
-        answer.whole += self.one_way;
+        answer.total_time += self.one_way;
         answer
     }
 }
@@ -214,7 +214,7 @@
     deadline.unwrap_or(Duration::from_secs(15)) + Duration::from_secs(3)
 }
 
-fn model_body(ask: &ModelAsk) -> serde_json::Value {
+fn model_body(ask: &ModelCall) -> serde_json::Value {
     let (max_tokens, stream) = (ask.max_tokens, ask.stream);
     if ask.chat {
         let messages = serde_json::json!([{ "role": "user", "content": ask.prompt }]);
@@ -226,7 +226,7 @@
 }
 
 /// Returns the prompt as an engine receives it.
-pub fn engine_prompt(ask: &ModelAsk) -> String {
+pub fn engine_prompt(ask: &ModelCall) -> String {
     if ask.chat { format!("user: {}\n", ask.prompt) } else { ask.prompt.clone() }
 }
 
@@ -243,7 +243,7 @@
 async fn read_whole(
     response: Response,
     started: Instant,
-    model: Option<&ModelAsk>,
+    model: Option<&ModelCall>,
 ) -> CallerAnswer {
     let mut answer = CallerAnswer::lost(started, String::new());
     answer.status = response.status().as_u16();
@@ -255,7 +255,7 @@
         Err(error) => return CallerAnswer::lost(started, error.to_string()),
     };
     answer.outcome = outcome;
-    answer.whole = started.elapsed();
+    answer.total_time = started.elapsed();
     if let Ok(ErrorBody { error }) = serde_json::from_slice::<ErrorBody>(&body) {
         answer.error = Some(error.kind.code());
         answer.message = Some(error.message);
@@ -282,7 +282,7 @@
     part.or_else(|| choice.text.clone()).unwrap_or_default()
 }
 
-async fn read_stream(mut response: Response, ask: &ModelAsk, started: Instant) -> CallerAnswer {
+async fn read_stream(mut response: Response, ask: &ModelCall, started: Instant) -> CallerAnswer {
     let mut answer = CallerAnswer::lost(started, "the stream ended early".to_owned());
     answer.status = 200;
     answer.served_by = header(&response, headers::SERVED_BY).unwrap_or_default();
@@ -308,11 +308,11 @@
                 if chunk.id != ask.request {
                     return CallerAnswer::lost(started, format!("an event of {}", chunk.id));
                 }
-                answer.first.get_or_insert(started.elapsed());
+                answer.time_to_first.get_or_insert(started.elapsed());
                 answer.text.push_str(&chunk_text(&chunk));
             }
         }
     }
-    answer.whole = started.elapsed();
+    answer.total_time = started.elapsed();
     answer
 }
--- a/crates/foldhaven-testkit/src/demo.rs
+++ b/crates/foldhaven-testkit/src/demo.rs
@@ -10,7 +10,7 @@
 use foldhaven_core::ids::RegionName;
 use hdrhistogram::Histogram;
 
-use crate::caller::{CallerAnswer, CallerClient, ModelAsk, ServiceAsk, engine_prompt};
+use crate::caller::{CallerAnswer, CallerClient, ModelCall, ServiceAsk, engine_prompt};
 use crate::fleet::{Fleet, FleetOptions};
 use crate::stand_in::engine::whole_answer;
 use crate::stand_in::ledger::{LedgerEvent, LedgerLine};
@@ -169,7 +169,7 @@
         let expected = service_answer(&request, &ask.body);
         return DemoRecord { class, home, request, expected, answer };
     }
-    let ask = ModelAsk {
+    let ask = ModelCall {
         account: account.to_owned(),
         class: class.name.to_string(),
         request: request.clone(),
@@ -180,7 +180,7 @@
         deadline: None,
         worth: None,
     };
-    let answer = caller.ask_model(entry, &ask).await;
+    let answer = caller.call_model(entry, &ask).await;
     let expected = whole_answer(&engine_prompt(&ask), ask.max_tokens);
     DemoRecord { class, home, request, expected, answer }
 }
@@ -209,7 +209,7 @@
 async fn run_refusal(fleet: &Fleet, caller: &CallerClient, checks: &mut DemoChecks) {
     let account = &fleet.description.accounts[0];
     let class = &fleet.description.classes[0];
-    let ask = ModelAsk {
+    let ask = ModelCall {
         account: account.name.to_string(),
         class: class.name.to_string(),
         request: "cannot-be-on-time".to_owned(),
@@ -220,7 +220,7 @@
         deadline: Some(Duration::from_millis(100)),
         worth: None,
     };
-    let answer = caller.ask_model(entry_in(fleet, account.home.as_str()), &ask).await;
+    let answer = caller.call_model(entry_in(fleet, account.home.as_str()), &ask).await;
     let refused = answer.status == 429 && answer.error.as_deref() == Some("deadline");
     checks.check(refused, || format!("expected a refusal by deadline, got {answer:?}"));
     checks.check(answer.retry_after.is_some(), || "the refusal has no retry delay".to_owned());
@@ -302,14 +302,14 @@
         let share = |holds: &dyn Fn(&DemoRecord) -> bool| {
             of_class().filter(|record| holds(record)).count() as f64 / total * 100.0
         };
-        let whole = quantiles(of_class().map(|record| record.answer.whole));
-        let first = quantiles(of_class().filter_map(|record| record.answer.first));
+        let whole = quantiles(of_class().map(|record| record.answer.total_time));
+        let first = quantiles(of_class().filter_map(|record| record.answer.time_to_first));
         println!(
             "{:<10} {:>5.0}% {:>7.0}% {:>9.1} {:>9.1} {:>10.1} {:>10.1} {:>5.0}%",
             class.name.as_str(),
             share(&|record| record.answer.is_complete()),
             share(&|record| {
-                record.answer.is_complete() && record.answer.whole <= class.deadline.0
+                record.answer.is_complete() && record.answer.total_time <= class.deadline.0
             }),
             whole.0,
             whole.1,
--- a/crates/foldhaven-testkit/src/measure/load.rs
+++ b/crates/foldhaven-testkit/src/measure/load.rs
@@ -14,7 +14,7 @@
 use tokio::task::JoinSet;
 
 use super::profile::{PlannedAsk, ProfileKind, draw_asks};
-use crate::caller::{CallerAnswer, CallerClient, ModelAsk};
+use crate::caller::{CallerAnswer, CallerClient, ModelCall};
 use crate::fleet::{Fleet, FleetOptions};
 use crate::relay::LinkEnds;
 use crate::stand_in::ledger::{LedgerEvent, LedgerLine};
@@ -151,7 +151,7 @@
     let mut tries = 0;
     loop {
         let left = ask.class.deadline.0.saturating_sub(due.elapsed());
-        let model_ask = ModelAsk {
+        let model_ask = ModelCall {
             account: ask.account.clone(),
             class: ask.class.name.to_string(),
             request: format!("ask-{number}-{tries}"),
@@ -164,11 +164,11 @@
         };
         let before = due.elapsed();
         let entry = entries[(number + tries) % entries.len()];
-        let answer = caller.ask_model(entry, &model_ask).await;
+        let answer = caller.call_model(entry, &model_ask).await;
         let gives_up = answer.is_complete() || tries >= asks_again || left.is_zero();
         if gives_up {
-            let first = answer.first.map(|first| before + first);
-            let whole = before + answer.whole;
+            let first = answer.time_to_first.map(|first| before + first);
+            let whole = before + answer.total_time;
             return DoneAsk { ask, answer, first, whole };
         }
         tries += 1;
@@ -205,11 +205,11 @@
                 (is_inside(&ends.from) != is_inside(&ends.to)) && is_vm(&ends.to)
             };
             fleet.relay.change(crosses, |_, state| {
-                (state.is_cut_there, state.is_cut_back) = (true, true);
+                (state.is_forward_cut, state.is_backward_cut) = (true, true);
             });
             tokio::time::sleep(third).await;
             fleet.relay.change(crosses, |_, state| {
-                (state.is_cut_there, state.is_cut_back) = (false, false);
+                (state.is_forward_cut, state.is_backward_cut) = (false, false);
             });
         }
         ProfileKind::Pause => {
--- a/crates/foldhaven-testkit/src/measure/overhead.rs
+++ b/crates/foldhaven-testkit/src/measure/overhead.rs
@@ -13,7 +13,7 @@
 use serde::Serialize;
 
 use super::load::percentiles;
-use crate::caller::{CallerClient, ModelAsk};
+use crate::caller::{CallerClient, ModelCall};
 use crate::fleet::{Fleet, FleetOptions};
 
 const ROUNDS: usize = 5;
@@ -98,7 +98,7 @@
             if is_direct {
                 return call_engine(&client, engine, model, prompt, number).await;
             }
-            let ask = ModelAsk {
+            let ask = ModelCall {
                 account,
                 class,
                 request: format!("r{number}"),
@@ -109,8 +109,8 @@
                 deadline: None,
                 worth: None,
             };
-            let answer = caller.ask_model(entry, &ask).await;
-            Some((answer.first?, answer.whole))
+            let answer = caller.call_model(entry, &ask).await;
+            Some((answer.time_to_first?, answer.total_time))
         }
     });
     let done = futures::stream::iter(calls).buffer_unordered(in_flight);
--- a/crates/foldhaven-testkit/src/relay.rs
+++ b/crates/foldhaven-testkit/src/relay.rs
@@ -23,9 +23,9 @@
     /// One-way delay, in each direction.
     pub delay: Duration,
     /// Whether bytes from the dialling side are held.
-    pub is_cut_there: bool,
+    pub is_forward_cut: bool,
     /// Whether bytes to the dialling side are held.
-    pub is_cut_back: bool,
+    pub is_backward_cut: bool,
 }
 
 /// The two ends of a link, by process name.
@@ -82,7 +82,7 @@
     }
 
     fn sender(&self, ends: LinkEnds, delay: Duration) -> watch::Sender<LinkState> {
-        let state = LinkState { delay, is_cut_there: false, is_cut_back: false };
+        let state = LinkState { delay, is_forward_cut: false, is_backward_cut: false };
         let mut links = self.links.lock();
         links.entry(ends).or_insert_with(|| watch::Sender::new(state)).clone()
     }
@@ -138,8 +138,8 @@
     let _ = (dialled.set_nodelay(true), reached.set_nodelay(true));
     let (there_read, back_write) = dialled.into_split();
     let (back_read, there_write) = reached.into_split();
-    let there = pump(there_read, there_write, state.clone(), |state| state.is_cut_there);
-    let back = pump(back_read, back_write, state, |state| state.is_cut_back);
+    let there = pump(there_read, there_write, state.clone(), |state| state.is_forward_cut);
+    let back = pump(back_read, back_write, state, |state| state.is_backward_cut);
     tokio::join!(there, back);
 }
 
--- a/crates/foldhaven-testkit/src/scenario/runner/mod.rs
+++ b/crates/foldhaven-testkit/src/scenario/runner/mod.rs
@@ -168,7 +168,7 @@
                 self.fleet.relay.change(
                     |_| true,
                     |_, state| {
-                        (state.is_cut_there, state.is_cut_back) = (false, false);
+                        (state.is_forward_cut, state.is_backward_cut) = (false, false);
                     },
                 );
                 Ok(())
@@ -272,8 +272,8 @@
             |ends, state| {
                 // Bytes from the first group to the second flow forward on links that the first
                 // group dials, and backward on links that the second group dials.
-                state.is_cut_there |= !one_way || goes(ends);
-                state.is_cut_back |= !one_way || comes(ends);
+                state.is_forward_cut |= !one_way || goes(ends);
+                state.is_backward_cut |= !one_way || comes(ends);
             },
         );
         if count > 0 { Ok(()) } else { Err("no link between these".to_owned()) }
@@ -362,7 +362,7 @@
         self.fleet.relay.change(
             |_| true,
             |_, state| {
-                (state.is_cut_there, state.is_cut_back) = (false, false);
+                (state.is_forward_cut, state.is_backward_cut) = (false, false);
             },
         );
         for name in self.loads.keys().cloned().collect::<Vec<_>>() {
--- a/crates/foldhaven-testkit/src/scenario/traffic.rs
+++ b/crates/foldhaven-testkit/src/scenario/traffic.rs
@@ -11,7 +11,7 @@
 use tokio::task::{JoinHandle, JoinSet};
 
 use super::steps::SendSpec;
-use crate::caller::{CallerAnswer, CallerClient, ModelAsk, ServiceAsk, engine_prompt};
+use crate::caller::{CallerAnswer, CallerClient, ModelCall, ServiceAsk, engine_prompt};
 use crate::stand_in::engine::whole_answer;
 use crate::stand_in::service::service_answer;
 
@@ -36,7 +36,7 @@
 #[derive(Debug, Clone)]
 pub enum PreparedAsk {
     /// A request to a model.
-    Model(ModelAsk),
+    Model(ModelCall),
     /// A request to a service, and whether it is repeatable.
     Service(ServiceAsk, bool),
 }
@@ -60,7 +60,7 @@
             return Some(Self::Service(ask, class.repeatable));
         }
         let max = if spec.max_tokens == 0 { class.max_output_tokens } else { spec.max_tokens };
-        Some(Self::Model(ModelAsk {
+        Some(Self::Model(ModelCall {
             account,
             class: class_name,
             prompt: format!("{}{request}", "case file ".repeat(120)),
@@ -84,7 +84,7 @@
     pub async fn send(&self, caller: &CallerClient, entry: SocketAddr) -> SentRequest {
         match self {
             Self::Model(ask) => {
-                let answer = caller.ask_model(entry, ask).await;
+                let answer = caller.call_model(entry, ask).await;
                 SentRequest {
                     request: ask.request.clone(),
                     account: ask.account.clone(),
--- a/crates/foldhaven-testkit/tests/testsuite/callers.rs
+++ b/crates/foldhaven-testkit/tests/testsuite/callers.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use foldhaven_core::attempt::RequestOutcome;
-use foldhaven_testkit::caller::{CallerClient, ModelAsk, ServiceAsk, engine_prompt};
+use foldhaven_testkit::caller::{CallerClient, ModelCall, ServiceAsk, engine_prompt};
 use foldhaven_testkit::stand_in::engine::whole_answer;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -167,8 +167,8 @@
     (status, text(&body["error"]["code"]), outcome)
 }
 
-fn good_ask(request: &str) -> ModelAsk {
-    ModelAsk {
+fn good_ask(request: &str) -> ModelCall {
+    ModelCall {
         account: "west-bar".to_owned(),
         class: "digest".to_owned(),
         request: request.to_owned(),
@@ -222,7 +222,7 @@
 async fn still_serves(entry: SocketAddr) {
     let caller = CallerClient::new(Duration::ZERO);
     let ask = good_ask("after-all-faults");
-    let answer = caller.ask_model(entry, &ask).await;
+    let answer = caller.call_model(entry, &ask).await;
     assert!(answer.is_complete(), "{answer:?}");
     assert_eq!(answer.text, whole_answer(&engine_prompt(&ask), ask.max_tokens));
 }
@@ -261,9 +261,9 @@
         let entry = fleet.vms["west-1-vm-1"].settings.addresses.caller;
         let caller = CallerClient::new(Duration::ZERO);
         let deadline = Some(Duration::from_millis(150));
-        let ask = ModelAsk { deadline, max_tokens: 120, ..good_ask("cannot-be-on-time") };
+        let ask = ModelCall { deadline, max_tokens: 120, ..good_ask("cannot-be-on-time") };
         let started = Instant::now();
-        let answer = caller.ask_model(entry, &ask).await;
+        let answer = caller.call_model(entry, &ask).await;
         assert_eq!((answer.status, answer.outcome), (429, RequestOutcome::NotRun));
         assert!(answer.retry_after.is_some());
         // The limit is the deadline: the refusal must not be delayed until then.
--- a/crates/foldhaven-testkit/tests/testsuite/refusals.rs
+++ b/crates/foldhaven-testkit/tests/testsuite/refusals.rs
@@ -6,7 +6,7 @@
 
 use foldhaven_core::attempt::RequestOutcome;
 use foldhaven_core::headers;
-use foldhaven_testkit::caller::{CallerAnswer, CallerClient, ModelAsk};
+use foldhaven_testkit::caller::{CallerAnswer, CallerClient, ModelCall};
 use foldhaven_testkit::fleet::Fleet;
 use tokio::sync::Notify;
 
@@ -18,8 +18,8 @@
 const SENT_FOR: Duration = Duration::from_secs(8);
 const POLL: Duration = Duration::from_millis(25);
 
-fn ask(number: usize) -> ModelAsk {
-    ModelAsk {
+fn ask(number: usize) -> ModelCall {
+    ModelCall {
         account: "west-bar".to_owned(),
         class: "digest".to_owned(),
         request: format!("ask-{number}"),
@@ -99,7 +99,7 @@
         interval.tick().await;
         let (caller, served) = (caller.clone(), served.clone());
         sent.spawn(async move {
-            let answer = caller.ask_model(entry, &ask(number)).await;
+            let answer = caller.call_model(entry, &ask(number)).await;
             if answer.is_complete() {
                 served.notify_one();
             }
@@ -147,8 +147,8 @@
             (1..=2).for_each(|number| fleet.freeze(&format!("{centre}-engine-{number}")));
         }
         let deadline = Some(Duration::from_millis(1_200));
-        let late = ModelAsk { deadline, ..ask(1) };
-        let answer = CallerClient::new(Duration::ZERO).ask_model(entry, &late).await;
+        let late = ModelCall { deadline, ..ask(1) };
+        let answer = CallerClient::new(Duration::ZERO).call_model(entry, &late).await;
         assert_eq!((answer.status, answer.outcome), (504, RequestOutcome::Unknown), "{answer:?}");
     });
 }
