--- a/crates/foldhaven-testkit/src/caller.rs
+++ b/crates/foldhaven-testkit/src/caller.rs
@@ -35,7 +35,7 @@
 
 /// A request to a plain service.
 #[derive(Debug, Clone)]
-pub struct ServiceAsk {
+pub struct ServiceCall {
     /// Account.
     pub account: String,
     /// Class.
@@ -81,7 +81,7 @@
 
 impl CallerAnswer {
     /// Creates the result of a request without a valid answer.
-    fn lost(started: Instant, message: String) -> Self {
+    fn without_answer(started: Instant, message: String) -> Self {
         Self {
             status: 0,
             outcome: RequestOutcome::Unknown,
@@ -108,7 +108,7 @@
 pub struct CallerClient {
     client: reqwest::Client,
     /// Network delay between the caller and its entry VM, one way.
-    one_way: Duration,
+    one_way_delay: Duration,
 }
 
 impl CallerClient {
@@ -117,7 +117,7 @@
     /// # Panics
     ///
     /// Panics if the HTTP client cannot be created.
-    pub fn new(one_way: Duration) -> Self {
+    pub fn new(one_way_delay: Duration) -> Self {
         let client = reqwest::Client::builder()
             .redirect(reqwest::redirect::Policy::none())
             .retry(reqwest::retry::never())
@@ -125,14 +125,14 @@
             .tcp_nodelay(true)
             .build()
             .expect("the HTTP client can be created");
-        Self { client, one_way }
+        Self { client, one_way_delay }
     }
 
     /// Waits for the network delay to the entry VM. Skips a delay of zero, because a timer takes a
     /// millisecond even then.
-    async fn travel(&self) {
-        if !self.one_way.is_zero() {
-            tokio::time::sleep(self.one_way).await;
+    async fn wait_network_delay(&self) {
+        if !self.one_way_delay.is_zero() {
+            tokio::time::sleep(self.one_way_delay).await;
         }
     }
 
@@ -150,84 +150,84 @@
     }
 
     /// Sends a model request to an entry VM and reads the answer to its end.
-    pub async fn call_model(&self, entry: SocketAddr, ask: &ModelCall) -> CallerAnswer {
+    pub async fn call_model(&self, entry: SocketAddr, call: &ModelCall) -> CallerAnswer {
         let started = Instant::now();
-        self.travel().await;
-        let path = if ask.chat { "/v1/chat/completions" } else { "/v1/completions" };
+        self.wait_network_delay().await;
+        let path = if call.chat { "/v1/chat/completions" } else { "/v1/completions" };
         let mut request = self
             .client
             .post(format!("http://{entry}{path}"))
-            .header(headers::ACCOUNT, &ask.account)
-            .header(headers::CLASS, &ask.class)
-            .header(headers::REQUEST_ID, &ask.request)
-            .json(&model_body(ask));
-        if let Some(deadline) = ask.deadline {
+            .header(headers::ACCOUNT, &call.account)
+            .header(headers::CLASS, &call.class)
+            .header(headers::REQUEST_ID, &call.request)
+            .json(&model_body(call));
+        if let Some(deadline) = call.deadline {
             request = request.header(headers::DEADLINE_MS, deadline.as_millis().to_string());
         }
-        if let Some(worth) = ask.worth {
+        if let Some(worth) = call.worth {
             request = request.header(headers::WORTH, worth.to_string());
         }
-        let sent = request.timeout(caller_patience(ask.deadline)).send().await;
+        let sent = request.timeout(answer_timeout(call.deadline)).send().await;
         let mut answer = match sent {
-            Ok(response) if ask.stream && response.status() == 200 => {
-                read_stream(response, ask, started).await
+            Ok(response) if call.stream && response.status() == 200 => {
+                read_stream(response, call, started).await
             }
-            Ok(response) => read_whole(response, started, Some(ask)).await,
-            Err(error) => CallerAnswer::lost(started, format!("{error:?}")),
+            Ok(response) => read_response(response, started, Some(call)).await,
+            Err(error) => CallerAnswer::without_answer(started, format!("{error:?}")),
         };
-        answer.total_time += self.one_way;
-        answer.time_to_first = answer.time_to_first.map(|first| first + self.one_way);
+        answer.total_time += self.one_way_delay;
+        answer.time_to_first = answer.time_to_first.map(|first| first + self.one_way_delay);
         answer
     }
 
     /// Sends a service request to an entry VM and reads the answer to its end.
-    pub async fn ask_service(&self, entry: SocketAddr, ask: &ServiceAsk) -> CallerAnswer {
+    pub async fn call_service(&self, entry: SocketAddr, call: &ServiceCall) -> CallerAnswer {
         let started = Instant::now();
-        self.travel().await;
+        self.wait_network_delay().await;
         let mut request = self
             .client
-            .post(format!("http://{entry}/service/{}", ask.path))
-            .header(headers::ACCOUNT, &ask.account)
-            .header(headers::CLASS, &ask.class)
-            .header(headers::REQUEST_ID, &ask.request)
+            .post(format!("http://{entry}/service/{}", call.path))
+            .header(headers::ACCOUNT, &call.account)
+            .header(headers::CLASS, &call.class)
+            .header(headers::REQUEST_ID, &call.request)
             .header("content-type", "text/plain")
-            .body(ask.body.clone());
-        if let Some(ticket) = &ask.ticket {
+            .body(call.body.clone());
+        if let Some(ticket) = &call.ticket {
             request = request.header(headers::TICKET, ticket);
         }
-        if let Some(deadline) = ask.deadline {
+        if let Some(deadline) = call.deadline {
             request = request.header(headers::DEADLINE_MS, deadline.as_millis().to_string());
         }
-        let sent = request.timeout(caller_patience(ask.deadline)).send().await;
+        let sent = request.timeout(answer_timeout(call.deadline)).send().await;
         let mut answer = match sent {
-            Ok(response) => read_whole(response, started, None).await,
-            Err(error) => CallerAnswer::lost(started, format!("{error:?}")),
+            Ok(response) => read_response(response, started, None).await,
+            Err(error) => CallerAnswer::without_answer(started, format!("{error:?}")),
         };
-        answer.total_time += self.one_way;
+        answer.total_time += self.one_way_delay;
         answer
     }
 }
 
 /// Returns how long a caller waits for the end of the answer: 3 seconds longer than its deadline,
 /// which is taken as 15 seconds if it is not set.
-fn caller_patience(deadline: Option<Duration>) -> Duration {
+fn answer_timeout(deadline: Option<Duration>) -> Duration {
     deadline.unwrap_or(Duration::from_secs(15)) + Duration::from_secs(3)
 }
 
-fn model_body(ask: &ModelCall) -> serde_json::Value {
-    let (max_tokens, stream) = (ask.max_tokens, ask.stream);
-    if ask.chat {
-        let messages = serde_json::json!([{ "role": "user", "content": ask.prompt }]);
+fn model_body(call: &ModelCall) -> serde_json::Value {
+    let (max_tokens, stream) = (call.max_tokens, call.stream);
+    if call.chat {
+        let messages = serde_json::json!([{ "role": "user", "content": call.prompt }]);
         return serde_json::json!({
             "messages": messages, "max_tokens": max_tokens, "stream": stream
         });
     }
-    serde_json::json!({ "prompt": ask.prompt, "max_tokens": max_tokens, "stream": stream })
+    serde_json::json!({ "prompt": call.prompt, "max_tokens": max_tokens, "stream": stream })
 }
 
 /// Returns the prompt as an engine receives it.
-pub fn engine_prompt(ask: &ModelCall) -> String {
-    if ask.chat { format!("user: {}\n", ask.prompt) } else { ask.prompt.clone() }
+pub fn engine_prompt(call: &ModelCall) -> String {
+    if call.chat { format!("user: {}\n", call.prompt) } else { call.prompt.clone() }
 }
 
 fn header(response: &Response, name: &str) -> Option<String> {
@@ -236,23 +236,23 @@
 }
 
 fn outcome_of(response: &Response) -> RequestOutcome {
-    let told = header(response, headers::OUTCOME);
-    told.and_then(|text| text.parse().ok()).unwrap_or(RequestOutcome::Unknown)
+    let value = header(response, headers::OUTCOME);
+    value.and_then(|text| text.parse().ok()).unwrap_or(RequestOutcome::Unknown)
 }
 
-async fn read_whole(
+async fn read_response(
     response: Response,
     started: Instant,
     model: Option<&ModelCall>,
 ) -> CallerAnswer {
-    let mut answer = CallerAnswer::lost(started, String::new());
+    let mut answer = CallerAnswer::without_answer(started, String::new());
     answer.status = response.status().as_u16();
     answer.served_by = header(&response, headers::SERVED_BY).unwrap_or_default();
     answer.location = header(&response, "location");
     let outcome = outcome_of(&response);
     let body = match response.bytes().await {
         Ok(body) => body,
-        Err(error) => return CallerAnswer::lost(started, error.to_string()),
+        Err(error) => return CallerAnswer::without_answer(started, error.to_string()),
     };
     answer.outcome = outcome;
     answer.total_time = started.elapsed();
@@ -267,10 +267,12 @@
     answer.message = None;
     answer.text = match model {
         None => String::from_utf8_lossy(&body).into_owned(),
-        Some(ask) => match serde_json::from_slice::<CompletionChunk>(&body) {
-            Ok(chunk) if chunk.id == ask.request => chunk_text(&chunk),
-            Ok(chunk) => return CallerAnswer::lost(started, format!("answer to {}", chunk.id)),
-            Err(error) => return CallerAnswer::lost(started, error.to_string()),
+        Some(call) => match serde_json::from_slice::<CompletionChunk>(&body) {
+            Ok(chunk) if chunk.id == call.request => chunk_text(&chunk),
+            Ok(chunk) => {
+                return CallerAnswer::without_answer(started, format!("answer to {}", chunk.id));
+            }
+            Err(error) => return CallerAnswer::without_answer(started, error.to_string()),
         },
     };
     answer
@@ -278,12 +280,13 @@
 
 fn chunk_text(chunk: &CompletionChunk) -> String {
     let Some(choice) = chunk.choices.first() else { return String::new() };
-    let part = choice.message.as_ref().or(choice.delta.as_ref()).map(|part| part.content.clone());
-    part.or_else(|| choice.text.clone()).unwrap_or_default()
+    let content =
+        choice.message.as_ref().or(choice.delta.as_ref()).map(|message| message.content.clone());
+    content.or_else(|| choice.text.clone()).unwrap_or_default()
 }
 
-async fn read_stream(mut response: Response, ask: &ModelCall, started: Instant) -> CallerAnswer {
-    let mut answer = CallerAnswer::lost(started, "the stream ended early".to_owned());
+async fn read_stream(mut response: Response, call: &ModelCall, started: Instant) -> CallerAnswer {
+    let mut answer = CallerAnswer::without_answer(started, "the stream ended early".to_owned());
     answer.status = 200;
     answer.served_by = header(&response, headers::SERVED_BY).unwrap_or_default();
     let mut splitter = SseSplitter::default();
@@ -305,8 +308,11 @@
                 answer.message = Some(error.message);
                 answer.outcome = error.outcome;
             } else if let Ok(chunk) = serde_json::from_str::<CompletionChunk>(&event) {
-                if chunk.id != ask.request {
-                    return CallerAnswer::lost(started, format!("an event of {}", chunk.id));
+                if chunk.id != call.request {
+                    return CallerAnswer::without_answer(
+                        started,
+                        format!("an event of {}", chunk.id),
+                    );
                 }
                 answer.time_to_first.get_or_insert(started.elapsed());
                 answer.text.push_str(&chunk_text(&chunk));
--- a/crates/foldhaven-testkit/src/demo.rs
+++ b/crates/foldhaven-testkit/src/demo.rs
@@ -10,9 +10,9 @@
 use foldhaven_core::ids::RegionName;
 use hdrhistogram::Histogram;
 
-use crate::caller::{CallerAnswer, CallerClient, ModelCall, ServiceAsk, engine_prompt};
+use crate::caller::{CallerAnswer, CallerClient, ModelCall, ServiceCall, engine_prompt};
 use crate::fleet::{Fleet, FleetOptions};
-use crate::stand_in::engine::whole_answer;
+use crate::stand_in::engine::complete_answer;
 use crate::stand_in::ledger::{LedgerEvent, LedgerLine};
 use crate::stand_in::service::service_answer;
 
@@ -45,10 +45,10 @@
 }
 
 impl DemoChecks {
-    fn check(&mut self, holds: bool, what: impl FnOnce() -> String) {
-        match holds {
+    fn check(&mut self, is_passed: bool, describe_failure: impl FnOnce() -> String) {
+        match is_passed {
             true => self.passed += 1,
-            false => self.failures.push(what()),
+            false => self.failures.push(describe_failure()),
         }
     }
 }
@@ -94,10 +94,10 @@
 async fn demonstrate(fleet: Arc<Fleet>, user: &str) -> (DemoChecks, serde_json::Value) {
     let mut checks = DemoChecks::default();
     let caller = CallerClient::new(fleet.description.network.caller.0);
-    let mut records = run_everything(&fleet, &caller).await;
-    records.push(run_away(&fleet, &caller, &mut checks).await);
-    run_refusal(&fleet, &caller, &mut checks).await;
-    run_once(&fleet, &caller, &mut checks).await;
+    let mut records = run_all_requests(&fleet, &caller).await;
+    records.push(run_from_other_region(&fleet, &caller, &mut checks).await);
+    check_refusal(&fleet, &caller, &mut checks).await;
+    check_unrepeatable(&fleet, &caller, &mut checks).await;
     let ledger = fleet.ledger();
     for record in &records {
         check_record(&fleet, record, &ledger, &mut checks);
@@ -115,30 +115,31 @@
 
 /// Returns the caller address of a VM in a region.
 fn entry_in(fleet: &Fleet, region: &str) -> std::net::SocketAddr {
-    let found = fleet.vms.values().find(|vm| vm.region == region);
-    found.expect("each region has a VM").settings.addresses.caller
+    let vm = fleet.vms.values().find(|vm| vm.region == region);
+    vm.expect("each region has a VM").settings.addresses.caller
 }
 
 /// Sends requests of every account and repeatable class, spread over time, and varies their form
 /// (streamed or not, completion or chat).
-async fn run_everything(fleet: &Arc<Fleet>, caller: &CallerClient) -> Vec<DemoRecord> {
+async fn run_all_requests(fleet: &Arc<Fleet>, caller: &CallerClient) -> Vec<DemoRecord> {
     let mut tasks = tokio::task::JoinSet::new();
     for account in fleet.description.accounts.clone() {
         for class in fleet.description.classes.clone().into_iter().filter(|it| it.repeatable) {
             for round in 0..ROUNDS {
                 let (fleet, caller) = (fleet.clone(), caller.clone());
                 let (account, class) = (account.clone(), class.clone());
-                let spread = Duration::from_millis(round as u64 * 400);
+                let start_delay = Duration::from_millis(round as u64 * 400);
                 tasks.spawn(async move {
-                    tokio::time::sleep(spread).await;
+                    tokio::time::sleep(start_delay).await;
                     let entry = entry_in(&fleet, account.home.as_str());
                     // Like any caller, ask a VM of the client directory which VMs to use.
                     let entries = caller.entries(entry, account.name.as_str(), 0).await;
-                    let listed = entries.and_then(|it| it.entries.first().map(|it| it.address));
-                    let entry = listed.unwrap_or(entry);
+                    let listed_entry =
+                        entries.and_then(|it| it.entries.first().map(|it| it.address));
+                    let entry = listed_entry.unwrap_or(entry);
                     let home = account.home.clone();
                     let name = account.name.as_str();
-                    run_one(&caller, entry, (name, home), class, round).await
+                    run_request(&caller, entry, (name, home), class, round).await
                 });
             }
         }
@@ -146,7 +147,7 @@
     tasks.join_all().await
 }
 
-async fn run_one(
+async fn run_request(
     caller: &CallerClient,
     entry: std::net::SocketAddr,
     (account, home): (&str, RegionName),
@@ -156,7 +157,7 @@
     let request = format!("{account}-{}-{round}", class.name);
     if class.kind == ClassKind::Service {
         let service = class.service.as_ref().expect("a checked class has its service");
-        let ask = ServiceAsk {
+        let call = ServiceCall {
             account: account.to_owned(),
             class: class.name.to_string(),
             request: request.clone(),
@@ -165,11 +166,11 @@
             ticket: None,
             deadline: None,
         };
-        let answer = caller.ask_service(entry, &ask).await;
-        let expected = service_answer(&request, &ask.body);
+        let answer = caller.call_service(entry, &call).await;
+        let expected = service_answer(&request, &call.body);
         return DemoRecord { class, home, request, expected, answer };
     }
-    let ask = ModelCall {
+    let call = ModelCall {
         account: account.to_owned(),
         class: class.name.to_string(),
         request: request.clone(),
@@ -180,24 +181,29 @@
         deadline: None,
         worth: None,
     };
-    let answer = caller.call_model(entry, &ask).await;
-    let expected = whole_answer(&engine_prompt(&ask), ask.max_tokens);
+    let answer = caller.call_model(entry, &call).await;
+    let expected = complete_answer(&engine_prompt(&call), call.max_tokens);
     DemoRecord { class, home, request, expected, answer }
 }
 
 /// Sends a request to a region other than the only one that may run it, the home region of its
 /// account.
-async fn run_away(fleet: &Fleet, caller: &CallerClient, checks: &mut DemoChecks) -> DemoRecord {
-    let bound = fleet.description.accounts.iter().find(|account| account.residency.is_some());
-    let account = bound.expect("each example binds an account").clone();
+async fn run_from_other_region(
+    fleet: &Fleet,
+    caller: &CallerClient,
+    checks: &mut DemoChecks,
+) -> DemoRecord {
+    let bound_account =
+        fleet.description.accounts.iter().find(|account| account.residency.is_some());
+    let account = bound_account.expect("each example binds an account").clone();
     let classes = &fleet.description.classes;
     let class = classes.iter().find(|class| class.kind == ClassKind::Model);
     let class = class.expect("each example has a model class").clone();
     let regions = fleet.description.regions.iter();
-    let other = regions.map(|region| &region.name).find(|name| **name != account.home);
-    let entry = entry_in(fleet, other.expect("there is another region").as_str());
+    let other_region = regions.map(|region| &region.name).find(|name| **name != account.home);
+    let entry = entry_in(fleet, other_region.expect("there is another region").as_str());
     let home = account.home.clone();
-    let record = run_one(caller, entry, (account.name.as_str(), home), class, 100).await;
+    let record = run_request(caller, entry, (account.name.as_str(), home), class, 100).await;
     let region = region_of(fleet, &record.answer.served_by);
     let expected = Some(account.home.to_string());
     checks
@@ -206,10 +212,10 @@
 }
 
 /// Checks that a request that cannot meet its deadline is refused with a retry delay and never run.
-async fn run_refusal(fleet: &Fleet, caller: &CallerClient, checks: &mut DemoChecks) {
+async fn check_refusal(fleet: &Fleet, caller: &CallerClient, checks: &mut DemoChecks) {
     let account = &fleet.description.accounts[0];
     let class = &fleet.description.classes[0];
-    let ask = ModelCall {
+    let call = ModelCall {
         account: account.name.to_string(),
         class: class.name.to_string(),
         request: "cannot-be-on-time".to_owned(),
@@ -220,22 +226,22 @@
         deadline: Some(Duration::from_millis(100)),
         worth: None,
     };
-    let answer = caller.call_model(entry_in(fleet, account.home.as_str()), &ask).await;
-    let refused = answer.status == 429 && answer.error.as_deref() == Some("deadline");
-    checks.check(refused, || format!("expected a refusal by deadline, got {answer:?}"));
+    let answer = caller.call_model(entry_in(fleet, account.home.as_str()), &call).await;
+    let is_refused = answer.status == 429 && answer.error.as_deref() == Some("deadline");
+    checks.check(is_refused, || format!("expected a refusal by deadline, got {answer:?}"));
     checks.check(answer.retry_after.is_some(), || "the refusal has no retry delay".to_owned());
-    let ran = fleet.ledger().iter().any(|line| line.request == ask.request);
-    checks.check(!ran, || "a refused request ran".to_owned());
+    let has_run = fleet.ledger().iter().any(|line| line.request == call.request);
+    checks.check(!has_run, || "a refused request ran".to_owned());
 }
 
 /// Checks that a request that is not repeatable is refused without a ticket, and runs once even if
 /// it is sent to every VM.
-async fn run_once(fleet: &Fleet, caller: &CallerClient, checks: &mut DemoChecks) {
+async fn check_unrepeatable(fleet: &Fleet, caller: &CallerClient, checks: &mut DemoChecks) {
     let account = &fleet.description.accounts[0];
     let classes = &fleet.description.classes;
     let class = classes.iter().find(|class| !class.repeatable).expect("each example has one");
     let service = class.service.as_ref().expect("a checked class has its service");
-    let mut ask = ServiceAsk {
+    let mut call = ServiceCall {
         account: account.name.to_string(),
         class: class.name.to_string(),
         request: "notice-1".to_owned(),
@@ -245,29 +251,29 @@
         deadline: None,
     };
     let entry = entry_in(fleet, account.home.as_str());
-    let first = caller.ask_service(entry, &ask).await;
-    let asked = first.status == 428 && first.ticket.is_some();
-    checks.check(asked, || format!("expected a ticket, got {first:?}"));
-    ask.ticket = first.ticket;
-    let expected = service_answer(&ask.request, &ask.body);
+    let first_answer = caller.call_service(entry, &call).await;
+    let is_ticket_required = first_answer.status == 428 && first_answer.ticket.is_some();
+    checks.check(is_ticket_required, || format!("expected a ticket, got {first_answer:?}"));
+    call.ticket = first_answer.ticket;
+    let expected = service_answer(&call.request, &call.body);
     for vm in fleet.vms.values() {
-        let answer = caller.ask_service(vm.settings.addresses.caller, &ask).await;
-        let whole = answer.is_complete() && answer.text == expected;
-        checks.check(whole, || format!("{}: {answer:?}", vm.settings.vm));
+        let answer = caller.call_service(vm.settings.addresses.caller, &call).await;
+        let is_expected = answer.is_complete() && answer.text == expected;
+        checks.check(is_expected, || format!("{}: {answer:?}", vm.settings.vm));
     }
     let ledger = fleet.ledger();
     let runs = ledger
         .iter()
-        .filter(|line| line.event == LedgerEvent::Start && line.request == ask.request)
+        .filter(|line| line.event == LedgerEvent::Start && line.request == call.request)
         .count();
     checks.check(runs == 1, || format!("the notice ran {runs} times"));
 }
 
 fn region_of(fleet: &Fleet, centre: &str) -> Option<String> {
-    let holds = |region: &&foldhaven_core::description::RegionConfig| {
+    let has_centre = |region: &&foldhaven_core::description::RegionConfig| {
         region.data_centres.iter().any(|name| name.as_str() == centre)
     };
-    fleet.description.regions.iter().find(holds).map(|region| region.name.to_string())
+    fleet.description.regions.iter().find(has_centre).map(|region| region.name.to_string())
 }
 
 fn check_record(
@@ -284,8 +290,8 @@
         .filter(|line| line.request == *request && line.event == LedgerEvent::End)
         .map(|line| line.data_centre.as_str());
     let served = region_of(fleet, &answer.served_by);
-    let recorded = ended.clone().any(|centre| region_of(fleet, centre) == served);
-    checks.check(recorded, || {
+    let is_recorded = ended.clone().any(|centre| region_of(fleet, centre) == served);
+    checks.check(is_recorded, || {
         format!("{request}: no upstream in the region of {} recorded the end", answer.served_by)
     });
 }
@@ -299,11 +305,11 @@
     for class in fleet.description.classes.iter().filter(|class| class.repeatable) {
         let of_class = || records.iter().filter(|record| record.class.name == class.name);
         let total = of_class().count().max(1) as f64;
-        let share = |holds: &dyn Fn(&DemoRecord) -> bool| {
-            of_class().filter(|record| holds(record)).count() as f64 / total * 100.0
+        let share = |predicate: &dyn Fn(&DemoRecord) -> bool| {
+            of_class().filter(|record| predicate(record)).count() as f64 / total * 100.0
         };
-        let whole = quantiles(of_class().map(|record| record.answer.total_time));
-        let first = quantiles(of_class().filter_map(|record| record.answer.time_to_first));
+        let total_time = quantiles(of_class().map(|record| record.answer.total_time));
+        let time_to_first = quantiles(of_class().filter_map(|record| record.answer.time_to_first));
         println!(
             "{:<10} {:>5.0}% {:>7.0}% {:>9.1} {:>9.1} {:>10.1} {:>10.1} {:>5.0}%",
             class.name.as_str(),
@@ -311,10 +317,10 @@
             share(&|record| {
                 record.answer.is_complete() && record.answer.total_time <= class.deadline.0
             }),
-            whole.0,
-            whole.1,
-            first.0,
-            first.1,
+            total_time.0,
+            total_time.1,
+            time_to_first.0,
+            time_to_first.1,
             share(&|record| {
                 region_of(fleet, &record.answer.served_by).as_deref() != Some(record.home.as_str())
             }),
--- a/crates/foldhaven-testkit/src/fleet/places.rs
+++ b/crates/foldhaven-testkit/src/fleet/layout.rs
@@ -43,7 +43,7 @@
 }
 
 /// Returns the entry VMs of a fleet by name, with their settings.
-pub(super) fn place_vms(
+pub(super) fn layout_vms(
     description: &Description,
     options: &FleetOptions,
     platform: SocketAddr,
@@ -86,14 +86,14 @@
         others.sort_by_key(|(_, centre, _)| *centre != vm.data_centre);
         vm.seeds = others.into_iter().map(|(.., control)| *control).collect();
     }
-    let named = vms
+    let vms_by_name = vms
         .into_iter()
         .map(|(region, settings)| (settings.vm.to_string(), FleetVm { settings, region }));
-    named.collect()
+    vms_by_name.collect()
 }
 
 /// Returns the engines and services of a fleet.
-pub(super) fn place_upstreams(
+pub(super) fn layout_upstreams(
     description: &Description,
     options: &FleetOptions,
     block: &mut AddressBlock,
--- a/crates/foldhaven-testkit/src/fleet/mod.rs
+++ b/crates/foldhaven-testkit/src/fleet/mod.rs
@@ -1,6 +1,6 @@
 //! Starts and ends a complete deployment as separate processes on addresses in 127.0.0.0/8.
 
-mod places;
+mod layout;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -21,7 +21,7 @@
 use nix::unistd::Pid;
 use tempfile::TempDir;
 
-use self::places::{AddressBlock, UPSTREAM_PORT, place_upstreams, place_vms};
+use self::layout::{AddressBlock, UPSTREAM_PORT, layout_upstreams, layout_vms};
 use crate::relay::{LinkEnds, LinkRelay};
 use crate::stand_in::engine_state::ModelProfile;
 use crate::stand_in::ledger::{LedgerLine, read_ledgers};
@@ -30,7 +30,7 @@
 /// Name of the platform in scenarios.
 pub const PLATFORM: &str = "platform";
 /// Maximum time to wait for each process, and then for the whole fleet, to become ready.
-const READY_LIMIT: Duration = Duration::from_secs(40);
+const READY_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// Size and behaviour of a fleet.
 #[derive(Debug, Clone)]
@@ -136,8 +136,8 @@
     ) -> io::Result<Self> {
         let mut block = AddressBlock::new();
         let platform = SocketAddr::new(block.next(), UPSTREAM_PORT);
-        let vms = place_vms(&description, &options, platform, &mut block);
-        let upstreams = place_upstreams(&description, &options, &mut block);
+        let vms = layout_vms(&description, &options, platform, &mut block);
+        let upstreams = layout_upstreams(&description, &options, &mut block);
         let mut fleet = Self {
             description,
             vms,
@@ -158,7 +158,7 @@
         for entry in fleet.upstreams.clone() {
             fleet.wait_port(entry.address).await?;
         }
-        fleet.lay_links();
+        fleet.open_links();
         for name in fleet.vms.keys().cloned().collect::<Vec<_>>() {
             fleet.start_vm(&name)?;
         }
@@ -214,12 +214,12 @@
         ];
         arguments.extend(pairs.into_iter().flat_map(|(name, value)| [name.to_owned(), value]));
         if is_engine {
-            let checks = !self.description.fences.unchecked.contains(&entry.name);
+            let checks_fences = !self.description.fences.unchecked.contains(&entry.name);
             let pairs = [
                 ("--platform", self.platform.to_string()),
                 ("--cache-blocks", self.options.cache_blocks.to_string()),
                 ("--report-lag-ms", self.options.report_lag.as_millis().to_string()),
-                ("--checks-fences", checks.to_string()),
+                ("--checks-fences", checks_fences.to_string()),
                 ("--incarnation", entry.incarnation.to_string()),
             ];
             arguments.extend(pairs.into_iter().flat_map(|(name, value)| [name.to_owned(), value]));
@@ -233,7 +233,7 @@
     ///
     /// Returns an error if the process cannot be started.
     pub fn start_vm(&mut self, name: &str) -> io::Result<()> {
-        let vm = self.vms.get(name).ok_or_else(|| unknown(name))?;
+        let vm = self.vms.get(name).ok_or_else(|| unknown_process(name))?;
         let path = self.folder.path().join(format!("{name}.yaml"));
         let text = serde_saphyr::to_string(&vm.settings).map_err(io::Error::other)?;
         std::fs::write(&path, text)?;
@@ -257,7 +257,7 @@
 
     /// Opens a relayed link for each connection that a daemon may dial and sets the link addresses
     /// in its settings.
-    fn lay_links(&mut self) {
+    fn open_links(&mut self) {
         if !self.options.relay {
             return;
         }
@@ -265,8 +265,8 @@
         for (name, vm) in &vms {
             let mut reroutes = BTreeMap::new();
             let ends = |to: &str| LinkEnds { from: name.clone(), to: to.to_owned() };
-            let near = Duration::from_millis(1);
-            let platform = self.relay.open(ends(PLATFORM), self.platform, near);
+            let platform_delay = Duration::from_millis(1);
+            let platform = self.relay.open(ends(PLATFORM), self.platform, platform_delay);
             reroutes.insert(self.platform, platform);
             for (other, target) in vms.iter().filter(|(other, _)| *other != name) {
                 let delay = self.delay_between(vm, target);
@@ -297,35 +297,35 @@
 
     async fn wait_http(&self, address: SocketAddr, path: &str) -> io::Result<()> {
         let url = format!("http://{address}{path}");
-        let answered = async {
+        let wait = async {
             while self.client.get(&url).send().await.is_err() {
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         };
-        let waited = tokio::time::timeout(READY_LIMIT, answered).await;
-        waited.map_err(|_| io::Error::other(format!("{url} does not answer")))
+        let result = tokio::time::timeout(READY_TIMEOUT, wait).await;
+        result.map_err(|_| io::Error::other(format!("{url} does not answer")))
     }
 
     async fn wait_port(&self, address: SocketAddr) -> io::Result<()> {
-        let opened = async {
+        let wait = async {
             while tokio::net::TcpStream::connect(address).await.is_err() {
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         };
-        let waited = tokio::time::timeout(READY_LIMIT, opened).await;
-        waited.map_err(|_| io::Error::other(format!("nothing listens at {address}")))
+        let result = tokio::time::timeout(READY_TIMEOUT, wait).await;
+        result.map_err(|_| io::Error::other(format!("nothing listens at {address}")))
     }
 
     async fn wait_ready(&self) -> io::Result<()> {
-        let ready = async {
+        let wait = async {
             for name in self.vms.keys() {
                 while !self.is_ready(name).await {
                     tokio::time::sleep(Duration::from_millis(50)).await;
                 }
             }
         };
-        let waited = tokio::time::timeout(READY_LIMIT, ready).await;
-        waited.map_err(|_| io::Error::other("the fleet did not become ready"))
+        let result = tokio::time::timeout(READY_TIMEOUT, wait).await;
+        result.map_err(|_| io::Error::other("the fleet did not become ready"))
     }
 
     /// Returns whether a VM serves, sees all models of its data centre loaded, all VMs of its data
@@ -334,31 +334,31 @@
         let Some(status) = self.status(name).await else { return false };
         let centre = &status.data_centre;
         let deployments = self.description.deployments.iter();
-        let deployed = deployments.filter(|it| it.data_centre == *centre).all(|deployment| {
-            let holds = |status: &&foldhaven_wire::operator::UpstreamStatus| {
+        let is_deployed = deployments.filter(|it| it.data_centre == *centre).all(|deployment| {
+            let has_model = |status: &&foldhaven_wire::operator::UpstreamStatus| {
                 let model = deployment.model.as_str();
                 status.holds.iter().any(|held| held.split('@').next() == Some(model))
             };
-            status.upstreams.iter().filter(holds).count() >= deployment.engines as usize
+            status.upstreams.iter().filter(has_model).count() >= deployment.engines as usize
         });
-        let seen: BTreeSet<DataCentreName> =
+        let visible_centres: BTreeSet<DataCentreName> =
             status.centres.iter().map(|it| it.data_centre.clone()).collect();
-        let full = |centre: &foldhaven_wire::operator::CentreStatus| {
+        let is_complete = |centre: &foldhaven_wire::operator::CentreStatus| {
             centre.serving as usize == self.options.vms
         };
         status.stamp.is_some()
-            && deployed
+            && is_deployed
             && status.members.len() == self.options.vms - 1
-            && self.exchange_partners(centre).is_subset(&seen)
-            && status.centres.iter().all(full)
+            && self.exchange_partners(centre).is_subset(&visible_centres)
+            && status.centres.iter().all(is_complete)
     }
 
     /// Returns the data centres with which the delegates of a data centre start exchanges.
     fn exchange_partners(&self, centre: &DataCentreName) -> BTreeSet<DataCentreName> {
         let regions = self.description.regions.iter();
-        let named = regions.flat_map(|it| it.data_centres.iter().map(|dc| (dc, &it.name)));
-        let all: Vec<_> = named.map(|(dc, region)| (dc.clone(), region.clone())).collect();
-        exchange_partners(centre, &all)
+        let located = regions.flat_map(|it| it.data_centres.iter().map(|dc| (dc, &it.name)));
+        let centres: Vec<_> = located.map(|(dc, region)| (dc.clone(), region.clone())).collect();
+        exchange_partners(centre, &centres)
     }
 
     /// Returns the status of a VM, or `None` if it does not answer within one second.
@@ -386,7 +386,7 @@
     /// Kills a process immediately.
     pub fn kill(&mut self, name: &str) {
         self.processes.remove(name);
-        self.relay.note_killed(name);
+        self.relay.refuse_until_restart(name);
     }
 
     /// Suspends a process, like a paused VM.
@@ -448,8 +448,8 @@
         self.post_admin("upstreams", &self.upstreams).await
     }
 
-    async fn post_admin(&self, what: &str, body: &impl serde::Serialize) -> reqwest::Result<()> {
-        let url = format!("http://{}/admin/{what}", self.platform);
+    async fn post_admin(&self, path: &str, body: &impl serde::Serialize) -> reqwest::Result<()> {
+        let url = format!("http://{}/admin/{path}", self.platform);
         self.client.post(url).json(body).send().await?.error_for_status().map(drop)
     }
 
@@ -466,7 +466,7 @@
     /// Returns an error if the upstream is unknown or does not answer.
     pub async fn leave_upstream(&self, name: &str) -> io::Result<()> {
         let entry = self.upstreams.iter().find(|entry| entry.name.as_str() == name);
-        let address = entry.ok_or_else(|| unknown(name))?.address;
+        let address = entry.ok_or_else(|| unknown_process(name))?.address;
         let url = format!("http://{address}/admin/leave");
         self.client.post(url).send().await.map(drop).map_err(io::Error::other)
     }
@@ -477,7 +477,7 @@
     }
 }
 
-fn unknown(name: &str) -> io::Error {
+fn unknown_process(name: &str) -> io::Error {
     io::Error::other(format!("no process of the fleet is called {name}"))
 }
 
--- a/crates/foldhaven-testkit/src/relay.rs
+++ b/crates/foldhaven-testkit/src/relay.rs
@@ -50,7 +50,7 @@
 const FIRST_PORT: u16 = 10_000;
 
 /// Interval of connection attempts to a target that does not listen.
-const PROBE: Duration = Duration::from_millis(20);
+const PROBE_INTERVAL: Duration = Duration::from_millis(20);
 
 impl LinkRelay {
     /// Creates a relay without links that listens on `address`.
@@ -69,19 +69,19 @@
         let port = self.next_port.fetch_add(1, Ordering::Relaxed);
         let address = SocketAddr::new(self.address, port);
         let name = ends.to.clone();
-        let state = self.sender(ends, delay).subscribe();
+        let state = self.state_sender(ends, delay).subscribe();
         let killed = self.killed.subscribe();
         tokio::spawn(serve_link(address, target, state, name, killed));
         address
     }
 
     /// Makes all links to a killed process refuse connections until it listens again.
-    pub fn note_killed(&self, name: &str) {
+    pub fn refuse_until_restart(&self, name: &str) {
         // An error means that there are no links.
         let _ = self.killed.send(name.to_owned());
     }
 
-    fn sender(&self, ends: LinkEnds, delay: Duration) -> watch::Sender<LinkState> {
+    fn state_sender(&self, ends: LinkEnds, delay: Duration) -> watch::Sender<LinkState> {
         let state = LinkState { delay, is_forward_cut: false, is_backward_cut: false };
         let mut links = self.links.lock();
         links.entry(ends).or_insert_with(|| watch::Sender::new(state)).clone()
@@ -110,21 +110,21 @@
 ) {
     loop {
         while TcpStream::connect(target).await.is_err() {
-            tokio::time::sleep(PROBE).await;
+            tokio::time::sleep(PROBE_INTERVAL).await;
         }
         let Ok(listener) = TcpListener::bind(address).await else {
-            tokio::time::sleep(PROBE).await;
+            tokio::time::sleep(PROBE_INTERVAL).await;
             continue;
         };
         loop {
             tokio::select! {
                 accepted = listener.accept() => {
-                    let Ok((dialled, _)) = accepted else { break };
-                    let Ok(reached) = TcpStream::connect(target).await else { break };
-                    tokio::spawn(carry(dialled, reached, state.clone()));
+                    let Ok((inbound, _)) = accepted else { break };
+                    let Ok(outbound) = TcpStream::connect(target).await else { break };
+                    tokio::spawn(forward_connection(inbound, outbound, state.clone()));
                 }
-                gone = killed.recv() => {
-                    if gone.is_ok_and(|gone| gone == name) {
+                killed_name = killed.recv() => {
+                    if killed_name.is_ok_and(|killed_name| killed_name == name) {
                         break;
                     }
                 }
@@ -133,18 +133,24 @@
     }
 }
 
-async fn carry(dialled: TcpStream, reached: TcpStream, state: watch::Receiver<LinkState>) {
+async fn forward_connection(
+    inbound: TcpStream,
+    outbound: TcpStream,
+    state: watch::Receiver<LinkState>,
+) {
     // Nagle's algorithm would delay small messages. A failure only makes the link slower.
-    let _ = (dialled.set_nodelay(true), reached.set_nodelay(true));
-    let (there_read, back_write) = dialled.into_split();
-    let (back_read, there_write) = reached.into_split();
-    let there = pump(there_read, there_write, state.clone(), |state| state.is_forward_cut);
-    let back = pump(back_read, back_write, state, |state| state.is_backward_cut);
-    tokio::join!(there, back);
+    let _ = (inbound.set_nodelay(true), outbound.set_nodelay(true));
+    let (inbound_read, inbound_write) = inbound.into_split();
+    let (outbound_read, outbound_write) = outbound.into_split();
+    let forward =
+        copy_direction(inbound_read, outbound_write, state.clone(), |state| state.is_forward_cut);
+    let backward =
+        copy_direction(outbound_read, inbound_write, state, |state| state.is_backward_cut);
+    tokio::join!(forward, backward);
 }
 
 /// Copies bytes in one direction, with the delay of the link, and holds them while it is cut.
-async fn pump(
+async fn copy_direction(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     mut state: watch::Receiver<LinkState>,
--- a/crates/foldhaven-testkit/src/scenario/chaos.rs
+++ b/crates/foldhaven-testkit/src/scenario/chaos.rs
@@ -7,7 +7,7 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 
-use super::steps::{EditSpec, LeaveWay, Scenario, SendSpec, Step, StepKind};
+use super::steps::{EditSpec, LeaveChannel, Scenario, SendSpec, Step, StepKind};
 use crate::stand_in::platform::PlatformMode;
 
 const REGIONS: [&str; 3] = ["west", "mid", "east"];
@@ -18,23 +18,27 @@
 
 /// Generates a random fault schedule.
 pub struct ChaosSchedule {
-    draw: StdRng,
+    rng: StdRng,
     steps: Vec<StepKind>,
-    left: bool,
-    sends: usize,
+    has_leaving_upstream: bool,
+    notices: usize,
 }
 
 impl ChaosSchedule {
     /// Returns the scenario of a seed, for the fleet of `tests/scenarios/small.yaml`.
     pub fn draw(seed: u64) -> Scenario {
-        let mut schedule =
-            Self { draw: StdRng::seed_from_u64(seed), steps: Vec::new(), left: false, sends: 0 };
+        let mut schedule = Self {
+            rng: StdRng::seed_from_u64(seed),
+            steps: Vec::new(),
+            has_leaving_upstream: false,
+            notices: 0,
+        };
         schedule.add_loads();
-        let faults = schedule.draw.random_range(FAULTS);
+        let faults = schedule.rng.random_range(FAULTS);
         for _ in 0..faults {
             schedule.add_fault();
             schedule.add_notice();
-            let pause = schedule.draw.random_range(100..1_200);
+            let pause = schedule.rng.random_range(100..1_200);
             schedule.steps.push(StepKind::Hold(Duration::from_millis(pause)));
         }
         schedule.add_recovery();
@@ -43,13 +47,13 @@
         Scenario { name: format!("seed-{seed}"), vms: VMS, steps }
     }
 
-    fn region(&mut self) -> String {
-        (*REGIONS.choose(&mut self.draw).expect("there are regions")).to_owned()
+    fn random_region(&mut self) -> String {
+        (*REGIONS.choose(&mut self.rng).expect("there are regions")).to_owned()
     }
 
-    fn vm(&mut self) -> String {
-        let region = self.region();
-        format!("{region}-1-vm-{}", self.draw.random_range(1..=VMS))
+    fn random_vm(&mut self) -> String {
+        let region = self.random_region();
+        format!("{region}-1-vm-{}", self.rng.random_range(1..=VMS))
     }
 
     fn add_loads(&mut self) {
@@ -69,54 +73,54 @@
     }
 
     fn add_fault(&mut self) {
-        let (vm, region) = (self.vm(), self.region());
-        let kind = match self.draw.random_range(0..14) {
+        let (vm, region) = (self.random_vm(), self.random_region());
+        let kind = match self.rng.random_range(0..14) {
             0 => StepKind::Kill(vm),
             1 => StepKind::Restart(vm),
             2 | 3 => StepKind::Freeze(vm),
             4 => StepKind::Thaw("all".to_owned()),
             5 => StepKind::Cut(region, "others".to_owned(), false),
-            6 => StepKind::Cut(region, self.region(), true),
+            6 => StepKind::Cut(region, self.random_region(), true),
             7 => StepKind::Cut("all".to_owned(), "platform".to_owned(), false),
             8 => StepKind::Heal,
-            9 => StepKind::Publish(EditSpec::Residency("open".to_owned(), self.regions())),
-            10 => self.publish(),
-            11 => StepKind::Platform(self.mode()),
-            12 if !self.left => {
-                self.left = true;
-                let ways = [LeaveWay::List, LeaveWay::Upstream, LeaveWay::Both];
-                let way = *ways.choose(&mut self.draw).expect("there are ways");
-                StepKind::Leave(format!("{region}-1-engine-1"), way)
+            9 => StepKind::Publish(EditSpec::Residency("open".to_owned(), self.random_regions())),
+            10 => self.random_publish(),
+            11 => StepKind::Platform(self.random_mode()),
+            12 if !self.has_leaving_upstream => {
+                self.has_leaving_upstream = true;
+                let channels = [LeaveChannel::List, LeaveChannel::Upstream, LeaveChannel::Both];
+                let channel = *channels.choose(&mut self.rng).expect("there are channels");
+                StepKind::Leave(format!("{region}-1-engine-1"), channel)
             }
             _ => StepKind::Delay(region, "others".to_owned(), Duration::from_millis(300)),
         };
         self.steps.push(kind);
     }
 
-    fn regions(&mut self) -> Vec<String> {
+    fn random_regions(&mut self) -> Vec<String> {
         let mut regions: Vec<String> = REGIONS.iter().map(|it| (*it).to_owned()).collect();
-        let gone = self.draw.random_range(0..4);
+        let gone = self.rng.random_range(0..4);
         if gone < regions.len() {
             regions.remove(gone);
         }
         regions
     }
 
-    fn publish(&mut self) -> StepKind {
+    fn random_publish(&mut self) -> StepKind {
         let edits = [EditSpec::Bump, EditSpec::Bad, EditSpec::Race, EditSpec::Old];
-        StepKind::Publish(edits.choose(&mut self.draw).expect("there are edits").clone())
+        StepKind::Publish(edits.choose(&mut self.rng).expect("there are edits").clone())
     }
 
-    fn mode(&mut self) -> PlatformMode {
+    fn random_mode(&mut self) -> PlatformMode {
         use PlatformMode::{Down, Flapping, Slow, Stale, Up};
-        *[Up, Stale, Down, Flapping, Slow].choose(&mut self.draw).expect("there are modes")
+        *[Up, Stale, Down, Flapping, Slow].choose(&mut self.rng).expect("there are modes")
     }
 
     /// Adds a request that is not repeatable and is sent again to another VM.
     fn add_notice(&mut self) {
-        self.sends += 1;
-        let name = format!("notice-{}", self.sends);
-        let region = self.region();
+        self.notices += 1;
+        let name = format!("notice-{}", self.notices);
+        let region = self.random_region();
         let first = format!("{region}-1-vm-1");
         let spec = SendSpec {
             account: "west-bar".to_owned(),
--- a/crates/foldhaven-testkit/src/scenario/judge.rs
+++ b/crates/foldhaven-testkit/src/scenario/guarantees.rs
@@ -11,27 +11,27 @@
 use crate::stand_in::ledger::{LedgerEvent, LedgerLine};
 
 /// Time in milliseconds after which a leaving upstream must not get new requests.
-pub const LEAVING_LIMIT_MS: u64 = 3_000;
+pub const MAX_LEAVING_DELAY_MS: u64 = 3_000;
 
 /// A violated guarantee.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Violation {
     /// Name of the guarantee.
-    pub promise: &'static str,
+    pub guarantee: &'static str,
     /// Description of the violation.
     pub detail: String,
 }
 
 impl Violation {
     /// Creates a violation.
-    pub fn new(promise: &'static str, detail: String) -> Self {
-        Self { promise, detail }
+    pub fn new(guarantee: &'static str, detail: String) -> Self {
+        Self { guarantee, detail }
     }
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "{}: {}", self.promise, self.detail)
+        write!(formatter, "{}: {}", self.guarantee, self.detail)
     }
 }
 
@@ -56,19 +56,19 @@
     /// Descriptions in order of publication.
     pub epochs: &'a [RuleEpoch],
     /// When each upstream was made to leave, in milliseconds since the Unix epoch.
-    pub left: &'a BTreeMap<String, u64>,
+    pub left_at: &'a BTreeMap<String, u64>,
 }
 
 impl Evidence<'_> {
     /// Returns all violated guarantees.
     pub fn violations(&self) -> Vec<Violation> {
         let mut violations = Vec::new();
-        self.judge_residency(&mut violations);
-        self.judge_answers(&mut violations);
-        self.judge_not_run(&mut violations);
-        self.judge_once(&mut violations);
-        self.judge_attempts(&mut violations);
-        self.judge_leaving(&mut violations);
+        self.check_residency(&mut violations);
+        self.check_answers(&mut violations);
+        self.check_not_run(&mut violations);
+        self.check_once(&mut violations);
+        self.check_attempts(&mut violations);
+        self.check_leaving(&mut violations);
         violations
     }
 
@@ -77,7 +77,7 @@
     }
 
     /// Requests run only where a description that may have been in force permits it.
-    fn judge_residency(&self, violations: &mut Vec<Violation>) {
+    fn check_residency(&self, violations: &mut Vec<Violation>) {
         let sent: BTreeMap<&str, &SentRequest> =
             self.sent.iter().map(|sent| (sent.request.as_str(), sent)).collect();
         let indexes: Vec<_> = self
@@ -87,11 +87,11 @@
             .collect();
         for line in self.starts() {
             let Some(sent) = sent.get(line.request.as_str()) else { continue };
-            let could_hold = |epoch: &RuleEpoch| {
+            let is_possible = |epoch: &RuleEpoch| {
                 epoch.from_ms <= line.at_ms && epoch.until_ms.is_none_or(|it| line.at_ms <= it)
             };
-            let held = indexes.iter().filter(|(epoch, _)| could_hold(epoch));
-            if !held.clone().any(|(_, index)| permits(index, sent, &line.data_centre)) {
+            let possible = indexes.iter().filter(|(epoch, _)| is_possible(epoch));
+            if !possible.clone().any(|(_, index)| permits(index, sent, &line.data_centre)) {
                 let permitted = indexes
                     .iter()
                     .filter(|(_, index)| permits(index, sent, &line.data_centre))
@@ -106,7 +106,7 @@
     }
 
     /// A complete answer is the expected one.
-    fn judge_answers(&self, violations: &mut Vec<Violation>) {
+    fn check_answers(&self, violations: &mut Vec<Violation>) {
         for sent in self.sent.iter().filter(|sent| sent.answer.is_complete()) {
             if sent.answer.text != sent.expected {
                 let got: String = sent.answer.text.chars().take(60).collect();
@@ -118,7 +118,7 @@
     }
 
     /// A request that was reported as not run did not start.
-    fn judge_not_run(&self, violations: &mut Vec<Violation>) {
+    fn check_not_run(&self, violations: &mut Vec<Violation>) {
         let started: BTreeSet<&str> = self.starts().map(|line| line.request.as_str()).collect();
         let mut sends: BTreeMap<&str, Vec<&SentRequest>> = BTreeMap::new();
         for sent in self.sent {
@@ -134,15 +134,15 @@
     }
 
     /// A request that is not repeatable runs at most once.
-    fn judge_once(&self, violations: &mut Vec<Violation>) {
-        let once: BTreeSet<&str> = self
+    fn check_once(&self, violations: &mut Vec<Violation>) {
+        let not_repeatable: BTreeSet<&str> = self
             .sent
             .iter()
             .filter(|sent| !sent.is_repeatable)
             .map(|sent| sent.request.as_str())
             .collect();
         let mut runs: BTreeMap<&str, Vec<String>> = BTreeMap::new();
-        for line in self.starts().filter(|line| once.contains(line.request.as_str())) {
+        for line in self.starts().filter(|line| not_repeatable.contains(line.request.as_str())) {
             let run = format!("{} at {} {}", line.attempt, line.upstream, line.at_ms);
             runs.entry(&line.request).or_default().push(run);
         }
@@ -153,7 +153,7 @@
     }
 
     /// An attempt starts only once. A second start means that its receiver forwarded it again.
-    fn judge_attempts(&self, violations: &mut Vec<Violation>) {
+    fn check_attempts(&self, violations: &mut Vec<Violation>) {
         let mut starts: BTreeMap<&str, usize> = BTreeMap::new();
         for line in self.starts().filter(|line| !line.attempt.is_empty()) {
             *starts.entry(&line.attempt).or_default() += 1;
@@ -164,13 +164,13 @@
         }
     }
 
-    /// A leaving upstream gets no new requests after [`LEAVING_LIMIT_MS`].
-    fn judge_leaving(&self, violations: &mut Vec<Violation>) {
+    /// A leaving upstream gets no new requests after [`MAX_LEAVING_DELAY_MS`].
+    fn check_leaving(&self, violations: &mut Vec<Violation>) {
         for line in self.ledger {
             let is_new = matches!(line.event, LedgerEvent::Arrive | LedgerEvent::Refuse);
-            let Some(left) = self.left.get(&line.upstream) else { continue };
-            if is_new && line.at_ms > left + LEAVING_LIMIT_MS {
-                let late = line.at_ms - left;
+            let Some(left_at) = self.left_at.get(&line.upstream) else { continue };
+            if is_new && line.at_ms > left_at + MAX_LEAVING_DELAY_MS {
+                let late = line.at_ms - left_at;
                 let detail = format!("{} got {} {late}ms after", line.upstream, line.request);
                 violations.push(Violation::new("leaving upstream", detail));
             }
@@ -178,13 +178,13 @@
     }
 }
 
-fn permits(index: &DescriptionIndex, sent: &SentRequest, centre: &str) -> bool {
+fn permits(index: &DescriptionIndex, sent: &SentRequest, data_centre: &str) -> bool {
     let permitted = || {
         let account = index.account(&sent.account.parse().ok()?)?;
         let class = index.class(&sent.class.parse().ok()?)?;
         let rule = index.residency_of(account, class)?;
-        let centre: DataCentreName = centre.parse().ok()?;
-        Some(rule.permits(&account.home, index.region_of(&centre)?))
+        let data_centre: DataCentreName = data_centre.parse().ok()?;
+        Some(rule.permits(&account.home, index.region_of(&data_centre)?))
     };
     permitted().unwrap_or(false)
 }
--- a/crates/foldhaven-testkit/src/scenario/mod.rs
+++ b/crates/foldhaven-testkit/src/scenario/mod.rs
@@ -2,7 +2,7 @@
 //! the system are checked.
 
 mod chaos;
-mod judge;
+mod guarantees;
 mod observer;
 mod parse;
 mod runner;
@@ -10,7 +10,7 @@
 mod traffic;
 
 pub use self::chaos::{ChaosSchedule, shrink_schedule};
-pub use self::judge::Violation;
+pub use self::guarantees::Violation;
 pub use self::parse::{ParseError, parse_scenario};
 pub use self::runner::{ScenarioReport, run_scenario};
 pub use self::steps::{Scenario, Step, StepKind};
--- a/crates/foldhaven-testkit/src/scenario/observer.rs
+++ b/crates/foldhaven-testkit/src/scenario/observer.rs
@@ -10,44 +10,44 @@
 use parking_lot::Mutex;
 use tokio::task::JoinHandle;
 
-use super::judge::Violation;
+use super::guarantees::Violation;
 
 /// Interval at which the status of all VMs is read.
-const INTERVAL: Duration = Duration::from_millis(150);
+const POLL_INTERVAL: Duration = Duration::from_millis(150);
 
 /// The highest stamp seen per VM and incarnation, and the violations found.
 #[derive(Default)]
-struct Seen {
+struct ObservedStamps {
     highest: BTreeMap<(String, u64), DescriptionStamp>,
     violations: Vec<Violation>,
 }
 
 /// Observes the stamps of all VMs in the background until it is dropped.
 pub struct StampObserver {
-    seen: Arc<Mutex<Seen>>,
+    observed: Arc<Mutex<ObservedStamps>>,
     task: JoinHandle<()>,
 }
 
 impl StampObserver {
     /// Starts to observe VMs, given by name and peer address.
     pub fn start(client: reqwest::Client, vms: Vec<(String, SocketAddr)>) -> Self {
-        let seen: Arc<Mutex<Seen>> = Arc::default();
-        let shared = seen.clone();
+        let observed: Arc<Mutex<ObservedStamps>> = Arc::default();
+        let shared = observed.clone();
         let task = tokio::spawn(async move {
             loop {
                 let reads = vms.iter().map(|(_, address)| read_status(&client, *address));
                 for status in futures::future::join_all(reads).await.into_iter().flatten() {
-                    shared.lock().take(&status);
+                    shared.lock().record(&status);
                 }
-                tokio::time::sleep(INTERVAL).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         });
-        Self { seen, task }
+        Self { observed, task }
     }
 
     /// Returns the violations found so far.
     pub fn violations(&self) -> Vec<Violation> {
-        self.seen.lock().violations.clone()
+        self.observed.lock().violations.clone()
     }
 }
 
@@ -57,8 +57,8 @@
     }
 }
 
-impl Seen {
-    fn take(&mut self, status: &StatusAnswer) {
+impl ObservedStamps {
+    fn record(&mut self, status: &StatusAnswer) {
         let stamp = status.stamp.as_ref().and_then(|text| text.parse().ok());
         let key = (status.vm.to_string(), status.incarnation.0);
         match (self.highest.get(&key), stamp) {
--- a/crates/foldhaven-testkit/src/scenario/parse.rs
+++ b/crates/foldhaven-testkit/src/scenario/parse.rs
@@ -9,7 +9,7 @@
 use winnow::prelude::*;
 use winnow::token::take_while;
 
-use super::steps::{EditSpec, LeaveWay, Scenario, SendSpec, Step, StepKind};
+use super::steps::{EditSpec, LeaveChannel, Scenario, SendSpec, Step, StepKind};
 
 /// line {line}: {message}
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
@@ -38,7 +38,7 @@
 }
 
 impl<'a> Line<'a> {
-    fn read(text: &'a str) -> Result<Self, String> {
+    fn parse(text: &'a str) -> Result<Self, String> {
         let tokens = tokens.parse(text).map_err(|error| error.to_string())?;
         let mut line = Line { words: Vec::new(), values: Vec::new() };
         for token in tokens {
@@ -50,21 +50,21 @@
         Ok(line)
     }
 
-    fn word(&self, at: usize) -> Result<&'a str, String> {
-        let word = self.words.get(at).copied();
-        word.ok_or_else(|| format!("expected word {} after {}", at, self.words[0]))
+    fn word(&self, index: usize) -> Result<&'a str, String> {
+        let word = self.words.get(index).copied();
+        word.ok_or_else(|| format!("expected word {} after {}", index, self.words[0]))
     }
 
-    fn own(&self, at: usize) -> Result<String, String> {
-        self.word(at).map(str::to_owned)
+    fn owned_word(&self, index: usize) -> Result<String, String> {
+        self.word(index).map(str::to_owned)
     }
 
     fn value(&self, name: &str) -> Option<&'a str> {
         self.values.iter().find(|(it, _)| *it == name).map(|(_, value)| *value)
     }
 
-    fn span(&self, at: usize) -> Result<Duration, String> {
-        parse_span(self.word(at)?)
+    fn span(&self, index: usize) -> Result<Duration, String> {
+        parse_span(self.word(index)?)
     }
 }
 
@@ -83,30 +83,30 @@
 /// Returns an error for the first line that cannot be parsed.
 pub fn parse_scenario(text: &str) -> Result<Scenario, ParseError> {
     let mut scenario = Scenario { name: String::new(), vms: 2, steps: Vec::new() };
-    for (at, content) in text.lines().enumerate() {
-        let at = at + 1;
-        let fault = |message| ParseError { line: at, message };
-        let line = Line::read(content).map_err(fault)?;
+    for (index, content) in text.lines().enumerate() {
+        let line_number = index + 1;
+        let error_at = |message| ParseError { line: line_number, message };
+        let line = Line::parse(content).map_err(error_at)?;
         match line.words.first().copied() {
             None => {}
-            Some("scenario") => scenario.name = line.own(1).map_err(fault)?,
+            Some("scenario") => scenario.name = line.owned_word(1).map_err(error_at)?,
             Some("vms") => {
                 let count = line.word(1).and_then(parse_number);
-                scenario.vms = count.map_err(fault)?;
+                scenario.vms = count.map_err(error_at)?;
             }
             Some(_) => {
-                let kind = read_step(&line).map_err(fault)?;
-                scenario.steps.push(Step { line: at, kind });
+                let kind = parse_step(&line).map_err(error_at)?;
+                scenario.steps.push(Step { line: line_number, kind });
             }
         }
     }
     Ok(scenario)
 }
 
-fn read_step(line: &Line<'_>) -> Result<StepKind, String> {
-    let name = || line.own(1);
+fn parse_step(line: &Line<'_>) -> Result<StepKind, String> {
+    let name = || line.owned_word(1);
     Ok(match line.words[0] {
-        "send" => StepKind::Send(name()?, read_send(line)?),
+        "send" => StepKind::Send(name()?, parse_send(line)?),
         "answer" => {
             let outcomes = line.words[2..].iter().map(|word| word.parse());
             let outcomes = outcomes.collect::<Result<_, _>>();
@@ -115,7 +115,7 @@
         "running" => StepKind::Running(name()?),
         "load" => {
             let rate = parse_number(line.value("rate").unwrap_or("10"))?;
-            StepKind::Load(name()?, read_send(line)?, rate)
+            StepKind::Load(name()?, parse_send(line)?, rate)
         }
         "end" => {
             let share = parse_number(line.value("complete").unwrap_or("0"))?;
@@ -127,27 +127,27 @@
         "thaw" => StepKind::Thaw(name()?),
         "stop" => StepKind::Stop(name()?),
         "exit" => StepKind::Exit(name()?),
-        "cut" => StepKind::Cut(name()?, line.own(2)?, false),
-        "cut-one-way" => StepKind::Cut(name()?, line.own(2)?, true),
+        "cut" => StepKind::Cut(name()?, line.owned_word(2)?, false),
+        "cut-one-way" => StepKind::Cut(name()?, line.owned_word(2)?, true),
         "heal" => StepKind::Heal,
-        "delay" => StepKind::Delay(name()?, line.own(2)?, line.span(3)?),
-        "publish" => StepKind::Publish(read_edit(line)?),
+        "delay" => StepKind::Delay(name()?, line.owned_word(2)?, line.span(3)?),
+        "publish" => StepKind::Publish(parse_edit(line)?),
         "platform" => {
             let mode = serde_json::from_value(line.word(1)?.into());
             StepKind::Platform(mode.map_err(|error| error.to_string())?)
         }
-        "leave" => StepKind::Leave(name()?, read_way(line.word(2)?)?),
+        "leave" => StepKind::Leave(name()?, parse_leave_channel(line.word(2)?)?),
         "in-force" => StepKind::InForce(name()?, line.span(2)?),
-        "judges" => StepKind::Judges(name()?, line.own(2)?, line.own(3)?),
+        "judges" => StepKind::Judges(name()?, line.owned_word(2)?, line.owned_word(3)?),
         "serving" => StepKind::Serving(name()?),
         "hold" => StepKind::Hold(line.span(1)?),
         "runs" => StepKind::Runs(name()?, parse_number(line.word(2)?)?),
-        "served" => StepKind::ServedIn(name()?, line.own(2)?),
+        "served" => StepKind::ServedIn(name()?, line.owned_word(2)?),
         other => return Err(format!("expected a verb, got {other}")),
     })
 }
 
-fn read_send(line: &Line<'_>) -> Result<SendSpec, String> {
+fn parse_send(line: &Line<'_>) -> Result<SendSpec, String> {
     let text = |name: &str| line.value(name).map(str::to_owned);
     Ok(SendSpec {
         account: text("account").unwrap_or_default(),
@@ -161,7 +161,7 @@
     })
 }
 
-fn read_edit(line: &Line<'_>) -> Result<EditSpec, String> {
+fn parse_edit(line: &Line<'_>) -> Result<EditSpec, String> {
     Ok(match line.word(1)? {
         "bump" => EditSpec::Bump,
         "bad" => EditSpec::Bad,
@@ -169,17 +169,17 @@
         "old" => EditSpec::Old,
         "residency" => {
             let regions = line.word(3)?.split(',').map(str::to_owned).collect();
-            EditSpec::Residency(line.own(2)?, regions)
+            EditSpec::Residency(line.owned_word(2)?, regions)
         }
         other => return Err(format!("expected an edit, got {other}")),
     })
 }
 
-fn read_way(text: &str) -> Result<LeaveWay, String> {
+fn parse_leave_channel(text: &str) -> Result<LeaveChannel, String> {
     match text {
-        "list" => Ok(LeaveWay::List),
-        "upstream" => Ok(LeaveWay::Upstream),
-        "both" => Ok(LeaveWay::Both),
+        "list" => Ok(LeaveChannel::List),
+        "upstream" => Ok(LeaveChannel::Upstream),
+        "both" => Ok(LeaveChannel::Both),
         other => Err(format!("expected list, upstream or both, got {other}")),
     }
 }
--- a/crates/foldhaven-testkit/src/scenario/runner/awaits.rs
+++ b/crates/foldhaven-testkit/src/scenario/runner/awaits.rs
@@ -3,17 +3,17 @@
 use std::time::{Duration, Instant};
 
 use super::{ScenarioRunner, stamp_of};
-use crate::stand_in::ledger::{LedgerEvent, epoch_ms};
+use crate::stand_in::ledger::{LedgerEvent, unix_time_ms};
 
 /// Maximum wait for a condition, unless the step has its own limit.
-pub(super) const AWAIT_LIMIT: Duration = Duration::from_secs(20);
+pub(super) const AWAIT_TIMEOUT: Duration = Duration::from_secs(20);
 /// Interval at which a condition is checked.
-const POLL: Duration = Duration::from_millis(25);
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
 impl ScenarioRunner {
     /// Returns the members of a group that are running and not frozen.
-    pub(super) fn running(&self, group: &str) -> Vec<String> {
-        let mut members = self.members(group);
+    pub(super) fn responsive_vms(&self, group: &str) -> Vec<String> {
+        let mut members = self.resolve(group);
         members.retain(|name| !self.frozen.contains(name) && !self.ended.contains(name));
         members
     }
@@ -24,32 +24,33 @@
         within: Duration,
     ) -> Result<(), String> {
         let started = Instant::now();
-        let members = self.running(group);
-        let newest = self.newest;
+        let members = self.responsive_vms(group);
+        let newest_stamp = self.newest_stamp;
         let fleet = &self.fleet;
-        let all_newest = async || {
+        let is_adopted = async || {
             for name in &members {
                 let status = fleet.status(name).await;
                 let stamp = status.and_then(|it| it.stamp).and_then(|it| it.parse().ok());
-                if stamp != Some(newest) {
+                if stamp != Some(newest_stamp) {
                     return false;
                 }
             }
             true
         };
-        let result = await_event(within, all_newest).await;
+        let result = await_condition(within, is_adopted).await;
         let took = started.elapsed().as_millis();
-        self.note(format!("in force on {} VMs after {took}ms", members.len()));
+        self.record(format!("in force on {} VMs after {took}ms", members.len()));
         if result.is_err() {
             for text in ["\"description ", "this process slept", "compared with peers"] {
-                self.log_lines_with(text).into_iter().for_each(|line| self.note(line));
+                self.log_lines_with(text).into_iter().for_each(|line| self.record(line));
             }
         }
-        if result.is_ok() && group == "all" && !self.is_cut {
+        if result.is_ok() && group == "all" && !self.has_partition {
             // Reading the status of all VMs takes time. Only requests that start after this are
             // checked against the newest description alone.
-            let now = epoch_ms();
-            let older = self.epochs.iter_mut().filter(|it| stamp_of(&it.description) != newest);
+            let now = unix_time_ms();
+            let older =
+                self.epochs.iter_mut().filter(|it| stamp_of(&it.description) != newest_stamp);
             for epoch in older {
                 epoch.until_ms.get_or_insert(now);
             }
@@ -57,25 +58,25 @@
         result
     }
 
-    pub(super) async fn await_judges(
+    pub(super) async fn await_member_state(
         &mut self,
         vm: &str,
         member: &str,
         state: &str,
     ) -> Result<(), String> {
         let fleet = &self.fleet;
-        let judged = async || {
+        let has_state = async || {
             let Some(status) = fleet.status(vm).await else { return false };
             let found = status.members.iter().find(|it| it.vm.as_str() == member);
             found.map_or("unknown", |it| it.state.as_str()) == state
         };
-        await_event(AWAIT_LIMIT, judged).await
+        await_condition(AWAIT_TIMEOUT, has_state).await
     }
 
     pub(super) async fn await_serving(&mut self, group: &str) -> Result<(), String> {
-        let members = self.running(group);
+        let members = self.responsive_vms(group);
         let fleet = &self.fleet;
-        let serve = async || {
+        let are_serving = async || {
             for name in &members {
                 if fleet.status(name).await.is_none_or(|status| status.stamp.is_none()) {
                     return false;
@@ -83,7 +84,7 @@
             }
             true
         };
-        await_event(AWAIT_LIMIT, serve).await
+        await_condition(AWAIT_TIMEOUT, are_serving).await
     }
 
     pub(super) async fn await_exit(&mut self, name: &str) -> Result<(), String> {
@@ -92,15 +93,15 @@
             if let Some(code) = self.fleet.exit_code(name) {
                 break code;
             }
-            if started.elapsed() > AWAIT_LIMIT {
+            if started.elapsed() > AWAIT_TIMEOUT {
                 return Err("the process has not exited".to_owned());
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         };
         if code == 0 { Ok(()) } else { Err(format!("the process exited with code {code}")) }
     }
 
-    pub(super) fn check_runs(&mut self, name: &str, count: usize) -> Result<(), String> {
+    pub(super) fn check_run_count(&mut self, name: &str, count: usize) -> Result<(), String> {
         let request = self.request_id(name);
         let ledger = self.fleet.ledger();
         let starts = ledger.iter().filter(|it| it.event == LedgerEvent::Start);
@@ -114,7 +115,8 @@
         let ended = ledger.iter().filter(|it| it.request == request);
         let ended = ended.filter(|it| it.event == LedgerEvent::End);
         let centres: Vec<&str> = ended.map(|it| it.data_centre.as_str()).collect();
-        let expected = self.current.regions.iter().find(|it| it.name.as_str() == region);
+        let expected =
+            self.current_description.regions.iter().find(|it| it.name.as_str() == region);
         let expected = expected.ok_or_else(|| format!("no region is called {region}"))?;
         let holds = |centre: &&str| expected.data_centres.iter().any(|it| it.as_str() == *centre);
         match !centres.is_empty() && centres.iter().all(holds) {
@@ -127,7 +129,7 @@
 /// Polls a condition until it holds.
 ///
 /// Returns an error if it does not hold within `limit`.
-pub(super) async fn await_event(
+pub(super) async fn await_condition(
     limit: Duration,
     holds: impl AsyncFn() -> bool,
 ) -> Result<(), String> {
@@ -136,7 +138,7 @@
         if started.elapsed() > limit {
             return Err(format!("condition not met within {}ms", limit.as_millis()));
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     Ok(())
 }
--- a/crates/foldhaven-testkit/src/scenario/runner/mod.rs
+++ b/crates/foldhaven-testkit/src/scenario/runner/mod.rs
@@ -16,13 +16,13 @@
 
 use crate::caller::CallerClient;
 use crate::fleet::{Fleet, FleetOptions, PLATFORM};
-use crate::hold_up::HoldUpMeter;
 use crate::relay::LinkEnds;
-use crate::scenario::judge::{Evidence, RuleEpoch, Violation};
+use crate::scenario::guarantees::{Evidence, RuleEpoch, Violation};
 use crate::scenario::observer::{StampObserver, adoption_violations};
-use crate::scenario::steps::{EditSpec, LeaveWay, Scenario, StepKind};
-use crate::scenario::traffic::{PreparedAsk, RunningLoad, SentRequest};
-use crate::stand_in::ledger::epoch_ms;
+use crate::scenario::steps::{EditSpec, LeaveChannel, Scenario, StepKind};
+use crate::scenario::traffic::{PreparedCall, RunningLoad, SentRequest};
+use crate::stall::StallDetector;
+use crate::stand_in::ledger::unix_time_ms;
 use crate::stand_in::platform::PlatformMode;
 
 /// Result of a scenario.
@@ -46,20 +46,20 @@
     fleet: Fleet,
     caller: CallerClient,
     observer: StampObserver,
-    first: Description,
-    current: Description,
-    newest: DescriptionStamp,
+    initial_description: Description,
+    current_description: Description,
+    newest_stamp: DescriptionStamp,
     epochs: Vec<RuleEpoch>,
-    prepared: BTreeMap<String, PreparedAsk>,
-    waiting: BTreeMap<String, JoinHandle<SentRequest>>,
+    prepared: BTreeMap<String, PreparedCall>,
+    pending: BTreeMap<String, JoinHandle<SentRequest>>,
     loads: BTreeMap<String, RunningLoad>,
     sent: Vec<SentRequest>,
-    left: BTreeMap<String, u64>,
+    left_at: BTreeMap<String, u64>,
     frozen: BTreeSet<String>,
     ended: BTreeSet<String>,
-    is_cut: bool,
-    meter: HoldUpMeter,
-    started: Instant,
+    has_partition: bool,
+    stall_detector: StallDetector,
+    started_at: Instant,
     timeline: Vec<String>,
     failures: Vec<String>,
     faults: usize,
@@ -91,27 +91,27 @@
     let mut runner = ScenarioRunner {
         caller: CallerClient::new(description.network.caller.0),
         observer,
-        first: description.clone(),
-        newest: stamp_of(&description),
+        initial_description: description.clone(),
+        newest_stamp: stamp_of(&description),
         epochs: vec![RuleEpoch { description: description.clone(), from_ms: 0, until_ms: None }],
-        current: description,
+        current_description: description,
         fleet,
         prepared: BTreeMap::new(),
-        waiting: BTreeMap::new(),
+        pending: BTreeMap::new(),
         loads: BTreeMap::new(),
         sent: Vec::new(),
-        left: BTreeMap::new(),
+        left_at: BTreeMap::new(),
         frozen: BTreeSet::new(),
         ended: BTreeSet::new(),
-        is_cut: false,
-        meter: HoldUpMeter::start(),
-        started: Instant::now(),
+        has_partition: false,
+        stall_detector: StallDetector::start(),
+        started_at: Instant::now(),
         timeline: Vec::new(),
         failures: Vec::new(),
         faults: 0,
     };
     for step in &scenario.steps {
-        runner.note(format!("{}", step.kind));
+        runner.record(format!("{}", step.kind));
         if let Err(message) = runner.run_step(&step.kind).await {
             runner.fail(format!("line {}: {}: {message}", step.line, step.kind));
         }
@@ -125,19 +125,19 @@
 }
 
 impl ScenarioRunner {
-    fn note(&mut self, what: String) {
-        let at = self.started.elapsed().as_secs_f64();
+    fn record(&mut self, what: String) {
+        let at = self.started_at.elapsed().as_secs_f64();
         self.timeline.push(format!("{at:8.3} {what}"));
     }
 
     fn fail(&mut self, what: String) {
-        self.note(format!("FAILED {what}"));
+        self.record(format!("FAILED {what}"));
         self.failures.push(what);
     }
 
     /// Returns the processes that a name refers to: `all` VMs, the VMs of a region or data centre,
     /// or the single process of that name.
-    fn members(&self, name: &str) -> Vec<String> {
+    fn resolve(&self, name: &str) -> Vec<String> {
         let vms = self.fleet.vms.iter().filter(|(vm, it)| {
             name == "all"
                 || name == *vm
@@ -151,7 +151,7 @@
     async fn run_step(&mut self, kind: &StepKind) -> Result<(), String> {
         match kind {
             StepKind::Send(name, spec) => self.send(name, spec).await,
-            StepKind::Answer(name, outcomes) => self.take_answer(name, outcomes).await,
+            StepKind::Answer(name, outcomes) => self.check_answer(name, outcomes).await,
             StepKind::Running(name) => self.await_running(name).await,
             StepKind::Load(name, spec, rate) => {
                 self.start_load(name, spec, *rate);
@@ -160,11 +160,11 @@
             StepKind::EndLoad(name, share) => self.end_load(name, *share).await,
             StepKind::Cut(from, to, one_way) => {
                 self.faults += 1;
-                self.is_cut = true;
+                self.has_partition = true;
                 self.cut(from, to, *one_way)
             }
             StepKind::Heal => {
-                self.is_cut = false;
+                self.has_partition = false;
                 self.fleet.relay.change(
                     |_| true,
                     |_, state| {
@@ -179,23 +179,23 @@
                 self.faults += usize::from(*mode != PlatformMode::Up);
                 self.fleet.set_platform(*mode).await.map_err(|error| error.to_string())
             }
-            StepKind::Leave(name, way) => self.leave(name, *way).await,
+            StepKind::Leave(name, channel) => self.leave(name, *channel).await,
             StepKind::InForce(group, within) => self.await_in_force(group, *within).await,
-            StepKind::Judges(vm, member, state) => self.await_judges(vm, member, state).await,
+            StepKind::Judges(vm, member, state) => self.await_member_state(vm, member, state).await,
             StepKind::Hold(span) => {
                 tokio::time::sleep(*span).await;
                 Ok(())
             }
-            StepKind::Runs(name, count) => self.check_runs(name, *count),
+            StepKind::Runs(name, count) => self.check_run_count(name, *count),
             StepKind::ServedIn(name, region) => self.check_region(name, region),
             StepKind::Exit(name) => self.await_exit(name).await,
             StepKind::Serving(group) => self.await_serving(group).await,
-            kind => self.signal(kind),
+            kind => self.run_process_step(kind),
         }
     }
 
     /// Runs a step that kills, restarts or signals processes.
-    fn signal(&mut self, kind: &StepKind) -> Result<(), String> {
+    fn run_process_step(&mut self, kind: &StepKind) -> Result<(), String> {
         let (StepKind::Kill(name)
         | StepKind::Restart(name)
         | StepKind::Freeze(name)
@@ -204,7 +204,7 @@
         else {
             return Err("not a step that signals processes".to_owned());
         };
-        for member in self.members(name) {
+        for member in self.resolve(name) {
             match kind {
                 StepKind::Kill(_) => {
                     self.faults += 1;
@@ -235,7 +235,7 @@
         self.ended.remove(member);
         self.frozen.remove(member);
         self.fleet.kill(member);
-        let started = if self.fleet.vms.contains_key(member) {
+        let result = if self.fleet.vms.contains_key(member) {
             self.fleet.start_vm(member)
         } else {
             let entry = self.fleet.upstreams.iter_mut().find(|it| it.name.as_str() == member);
@@ -243,57 +243,57 @@
             entry.incarnation += 1;
             entry.leaving = false;
             let entry = entry.clone();
-            self.left.remove(member);
+            self.left_at.remove(member);
             self.fleet.start_upstream(&entry)
         };
-        started.map_err(|error| error.to_string())
+        result.map_err(|error| error.to_string())
     }
 
     /// Returns the two groups of processes whose links a step changes. `others` are all VMs outside
     /// the first group.
-    fn chosen_links(&self, from: &str, to: &str) -> (BTreeSet<String>, BTreeSet<String>) {
-        let from: BTreeSet<String> = self.members(from).into_iter().collect();
+    fn link_groups(&self, from: &str, to: &str) -> (BTreeSet<String>, BTreeSet<String>) {
+        let from: BTreeSet<String> = self.resolve(from).into_iter().collect();
         let to: BTreeSet<String> = match to {
             "others" => {
                 let others = self.fleet.vms.keys().filter(|name| !from.contains(*name)).cloned();
                 others.collect()
             }
-            to => self.members(to).into_iter().collect(),
+            to => self.resolve(to).into_iter().collect(),
         };
         (from, to)
     }
 
     fn cut(&mut self, from: &str, to: &str, one_way: bool) -> Result<(), String> {
-        let (from, to) = self.chosen_links(from, to);
-        let goes = |ends: &LinkEnds| from.contains(&ends.from) && to.contains(&ends.to);
-        let comes = |ends: &LinkEnds| from.contains(&ends.to) && to.contains(&ends.from);
+        let (from, to) = self.link_groups(from, to);
+        let is_forward = |ends: &LinkEnds| from.contains(&ends.from) && to.contains(&ends.to);
+        let is_backward = |ends: &LinkEnds| from.contains(&ends.to) && to.contains(&ends.from);
         let count = self.fleet.relay.change(
-            |ends| goes(ends) || comes(ends),
+            |ends| is_forward(ends) || is_backward(ends),
             |ends, state| {
                 // Bytes from the first group to the second flow forward on links that the first
                 // group dials, and backward on links that the second group dials.
-                state.is_forward_cut |= !one_way || goes(ends);
-                state.is_backward_cut |= !one_way || comes(ends);
+                state.is_forward_cut |= !one_way || is_forward(ends);
+                state.is_backward_cut |= !one_way || is_backward(ends);
             },
         );
         if count > 0 { Ok(()) } else { Err("no link between these".to_owned()) }
     }
 
     fn delay(&mut self, from: &str, to: &str, span: Duration) -> Result<(), String> {
-        let (from, to) = self.chosen_links(from, to);
-        let chosen = |ends: &LinkEnds| {
-            let goes = from.contains(&ends.from) && to.contains(&ends.to);
-            goes || (from.contains(&ends.to) && to.contains(&ends.from))
+        let (from, to) = self.link_groups(from, to);
+        let is_selected = |ends: &LinkEnds| {
+            let is_forward = from.contains(&ends.from) && to.contains(&ends.to);
+            is_forward || (from.contains(&ends.to) && to.contains(&ends.from))
         };
-        let count = self.fleet.relay.change(chosen, |_, state| state.delay = span);
+        let count = self.fleet.relay.change(is_selected, |_, state| state.delay = span);
         if count > 0 { Ok(()) } else { Err("no link between these".to_owned()) }
     }
 
     async fn publish(&mut self, edit: &EditSpec) -> Result<(), String> {
         self.faults += usize::from(!matches!(edit, EditSpec::Bump));
-        let mut next = self.current.clone();
+        let mut next = self.current_description.clone();
         next.generation += 1;
-        next.parent = Some(stamp_of(&self.current).to_string());
+        next.parent = Some(stamp_of(&self.current_description).to_string());
         match edit {
             EditSpec::Bump => {}
             EditSpec::Residency(rule, regions) => {
@@ -308,7 +308,7 @@
                 return self.publish_values(&next).await;
             }
             EditSpec::Old => {
-                let first = self.first.clone();
+                let first = self.initial_description.clone();
                 return self.publish_values(&first).await;
             }
             EditSpec::Race => {
@@ -325,12 +325,13 @@
     /// exists.
     async fn publish_as_current(&mut self, next: Description) -> Result<(), String> {
         let stamp = stamp_of(&next);
-        let epoch = RuleEpoch { description: next.clone(), from_ms: epoch_ms(), until_ms: None };
+        let epoch =
+            RuleEpoch { description: next.clone(), from_ms: unix_time_ms(), until_ms: None };
         self.epochs.push(epoch);
         self.publish_values(&next).await?;
-        if stamp > self.newest {
-            self.newest = stamp;
-            self.current = next;
+        if stamp > self.newest_stamp {
+            self.newest_stamp = stamp;
+            self.current_description = next;
         }
         Ok(())
     }
@@ -340,13 +341,13 @@
         self.fleet.publish(&bundle).await.map_err(|error| error.to_string())
     }
 
-    async fn leave(&mut self, name: &str, way: LeaveWay) -> Result<(), String> {
+    async fn leave(&mut self, name: &str, channel: LeaveChannel) -> Result<(), String> {
         self.faults += 1;
-        self.left.insert(name.to_owned(), epoch_ms());
-        if way != LeaveWay::List {
+        self.left_at.insert(name.to_owned(), unix_time_ms());
+        if channel != LeaveChannel::List {
             self.fleet.leave_upstream(name).await.map_err(|error| error.to_string())?;
         }
-        if way != LeaveWay::Upstream {
+        if channel != LeaveChannel::Upstream {
             let entry = self.fleet.upstreams.iter_mut().find(|it| it.name.as_str() == name);
             entry.ok_or_else(|| "no such upstream".to_owned())?.leaving = true;
             return self.fleet.publish_upstreams().await.map_err(|error| error.to_string());
@@ -368,13 +369,13 @@
         for name in self.loads.keys().cloned().collect::<Vec<_>>() {
             let _ = self.end_load(&name, 0.0).await;
         }
-        for name in self.waiting.keys().cloned().collect::<Vec<_>>() {
-            if let Err(message) = self.take_answer(&name, &[]).await {
+        for name in self.pending.keys().cloned().collect::<Vec<_>>() {
+            if let Err(message) = self.check_answer(&name, &[]).await {
                 self.fail(format!("{name}: {message}"));
             }
         }
         let mut violations = self.observer.violations();
-        violations.extend(self.judge());
+        violations.extend(self.check_guarantees());
         for name in self.fleet.vms.keys() {
             violations.extend(adoption_violations(name, &self.read_log(name)));
         }
@@ -385,7 +386,7 @@
             self.fail(format!("{violation}\n{lines}"));
         }
         if !self.failures.is_empty() {
-            self.note_hold_ups();
+            self.record_stalls();
         }
         let writes = self.fleet.platform_counts().await.map_or(0, |counts| counts.writes);
         if writes > 0 {
@@ -394,23 +395,29 @@
     }
 
     /// Records when this process, and with it all links and callers, was stalled.
-    fn note_hold_ups(&mut self) {
-        for hold_up in self.meter.noted() {
-            let until = hold_up.until.into_std().saturating_duration_since(self.started);
-            let (until, late) = (until.as_secs_f64(), hold_up.late.as_millis());
-            self.note(format!("links and callers were stalled for {late}ms until {until:.3}"));
+    fn record_stalls(&mut self) {
+        for stall in self.stall_detector.stalls() {
+            let ended = stall.ended_at.into_std().saturating_duration_since(self.started_at);
+            let (ended, duration) = (ended.as_secs_f64(), stall.duration.as_millis());
+            self.record(format!(
+                "links and callers were stalled for {duration}ms until {ended:.3}"
+            ));
         }
     }
 
-    fn judge(&self) -> Vec<Violation> {
+    fn check_guarantees(&self) -> Vec<Violation> {
         let ledger = self.fleet.ledger();
-        let evidence =
-            Evidence { ledger: &ledger, sent: &self.sent, epochs: &self.epochs, left: &self.left };
+        let evidence = Evidence {
+            ledger: &ledger,
+            sent: &self.sent,
+            epochs: &self.epochs,
+            left_at: &self.left_at,
+        };
         evidence.violations()
     }
 
     fn report(self, scenario: &Scenario) -> ScenarioReport {
-        let logs = if self.failures.is_empty() { Vec::new() } else { self.log_ends() };
+        let logs = if self.failures.is_empty() { Vec::new() } else { self.log_tails() };
         ScenarioReport {
             name: scenario.name.clone(),
             failures: self.failures,
@@ -437,7 +444,7 @@
         lines.collect()
     }
 
-    fn log_ends(&self) -> Vec<String> {
+    fn log_tails(&self) -> Vec<String> {
         const LINES: usize = 12;
         let end = |name: &String| {
             let text = self.read_log(name);
--- a/crates/foldhaven-testkit/src/scenario/steps.rs
+++ b/crates/foldhaven-testkit/src/scenario/steps.rs
@@ -50,7 +50,7 @@
 
 /// How an upstream announces that it is leaving.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LeaveWay {
+pub enum LeaveChannel {
     /// Only in the platform's list.
     List,
     /// Only in its own load reports and refusals.
@@ -110,7 +110,7 @@
     /// Sets the mode of the platform.
     Platform(PlatformMode),
     /// Makes an upstream leave.
-    Leave(String, LeaveWay),
+    Leave(String, LeaveChannel),
     /// Waits until the newest description is in force on all running, unfrozen VMs of a group, for
     /// the given time at most.
     InForce(String, Duration),
@@ -160,13 +160,13 @@
                 let text = serde_json::to_string(mode).unwrap_or_default();
                 write!(formatter, "platform {}", text.trim_matches('"'))
             }
-            Self::Leave(name, way) => {
-                let way = match way {
-                    LeaveWay::List => "list",
-                    LeaveWay::Upstream => "upstream",
-                    LeaveWay::Both => "both",
+            Self::Leave(name, channel) => {
+                let channel = match channel {
+                    LeaveChannel::List => "list",
+                    LeaveChannel::Upstream => "upstream",
+                    LeaveChannel::Both => "both",
                 };
-                write!(formatter, "leave {name} {way}")
+                write!(formatter, "leave {name} {channel}")
             }
             Self::InForce(group, within) => {
                 write!(formatter, "in-force {group} {}ms", within.as_millis())
--- a/crates/foldhaven-testkit/src/scenario/traffic.rs
+++ b/crates/foldhaven-testkit/src/scenario/traffic.rs
@@ -11,8 +11,8 @@
 use tokio::task::{JoinHandle, JoinSet};
 
 use super::steps::SendSpec;
-use crate::caller::{CallerAnswer, CallerClient, ModelCall, ServiceAsk, engine_prompt};
-use crate::stand_in::engine::whole_answer;
+use crate::caller::{CallerAnswer, CallerClient, ModelCall, ServiceCall, engine_prompt};
+use crate::stand_in::engine::complete_answer;
 use crate::stand_in::service::service_answer;
 
 /// A sent request with everything that the checks of the guarantees need.
@@ -34,21 +34,21 @@
 
 /// A request that can be sent any number of times.
 #[derive(Debug, Clone)]
-pub enum PreparedAsk {
+pub enum PreparedCall {
     /// A request to a model.
     Model(ModelCall),
     /// A request to a service, and whether it is repeatable.
-    Service(ServiceAsk, bool),
+    Service(ServiceCall, bool),
 }
 
-impl PreparedAsk {
+impl PreparedCall {
     /// Prepares a request. Returns `None` if the description has no such class.
     pub fn new(description: &Description, spec: &SendSpec, request: String) -> Option<Self> {
         let class = description.classes.iter().find(|it| it.name.as_str() == spec.class)?;
         let (account, class_name) = (spec.account.clone(), spec.class.clone());
         if class.kind == ClassKind::Service {
             let path = if spec.path.is_empty() { "ok" } else { &spec.path };
-            let ask = ServiceAsk {
+            let call = ServiceCall {
                 account,
                 class: class_name,
                 path: format!("{}/{path}", class.service.as_ref()?),
@@ -57,7 +57,7 @@
                 ticket: None,
                 deadline: spec.deadline,
             };
-            return Some(Self::Service(ask, class.repeatable));
+            return Some(Self::Service(call, class.repeatable));
         }
         let max = if spec.max_tokens == 0 { class.max_output_tokens } else { spec.max_tokens };
         Some(Self::Model(ModelCall {
@@ -75,33 +75,33 @@
 
     /// Sets the ticket of a service request.
     pub fn set_ticket(&mut self, text: String) {
-        if let Self::Service(ask, _) = self {
-            ask.ticket = Some(text);
+        if let Self::Service(call, _) = self {
+            call.ticket = Some(text);
         }
     }
 
     /// Sends the request and waits for its answer.
     pub async fn send(&self, caller: &CallerClient, entry: SocketAddr) -> SentRequest {
         match self {
-            Self::Model(ask) => {
-                let answer = caller.call_model(entry, ask).await;
+            Self::Model(call) => {
+                let answer = caller.call_model(entry, call).await;
                 SentRequest {
-                    request: ask.request.clone(),
-                    account: ask.account.clone(),
-                    class: ask.class.clone(),
+                    request: call.request.clone(),
+                    account: call.account.clone(),
+                    class: call.class.clone(),
                     is_repeatable: true,
-                    expected: whole_answer(&engine_prompt(ask), ask.max_tokens),
+                    expected: complete_answer(&engine_prompt(call), call.max_tokens),
                     answer,
                 }
             }
-            Self::Service(ask, is_repeatable) => {
-                let answer = caller.ask_service(entry, ask).await;
+            Self::Service(call, is_repeatable) => {
+                let answer = caller.call_service(entry, call).await;
                 SentRequest {
-                    request: ask.request.clone(),
-                    account: ask.account.clone(),
-                    class: ask.class.clone(),
+                    request: call.request.clone(),
+                    account: call.account.clone(),
+                    class: call.class.clone(),
                     is_repeatable: *is_repeatable,
-                    expected: service_answer(&ask.request, &ask.body),
+                    expected: service_answer(&call.request, &call.body),
                     answer,
                 }
             }
@@ -120,7 +120,7 @@
 
 /// Sends requests at a steady rate until it is ended.
 pub struct RunningLoad {
-    ending: Arc<AtomicBool>,
+    should_end: Arc<AtomicBool>,
     task: JoinHandle<Vec<SentRequest>>,
 }
 
@@ -134,8 +134,8 @@
         caller: CallerClient,
         finder: EntryFinder,
     ) -> Self {
-        let ending = Arc::new(AtomicBool::new(false));
-        let (name, flag) = (name.to_owned(), ending.clone());
+        let should_end = Arc::new(AtomicBool::new(false));
+        let (name, flag) = (name.to_owned(), should_end.clone());
         let task = tokio::spawn(async move {
             let entries = Arc::new(Mutex::new(finder.directory.clone()));
             let refresher = tokio::spawn(refresh_entries(
@@ -151,53 +151,53 @@
                 interval.tick().await;
                 number += 1;
                 let request = format!("{name}-{number}");
-                let Some(ask) = PreparedAsk::new(&description, &spec, request) else { break };
+                let Some(call) = PreparedCall::new(&description, &spec, request) else { break };
                 let (caller, entries) = (caller.clone(), entries.clone());
-                sent.spawn(async move { send_one(caller, &entries, ask, number).await });
+                sent.spawn(async move { send_with_retries(caller, &entries, call, number).await });
             }
             let all = sent.join_all().await;
             refresher.abort();
             all
         });
-        Self { ending, task }
+        Self { should_end, task }
     }
 
     /// Stops sending and waits for all answers.
     pub async fn end(self) -> Vec<SentRequest> {
-        self.ending.store(true, Ordering::SeqCst);
+        self.should_end.store(true, Ordering::SeqCst);
         self.task.await.unwrap_or_default()
     }
 }
 
 /// Sends a request to one of the entry VMs, after getting a ticket there if one is needed. Tries
 /// the next VM if the connection is refused or the VM answers 307 or 503.
-async fn send_one(
+async fn send_with_retries(
     caller: CallerClient,
     entries: &Mutex<Vec<SocketAddr>>,
-    mut ask: PreparedAsk,
+    mut call: PreparedCall,
     number: usize,
 ) -> SentRequest {
-    const TRIES: usize = 3;
+    const MAX_ATTEMPTS: usize = 3;
     let mut last = None;
-    for step in 0..TRIES {
+    for attempt in 0..MAX_ATTEMPTS {
         let entry = {
             let entries = entries.lock();
-            entries[(number + step) % entries.len().clamp(1, 2)]
+            entries[(number + attempt) % entries.len().clamp(1, 2)]
         };
-        if let PreparedAsk::Service(service, false) = &ask
+        if let PreparedCall::Service(service, false) = &call
             && service.ticket.is_none()
         {
-            let issued = caller.entries(entry, &service.account, 1).await;
-            match issued.and_then(|answer| answer.tickets.into_iter().next()) {
-                Some(ticket) => ask.set_ticket(ticket),
+            let answer = caller.entries(entry, &service.account, 1).await;
+            match answer.and_then(|answer| answer.tickets.into_iter().next()) {
+                Some(ticket) => call.set_ticket(ticket),
                 None => continue,
             }
         }
-        let sent = ask.send(&caller, entry).await;
-        let refused_connection = sent.answer.status == 0
+        let sent = call.send(&caller, entry).await;
+        let is_connection_refused = sent.answer.status == 0
             && sent.answer.message.as_ref().is_some_and(|it| it.contains("ConnectionRefused"));
-        let goes_on = refused_connection || matches!(sent.answer.status, 307 | 503);
-        if !goes_on {
+        let should_retry = is_connection_refused || matches!(sent.answer.status, 307 | 503);
+        if !should_retry {
             return sent;
         }
         last = Some(sent);
@@ -206,7 +206,7 @@
         Some(sent) => sent,
         None => {
             let entry = entries.lock()[0];
-            ask.send(&caller, entry).await
+            call.send(&caller, entry).await
         }
     }
 }
@@ -218,13 +218,13 @@
     spec: SendSpec,
     entries: Arc<Mutex<Vec<SocketAddr>>>,
 ) {
-    const STEP: Duration = Duration::from_millis(500);
+    const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
     if finder.is_fixed {
         return;
     }
     loop {
-        let known = entries.lock().clone();
-        for address in known.iter().chain(&finder.directory) {
+        let entry_vms = entries.lock().clone();
+        for address in entry_vms.iter().chain(&finder.directory) {
             let Some(answer) = caller.entries(*address, &spec.account, 0).await else { continue };
             let fresh: Vec<SocketAddr> = answer.entries.iter().map(|it| it.address).collect();
             if !fresh.is_empty() {
@@ -232,6 +232,6 @@
                 break;
             }
         }
-        tokio::time::sleep(STEP).await;
+        tokio::time::sleep(REFRESH_INTERVAL).await;
     }
 }
--- a/crates/foldhaven-testkit/src/hold_up.rs
+++ b/crates/foldhaven-testkit/src/stall.rs
@@ -9,51 +9,51 @@
 use tokio::time::Instant;
 
 /// Interval at which the detector checks whether it wakes up on time.
-const TICK: Duration = Duration::from_millis(20);
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// Minimum length of a stall. Shorter delays are ignored.
-const LEAST_HOLD_UP: Duration = Duration::from_millis(100);
+const MIN_STALL: Duration = Duration::from_millis(100);
 
 /// A time span during which a task was due but did not run.
 #[derive(Debug, Clone, Copy)]
-pub struct HoldUp {
+pub struct Stall {
     /// End of the stall.
-    pub until: Instant,
+    pub ended_at: Instant,
     /// Length of the stall.
-    pub late: Duration,
+    pub duration: Duration,
 }
 
 /// Monitors the runtime on which it was started, until it is dropped.
-pub struct HoldUpMeter {
-    noted: Arc<Mutex<Vec<HoldUp>>>,
+pub struct StallDetector {
+    stalls: Arc<Mutex<Vec<Stall>>>,
     task: JoinHandle<()>,
 }
 
-impl HoldUpMeter {
+impl StallDetector {
     /// Starts to monitor the current runtime.
     pub fn start() -> Self {
-        let noted: Arc<Mutex<Vec<HoldUp>>> = Arc::default();
-        let notes = noted.clone();
+        let stalls: Arc<Mutex<Vec<Stall>>> = Arc::default();
+        let shared = stalls.clone();
         let task = tokio::spawn(async move {
             loop {
-                let due = Instant::now() + TICK;
+                let due = Instant::now() + CHECK_INTERVAL;
                 tokio::time::sleep_until(due).await;
-                let until = Instant::now();
-                let late = until.duration_since(due);
-                if late >= LEAST_HOLD_UP {
-                    notes.lock().push(HoldUp { until, late });
+                let ended_at = Instant::now();
+                let duration = ended_at.duration_since(due);
+                if duration >= MIN_STALL {
+                    shared.lock().push(Stall { ended_at, duration });
                 }
             }
         });
-        Self { noted, task }
+        Self { stalls, task }
     }
 
     /// Returns the stalls detected so far.
-    pub fn noted(&self) -> Vec<HoldUp> {
-        self.noted.lock().clone()
+    pub fn stalls(&self) -> Vec<Stall> {
+        self.stalls.lock().clone()
     }
 }
 
-impl Drop for HoldUpMeter {
+impl Drop for StallDetector {
     fn drop(&mut self) {
         self.task.abort();
     }
--- a/crates/foldhaven-testkit/src/stand_in/engine.rs
+++ b/crates/foldhaven-testkit/src/stand_in/engine.rs
@@ -26,15 +26,15 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::engine_state::{EngineOptions, EngineState, ModelProfile};
-use super::ledger::{LedgerEvent, LedgerFile};
-use super::{json, serve};
+use super::ledger::{LedgerEvent, LedgerWriter};
+use super::{json_response, serve};
 
 /// Decode time in seconds whose tokens are sent as one event.
-const CHUNK_TIME: f64 = 0.010;
+const EVENT_SECONDS: f64 = 0.010;
 /// Maximum number of queued requests per slot. Requests that exceed it are refused.
-const QUEUE_PER_SLOT: u32 = 16;
+const MAX_QUEUED_PER_SLOT: u32 = 16;
 /// Interval at which the load is recorded.
-const REPORT_STEP: Duration = Duration::from_millis(50);
+const REPORT_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Settings of a stand-in engine process.
 pub struct EngineSettings {
@@ -57,12 +57,12 @@
 
 /// Returns the number of tokens in the answer to a prompt: 70% to 100% of `max`.
 pub fn answer_tokens(prompt: &str, max: u64) -> u64 {
-    let part = xxh3_64_with_seed(prompt.as_bytes(), u64::MAX) % 31;
-    (max * (70 + part) / 100).max(1)
+    let percent = xxh3_64_with_seed(prompt.as_bytes(), u64::MAX) % 31;
+    (max * (70 + percent) / 100).max(1)
 }
 
 /// Returns the complete answer to a prompt.
-pub fn whole_answer(prompt: &str, max: u64) -> String {
+pub fn complete_answer(prompt: &str, max: u64) -> String {
     (0..answer_tokens(prompt, max)).map(|position| token(prompt, position)).collect()
 }
 
@@ -83,7 +83,7 @@
 
 impl EngineFault {
     /// Parses `[fault:NAME]` in a prompt. Returns `None` if there is no known fault name.
-    fn of(prompt: &str) -> Option<Self> {
+    fn from_prompt(prompt: &str) -> Option<Self> {
         let name = prompt.split_once("[fault:")?.1.split_once(']')?.0;
         match name {
             "garbage" => Some(Self::Garbage),
@@ -99,7 +99,7 @@
 #[derive(Clone)]
 struct Engine {
     state: EngineState,
-    ledger: Arc<LedgerFile>,
+    ledger: Arc<LedgerWriter>,
     platform: SocketAddr,
     client: reqwest::Client,
 }
@@ -109,124 +109,125 @@
     let name = settings.options.name.clone();
     let engine = Engine {
         state: EngineState::new(settings.options),
-        ledger: Arc::new(LedgerFile::open(&settings.ledger, &name, &settings.data_centre)?),
+        ledger: Arc::new(LedgerWriter::open(&settings.ledger, &name, &settings.data_centre)?),
         platform: settings.platform,
         client: reqwest::Client::new(),
     };
     let state = engine.state.clone();
     tokio::spawn(async move {
         loop {
-            state.note_report();
-            tokio::time::sleep(REPORT_STEP).await;
+            state.record_report();
+            tokio::time::sleep(REPORT_INTERVAL).await;
         }
     });
     serve(settings.address, routes(engine)).await
 }
 
 fn routes(engine: Engine) -> impl Filter<Extract = (Response,), Error = warp::Rejection> + Clone {
-    let with = warp::any().map(move || engine.clone());
+    let engine_filter = warp::any().map(move || engine.clone());
     let completions = warp::path!("v1" / "completions")
-        .and(with.clone())
+        .and(engine_filter.clone())
         .and(warp::header::headers_cloned())
         .and(warp::body::json())
-        .map(|engine: Engine, map, request| engine.complete(&map, request));
-    let load =
-        warp::path!("load").and(with.clone()).map(|engine: Engine| match engine.state.report() {
-            Some(load) => json(200, &load),
-            None => json(503, &"no report yet"),
-        });
+        .map(|engine: Engine, header_map, request| engine.complete(&header_map, request));
+    let load = warp::path!("load").and(engine_filter.clone()).map(|engine: Engine| {
+        match engine.state.report() {
+            Some(load) => json_response(200, &load),
+            None => json_response(503, &"no report yet"),
+        }
+    });
     let events = warp::path!("cache-events")
-        .and(with.clone())
+        .and(engine_filter.clone())
         .and(warp::query::<std::collections::BTreeMap<String, u64>>())
         .map(|engine: Engine, query: std::collections::BTreeMap<String, u64>| {
             let after = query.get("after").copied().unwrap_or_default();
-            json(200, &engine.state.cache_events(after))
+            json_response(200, &engine.state.cache_events(after))
         });
     let orders = warp::path!("orders")
-        .and(with.clone())
+        .and(engine_filter.clone())
         .and(warp::body::json())
-        .map(|engine: Engine, order| engine.order(order));
-    let leave = warp::path!("admin" / "leave").and(with).map(|engine: Engine| {
+        .map(|engine: Engine, order| engine.apply_order(order));
+    let leave = warp::path!("admin" / "leave").and(engine_filter).map(|engine: Engine| {
         engine.state.set_leaving();
         engine.ledger.write(LedgerEvent::Leaving, "", "", "");
-        json(200, &"leaving")
+        json_response(200, &"leaving")
     });
     completions.or(load).unify().or(events).unify().or(orders).unify().or(leave).unify()
 }
 
-fn header(map: &HeaderMap, name: &str) -> String {
-    map.get(name).and_then(|value| value.to_str().ok()).unwrap_or_default().to_owned()
+fn header(header_map: &HeaderMap, name: &str) -> String {
+    header_map.get(name).and_then(|value| value.to_str().ok()).unwrap_or_default().to_owned()
 }
 
 impl Engine {
-    fn refuse(&self, map: &HeaderMap, model: &str, reason: RefusalReason) -> Response {
-        let attempt = header(map, headers::ATTEMPT_ID);
-        let request = header(map, headers::REQUEST_ID);
+    fn refuse(&self, header_map: &HeaderMap, model: &str, reason: RefusalReason) -> Response {
+        let attempt = header(header_map, headers::ATTEMPT_ID);
+        let request = header(header_map, headers::REQUEST_ID);
         self.ledger.write(LedgerEvent::Refuse, &request, &attempt, model);
         let answer = RefusalAnswer::not_run("taking a request", reason, reason.to_string());
-        let mut response = json(503, &ErrorBody::of(&answer));
+        let mut response = json_response(503, &ErrorBody::of(&answer));
         if let Ok(attempt) = attempt.parse() {
             response.headers_mut().insert(headers::REFUSED_ATTEMPT, attempt);
         }
         response
     }
 
-    fn complete(&self, map: &HeaderMap, request: EngineRequest) -> Response {
+    fn complete(&self, header_map: &HeaderMap, request: EngineRequest) -> Response {
         if self.state.is_leaving() {
-            return self.refuse(map, &request.model, RefusalReason::Leaving);
+            return self.refuse(header_map, &request.model, RefusalReason::Leaving);
         }
         let Some(profile) = self.state.profile(&request.model) else {
-            return self.refuse(map, &request.model, RefusalReason::NoUpstream);
+            return self.refuse(header_map, &request.model, RefusalReason::NoUpstream);
         };
-        let (_, queued) = self.state.busy();
-        if queued > profile.slots * QUEUE_PER_SLOT {
-            return self.refuse(map, &request.model, RefusalReason::Capacity);
+        let (_, queued) = self.state.request_counts();
+        if queued > profile.slots * MAX_QUEUED_PER_SLOT {
+            return self.refuse(header_map, &request.model, RefusalReason::Capacity);
         }
         let (sender, receiver) = mpsc::channel::<Result<Bytes, Infallible>>(4);
-        let work = EngineWork {
+        let task = RequestTask {
             engine: self.clone(),
-            request: header(map, headers::REQUEST_ID),
-            attempt: header(map, headers::ATTEMPT_ID),
-            position: header(map, headers::RESUME_FROM).parse().unwrap_or_default(),
-            priority: header(map, headers::PRIORITY).parse().unwrap_or_default(),
+            request: header(header_map, headers::REQUEST_ID),
+            attempt: header(header_map, headers::ATTEMPT_ID),
+            position: header(header_map, headers::RESUME_FROM).parse().unwrap_or_default(),
+            priority: header(header_map, headers::PRIORITY).parse().unwrap_or_default(),
             body: request,
             profile,
         };
-        work.note(LedgerEvent::Arrive);
-        tokio::spawn(work.run(sender));
+        task.record(LedgerEvent::Arrive);
+        tokio::spawn(task.run(sender));
         let mut response = warp::reply::stream(ReceiverStream::new(receiver)).into_response();
         let events = http::HeaderValue::from_static("text/event-stream");
         response.headers_mut().insert(http::header::CONTENT_TYPE, events);
         response
     }
 
-    fn order(&self, order: EngineOrder) -> Response {
-        if !self.state.pass_fence(order.fence) {
-            return json(409, &"the fence is older than the last order's");
+    fn apply_order(&self, order: EngineOrder) -> Response {
+        if !self.state.accept_fence(order.fence) {
+            return json_response(409, &"the fence is older than the last order's");
         }
         match order.action {
             OrderAction::Load { model, version } => {
-                if self.state.begin_load(model.as_str(), &version) {
+                if self.state.start_loading(model.as_str(), &version) {
                     tokio::spawn(self.clone().load(model.to_string(), version));
                 }
             }
             OrderAction::Unload { model, version } => self.state.unload(model.as_str(), &version),
         }
-        json(200, &"taken")
+        json_response(200, &"taken")
     }
 
     async fn load(self, model: String, version: String) {
         let url = format!("http://{}/v1/weights/{model}/{version}", self.platform);
-        let read = async {
+        let fetched = async {
             let response = self.client.get(url).send().await?.error_for_status()?;
             response.json::<ModelProfile>().await
         };
-        self.state.end_load(&model, read.await.ok());
+        self.state.finish_loading(&model, fetched.await.ok());
     }
 }
 
 /// A request that is queued or being processed.
-struct EngineWork {
+struct RequestTask {
     engine: Engine,
     request: String,
     attempt: String,
@@ -238,40 +239,41 @@
 
 type EventSender = mpsc::Sender<Result<Bytes, Infallible>>;
 
-impl EngineWork {
+impl RequestTask {
     async fn run(self, sender: EventSender) {
         let tokens = answer_tokens(&self.body.prompt, self.body.max_tokens);
         let blocks = block_hashes(&self.body.model, &self.body.prompt);
         let prompt = prompt_tokens(&self.body.prompt);
         let decode = Duration::from_secs_f64(1.0 / self.profile.decode);
-        let left = tokens.saturating_sub(self.position) as u32;
-        let read = Duration::from_secs_f64(prompt as f64 / self.profile.prefill);
-        let entering = self.engine.state.enter(self.priority, read + decode * left);
+        let remaining_tokens = tokens.saturating_sub(self.position) as u32;
+        let prefill_time = Duration::from_secs_f64(prompt as f64 / self.profile.prefill);
+        let slot_request =
+            self.engine.state.acquire_slot(self.priority, prefill_time + decode * remaining_tokens);
         let mut slot = tokio::select! {
-            slot = entering => slot,
-            () = sender.closed() => return self.note(LedgerEvent::Cancel),
+            slot = slot_request => slot,
+            () = sender.closed() => return self.record(LedgerEvent::Cancel),
         };
-        self.note(LedgerEvent::Start);
-        let cached = self.engine.state.use_cache(&blocks).min(prompt);
-        let cold = (prompt - cached) as f64 / self.profile.prefill;
-        tokio::time::sleep(Duration::from_secs_f64(cold)).await;
-        self.engine.state.work_off(&mut slot, read);
-        let step = (self.profile.decode * CHUNK_TIME).round().max(1.0) as u64;
+        self.record(LedgerEvent::Start);
+        let cached = self.engine.state.cache_prompt(&blocks).min(prompt);
+        let uncached_seconds = (prompt - cached) as f64 / self.profile.prefill;
+        tokio::time::sleep(Duration::from_secs_f64(uncached_seconds)).await;
+        self.engine.state.complete_work(&mut slot, prefill_time);
+        let tokens_per_event = (self.profile.decode * EVENT_SECONDS).round().max(1.0) as u64;
         let mut position = self.position;
-        let fault = EngineFault::of(&self.body.prompt);
+        let fault = EngineFault::from_prompt(&self.body.prompt);
         if let Some(event) = fault.and_then(|fault| self.faulty_event(fault)) {
             let _ = sender.send(Ok(event.into())).await;
-            return self.note(LedgerEvent::Cancel);
+            return self.record(LedgerEvent::Cancel);
         }
         while position < tokens {
-            let count = step.min(tokens - position);
+            let count = tokens_per_event.min(tokens - position);
             tokio::time::sleep(decode * count as u32).await;
-            self.engine.state.work_off(&mut slot, decode * count as u32);
+            self.engine.state.complete_work(&mut slot, decode * count as u32);
             let text = (position..position + count).map(|at| token(&self.body.prompt, at));
             let event = self.event(position, count, text.collect(), None);
             position += count;
             if sender.send(Ok(event.into())).await.is_err() {
-                return self.note(LedgerEvent::Cancel);
+                return self.record(LedgerEvent::Cancel);
             }
         }
         let usage = TokenUsage {
@@ -281,7 +283,7 @@
         };
         let end = self.event(position, 0, String::new(), Some(usage)) + &write_event(DONE);
         // Recorded before the last byte is sent, so that whoever has the answer finds the line.
-        self.note(LedgerEvent::End);
+        self.record(LedgerEvent::End);
         let _ = sender.send(Ok(end.into())).await;
     }
 
@@ -299,7 +301,7 @@
         }
     }
 
-    fn note(&self, event: LedgerEvent) {
+    fn record(&self, event: LedgerEvent) {
         self.engine.ledger.write(event, &self.request, &self.attempt, &self.body.model);
     }
 
--- a/crates/foldhaven-testkit/src/stand_in/engine_state.rs
+++ b/crates/foldhaven-testkit/src/stand_in/engine_state.rs
@@ -38,50 +38,50 @@
 
 /// A model that is loaded, or being loaded while `profile` is `None`.
 #[derive(Debug)]
-struct HeldEntry {
+struct ModelEntry {
     version: String,
     profile: Option<ModelProfile>,
 }
 
 /// A request that waits for a slot. Requests of equal priority get slots in the order of arrival.
-struct Waiting {
+struct QueuedRequest {
     priority: u64,
-    order: u64,
+    sequence: u64,
     wake: oneshot::Sender<()>,
 }
 
-impl PartialEq for Waiting {
+impl PartialEq for QueuedRequest {
     fn eq(&self, other: &Self) -> bool {
-        (self.priority, self.order) == (other.priority, other.order)
+        (self.priority, self.sequence) == (other.priority, other.sequence)
     }
 }
 
-impl Eq for Waiting {}
+impl Eq for QueuedRequest {}
 
-impl PartialOrd for Waiting {
+impl PartialOrd for QueuedRequest {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Waiting {
+impl Ord for QueuedRequest {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        self.priority.cmp(&other.priority).then(other.order.cmp(&self.order))
+        self.priority.cmp(&other.priority).then(other.sequence.cmp(&self.sequence))
     }
 }
 
 #[derive(Default)]
-struct Inner {
-    models: BTreeMap<String, HeldEntry>,
+struct EngineInner {
+    models: BTreeMap<String, ModelEntry>,
     fence: OrderFence,
     running: u32,
-    queue: BinaryHeap<Waiting>,
-    orders: u64,
+    queue: BinaryHeap<QueuedRequest>,
+    last_sequence: u64,
     backlog: Duration,
     leaving: bool,
     cache: VecDeque<u64>,
     events: VecDeque<(u64, Instant, CacheChange)>,
-    event_number: u64,
+    last_event_number: u64,
     reports: VecDeque<(Instant, EngineLoad)>,
 }
 
@@ -89,24 +89,24 @@
 #[derive(Clone)]
 pub struct EngineState {
     options: Arc<EngineOptions>,
-    inner: Arc<Mutex<Inner>>,
+    inner: Arc<Mutex<EngineInner>>,
 }
 
 /// A request in the queue or in a slot. Dropping it removes its remaining work from the backlog and
 /// releases its slot.
 pub struct SlotGuard {
     state: EngineState,
-    work: Duration,
-    holds_slot: bool,
+    remaining_work: Duration,
+    has_slot: bool,
 }
 
 impl Drop for SlotGuard {
     fn drop(&mut self) {
         let mut inner = self.state.inner.lock();
-        inner.backlog = inner.backlog.saturating_sub(self.work);
-        if self.holds_slot {
+        inner.backlog = inner.backlog.saturating_sub(self.remaining_work);
+        if self.has_slot {
             inner.running -= 1;
-            let slots = self.state.slots_of(&inner);
+            let slots = self.state.slot_count(&inner);
             while inner.running < slots {
                 let Some(next) = inner.queue.pop() else { break };
                 if next.wake.send(()).is_ok() {
@@ -118,11 +118,11 @@
 }
 
 /// Delay after which cache events are published.
-const EVENT_LAG: Duration = Duration::from_millis(300);
+const CACHE_EVENT_DELAY: Duration = Duration::from_millis(300);
 /// Every n-th cache event is dropped, to simulate lost events.
-const LOST_EVENT: u64 = 50;
+const CACHE_EVENT_LOSS_INTERVAL: u64 = 50;
 /// Maximum number of cache events that are kept.
-const MAX_EVENTS: usize = 4_096;
+const MAX_CACHE_EVENTS: usize = 4_096;
 
 impl EngineState {
     /// Creates an engine without models.
@@ -130,7 +130,7 @@
         Self { options: Arc::new(options), inner: Arc::default() }
     }
 
-    fn slots_of(&self, inner: &Inner) -> u32 {
+    fn slot_count(&self, inner: &EngineInner) -> u32 {
         let profiles = inner.models.values().filter_map(|held| held.profile.as_ref());
         profiles.map(|profile| profile.slots).max().unwrap_or(1)
     }
@@ -152,7 +152,7 @@
 
     /// Records the fence of an order. Returns false, if fences are checked, for a fence that is not
     /// newer than the last one.
-    pub fn pass_fence(&self, fence: OrderFence) -> bool {
+    pub fn accept_fence(&self, fence: OrderFence) -> bool {
         let mut inner = self.inner.lock();
         if self.options.checks_fences && fence <= inner.fence {
             return false;
@@ -163,18 +163,18 @@
 
     /// Marks a model as being loaded. Returns false if this version is already loaded or being
     /// loaded.
-    pub fn begin_load(&self, model: &str, version: &str) -> bool {
+    pub fn start_loading(&self, model: &str, version: &str) -> bool {
         let mut inner = self.inner.lock();
         if inner.models.get(model).is_some_and(|held| held.version == version) {
             return false;
         }
         let version = version.to_owned();
-        inner.models.insert(model.to_owned(), HeldEntry { version, profile: None });
+        inner.models.insert(model.to_owned(), ModelEntry { version, profile: None });
         true
     }
 
     /// Finishes loading a model. A `profile` of `None` means that the weights could not be fetched.
-    pub fn end_load(&self, model: &str, profile: Option<ModelProfile>) {
+    pub fn finish_loading(&self, model: &str, profile: Option<ModelProfile>) {
         let mut inner = self.inner.lock();
         match profile {
             Some(profile) => {
@@ -195,31 +195,31 @@
     }
 
     /// Waits for a slot. Requests with a higher priority get slots first.
-    pub async fn enter(&self, priority: u64, work: Duration) -> SlotGuard {
-        let mut guard = SlotGuard { state: self.clone(), work, holds_slot: false };
+    pub async fn acquire_slot(&self, priority: u64, remaining_work: Duration) -> SlotGuard {
+        let mut guard = SlotGuard { state: self.clone(), remaining_work, has_slot: false };
         let waiting = {
             let mut inner = self.inner.lock();
-            inner.backlog += work;
-            if inner.running < self.slots_of(&inner) {
+            inner.backlog += remaining_work;
+            if inner.running < self.slot_count(&inner) {
                 inner.running += 1;
-                guard.holds_slot = true;
+                guard.has_slot = true;
                 return guard;
             }
             let (wake, waiting) = oneshot::channel();
-            inner.orders += 1;
-            let order = inner.orders;
-            inner.queue.push(Waiting { priority, order, wake });
+            inner.last_sequence += 1;
+            let sequence = inner.last_sequence;
+            inner.queue.push(QueuedRequest { priority, sequence, wake });
             waiting
         };
-        let mut woken = WokenGuard { waiting, guard: Some(guard) };
-        (&mut woken.waiting).await.expect("the queue wakes every waiting request");
-        let mut guard = woken.guard.take().expect("the guard is taken only once");
-        guard.holds_slot = true;
+        let mut waiter = QueuedWaiter { waiting, guard: Some(guard) };
+        (&mut waiter.waiting).await.expect("the queue wakes every waiting request");
+        let mut guard = waiter.guard.take().expect("the guard is taken only once");
+        guard.has_slot = true;
         guard
     }
 
     /// Returns the number of prompt tokens that were cached, and caches all blocks of the prompt.
-    pub fn use_cache(&self, blocks: &[u64]) -> u64 {
+    pub fn cache_prompt(&self, blocks: &[u64]) -> u64 {
         let mut inner = self.inner.lock();
         let held = blocks.iter().take_while(|block| inner.cache.contains(block)).count();
         let mut stored = Vec::new();
@@ -236,14 +236,14 @@
         for change in [CacheChange::Stored(stored), CacheChange::Evicted(evicted)] {
             let (CacheChange::Stored(list) | CacheChange::Evicted(list)) = &change;
             if !list.is_empty() {
-                inner.event_number += 1;
-                let number = inner.event_number;
-                if !number.is_multiple_of(LOST_EVENT) {
+                inner.last_event_number += 1;
+                let number = inner.last_event_number;
+                if !number.is_multiple_of(CACHE_EVENT_LOSS_INTERVAL) {
                     inner.events.push_back((number, Instant::now(), change));
                 }
             }
         }
-        let excess = inner.events.len().saturating_sub(MAX_EVENTS);
+        let excess = inner.events.len().saturating_sub(MAX_CACHE_EVENTS);
         inner.events.drain(..excess);
         (held * foldhaven_core::prefix::BLOCK_BYTES / foldhaven_core::prefix::BYTES_PER_TOKEN)
             as u64
@@ -252,7 +252,7 @@
     /// Returns the published cache events whose number is greater than `after`.
     pub fn cache_events(&self, after: u64) -> CacheEventPage {
         let inner = self.inner.lock();
-        let published = inner.events.iter().filter(|(_, at, _)| at.elapsed() > EVENT_LAG);
+        let published = inner.events.iter().filter(|(_, at, _)| at.elapsed() > CACHE_EVENT_DELAY);
         let events: Vec<_> = published
             .filter(|(number, ..)| *number > after)
             .map(|(number, _, change)| (*number, change.clone()))
@@ -262,25 +262,25 @@
     }
 
     /// Removes completed work of a request from the backlog.
-    pub fn work_off(&self, guard: &mut SlotGuard, done: Duration) {
-        let done = done.min(guard.work);
-        guard.work -= done;
+    pub fn complete_work(&self, guard: &mut SlotGuard, done: Duration) {
+        let done = done.min(guard.remaining_work);
+        guard.remaining_work -= done;
         let mut inner = self.inner.lock();
         inner.backlog = inner.backlog.saturating_sub(done);
     }
 
     /// Returns the number of running and of queued requests.
-    pub fn busy(&self) -> (u32, u32) {
+    pub fn request_counts(&self) -> (u32, u32) {
         let inner = self.inner.lock();
         let queued = inner.queue.iter().filter(|waiting| !waiting.wake.is_closed()).count();
         (inner.running, queued as u32)
     }
 
     /// Records the current load, which is reported later.
-    pub fn note_report(&self) {
-        let (running, queued) = self.busy();
+    pub fn record_report(&self) {
+        let (running, queued) = self.request_counts();
         let mut inner = self.inner.lock();
-        let held = |(name, held): (&String, &HeldEntry)| HeldModel {
+        let held = |(name, held): (&String, &ModelEntry)| HeldModel {
             model: name.parse().expect("a valid model name"),
             version: held.version.clone(),
             ready: held.profile.is_some(),
@@ -292,7 +292,7 @@
             running,
             queued,
             backlog_ms: inner.backlog.as_millis() as u32,
-            slots: self.slots_of(&inner),
+            slots: self.slot_count(&inner),
             models: inner.models.iter().map(held).collect(),
             fence: inner.fence,
             leaving: inner.leaving,
@@ -313,15 +313,15 @@
 }
 
 /// A waiting request. If it is dropped after it was woken, its slot goes to the next request.
-struct WokenGuard {
+struct QueuedWaiter {
     waiting: oneshot::Receiver<()>,
     guard: Option<SlotGuard>,
 }
 
-impl Drop for WokenGuard {
+impl Drop for QueuedWaiter {
     fn drop(&mut self) {
         if let Some(guard) = &mut self.guard {
-            guard.holds_slot = self.waiting.try_recv().is_ok();
+            guard.has_slot = self.waiting.try_recv().is_ok();
         }
     }
 }
--- a/crates/foldhaven-testkit/src/stand_in/ledger.rs
+++ b/crates/foldhaven-testkit/src/stand_in/ledger.rs
@@ -47,18 +47,18 @@
 }
 
 /// Appends the events of one stand-in to its ledger.
-pub struct LedgerFile {
+pub struct LedgerWriter {
     upstream: String,
     data_centre: String,
     file: Mutex<File>,
 }
 
 /// Returns the current time in milliseconds since the Unix epoch.
-pub fn epoch_ms() -> u64 {
+pub fn unix_time_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-impl LedgerFile {
+impl LedgerWriter {
     /// Opens a ledger for appending and creates it if it does not exist.
     pub fn open(path: &Path, upstream: &str, data_centre: &str) -> io::Result<Self> {
         let file = OpenOptions::new().create(true).append(true).open(path)?;
@@ -69,7 +69,7 @@
     /// Writes a line. The line has been written when this returns.
     pub fn write(&self, event: LedgerEvent, request: &str, attempt: &str, target: &str) {
         let line = LedgerLine {
-            at_ms: epoch_ms(),
+            at_ms: unix_time_ms(),
             upstream: self.upstream.clone(),
             data_centre: self.data_centre.clone(),
             event,
--- a/crates/foldhaven-testkit/src/stand_in/mod.rs
+++ b/crates/foldhaven-testkit/src/stand_in/mod.rs
@@ -23,7 +23,7 @@
 }
 
 /// Returns a response with the given status and `value` as its JSON body.
-pub fn json(status: u16, value: &impl serde::Serialize) -> Response {
+pub fn json_response(status: u16, value: &impl serde::Serialize) -> Response {
     let body = serde_json::to_vec(value).expect("a typed answer can be serialized");
     let mut response = Response::new(bytes::Bytes::from(body).into());
     *response.status_mut() = http::StatusCode::from_u16(status).expect("a valid status");
--- a/crates/foldhaven-testkit/src/stand_in/platform.rs
+++ b/crates/foldhaven-testkit/src/stand_in/platform.rs
@@ -19,7 +19,7 @@
 use warp::reply::Response;
 
 use super::engine_state::ModelProfile;
-use super::{json, serve};
+use super::{json_response, serve};
 
 /// How the platform answers calls.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -76,55 +76,55 @@
 
 /// The content of the platform at one revision.
 #[derive(Debug, Clone)]
-struct Version {
+struct PlatformVersion {
     revision: u64,
     values: BTreeMap<String, (u64, String)>,
     upstreams: Vec<UpstreamEntry>,
-    at: Instant,
+    published_at: Instant,
 }
 
-struct Inner {
+struct PlatformInner {
     mode: PlatformMode,
-    now: Version,
+    current: PlatformVersion,
     /// Content that is served while the platform is stale or flapping.
-    old: Version,
+    stale: PlatformVersion,
     /// Earlier versions, from which delayed lists are served.
-    history: VecDeque<Version>,
+    history: VecDeque<PlatformVersion>,
     counts: PlatformCounts,
-    flaps: u64,
+    flapping_reads: u64,
     weight_readers: usize,
 }
 
 #[derive(Clone)]
 struct Platform {
-    inner: Arc<Mutex<Inner>>,
+    inner: Arc<Mutex<PlatformInner>>,
     changed: watch::Sender<u64>,
     content: Arc<PlatformContent>,
-    permits: Arc<tokio::sync::Semaphore>,
+    weight_permits: Arc<tokio::sync::Semaphore>,
 }
 
 /// Serves requests until the process ends.
 pub async fn run_platform(address: SocketAddr, content: PlatformContent) -> std::io::Result<()> {
     let values = content.values.values.iter();
-    let version = Version {
+    let version = PlatformVersion {
         revision: 1,
         values: values.map(|(key, value)| (key.clone(), (1, value.clone()))).collect(),
         upstreams: content.upstreams.clone(),
-        at: Instant::now(),
+        published_at: Instant::now(),
     };
-    let inner = Inner {
+    let inner = PlatformInner {
         mode: PlatformMode::Up,
-        now: version.clone(),
-        old: version,
+        current: version.clone(),
+        stale: version,
         history: VecDeque::new(),
         counts: PlatformCounts::default(),
-        flaps: 0,
+        flapping_reads: 0,
         weight_readers: 0,
     };
     let platform = Platform {
         inner: Arc::new(Mutex::new(inner)),
         changed: watch::Sender::new(1),
-        permits: Arc::new(tokio::sync::Semaphore::new(content.weight_readers)),
+        weight_permits: Arc::new(tokio::sync::Semaphore::new(content.weight_readers)),
         content: Arc::new(content),
     };
     serve(address, routes(platform)).await
@@ -135,75 +135,77 @@
 fn routes(
     platform: Platform,
 ) -> impl Filter<Extract = (Response,), Error = warp::Rejection> + Clone {
-    let with = warp::any().map(move || platform.clone());
+    let platform_filter = warp::any().map(move || platform.clone());
     let values = warp::path!("v1" / "values" / ..)
         .and(warp::path::tail())
-        .and(with.clone())
+        .and(platform_filter.clone())
         .and(warp::query::<Query>())
         .then(|tail: warp::path::Tail, platform: Platform, query: Query| async move {
             let key = tail.as_str().to_owned();
             platform.inner.lock().counts.values += 1;
-            platform.watch(&query, |version| version.values.get(&key).cloned()).await
+            platform.serve_watch(&query, |version| version.values.get(&key).cloned()).await
         });
     let lists = warp::path!("v1" / "lists" / "upstreams")
-        .and(with.clone())
+        .and(platform_filter.clone())
         .and(warp::query::<Query>())
         .then(|platform: Platform, query: Query| async move {
             platform.inner.lock().counts.lists += 1;
             let centre = query.get("data_centre").cloned();
             let lag = Duration::from_millis(platform.content.list_lag_ms);
-            platform.lagging(&query, centre, lag).await
+            platform.serve_lagged_list(&query, centre, lag).await
         });
-    let directory = warp::path!("v1" / "directory").and(with.clone()).map(|platform: Platform| {
-        platform.inner.lock().counts.directory += 1;
-        json(200, &platform.content.directory)
-    });
-    let weights = warp::path!("v1" / "weights" / String / String).and(with.clone()).then(
-        |model: String, _version: String, platform: Platform| async move {
+    let directory =
+        warp::path!("v1" / "directory").and(platform_filter.clone()).map(|platform: Platform| {
+            platform.inner.lock().counts.directory += 1;
+            json_response(200, &platform.content.directory)
+        });
+    let weights = warp::path!("v1" / "weights" / String / String)
+        .and(platform_filter.clone())
+        .then(|model: String, _version: String, platform: Platform| async move {
             platform.weights(&model).await
-        },
-    );
+        });
     let reads = warp::get().and(values.or(lists).unify().or(directory).unify().or(weights).unify());
     let counts = warp::path!("admin" / "counts")
-        .and(with.clone())
-        .map(|platform: Platform| json(200, &platform.inner.lock().counts));
+        .and(platform_filter.clone())
+        .map(|platform: Platform| json_response(200, &platform.inner.lock().counts));
     let publish = warp::path!("admin" / "publish")
-        .and(with.clone())
+        .and(platform_filter.clone())
         .and(warp::body::json())
         .map(|platform: Platform, bundle: ValueBundle| platform.publish(bundle));
     let upstreams = warp::path!("admin" / "upstreams")
-        .and(with.clone())
+        .and(platform_filter.clone())
         .and(warp::body::json())
-        .map(|platform: Platform, list| platform.list(list));
+        .map(|platform: Platform, list| platform.replace_upstreams(list));
     let mode = warp::path!("admin" / "mode")
-        .and(with.clone())
+        .and(platform_filter.clone())
         .and(warp::body::json())
         .map(|platform: Platform, mode: PlatformMode| platform.set_mode(mode));
     let admin = counts.or(publish).unify().or(upstreams).unify().or(mode).unify();
-    let writes = warp::body::bytes().and(with).map(|_: bytes::Bytes, platform: Platform| {
-        platform.inner.lock().counts.writes += 1;
-        json(405, &"the platform is read-only")
-    });
+    let writes =
+        warp::body::bytes().and(platform_filter).map(|_: bytes::Bytes, platform: Platform| {
+            platform.inner.lock().counts.writes += 1;
+            json_response(405, &"the platform is read-only")
+        });
     reads.or(admin).unify().or(writes).unify()
 }
 
 impl Platform {
     /// Returns the version to answer from, or `None` if the platform is down.
-    fn version(&self) -> Option<Version> {
+    fn visible_version(&self) -> Option<PlatformVersion> {
         let mut inner = self.inner.lock();
         match inner.mode {
-            PlatformMode::Up | PlatformMode::Slow => Some(inner.now.clone()),
-            PlatformMode::Stale => Some(inner.old.clone()),
+            PlatformMode::Up | PlatformMode::Slow => Some(inner.current.clone()),
+            PlatformMode::Stale => Some(inner.stale.clone()),
             PlatformMode::Down => None,
             PlatformMode::Flapping => {
-                inner.flaps += 1;
-                let is_new = inner.flaps.is_multiple_of(2);
-                Some(if is_new { inner.now.clone() } else { inner.old.clone() })
+                inner.flapping_reads += 1;
+                let is_new = inner.flapping_reads.is_multiple_of(2);
+                Some(if is_new { inner.current.clone() } else { inner.stale.clone() })
             }
         }
     }
 
-    async fn pause(&self) {
+    async fn delay_answer(&self) {
         let slow = self.inner.lock().mode == PlatformMode::Slow;
         let wait = if slow { Duration::from_secs(1) } else { Duration::from_millis(2) };
         tokio::time::sleep(wait).await;
@@ -211,52 +213,60 @@
 
     /// Answers with the value that `read` returns. If its revision equals `after` of the query,
     /// waits up to `wait_ms` for another revision.
-    async fn watch(
+    async fn serve_watch(
         &self,
         query: &Query,
-        read: impl Fn(&Version) -> Option<(u64, String)>,
+        read: impl Fn(&PlatformVersion) -> Option<(u64, String)>,
     ) -> Response {
-        self.pause().await;
+        self.delay_answer().await;
         let number = |name: &str| query.get(name).and_then(|text| text.parse::<u64>().ok());
         let after = number("after");
         let wait = Duration::from_millis(number("wait_ms").unwrap_or_default());
         let mut changed = self.changed.subscribe();
         let deadline = tokio::time::Instant::now() + wait;
         loop {
-            let Some(version) = self.version() else { return json(503, &"down") };
+            let Some(version) = self.visible_version() else { return json_response(503, &"down") };
             match read(&version) {
                 Some((revision, value)) if Some(revision) != after => {
-                    return revised(revision, value);
+                    return value_response(revision, value);
                 }
-                None if after.is_none() => return json(404, &"no such value"),
+                None if after.is_none() => return json_response(404, &"no such value"),
                 _ => {}
             }
             if tokio::time::timeout_at(deadline, changed.changed()).await.is_err() {
-                return json(304, &"");
+                return json_response(304, &"");
             }
         }
     }
 
     /// Answers with a list of upstreams as it was `lag` ago, of one data centre or of all.
-    async fn lagging(&self, query: &Query, centre: Option<String>, lag: Duration) -> Response {
-        let read = |version: &Version| {
-            let seen = self.lagged_version(version, lag);
+    async fn serve_lagged_list(
+        &self,
+        query: &Query,
+        centre: Option<String>,
+        lag: Duration,
+    ) -> Response {
+        let read = |version: &PlatformVersion| {
+            let visible = self.lagged_version(version, lag);
             let in_centre = |entry: &&UpstreamEntry| {
                 centre.as_ref().is_none_or(|centre| entry.data_centre.as_str() == centre)
             };
-            let upstreams = seen.upstreams.iter().filter(in_centre).cloned().collect();
-            let list = UpstreamList { revision: seen.revision, upstreams };
-            Some((seen.revision, serde_json::to_string(&list).expect("a list can be serialized")))
+            let upstreams = visible.upstreams.iter().filter(in_centre).cloned().collect();
+            let list = UpstreamList { revision: visible.revision, upstreams };
+            Some((
+                visible.revision,
+                serde_json::to_string(&list).expect("a list can be serialized"),
+            ))
         };
-        self.watch(query, read).await
+        self.serve_watch(query, read).await
     }
 
-    fn lagged_version(&self, version: &Version, lag: Duration) -> Version {
-        if version.at.elapsed() >= lag || version.revision == 1 {
+    fn lagged_version(&self, version: &PlatformVersion, lag: Duration) -> PlatformVersion {
+        if version.published_at.elapsed() >= lag || version.revision == 1 {
             return version.clone();
         }
         let inner = self.inner.lock();
-        let old = inner.history.iter().rev().find(|old| old.at.elapsed() >= lag);
+        let old = inner.history.iter().rev().find(|old| old.published_at.elapsed() >= lag);
         old.or(inner.history.front()).unwrap_or(version).clone()
     }
 
@@ -268,65 +278,65 @@
             let readers = inner.weight_readers;
             inner.counts.most_weight_readers = inner.counts.most_weight_readers.max(readers);
         }
-        let permit = self.permits.acquire().await;
+        let permit = self.weight_permits.acquire().await;
         tokio::time::sleep(Duration::from_millis(self.content.weight_ms)).await;
         drop(permit);
         self.inner.lock().weight_readers -= 1;
         match self.content.weights.get(model) {
-            Some(profile) => json(200, profile),
-            None => json(404, &"no such model"),
+            Some(profile) => json_response(200, profile),
+            None => json_response(404, &"no such model"),
         }
     }
 
-    fn change(&self, change: impl FnOnce(&mut Version)) {
+    fn apply_change(&self, change: impl FnOnce(&mut PlatformVersion)) {
         {
             let mut inner = self.inner.lock();
-            let old = inner.now.clone();
+            let old = inner.current.clone();
             inner.history.push_back(old);
             if inner.history.len() > 64 {
                 inner.history.pop_front();
             }
-            inner.now.revision += 1;
-            inner.now.at = Instant::now();
-            change(&mut inner.now);
+            inner.current.revision += 1;
+            inner.current.published_at = Instant::now();
+            change(&mut inner.current);
         }
         self.changed.send_modify(|count| *count += 1);
     }
 
     fn publish(&self, bundle: ValueBundle) -> Response {
-        self.change(|version| {
+        self.apply_change(|version| {
             for (key, value) in bundle.values {
                 version.values.insert(key, (version.revision, value));
             }
         });
-        json(200, &"published")
+        json_response(200, &"published")
     }
 
-    fn list(&self, upstreams: Vec<UpstreamEntry>) -> Response {
-        self.change(|version| version.upstreams = upstreams);
+    fn replace_upstreams(&self, upstreams: Vec<UpstreamEntry>) -> Response {
+        self.apply_change(|version| version.upstreams = upstreams);
         let changed = self.changed.clone();
         let lag = Duration::from_millis(self.content.list_lag_ms);
         tokio::spawn(async move {
             tokio::time::sleep(lag).await;
             changed.send_modify(|count| *count += 1);
         });
-        json(200, &"listed")
+        json_response(200, &"listed")
     }
 
     fn set_mode(&self, mode: PlatformMode) -> Response {
         {
             let mut inner = self.inner.lock();
             if inner.mode == PlatformMode::Up {
-                inner.old = inner.history.back().unwrap_or(&inner.now).clone();
+                inner.stale = inner.history.back().unwrap_or(&inner.current).clone();
             }
             inner.mode = mode;
         }
         self.changed.send_modify(|count| *count += 1);
-        json(200, &mode)
+        json_response(200, &mode)
     }
 }
 
-fn revised(revision: u64, value: String) -> Response {
+fn value_response(revision: u64, value: String) -> Response {
     let mut response = Response::new(bytes::Bytes::from(value).into());
     response.headers_mut().insert(REVISION, revision.into());
     response
--- a/crates/foldhaven-testkit/src/stand_in/service.rs
+++ b/crates/foldhaven-testkit/src/stand_in/service.rs
@@ -19,8 +19,8 @@
 use warp::reply::Response;
 use warp::{Filter, Reply};
 
-use super::ledger::{LedgerEvent, LedgerFile};
-use super::{json, serve};
+use super::ledger::{LedgerEvent, LedgerWriter};
+use super::{json_response, serve};
 
 /// Settings of a stand-in service process.
 pub struct ServiceSettings {
@@ -36,8 +36,8 @@
 
 #[derive(Clone)]
 struct Service {
-    ledger: Arc<LedgerFile>,
-    leaving: Arc<AtomicBool>,
+    ledger: Arc<LedgerWriter>,
+    is_leaving: Arc<AtomicBool>,
 }
 
 /// Returns the answer of a service to a request.
@@ -47,20 +47,21 @@
 
 /// Serves requests until the process ends.
 pub async fn run_service(settings: ServiceSettings) -> std::io::Result<()> {
-    let ledger = LedgerFile::open(&settings.ledger, &settings.name, &settings.data_centre)?;
-    let service = Service { ledger: Arc::new(ledger), leaving: Arc::default() };
+    let ledger = LedgerWriter::open(&settings.ledger, &settings.name, &settings.data_centre)?;
+    let service = Service { ledger: Arc::new(ledger), is_leaving: Arc::default() };
     serve(settings.address, routes(service)).await
 }
 
 fn routes(service: Service) -> impl Filter<Extract = (Response,), Error = warp::Rejection> + Clone {
-    let with = warp::any().map(move || service.clone());
-    let leave = warp::path!("admin" / "leave").and(with.clone()).map(|service: Service| {
-        service.leaving.store(true, Ordering::SeqCst);
-        service.ledger.write(LedgerEvent::Leaving, "", "", "");
-        json(200, &"leaving")
-    });
+    let service_filter = warp::any().map(move || service.clone());
+    let leave =
+        warp::path!("admin" / "leave").and(service_filter.clone()).map(|service: Service| {
+            service.is_leaving.store(true, Ordering::SeqCst);
+            service.ledger.write(LedgerEvent::Leaving, "", "", "");
+            json_response(200, &"leaving")
+        });
     let calls = warp::path::full()
-        .and(with)
+        .and(service_filter)
         .and(warp::query::raw().or(warp::any().map(String::new)).unify())
         .and(warp::header::headers_cloned())
         .and(warp::body::bytes())
@@ -79,11 +80,11 @@
             value.unwrap_or_default().to_owned()
         };
         let (request, attempt) = (text(headers::REQUEST_ID), text(headers::ATTEMPT_ID));
-        if self.leaving.load(Ordering::SeqCst) {
+        if self.is_leaving.load(Ordering::SeqCst) {
             self.ledger.write(LedgerEvent::Refuse, &request, &attempt, path);
             let reason = RefusalReason::Leaving;
             let answer = RefusalAnswer::not_run("taking a call", reason, reason.to_string());
-            let mut response = json(503, &ErrorBody::of(&answer));
+            let mut response = json_response(503, &ErrorBody::of(&answer));
             if let Ok(attempt) = attempt.parse() {
                 response.headers_mut().insert(headers::REFUSED_ATTEMPT, attempt);
             }
@@ -94,8 +95,8 @@
         let body = String::from_utf8_lossy(&body).into_owned();
         let answer = service_answer(&request, &body);
         let response = match path.trim_start_matches('/').split('/').next() {
-            Some("fail") => json(500, &"it ran, and then it failed"),
-            Some("cut") => cut_answer(answer),
+            Some("fail") => json_response(500, &"it ran, and then it failed"),
+            Some("cut") => truncated_response(answer),
             Some("slow") => {
                 let ms = query.strip_prefix("ms=").and_then(|ms| ms.parse().ok()).unwrap_or(500);
                 tokio::time::sleep(Duration::from_millis(ms)).await;
@@ -109,11 +110,11 @@
 }
 
 /// Returns a response that is truncated exactly at the end of a chunk.
-fn cut_answer(answer: String) -> Response {
+fn truncated_response(answer: String) -> Response {
     let half = answer.len() / 2;
-    let parts = [
+    let chunks = [
         Ok(Bytes::from(answer[..half].to_owned())),
         Err(std::io::Error::other("cut at the end of a chunk")),
     ];
-    warp::reply::stream(futures::stream::iter(parts)).into_response()
+    warp::reply::stream(futures::stream::iter(chunks)).into_response()
 }
--- a/crates/foldhaven-testkit/tests/testsuite/callers.rs
+++ b/crates/foldhaven-testkit/tests/testsuite/callers.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use foldhaven_core::attempt::RequestOutcome;
-use foldhaven_testkit::caller::{CallerClient, ModelCall, ServiceAsk, engine_prompt};
-use foldhaven_testkit::stand_in::engine::whole_answer;
+use foldhaven_testkit::caller::{CallerClient, ModelCall, ServiceCall, engine_prompt};
+use foldhaven_testkit::stand_in::engine::complete_answer;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
@@ -22,7 +22,7 @@
     expected: (u16, &'static str, &'static str),
 }
 
-fn case(
+fn make_case(
     name: &'static str,
     change: impl FnOnce(&mut FaultCase),
     expected: (u16, &'static str, &'static str),
@@ -39,12 +39,12 @@
 }
 
 impl FaultCase {
-    fn set(&mut self, name: &'static str, value: impl Into<String>) {
+    fn set_header(&mut self, name: &'static str, value: impl Into<String>) {
         self.headers.retain(|(it, _)| *it != name);
         self.headers.push((name, value.into()));
     }
 
-    fn unset(&mut self, name: &'static str) {
+    fn remove_header(&mut self, name: &'static str) {
         self.headers.retain(|(it, _)| *it != name);
     }
 }
@@ -52,93 +52,121 @@
 fn fault_cases() -> Vec<FaultCase> {
     let bad = (400, "bad_request", "not_run");
     vec![
-        case("no account", |it| it.unset("foldhaven-account"), (401, "unknown_account", "not_run")),
-        case("account", |it| it.set("foldhaven-account", "x"), (401, "unknown_account", "not_run")),
-        case("class", |it| it.set("foldhaven-class", "x"), (404, "unknown_class", "not_run")),
-        case(
+        make_case(
+            "no account",
+            |it| it.remove_header("foldhaven-account"),
+            (401, "unknown_account", "not_run"),
+        ),
+        make_case(
+            "account",
+            |it| it.set_header("foldhaven-account", "x"),
+            (401, "unknown_account", "not_run"),
+        ),
+        make_case(
+            "class",
+            |it| it.set_header("foldhaven-class", "x"),
+            (404, "unknown_class", "not_run"),
+        ),
+        make_case(
             "model",
             |it| it.body = r#"{"model":"x","prompt":"p"}"#.into(),
             (404, "unknown_model", "not_run"),
         ),
-        case("class of a service", |it| it.set("foldhaven-class", "listing"), bad),
-        case("zero deadline", |it| it.set("foldhaven-deadline-ms", "0"), bad),
-        case("huge deadline", |it| it.set("foldhaven-deadline-ms", "99999999999"), bad),
-        case("deadline in words", |it| it.set("foldhaven-deadline-ms", "soon"), bad),
-        case("negative worth", |it| it.set("foldhaven-worth", "-1"), bad),
-        case("worth that is no number", |it| it.set("foldhaven-worth", "NaN"), bad),
-        case("long id", |it| it.set("foldhaven-request-id", "x".repeat(200)), bad),
-        case("id with a path", |it| it.set("foldhaven-request-id", "../x"), bad),
-        case("model marked not repeatable", |it| it.set("foldhaven-repeatable", "no"), bad),
-        case("repeatable in words", |it| it.set("foldhaven-repeatable", "maybe"), bad),
-        case(
+        make_case("class of a service", |it| it.set_header("foldhaven-class", "listing"), bad),
+        make_case("zero deadline", |it| it.set_header("foldhaven-deadline-ms", "0"), bad),
+        make_case("huge deadline", |it| it.set_header("foldhaven-deadline-ms", "99999999999"), bad),
+        make_case("deadline in words", |it| it.set_header("foldhaven-deadline-ms", "soon"), bad),
+        make_case("negative worth", |it| it.set_header("foldhaven-worth", "-1"), bad),
+        make_case("worth that is no number", |it| it.set_header("foldhaven-worth", "NaN"), bad),
+        make_case("long id", |it| it.set_header("foldhaven-request-id", "x".repeat(200)), bad),
+        make_case("id with a path", |it| it.set_header("foldhaven-request-id", "../x"), bad),
+        make_case(
+            "model marked not repeatable",
+            |it| it.set_header("foldhaven-repeatable", "no"),
+            bad,
+        ),
+        make_case("repeatable in words", |it| it.set_header("foldhaven-repeatable", "maybe"), bad),
+        make_case(
             "content type",
-            |it| it.set("content-type", "text/plain"),
+            |it| it.set_header("content-type", "text/plain"),
             (415, "content_type", "not_run"),
         ),
-        case("no content type", |it| it.unset("content-type"), (415, "content_type", "not_run")),
-        case("no JSON", |it| it.body = "{".into(), bad),
-        case("no prompt", |it| it.body = "{}".into(), bad),
-        case("empty prompt", |it| it.body = r#"{"prompt":""}"#.into(), bad),
-        case("too many tokens", |it| it.body = r#"{"prompt":"p","max_tokens":9999}"#.into(), bad),
-        case("no tokens", |it| it.body = r#"{"prompt":"p","max_tokens":0}"#.into(), bad),
-        case(
+        make_case(
+            "no content type",
+            |it| it.remove_header("content-type"),
+            (415, "content_type", "not_run"),
+        ),
+        make_case("no JSON", |it| it.body = "{".into(), bad),
+        make_case("no prompt", |it| it.body = "{}".into(), bad),
+        make_case("empty prompt", |it| it.body = r#"{"prompt":""}"#.into(), bad),
+        make_case(
+            "too many tokens",
+            |it| it.body = r#"{"prompt":"p","max_tokens":9999}"#.into(),
+            bad,
+        ),
+        make_case("no tokens", |it| it.body = r#"{"prompt":"p","max_tokens":0}"#.into(), bad),
+        make_case(
             "oversize body",
             |it| it.body = "x".repeat(300 << 10),
             (413, "body_too_large", "not_run"),
         ),
-        case("unknown path", |it| it.path = "/v2/none", (404, "unknown_path", "not_run")),
-        case(
+        make_case("unknown path", |it| it.path = "/v2/none", (404, "unknown_path", "not_run")),
+        make_case(
             "unknown service",
             |it| it.path = "/service/none/x",
             (404, "unknown_service", "not_run"),
         ),
-        case(
+        make_case(
             "late before it starts",
-            |it| it.set("foldhaven-deadline-ms", "20"),
+            |it| it.set_header("foldhaven-deadline-ms", "20"),
             (429, "deadline", "not_run"),
         ),
-        case(
+        make_case(
             "ticketless",
             |it| {
                 it.path = "/service/registry/ok";
-                it.set("foldhaven-class", "notice");
+                it.set_header("foldhaven-class", "notice");
             },
             (428, "ticket_required", "not_run"),
         ),
-        case(
+        make_case(
             "forged ticket",
             |it| {
                 it.path = "/service/registry/ok";
-                it.set("foldhaven-class", "notice");
-                it.set("foldhaven-ticket", "not-a-ticket");
+                it.set_header("foldhaven-class", "notice");
+                it.set_header("foldhaven-ticket", "not-a-ticket");
             },
             (409, "ticket_invalid", "not_run"),
         ),
-        case(
+        make_case(
             "engine: garbage",
-            |it| it.body = faulty("garbage"),
+            |it| it.body = fault_body("garbage"),
             (502, "upstream_failed", "unknown"),
         ),
-        case(
+        make_case(
             "engine: another's answer",
-            |it| it.body = faulty("other-request"),
+            |it| it.body = fault_body("other-request"),
+            (502, "upstream_failed", "unknown"),
+        ),
+        make_case(
+            "engine: a gap",
+            |it| it.body = fault_body("gap"),
             (502, "upstream_failed", "unknown"),
         ),
-        case("engine: a gap", |it| it.body = faulty("gap"), (502, "upstream_failed", "unknown")),
-        case(
+        make_case(
             "engine: early end",
-            |it| it.body = faulty("early-end"),
+            |it| it.body = fault_body("early-end"),
             (502, "upstream_failed", "unknown"),
         ),
-        case(
+        make_case(
             "engine: no end",
-            |it| it.body = faulty("no-end"),
+            |it| it.body = fault_body("no-end"),
             (502, "upstream_failed", "unknown"),
         ),
     ]
 }
 
-fn faulty(fault: &str) -> String {
+fn fault_body(fault: &str) -> String {
     format!(r#"{{"prompt":"[fault:{fault}]","max_tokens":10}}"#)
 }
 
@@ -153,12 +181,12 @@
     }
     let response = request.send().await.unwrap();
     let status = response.status().as_u16();
-    let told = response.headers().get("foldhaven-outcome").cloned();
+    let outcome_header = response.headers().get("foldhaven-outcome").cloned();
     let body: serde_json::Value = response.json().await.unwrap_or_default();
     let text = |value: &serde_json::Value| value.as_str().unwrap_or_default().to_owned();
     let outcome = text(&body["error"]["outcome"]);
     assert_eq!(
-        told.map(|it| it.to_str().unwrap().to_owned()),
+        outcome_header.map(|it| it.to_str().unwrap().to_owned()),
         Some(outcome.clone()),
         "{}",
         case.name
@@ -167,7 +195,7 @@
     (status, text(&body["error"]["code"]), outcome)
 }
 
-fn good_ask(request: &str) -> ModelCall {
+fn valid_call(request: &str) -> ModelCall {
     ModelCall {
         account: "west-bar".to_owned(),
         class: "digest".to_owned(),
@@ -182,27 +210,27 @@
 }
 
 #[test]
-fn every_fault_of_a_caller_or_an_engine_gets_its_typed_error() {
+fn every_caller_or_engine_fault_gets_its_typed_error() {
     run(async {
         let fleet = small_fleet(1).await;
         let entry = fleet.vms["west-1-vm-1"].settings.addresses.caller;
-        let mut wrong = Vec::new();
+        let mut mismatches = Vec::new();
         for case in fault_cases() {
             let (status, code, outcome) = send(&fleet.client, entry, &case).await;
             if (status, code.as_str(), outcome.as_str()) != case.expected {
-                wrong.push(format!("{}: {status} {code} {outcome}", case.name));
+                mismatches.push(format!("{}: {status} {code} {outcome}", case.name));
             }
         }
-        assert!(wrong.is_empty(), "{wrong:#?}");
-        truncated_and_slow_bodies(entry).await;
-        still_serves(entry).await;
-        answers_do_not_cross(entry).await;
+        assert!(mismatches.is_empty(), "{mismatches:#?}");
+        check_truncated_and_stalled_bodies(entry).await;
+        check_still_serving(entry).await;
+        check_answers_match_requests(entry).await;
     });
 }
 
 /// A truncated or stalled request body ends the request and does not keep the connection open
 /// forever.
-async fn truncated_and_slow_bodies(entry: SocketAddr) {
+async fn check_truncated_and_stalled_bodies(entry: SocketAddr) {
     let head = "POST /v1/completions HTTP/1.1\r\nhost: x\r\ncontent-type: application/json\r\n\
                 foldhaven-account: west-bar\r\nfoldhaven-class: digest\r\ncontent-length: 100\r\n\r\n";
     let mut truncated = TcpStream::connect(entry).await.unwrap();
@@ -219,19 +247,19 @@
     assert!(text.contains("408") && text.contains("body_too_slow"), "{text}");
 }
 
-async fn still_serves(entry: SocketAddr) {
+async fn check_still_serving(entry: SocketAddr) {
     let caller = CallerClient::new(Duration::ZERO);
-    let ask = good_ask("after-all-faults");
-    let answer = caller.call_model(entry, &ask).await;
+    let call = valid_call("after-all-faults");
+    let answer = caller.call_model(entry, &call).await;
     assert!(answer.is_complete(), "{answer:?}");
-    assert_eq!(answer.text, whole_answer(&engine_prompt(&ask), ask.max_tokens));
+    assert_eq!(answer.text, complete_answer(&engine_prompt(&call), call.max_tokens));
 }
 
 /// Of 1,000 concurrent requests, each gets its own complete answer or a refusal, and at least 990
 /// get an answer.
-async fn answers_do_not_cross(entry: SocketAddr) {
+async fn check_answers_match_requests(entry: SocketAddr) {
     let caller = CallerClient::new(Duration::ZERO);
-    let asks = (0..1_000).map(|number| ServiceAsk {
+    let calls = (0..1_000).map(|number| ServiceCall {
         account: "west-bar".to_owned(),
         class: "listing".to_owned(),
         request: format!("own-{number}"),
@@ -240,14 +268,14 @@
         ticket: None,
         deadline: Some(Duration::from_secs(20)),
     });
-    let sends = asks.map(|ask| {
+    let sends = calls.map(|call| {
         let caller = caller.clone();
-        async move { (ask.clone(), caller.ask_service(entry, &ask).await) }
+        async move { (call.clone(), caller.call_service(entry, &call).await) }
     });
     let answers = futures::future::join_all(sends).await;
-    for (ask, answer) in &answers {
+    for (call, answer) in &answers {
         if answer.is_complete() {
-            assert_eq!(answer.text, format!("{}:{}", ask.request, ask.body));
+            assert_eq!(answer.text, format!("{}:{}", call.request, call.body));
         }
     }
     let complete = answers.iter().filter(|(_, answer)| answer.is_complete()).count();
@@ -255,19 +283,19 @@
 }
 
 #[test]
-fn a_refusal_comes_at_once_and_says_when_to_come_back() {
+fn a_refusal_is_immediate_and_has_a_retry_delay() {
     run(async {
         let fleet = small_fleet(1).await;
         let entry = fleet.vms["west-1-vm-1"].settings.addresses.caller;
         let caller = CallerClient::new(Duration::ZERO);
         let deadline = Some(Duration::from_millis(150));
-        let ask = ModelCall { deadline, max_tokens: 120, ..good_ask("cannot-be-on-time") };
+        let call = ModelCall { deadline, max_tokens: 120, ..valid_call("cannot-be-on-time") };
         let started = Instant::now();
-        let answer = caller.call_model(entry, &ask).await;
+        let answer = caller.call_model(entry, &call).await;
         assert_eq!((answer.status, answer.outcome), (429, RequestOutcome::NotRun));
         assert!(answer.retry_after.is_some());
         // The limit is the deadline: the refusal must not be delayed until then.
         assert!(started.elapsed() < Duration::from_millis(150), "{:?}", started.elapsed());
-        assert!(fleet.ledger().iter().all(|line| line.request != ask.request));
+        assert!(fleet.ledger().iter().all(|line| line.request != call.request));
     });
 }
--- a/crates/foldhaven-testkit/tests/testsuite/operators.rs
+++ b/crates/foldhaven-testkit/tests/testsuite/operators.rs
@@ -8,18 +8,18 @@
 
 use crate::{run, small_fleet};
 
-fn ctl(words: &[&str]) -> ExitStatus {
+fn run_ctl(words: &[&str]) -> ExitStatus {
     let words = std::iter::once(&"foldhavenctl").chain(words);
     run_command(&make_command().try_get_matches_from(words).unwrap())
 }
 
 /// Runs the tool on a blocking thread, so that the runtime of the fleet is not blocked.
-async fn ctl_beside(words: Vec<String>) -> ExitStatus {
-    let run = move || ctl(&words.iter().map(String::as_str).collect::<Vec<_>>());
+async fn run_ctl_blocking(words: Vec<String>) -> ExitStatus {
+    let run = move || run_ctl(&words.iter().map(String::as_str).collect::<Vec<_>>());
     tokio::task::spawn_blocking(run).await.unwrap()
 }
 
-fn words(text: &str) -> Vec<String> {
+fn split_words(text: &str) -> Vec<String> {
     text.split_whitespace().map(str::to_owned).collect()
 }
 
@@ -37,10 +37,10 @@
 }
 
 #[test]
-fn a_description_is_applied_and_the_operator_who_lost_is_told() {
+fn a_description_is_applied_and_a_lost_race_is_reported() {
     run(async {
         let fleet = small_fleet(1).await;
-        let vm = fleet.vms["west-1-vm-1"].settings.addresses.peer;
+        let address = fleet.vms["west-1-vm-1"].settings.addresses.peer;
         let mut edited = fleet.description.clone();
         edited.classes[0].worth = 11.0;
         let file = fleet.folder().join("edited.yaml");
@@ -48,32 +48,42 @@
         let file = file.display().to_string();
         let out = fleet.folder().join("values.json");
         let out_text = out.display().to_string();
-        assert_eq!(ctl_beside(words(&format!("plan {file} --vm {vm}"))).await, ExitStatus::Success);
-        let apply = words(&format!("apply {file} --out {out_text} --wait 15s --vm {vm}"));
-        let (applied, ()) = tokio::join!(ctl_beside(apply), publish(&fleet, &out));
+        assert_eq!(
+            run_ctl_blocking(split_words(&format!("plan {file} --vm {address}"))).await,
+            ExitStatus::Success
+        );
+        let apply =
+            split_words(&format!("apply {file} --out {out_text} --wait 15s --vm {address}"));
+        let (applied, ()) = tokio::join!(run_ctl_blocking(apply), publish(&fleet, &out));
         assert_eq!(applied, ExitStatus::Success);
         for command in [
-            format!("status --vm {vm}"),
-            format!("status --json --vm {vm}"),
-            format!("explain --account west-bar --class digest --vm {vm}"),
-            format!("report --vm {vm} --html {out_text}.html"),
+            format!("status --vm {address}"),
+            format!("status --json --vm {address}"),
+            format!("explain --account west-bar --class digest --vm {address}"),
+            format!("report --vm {address} --html {out_text}.html"),
             format!(
                 "entries --caller {} --account mid-bar",
                 fleet.vms["west-1-vm-1"].settings.addresses.caller
             ),
         ] {
-            assert_eq!(ctl_beside(words(&command)).await, ExitStatus::Success, "{command}");
+            assert_eq!(
+                run_ctl_blocking(split_words(&command)).await,
+                ExitStatus::Success,
+                "{command}"
+            );
         }
         // Another operator edited the first description, which is no longer in force.
         let first = foldhaven_core::description::DescriptionIndex::new(fleet.description.clone());
         edited.parent = Some(first.stamp.to_string());
         std::fs::write(&file, serde_saphyr::to_string(&edited).unwrap()).unwrap();
-        let late = words(&format!("apply {file} --out {out_text}.late --vm {vm}"));
-        assert_eq!(ctl_beside(late).await, ExitStatus::LostRace);
+        let late = split_words(&format!("apply {file} --out {out_text}.late --vm {address}"));
+        assert_eq!(run_ctl_blocking(late).await, ExitStatus::LostRace);
         // This description is never published.
         edited.parent = None;
         std::fs::write(&file, serde_saphyr::to_string(&edited).unwrap()).unwrap();
-        let never = words(&format!("apply {file} --out {out_text}.never --wait 300ms --vm {vm}"));
-        assert_eq!(ctl_beside(never).await, ExitStatus::NotInForce);
+        let never = split_words(&format!(
+            "apply {file} --out {out_text}.never --wait 300ms --vm {address}"
+        ));
+        assert_eq!(run_ctl_blocking(never).await, ExitStatus::NotInForce);
     });
 }
--- a/crates/foldhaven-testkit/tests/testsuite/peers.rs
+++ b/crates/foldhaven-testkit/tests/testsuite/peers.rs
@@ -5,7 +5,7 @@
 use crate::{run, small_fleet};
 
 /// Returns the headers of a valid request forwarded from `mid-1` to `west-1`.
-fn good_headers(stamp: &str) -> Vec<(&'static str, String)> {
+fn valid_headers(stamp: &str) -> Vec<(&'static str, String)> {
     vec![
         ("content-type", "application/json".to_owned()),
         (headers::ACCOUNT, "mid-bar".to_owned()),
@@ -34,39 +34,39 @@
 ];
 
 #[test]
-fn a_forwarded_request_with_a_fault_in_its_path_is_refused_and_never_run() {
+fn a_forwarded_request_with_invalid_headers_is_refused_and_never_run() {
     run(async {
         let fleet = small_fleet(1).await;
         let status = fleet.status("west-1-vm-1").await.unwrap();
         let stamp = status.stamp.unwrap();
         let peer = fleet.vms["west-1-vm-1"].settings.addresses.peer;
-        let send = async |map: Vec<(&'static str, String)>| {
+        let send = async |header_map: Vec<(&'static str, String)>| {
             let mut request = fleet.client.post(format!("http://{peer}/peer/v1/completions"));
-            for (name, value) in map {
+            for (name, value) in header_map {
                 request = request.header(name, value);
             }
             let response = request.body(r#"{"prompt":"p","max_tokens":5}"#).send().await.unwrap();
-            let refused = response.headers().contains_key(headers::REFUSED_ATTEMPT);
-            (response.status().as_u16(), refused, response.text().await.unwrap())
+            let is_refused = response.headers().contains_key(headers::REFUSED_ATTEMPT);
+            (response.status().as_u16(), is_refused, response.text().await.unwrap())
         };
         for (name, value, code) in CASES {
-            let mut map = good_headers(&stamp);
-            map.retain(|(it, _)| *it != name);
+            let mut header_map = valid_headers(&stamp);
+            header_map.retain(|(it, _)| *it != name);
             if let Some(value) = value {
-                map.push((name, value.to_owned()));
+                header_map.push((name, value.to_owned()));
             }
-            let (status, refused, body) = send(map).await;
+            let (status, is_refused, body) = send(header_map).await;
             assert!(
                 body.contains(&format!("\"code\":\"{code}\"")),
                 "{name} {value:?}: {status} {body}"
             );
             assert!(
-                refused || name == headers::ATTEMPT_ID,
+                is_refused || name == headers::ATTEMPT_ID,
                 "{name}: the refusal does not name the attempt"
             );
         }
         assert!(fleet.ledger().iter().all(|line| line.request != "r1"), "a refused request ran");
-        let (status, _, body) = send(good_headers(&stamp)).await;
+        let (status, _, body) = send(valid_headers(&stamp)).await;
         assert_eq!(status, 200, "{body}");
         assert!(body.trim_end().ends_with("[DONE]"));
     });
--- a/crates/foldhaven-testkit/tests/testsuite/refusals.rs
+++ b/crates/foldhaven-testkit/tests/testsuite/refusals.rs
@@ -13,12 +13,12 @@
 use crate::{run, small_fleet};
 
 /// Maximum time until a VM detects that its engines are gone, or until the first answer.
-const NOTICE_LIMIT: Duration = Duration::from_secs(20);
+const DETECTION_TIMEOUT: Duration = Duration::from_secs(20);
 /// How long requests are sent. Engines are killed soon after the first answer.
-const SENT_FOR: Duration = Duration::from_secs(8);
-const POLL: Duration = Duration::from_millis(25);
+const SEND_DURATION: Duration = Duration::from_secs(8);
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-fn ask(number: usize) -> ModelCall {
+fn make_call(number: usize) -> ModelCall {
     ModelCall {
         account: "west-bar".to_owned(),
         class: "digest".to_owned(),
@@ -41,22 +41,22 @@
     let is_gone = async {
         loop {
             let status = fleet.status(vm).await;
-            let engines = |name: &str| name.contains("engine");
+            let is_engine = |name: &str| name.contains("engine");
             if status.is_some_and(|it| {
-                it.upstreams.iter().filter(|it| engines(&it.name)).all(|it| it.holds.is_empty())
+                it.upstreams.iter().filter(|it| is_engine(&it.name)).all(|it| it.holds.is_empty())
             }) {
                 return;
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    tokio::time::timeout(NOTICE_LIMIT, is_gone).await.expect("the VM detects the loss");
+    tokio::time::timeout(DETECTION_TIMEOUT, is_gone).await.expect("the VM detects the loss");
 }
 
 /// Guards against a receiver without engines that refused forwarded requests with 403 and
 /// `residency`, although its region was permitted.
 #[test]
-fn a_forwarded_request_is_not_forbidden_for_want_of_an_engine() {
+fn a_forwarded_request_is_not_forbidden_when_no_engine_is_available() {
     run(async {
         let mut fleet = small_fleet(1).await;
         kill_engines(&mut fleet, "west-1");
@@ -91,15 +91,15 @@
     span: Duration,
     served: Arc<Notify>,
 ) -> Vec<CallerAnswer> {
-    const EACH: Duration = Duration::from_millis(25);
+    const SEND_INTERVAL: Duration = Duration::from_millis(25);
     let caller = CallerClient::new(Duration::ZERO);
     let mut sent = tokio::task::JoinSet::new();
-    let mut interval = tokio::time::interval(EACH);
-    for number in 0..(span.as_millis() / EACH.as_millis()) as usize {
+    let mut interval = tokio::time::interval(SEND_INTERVAL);
+    for number in 0..(span.as_millis() / SEND_INTERVAL.as_millis()) as usize {
         interval.tick().await;
         let (caller, served) = (caller.clone(), served.clone());
         sent.spawn(async move {
-            let answer = caller.call_model(entry, &ask(number)).await;
+            let answer = caller.call_model(entry, &make_call(number)).await;
             if answer.is_complete() {
                 served.notify_one();
             }
@@ -112,24 +112,24 @@
 /// Guards against callers being refused with `residency` when the data centre to which a request
 /// was forwarded had just lost its engines.
 #[test]
-fn callers_are_not_forbidden_while_engines_are_lost_elsewhere() {
+fn callers_are_not_forbidden_when_other_data_centres_lose_engines() {
     run(async {
         let mut fleet = small_fleet(1).await;
         let entry = fleet.vms["west-1-vm-1"].settings.addresses.caller;
         kill_engines(&mut fleet, "west-1");
         await_no_engine(&fleet, "west-1-vm-1").await;
         let served = Arc::new(Notify::new());
-        let sending = tokio::spawn(send_steadily(entry, SENT_FOR, served.clone()));
-        tokio::time::timeout(NOTICE_LIMIT, served.notified())
+        let sender = tokio::spawn(send_steadily(entry, SEND_DURATION, served.clone()));
+        tokio::time::timeout(DETECTION_TIMEOUT, served.notified())
             .await
             .expect("a request is forwarded");
         kill_engines(&mut fleet, "mid-1");
         kill_engines(&mut fleet, "east-1");
-        let answers = sending.await.unwrap();
+        let answers = sender.await.unwrap();
         assert!(answers.iter().any(CallerAnswer::is_complete), "some requests were forwarded");
-        let refused: Vec<&CallerAnswer> = answers.iter().filter(|it| !it.is_complete()).collect();
-        assert!(!refused.is_empty(), "the engines are gone");
-        for answer in refused {
+        let refusals: Vec<&CallerAnswer> = answers.iter().filter(|it| !it.is_complete()).collect();
+        assert!(!refusals.is_empty(), "the engines are gone");
+        for answer in refusals {
             assert!(matches!(answer.status, 429 | 502 | 503 | 504), "{answer:?}");
             assert!(answer.retry_after.is_some(), "{answer:?}");
         }
@@ -139,7 +139,7 @@
 /// Guards against a 429 answer, which guarantees that a request has not run, to a request that had
 /// been sent to an engine before its deadline passed.
 #[test]
-fn a_request_that_may_have_run_is_not_answered_with_a_promise() {
+fn a_request_that_may_have_run_is_never_reported_as_not_run() {
     run(async {
         let fleet = small_fleet(1).await;
         let entry = fleet.vms["west-1-vm-1"].settings.addresses.caller;
@@ -147,8 +147,8 @@
             (1..=2).for_each(|number| fleet.freeze(&format!("{centre}-engine-{number}")));
         }
         let deadline = Some(Duration::from_millis(1_200));
-        let late = ModelCall { deadline, ..ask(1) };
-        let answer = CallerClient::new(Duration::ZERO).call_model(entry, &late).await;
+        let late_call = ModelCall { deadline, ..make_call(1) };
+        let answer = CallerClient::new(Duration::ZERO).call_model(entry, &late_call).await;
         assert_eq!((answer.status, answer.outcome), (504, RequestOutcome::Unknown), "{answer:?}");
     });
 }
--- a/crates/foldhaven-testkit/tests/testsuite/scenarios.rs
+++ b/crates/foldhaven-testkit/tests/testsuite/scenarios.rs
@@ -10,55 +10,58 @@
 use crate::{program, run, scenario_folder};
 
 /// Maximum number of fleets that run at the same time.
-const AT_ONCE: usize = 2;
+const MAX_CONCURRENT_FLEETS: usize = 2;
 /// Seeds of the schedules that run as tests. `foldhaven-testkit chaos` runs more.
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=4;
 
 fn assert_all_passed(reports: &[ScenarioReport]) {
     reports.iter().for_each(|report| print_report(report, false));
-    let failed: Vec<&str> =
+    let failed_names: Vec<&str> =
         reports.iter().filter(|it| !it.failures.is_empty()).map(|it| it.name.as_str()).collect();
-    assert!(failed.is_empty(), "failed: {failed:?}");
+    assert!(failed_names.is_empty(), "failed: {failed_names:?}");
 }
 
 /// Scenarios with their own tests, so that their failures are reported under their own names.
-const ALONE: [&str; 3] = ["residency-tightened", "stop-each-vm", "residency-newer-sender"];
+const SEPARATE_SCENARIOS: [&str; 3] =
+    ["residency-tightened", "stop-each-vm", "residency-newer-sender"];
 
-fn is_named(file: &Path, name: &str) -> bool {
+fn has_stem(file: &Path, name: &str) -> bool {
     file.file_stem().is_some_and(|stem| stem == name)
 }
 
-fn assert_named_passes(name: &str) {
+fn assert_scenario_passes(name: &str) {
     let files = scenario_files(&scenario_folder()).unwrap();
     let file =
-        files.into_iter().find(|file| is_named(file, name)).expect("the scenario file exists");
+        files.into_iter().find(|file| has_stem(file, name)).expect("the scenario file exists");
     let report = run(run_file(program(), &file)).unwrap();
     assert_all_passed(&[report]);
 }
 
 #[test]
 fn residency_that_is_tightened_holds_its_promises() {
-    assert_named_passes(ALONE[0]);
+    assert_scenario_passes(SEPARATE_SCENARIOS[0]);
 }
 
 #[test]
 fn stopping_each_vm_cuts_nothing() {
-    assert_named_passes(ALONE[1]);
+    assert_scenario_passes(SEPARATE_SCENARIOS[1]);
 }
 
 #[test]
 fn a_newer_sender_finds_a_receiver_that_judges_by_its_rule() {
-    assert_named_passes(ALONE[2]);
+    assert_scenario_passes(SEPARATE_SCENARIOS[2]);
 }
 
 #[test]
 fn every_scenario_holds_its_promises() {
     let files = scenario_files(&scenario_folder()).unwrap();
     assert!(files.len() > 20, "scenario files are missing");
-    let files = files.into_iter().filter(|file| !ALONE.iter().any(|name| is_named(file, name)));
+    let files = files
+        .into_iter()
+        .filter(|file| !SEPARATE_SCENARIOS.iter().any(|name| has_stem(file, name)));
     let reports: Vec<ScenarioReport> = run(futures::stream::iter(files)
         .map(|file| async move { run_file(program(), &file).await.unwrap() })
-        .buffer_unordered(AT_ONCE)
+        .buffer_unordered(MAX_CONCURRENT_FLEETS)
         .collect());
     assert_all_passed(&reports);
 }
@@ -74,7 +77,7 @@
                 run_scenario(program(), description, &scenario).await.unwrap()
             }
         })
-        .buffer_unordered(AT_ONCE)
+        .buffer_unordered(MAX_CONCURRENT_FLEETS)
         .collect());
     assert_all_passed(&reports);
 }
@@ -84,8 +87,8 @@
     for seed in 1..50 {
         let scenario = ChaosSchedule::draw(seed);
         assert_eq!(scenario, ChaosSchedule::draw(seed));
-        let read = parse_scenario(&scenario.to_string()).unwrap();
-        assert_eq!(read.to_string(), scenario.to_string());
+        let parsed = parse_scenario(&scenario.to_string()).unwrap();
+        assert_eq!(parsed.to_string(), scenario.to_string());
     }
 }
 
