--- a/crates/foldhavend/src/traffic/caller_api.rs
+++ b/crates/foldhavend/src/traffic/caller_api.rs
@@ -167,7 +167,7 @@
         tokio::spawn(self.router.clone().run_job(job.clone(), sender));
         match job.is_stream {
             true => stream_answer(&job, receiver).await,
-            false => complete_answer(&job, receiver).await,
+            false => whole_answer(&job, receiver).await,
         }
     }
 
@@ -191,7 +191,7 @@
 }
 
 /// Answers with one object after the last part arrived.
-async fn complete_answer(job: &ModelJob, mut parts: mpsc::Receiver<JobEvent>) -> Response {
+async fn whole_answer(job: &ModelJob, mut parts: mpsc::Receiver<JobEvent>) -> Response {
     let writer = AnswerWriter::new(job, 0);
     let mut whole = String::new();
     while let Some(event) = parts.recv().await {
