--- a/crates/foldhaven-testkit/src/relay.rs
+++ b/crates/foldhaven-testkit/src/relay.rs
@@ -100,7 +100,8 @@
     }
 }
 
-/// Forwards connections from `address` to `target`. Listens only while the target does.
+/// Forwards connections from `address` to `target`. Starts to listen once the target does, and
+/// stops when the target is killed or a connection to it fails.
 async fn serve_link(
     address: SocketAddr,
     target: SocketAddr,
--- a/crates/foldhaven-testkit/src/scenario/runner/awaits.rs
+++ b/crates/foldhaven-testkit/src/scenario/runner/awaits.rs
@@ -38,8 +38,8 @@
             true
         };
         let result = await_condition(within, is_adopted).await;
-        let took = started.elapsed().as_millis();
-        self.record(format!("in force on {} VMs after {took}ms", members.len()));
+        let elapsed_ms = started.elapsed().as_millis();
+        self.record(format!("in force on {} VMs after {elapsed_ms}ms", members.len()));
         if result.is_err() {
             for text in ["\"description ", "this process slept", "compared with peers"] {
                 self.log_lines_with(text).into_iter().for_each(|line| self.record(line));
@@ -118,8 +118,9 @@
         let expected =
             self.current_description.regions.iter().find(|it| it.name.as_str() == region);
         let expected = expected.ok_or_else(|| format!("no region is called {region}"))?;
-        let holds = |centre: &&str| expected.data_centres.iter().any(|it| it.as_str() == *centre);
-        match !centres.is_empty() && centres.iter().all(holds) {
+        let is_in_region =
+            |centre: &&str| expected.data_centres.iter().any(|it| it.as_str() == *centre);
+        match !centres.is_empty() && centres.iter().all(is_in_region) {
             true => Ok(()),
             false => Err(format!("the request ran in {centres:?}")),
         }
@@ -131,10 +132,10 @@
 /// Returns an error if it does not hold within `limit`.
 pub(super) async fn await_condition(
     limit: Duration,
-    holds: impl AsyncFn() -> bool,
+    condition: impl AsyncFn() -> bool,
 ) -> Result<(), String> {
     let started = Instant::now();
-    while !holds().await {
+    while !condition().await {
         if started.elapsed() > limit {
             return Err(format!("condition not met within {}ms", limit.as_millis()));
         }
--- a/crates/foldhaven-testkit/src/scenario/runner/mod.rs
+++ b/crates/foldhaven-testkit/src/scenario/runner/mod.rs
@@ -50,13 +50,18 @@
     current_description: Description,
     newest_stamp: DescriptionStamp,
     epochs: Vec<RuleEpoch>,
+    /// Requests by name, so that later steps can repeat them.
     prepared: BTreeMap<String, PreparedCall>,
+    /// Requests whose answers have not been checked.
     pending: BTreeMap<String, JoinHandle<SentRequest>>,
     loads: BTreeMap<String, RunningLoad>,
     sent: Vec<SentRequest>,
+    /// When each upstream was made to leave, in milliseconds since the Unix epoch.
     left_at: BTreeMap<String, u64>,
     frozen: BTreeSet<String>,
+    /// Processes that were killed or asked to shut down.
     ended: BTreeSet<String>,
+    /// Whether links have been cut and not restored.
     has_partition: bool,
     stall_detector: StallDetector,
     started_at: Instant,
@@ -125,14 +130,14 @@
 }
 
 impl ScenarioRunner {
-    fn record(&mut self, what: String) {
+    fn record(&mut self, message: String) {
         let at = self.started_at.elapsed().as_secs_f64();
-        self.timeline.push(format!("{at:8.3} {what}"));
+        self.timeline.push(format!("{at:8.3} {message}"));
     }
 
-    fn fail(&mut self, what: String) {
-        self.record(format!("FAILED {what}"));
-        self.failures.push(what);
+    fn fail(&mut self, message: String) {
+        self.record(format!("FAILED {message}"));
+        self.failures.push(message);
     }
 
     /// Returns the processes that a name refers to: `all` VMs, the VMs of a region or data centre,
@@ -355,7 +360,8 @@
         Ok(())
     }
 
-    /// Ends all loads and pending requests, then checks the guarantees.
+    /// Resumes frozen processes, restores all links, ends all loads and pending requests, and
+    /// checks the guarantees.
     async fn finish(&mut self) {
         for name in std::mem::take(&mut self.frozen) {
             self.fleet.thaw(&name);
@@ -390,7 +396,7 @@
         }
         let writes = self.fleet.platform_counts().await.map_or(0, |counts| counts.writes);
         if writes > 0 {
-            self.fail(format!("{writes} calls to the {PLATFORM} would have written"));
+            self.fail(format!("{writes} attempted writes to the {PLATFORM}"));
         }
     }
 
@@ -438,21 +444,21 @@
         let vms = self.fleet.vms.keys();
         let logs = vms.map(|name| (name, self.read_log(name)));
         let lines = logs.flat_map(|(name, log)| {
-            let named = log.lines().filter(|line| line.contains(text));
-            named.map(|line| format!("{name}: {line}")).collect::<Vec<String>>()
+            let matching_lines = log.lines().filter(|line| line.contains(text));
+            matching_lines.map(|line| format!("{name}: {line}")).collect::<Vec<String>>()
         });
         lines.collect()
     }
 
     fn log_tails(&self) -> Vec<String> {
         const LINES: usize = 12;
-        let end = |name: &String| {
+        let tail = |name: &String| {
             let text = self.read_log(name);
             let lines: Vec<&str> =
                 text.lines().filter(|line| !line.contains("request ended")).collect();
             let from = lines.len().saturating_sub(LINES);
             format!("--- {name}\n{}", lines[from..].join("\n"))
         };
-        self.fleet.vms.keys().map(end).collect()
+        self.fleet.vms.keys().map(tail).collect()
     }
 }
--- a/crates/foldhaven-testkit/src/scenario/runner/requests.rs
+++ b/crates/foldhaven-testkit/src/scenario/runner/requests.rs
@@ -22,6 +22,7 @@
         vms.into_iter().map(|vm| vm.settings.addresses.caller).collect()
     }
 
+    /// Returns the caller address of the entry VM for a request.
     pub(super) fn entry(&self, spec: &SendSpec) -> Result<SocketAddr, String> {
         match &spec.entry {
             Some(name) => {
@@ -112,7 +113,7 @@
         let load = self.loads.remove(name).ok_or_else(|| "no such load".to_owned())?;
         let sent = load.end().await;
         let complete = sent.iter().filter(|sent| sent.answer.is_complete()).count();
-        let got = complete as f64 / sent.len().max(1) as f64;
+        let complete_share = complete as f64 / sent.len().max(1) as f64;
         let mut reasons: BTreeMap<String, usize> = BTreeMap::new();
         for sent in sent.iter().filter(|sent| !sent.answer.is_complete()) {
             let answer = &sent.answer;
@@ -120,16 +121,18 @@
             *reasons.entry(format!("{reason} {}", answer.outcome)).or_default() += 1;
         }
         self.record(format!("{name}: {complete} of {} complete, {reasons:?}", sent.len()));
-        let worst = sent.iter().find(|sent| !sent.answer.is_complete()).cloned();
+        let incomplete = sent.iter().find(|sent| !sent.answer.is_complete()).cloned();
         self.sent.extend(sent);
-        match got >= share {
+        match complete_share >= share {
             true => Ok(()),
             false => {
-                let lines = worst
+                let lines = incomplete
                     .as_ref()
                     .map(|sent| self.log_lines_with(&format!("\"{}\"", sent.request)));
                 let lines = lines.unwrap_or_default().join("\n");
-                Err(format!("{got:.3} complete, {reasons:?}, such as {worst:?}\n{lines}"))
+                Err(format!(
+                    "{complete_share:.3} complete, {reasons:?}, such as {incomplete:?}\n{lines}"
+                ))
             }
         }
     }
--- a/crates/foldhaven-testkit/src/stand_in/engine.rs
+++ b/crates/foldhaven-testkit/src/stand_in/engine.rs
@@ -243,19 +243,21 @@
     async fn run(self, sender: EventSender) {
         let tokens = answer_tokens(&self.body.prompt, self.body.max_tokens);
         let blocks = block_hashes(&self.body.model, &self.body.prompt);
-        let prompt = prompt_tokens(&self.body.prompt);
-        let decode = Duration::from_secs_f64(1.0 / self.profile.decode);
+        let prompt_length = prompt_tokens(&self.body.prompt);
+        let time_per_token = Duration::from_secs_f64(1.0 / self.profile.decode);
         let remaining_tokens = tokens.saturating_sub(self.position) as u32;
-        let prefill_time = Duration::from_secs_f64(prompt as f64 / self.profile.prefill);
-        let slot_request =
-            self.engine.state.acquire_slot(self.priority, prefill_time + decode * remaining_tokens);
+        let prefill_time = Duration::from_secs_f64(prompt_length as f64 / self.profile.prefill);
+        let slot_request = self
+            .engine
+            .state
+            .acquire_slot(self.priority, prefill_time + time_per_token * remaining_tokens);
         let mut slot = tokio::select! {
             slot = slot_request => slot,
             () = sender.closed() => return self.record(LedgerEvent::Cancel),
         };
         self.record(LedgerEvent::Start);
-        let cached = self.engine.state.cache_prompt(&blocks).min(prompt);
-        let uncached_seconds = (prompt - cached) as f64 / self.profile.prefill;
+        let cached = self.engine.state.cache_prompt(&blocks).min(prompt_length);
+        let uncached_seconds = (prompt_length - cached) as f64 / self.profile.prefill;
         tokio::time::sleep(Duration::from_secs_f64(uncached_seconds)).await;
         self.engine.state.complete_work(&mut slot, prefill_time);
         let tokens_per_event = (self.profile.decode * EVENT_SECONDS).round().max(1.0) as u64;
@@ -267,8 +269,8 @@
         }
         while position < tokens {
             let count = tokens_per_event.min(tokens - position);
-            tokio::time::sleep(decode * count as u32).await;
-            self.engine.state.complete_work(&mut slot, decode * count as u32);
+            tokio::time::sleep(time_per_token * count as u32).await;
+            self.engine.state.complete_work(&mut slot, time_per_token * count as u32);
             let text = (position..position + count).map(|at| token(&self.body.prompt, at));
             let event = self.event(position, count, text.collect(), None);
             position += count;
@@ -277,9 +279,9 @@
             }
         }
         let usage = TokenUsage {
-            prompt_tokens: prompt,
+            prompt_tokens: prompt_length,
             completion_tokens: tokens,
-            total_tokens: prompt + tokens,
+            total_tokens: prompt_length + tokens,
         };
         let end = self.event(position, 0, String::new(), Some(usage)) + &write_event(DONE);
         // Recorded before the last byte is sent, so that whoever has the answer finds the line.
--- a/crates/foldhaven-testkit/src/stand_in/engine_state.rs
+++ b/crates/foldhaven-testkit/src/stand_in/engine_state.rs
@@ -131,7 +131,7 @@
     }
 
     fn slot_count(&self, inner: &EngineInner) -> u32 {
-        let profiles = inner.models.values().filter_map(|held| held.profile.as_ref());
+        let profiles = inner.models.values().filter_map(|entry| entry.profile.as_ref());
         profiles.map(|profile| profile.slots).max().unwrap_or(1)
     }
 
@@ -165,7 +165,7 @@
     /// loaded.
     pub fn start_loading(&self, model: &str, version: &str) -> bool {
         let mut inner = self.inner.lock();
-        if inner.models.get(model).is_some_and(|held| held.version == version) {
+        if inner.models.get(model).is_some_and(|entry| entry.version == version) {
             return false;
         }
         let version = version.to_owned();
@@ -178,8 +178,8 @@
         let mut inner = self.inner.lock();
         match profile {
             Some(profile) => {
-                if let Some(held) = inner.models.get_mut(model) {
-                    held.profile = Some(profile);
+                if let Some(entry) = inner.models.get_mut(model) {
+                    entry.profile = Some(profile);
                 }
             }
             None => drop(inner.models.remove(model)),
@@ -189,7 +189,7 @@
     /// Unloads a model if it has this version.
     pub fn unload(&self, model: &str, version: &str) {
         let mut inner = self.inner.lock();
-        if inner.models.get(model).is_some_and(|held| held.version == version) {
+        if inner.models.get(model).is_some_and(|entry| entry.version == version) {
             inner.models.remove(model);
         }
     }
@@ -221,7 +221,7 @@
     /// Returns the number of prompt tokens that were cached, and caches all blocks of the prompt.
     pub fn cache_prompt(&self, blocks: &[u64]) -> u64 {
         let mut inner = self.inner.lock();
-        let held = blocks.iter().take_while(|block| inner.cache.contains(block)).count();
+        let cached_blocks = blocks.iter().take_while(|block| inner.cache.contains(block)).count();
         let mut stored = Vec::new();
         for block in blocks {
             if let Some(at) = inner.cache.iter().position(|it| it == block) {
@@ -245,8 +245,8 @@
         }
         let excess = inner.events.len().saturating_sub(MAX_CACHE_EVENTS);
         inner.events.drain(..excess);
-        (held * foldhaven_core::prefix::BLOCK_BYTES / foldhaven_core::prefix::BYTES_PER_TOKEN)
-            as u64
+        (cached_blocks * foldhaven_core::prefix::BLOCK_BYTES
+            / foldhaven_core::prefix::BYTES_PER_TOKEN) as u64
     }
 
     /// Returns the published cache events whose number is greater than `after`.
@@ -280,10 +280,10 @@
     pub fn record_report(&self) {
         let (running, queued) = self.request_counts();
         let mut inner = self.inner.lock();
-        let held = |(name, held): (&String, &ModelEntry)| HeldModel {
+        let held_model = |(name, entry): (&String, &ModelEntry)| HeldModel {
             model: name.parse().expect("a valid model name"),
-            version: held.version.clone(),
-            ready: held.profile.is_some(),
+            version: entry.version.clone(),
+            ready: entry.profile.is_some(),
         };
         let load = EngineLoad {
             engine: self.options.name.parse().expect("a valid engine name"),
@@ -293,7 +293,7 @@
             queued,
             backlog_ms: inner.backlog.as_millis() as u32,
             slots: self.slot_count(&inner),
-            models: inner.models.iter().map(held).collect(),
+            models: inner.models.iter().map(held_model).collect(),
             fence: inner.fence,
             leaving: inner.leaving,
         };
