--- a/crates/foldhaven-testkit/src/caller.rs
+++ b/crates/foldhaven-testkit/src/caller.rs
@@ -55,7 +55,7 @@
 /// The answer that a caller received.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CallerAnswer {
-    /// HTTP status. 0 if there was no answer.
+    /// HTTP status. 0 if there was no valid answer.
     pub status: u16,
     /// Outcome reported by the answer. `Unknown` if there is none.
     pub outcome: RequestOutcome,
--- a/crates/foldhaven-testkit/src/stand_in/platform.rs
+++ b/crates/foldhaven-testkit/src/stand_in/platform.rs
@@ -206,8 +206,8 @@
     }
 
     async fn delay_answer(&self) {
-        let slow = self.inner.lock().mode == PlatformMode::Slow;
-        let wait = if slow { Duration::from_secs(1) } else { Duration::from_millis(2) };
+        let is_slow = self.inner.lock().mode == PlatformMode::Slow;
+        let wait = if is_slow { Duration::from_secs(1) } else { Duration::from_millis(2) };
         tokio::time::sleep(wait).await;
     }
 
@@ -261,6 +261,7 @@
         self.serve_watch(query, read).await
     }
 
+    /// Returns the newest version that is at least `lag` old, or the oldest one that is kept.
     fn lagged_version(&self, version: &PlatformVersion, lag: Duration) -> PlatformVersion {
         if version.published_at.elapsed() >= lag || version.revision == 1 {
             return version.clone();
@@ -314,6 +315,7 @@
 
     fn replace_upstreams(&self, upstreams: Vec<UpstreamEntry>) -> Response {
         self.apply_change(|version| version.upstreams = upstreams);
+        // Wakes waiting calls again once lists show the change.
         let changed = self.changed.clone();
         let lag = Duration::from_millis(self.content.list_lag_ms);
         tokio::spawn(async move {
