--- a/crates/foldhaven-testkit/src/caller.rs
+++ b/crates/foldhaven-testkit/src/caller.rs
@@ -1,4 +1,5 @@
-//! A caller as the users have them: asks for entry VMs, sends, and checks what comes back.
+//! A caller that asks for entry VMs, sends requests and reads the answers, as the users' clients
+//! do.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -11,75 +12,76 @@
 
 /// A request to a model.
 #[derive(Debug, Clone)]
-pub struct ModelAsk {
-    /// The account.
+pub struct ModelCall {
+    /// Account.
     pub account: String,
-    /// The class.
+    /// Class.
     pub class: String,
-    /// The request id.
+    /// Request id.
     pub request: String,
-    /// The prompt.
+    /// Prompt.
     pub prompt: String,
-    /// The most tokens of the answer.
+    /// Maximum number of tokens in the answer.
     pub max_tokens: u64,
-    /// Whether to stream.
+    /// Whether to stream the answer.
     pub stream: bool,
-    /// Whether to ask in the chat shape.
+    /// Whether to use the chat completions API.
     pub chat: bool,
-    /// The deadline, if not the one of the class.
+    /// Deadline. If `None`, the one of the class applies.
     pub deadline: Option<Duration>,
-    /// The worth, if not the one of the class.
+    /// Worth. If `None`, the one of the class applies.
     pub worth: Option<f64>,
 }
 
 /// A request to a plain service.
 #[derive(Debug, Clone)]
-pub struct ServiceAsk {
-    /// The account.
+pub struct ServiceCall {
+    /// Account.
     pub account: String,
-    /// The class.
+    /// Class.
     pub class: String,
-    /// The request id.
+    /// Request id.
     pub request: String,
-    /// The path from `/service/`.
+    /// Path below `/service/`.
     pub path: String,
-    /// The body.
+    /// Request body.
     pub body: String,
-    /// The ticket, for a request that is not repeatable.
+    /// Ticket of a request that is not repeatable.
     pub ticket: Option<String>,
-    /// The deadline, if not the one of the class.
+    /// Deadline. If `None`, the one of the class applies.
     pub deadline: Option<Duration>,
 }
 
-/// What a caller received.
+/// The answer that a caller received.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CallerAnswer {
-    /// The HTTP status; 0 when there was no answer at all.
+    /// HTTP status. 0 if there was no valid answer.
     pub status: u16,
-    /// The outcome that was told, `unknown` when there was none.
+    /// Outcome reported by the answer. `Unknown` if there is none.
     pub outcome: RequestOutcome,
-    /// The text of the answer.
+    /// Text of the answer.
     pub text: String,
-    /// The error's code, for an error.
+    /// Error code, if the answer is an error.
     pub error: Option<String>,
-    /// The error in words.
+    /// Error message, if the answer is an error.
     pub message: Option<String>,
-    /// When to come back, if that was told.
+    /// Delay after which to retry, if the answer contains one.
     pub retry_after: Option<Duration>,
-    /// A ticket for the next try, if one was handed out.
+    /// Ticket for the next attempt, if the answer contains one.
     pub ticket: Option<String>,
-    /// The data centre that served.
+    /// Data centre that served the request.
     pub served_by: String,
-    /// The time to the first token.
-    pub first: Option<Duration>,
-    /// The time to the end.
-    pub whole: Duration,
-    /// Where a leaving VM sent the caller.
+    /// Time to the first event of a streamed answer.
+    pub time_to_first: Option<Duration>,
+    /// Time to the end of the answer.
+    pub total_time: Duration,
+    /// Value of the `location` header, by which a leaving VM redirects the caller.
     pub location: Option<String>,
 }
 
 impl CallerAnswer {
-    fn lost(started: Instant, message: String) -> Self {
+    /// Creates the result of a request without a valid answer.
+    fn without_answer(started: Instant, message: String) -> Self {
         Self {
             status: 0,
             outcome: RequestOutcome::Unknown,
@@ -89,51 +91,53 @@
             retry_after: None,
             ticket: None,
             served_by: String::new(),
-            first: None,
-            whole: started.elapsed(),
+            time_to_first: None,
+            total_time: started.elapsed(),
             location: None,
         }
     }
 
-    /// Whether the answer is whole.
+    /// Returns whether the answer is complete.
     pub fn is_complete(&self) -> bool {
         self.outcome == RequestOutcome::Complete
     }
 }
 
-/// A caller with its connections.
+/// A caller with a connection pool.
 #[derive(Clone)]
 pub struct CallerClient {
     client: reqwest::Client,
-    /// The time between the caller and its entry VM, one way.
-    one_way: Duration,
+    /// Network delay between the caller and its entry VM, one way.
+    one_way_delay: Duration,
 }
 
 impl CallerClient {
-    /// A caller so far away.
+    /// Creates a caller with a one-way network delay to its entry VMs.
     ///
     /// # Panics
     ///
-    /// When the HTTP client cannot be set up.
-    pub fn new(one_way: Duration) -> Self {
+    /// Panics if the HTTP client cannot be created.
+    pub fn new(one_way_delay: Duration) -> Self {
         let client = reqwest::Client::builder()
             .redirect(reqwest::redirect::Policy::none())
             .retry(reqwest::retry::never())
             .pool_max_idle_per_host(1_024)
             .tcp_nodelay(true)
             .build()
-            .expect("the HTTP client can be set up");
-        Self { client, one_way }
+            .expect("the HTTP client can be created");
+        Self { client, one_way_delay }
     }
 
-    /// Lets the time to the entry VM pass. A timer takes a millisecond even for no time at all.
-    async fn travel(&self) {
-        if !self.one_way.is_zero() {
-            tokio::time::sleep(self.one_way).await;
+    /// Waits for the network delay to the entry VM. Skips a delay of zero, because a timer takes a
+    /// millisecond even then.
+    async fn wait_network_delay(&self) {
+        if !self.one_way_delay.is_zero() {
+            tokio::time::sleep(self.one_way_delay).await;
         }
     }
 
-    /// Asks an entry VM which VMs to use.
+    /// Asks an entry VM which VMs to use, and for tickets. Returns `None` if it does not answer
+    /// within two seconds.
     pub async fn entries(
         &self,
         entry: SocketAddr,
@@ -145,84 +149,85 @@
         request.send().await.ok()?.json().await.ok()
     }
 
-    /// Sends a model request to an entry VM and takes its answer to the end.
-    pub async fn ask_model(&self, entry: SocketAddr, ask: &ModelAsk) -> CallerAnswer {
+    /// Sends a model request to an entry VM and reads the answer to its end.
+    pub async fn call_model(&self, entry: SocketAddr, call: &ModelCall) -> CallerAnswer {
         let started = Instant::now();
-        self.travel().await;
-        let path = if ask.chat { "/v1/chat/completions" } else { "/v1/completions" };
+        self.wait_network_delay().await;
+        let path = if call.chat { "/v1/chat/completions" } else { "/v1/completions" };
         let mut request = self
             .client
             .post(format!("http://{entry}{path}"))
-            .header(headers::ACCOUNT, &ask.account)
-            .header(headers::CLASS, &ask.class)
-            .header(headers::REQUEST_ID, &ask.request)
-            .json(&model_body(ask));
-        if let Some(deadline) = ask.deadline {
+            .header(headers::ACCOUNT, &call.account)
+            .header(headers::CLASS, &call.class)
+            .header(headers::REQUEST_ID, &call.request)
+            .json(&model_body(call));
+        if let Some(deadline) = call.deadline {
             request = request.header(headers::DEADLINE_MS, deadline.as_millis().to_string());
         }
-        if let Some(worth) = ask.worth {
+        if let Some(worth) = call.worth {
             request = request.header(headers::WORTH, worth.to_string());
         }
-        let sent = request.timeout(caller_patience(ask.deadline)).send().await;
+        let sent = request.timeout(answer_timeout(call.deadline)).send().await;
         let mut answer = match sent {
-            Ok(response) if ask.stream && response.status() == 200 => {
-                read_stream(response, ask, started).await
+            Ok(response) if call.stream && response.status() == 200 => {
+                read_stream(response, call, started).await
             }
-            Ok(response) => read_whole(response, started, Some(ask)).await,
-            Err(error) => CallerAnswer::lost(started, format!("{error:?}")),
+            Ok(response) => read_response(response, started, Some(call)).await,
+            Err(error) => CallerAnswer::without_answer(started, format!("{error:?}")),
         };
-        answer.whole += self.one_way;
-        answer.first = answer.first.map(|first| first + self.one_way);
+        answer.total_time += self.one_way_delay;
+        answer.time_to_first = answer.time_to_first.map(|first| first + self.one_way_delay);
         answer
     }
 
-    /// Sends a service request to an entry VM.
-    pub async fn ask_service(&self, entry: SocketAddr, ask: &ServiceAsk) -> CallerAnswer {
+    /// Sends a service request to an entry VM and reads the answer to its end.
+    pub async fn call_service(&self, entry: SocketAddr, call: &ServiceCall) -> CallerAnswer {
         let started = Instant::now();
-        self.travel().await;
+        self.wait_network_delay().await;
         let mut request = self
             .client
-            .post(format!("http://{entry}/service/{}", ask.path))
-            .header(headers::ACCOUNT, &ask.account)
-            .header(headers::CLASS, &ask.class)
-            .header(headers::REQUEST_ID, &ask.request)
+            .post(format!("http://{entry}/service/{}", call.path))
+            .header(headers::ACCOUNT, &call.account)
+            .header(headers::CLASS, &call.class)
+            .header(headers::REQUEST_ID, &call.request)
             .header("content-type", "text/plain")
-            .body(ask.body.clone());
-        if let Some(ticket) = &ask.ticket {
+            .body(call.body.clone());
+        if let Some(ticket) = &call.ticket {
             request = request.header(headers::TICKET, ticket);
         }
-        if let Some(deadline) = ask.deadline {
+        if let Some(deadline) = call.deadline {
             request = request.header(headers::DEADLINE_MS, deadline.as_millis().to_string());
         }
-        let sent = request.timeout(caller_patience(ask.deadline)).send().await;
+        let sent = request.timeout(answer_timeout(call.deadline)).send().await;
         let mut answer = match sent {
-            Ok(response) => read_whole(response, started, None).await,
-            Err(error) => CallerAnswer::lost(started, format!("{error:?}")),
+            Ok(response) => read_response(response, started, None).await,
+            Err(error) => CallerAnswer::without_answer(started, format!("{error:?}")),
         };
-        answer.whole += self.one_way;
+        answer.total_time += self.one_way_delay;
         answer
     }
 }
 
-/// Callers wait a little longer than their deadline for the final answer.
-fn caller_patience(deadline: Option<Duration>) -> Duration {
+/// Returns how long a caller waits for the end of the answer: 3 seconds longer than its deadline,
+/// which is taken as 15 seconds if it is not set.
+fn answer_timeout(deadline: Option<Duration>) -> Duration {
     deadline.unwrap_or(Duration::from_secs(15)) + Duration::from_secs(3)
 }
 
-fn model_body(ask: &ModelAsk) -> serde_json::Value {
-    let (max_tokens, stream) = (ask.max_tokens, ask.stream);
-    if ask.chat {
-        let messages = serde_json::json!([{ "role": "user", "content": ask.prompt }]);
+fn model_body(call: &ModelCall) -> serde_json::Value {
+    let (max_tokens, stream) = (call.max_tokens, call.stream);
+    if call.chat {
+        let messages = serde_json::json!([{ "role": "user", "content": call.prompt }]);
         return serde_json::json!({
             "messages": messages, "max_tokens": max_tokens, "stream": stream
         });
     }
-    serde_json::json!({ "prompt": ask.prompt, "max_tokens": max_tokens, "stream": stream })
+    serde_json::json!({ "prompt": call.prompt, "max_tokens": max_tokens, "stream": stream })
 }
 
-/// The prompt as an engine sees it.
-pub fn engine_prompt(ask: &ModelAsk) -> String {
-    if ask.chat { format!("user: {}\n", ask.prompt) } else { ask.prompt.clone() }
+/// Returns the prompt as an engine receives it.
+pub fn engine_prompt(call: &ModelCall) -> String {
+    if call.chat { format!("user: {}\n", call.prompt) } else { call.prompt.clone() }
 }
 
 fn header(response: &Response, name: &str) -> Option<String> {
@@ -231,26 +236,26 @@
 }
 
 fn outcome_of(response: &Response) -> RequestOutcome {
-    let told = header(response, headers::OUTCOME);
-    told.and_then(|text| text.parse().ok()).unwrap_or(RequestOutcome::Unknown)
+    let value = header(response, headers::OUTCOME);
+    value.and_then(|text| text.parse().ok()).unwrap_or(RequestOutcome::Unknown)
 }
 
-async fn read_whole(
+async fn read_response(
     response: Response,
     started: Instant,
-    model: Option<&ModelAsk>,
+    model: Option<&ModelCall>,
 ) -> CallerAnswer {
-    let mut answer = CallerAnswer::lost(started, String::new());
+    let mut answer = CallerAnswer::without_answer(started, String::new());
     answer.status = response.status().as_u16();
     answer.served_by = header(&response, headers::SERVED_BY).unwrap_or_default();
     answer.location = header(&response, "location");
     let outcome = outcome_of(&response);
     let body = match response.bytes().await {
         Ok(body) => body,
-        Err(error) => return CallerAnswer::lost(started, error.to_string()),
+        Err(error) => return CallerAnswer::without_answer(started, error.to_string()),
     };
     answer.outcome = outcome;
-    answer.whole = started.elapsed();
+    answer.total_time = started.elapsed();
     if let Ok(ErrorBody { error }) = serde_json::from_slice::<ErrorBody>(&body) {
         answer.error = Some(error.kind.code());
         answer.message = Some(error.message);
@@ -262,10 +267,12 @@
     answer.message = None;
     answer.text = match model {
         None => String::from_utf8_lossy(&body).into_owned(),
-        Some(ask) => match serde_json::from_slice::<CompletionChunk>(&body) {
-            Ok(chunk) if chunk.id == ask.request => chunk_text(&chunk),
-            Ok(chunk) => return CallerAnswer::lost(started, format!("answer to {}", chunk.id)),
-            Err(error) => return CallerAnswer::lost(started, error.to_string()),
+        Some(call) => match serde_json::from_slice::<CompletionChunk>(&body) {
+            Ok(chunk) if chunk.id == call.request => chunk_text(&chunk),
+            Ok(chunk) => {
+                return CallerAnswer::without_answer(started, format!("answer to {}", chunk.id));
+            }
+            Err(error) => return CallerAnswer::without_answer(started, error.to_string()),
         },
     };
     answer
@@ -273,12 +280,13 @@
 
 fn chunk_text(chunk: &CompletionChunk) -> String {
     let Some(choice) = chunk.choices.first() else { return String::new() };
-    let part = choice.message.as_ref().or(choice.delta.as_ref()).map(|part| part.content.clone());
-    part.or_else(|| choice.text.clone()).unwrap_or_default()
+    let content =
+        choice.message.as_ref().or(choice.delta.as_ref()).map(|message| message.content.clone());
+    content.or_else(|| choice.text.clone()).unwrap_or_default()
 }
 
-async fn read_stream(mut response: Response, ask: &ModelAsk, started: Instant) -> CallerAnswer {
-    let mut answer = CallerAnswer::lost(started, "the stream ended early".to_owned());
+async fn read_stream(mut response: Response, call: &ModelCall, started: Instant) -> CallerAnswer {
+    let mut answer = CallerAnswer::without_answer(started, "the stream ended early".to_owned());
     answer.status = 200;
     answer.served_by = header(&response, headers::SERVED_BY).unwrap_or_default();
     let mut splitter = SseSplitter::default();
@@ -300,14 +308,17 @@
                 answer.message = Some(error.message);
                 answer.outcome = error.outcome;
             } else if let Ok(chunk) = serde_json::from_str::<CompletionChunk>(&event) {
-                if chunk.id != ask.request {
-                    return CallerAnswer::lost(started, format!("an event of {}", chunk.id));
+                if chunk.id != call.request {
+                    return CallerAnswer::without_answer(
+                        started,
+                        format!("an event of {}", chunk.id),
+                    );
                 }
-                answer.first.get_or_insert(started.elapsed());
+                answer.time_to_first.get_or_insert(started.elapsed());
                 answer.text.push_str(&chunk_text(&chunk));
             }
         }
     }
-    answer.whole = started.elapsed();
+    answer.total_time = started.elapsed();
     answer
 }
--- a/crates/foldhaven-testkit/src/scenario/judge.rs
+++ b/crates/foldhaven-testkit/src/scenario/guarantees.rs
@@ -1,4 +1,4 @@
-//! Judges the promises from what upstreams recorded and what callers received.
+//! Checks the guarantees of the system against what upstreams recorded and callers received.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -10,64 +10,65 @@
 use super::traffic::SentRequest;
 use crate::stand_in::ledger::{LedgerEvent, LedgerLine};
 
-/// A leaving upstream gets nothing new after this long.
-pub const LEAVING_LIMIT_MS: u64 = 3_000;
+/// Time in milliseconds after which a leaving upstream must not get new requests.
+pub const MAX_LEAVING_DELAY_MS: u64 = 3_000;
 
-/// A promise that was broken.
+/// A violated guarantee.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Violation {
-    /// Which promise.
-    pub promise: &'static str,
-    /// What happened.
+    /// Name of the guarantee.
+    pub guarantee: &'static str,
+    /// Description of the violation.
     pub detail: String,
 }
 
 impl Violation {
-    /// A broken promise.
-    pub fn new(promise: &'static str, detail: String) -> Self {
-        Self { promise, detail }
+    /// Creates a violation.
+    pub fn new(guarantee: &'static str, detail: String) -> Self {
+        Self { guarantee, detail }
     }
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "{}: {}", self.promise, self.detail)
+        write!(formatter, "{}: {}", self.guarantee, self.detail)
     }
 }
 
-/// A description and the time during which it may have been acted on.
+/// A description and the time during which a VM may have acted on it.
 #[derive(Debug, Clone)]
 pub struct RuleEpoch {
     /// The description.
     pub description: Description,
-    /// When it was published.
+    /// Time of its publication, in milliseconds since the Unix epoch.
     pub from_ms: u64,
-    /// When a later one was in force everywhere; not yet when absent.
+    /// When a later description was in force on all VMs, in milliseconds since the Unix epoch.
+    /// `None` if that has not happened yet.
     pub until_ms: Option<u64>,
 }
 
-/// Everything that is judged.
+/// Data against which the guarantees are checked.
 pub struct Evidence<'a> {
-    /// What upstreams recorded.
+    /// Records of all upstreams.
     pub ledger: &'a [LedgerLine],
-    /// What callers sent and received.
+    /// Requests of the callers with their answers.
     pub sent: &'a [SentRequest],
-    /// The descriptions, in the order in which they were published.
+    /// Descriptions in order of publication.
     pub epochs: &'a [RuleEpoch],
-    /// When upstreams were made to leave.
-    pub left: &'a BTreeMap<String, u64>,
+    /// When each upstream was made to leave, in milliseconds since the Unix epoch.
+    pub left_at: &'a BTreeMap<String, u64>,
 }
 
 impl Evidence<'_> {
-    /// All promises that were broken.
+    /// Returns all violated guarantees.
     pub fn violations(&self) -> Vec<Violation> {
         let mut violations = Vec::new();
-        self.judge_residency(&mut violations);
-        self.judge_answers(&mut violations);
-        self.judge_not_run(&mut violations);
-        self.judge_once(&mut violations);
-        self.judge_attempts(&mut violations);
-        self.judge_leaving(&mut violations);
+        self.check_residency(&mut violations);
+        self.check_answers(&mut violations);
+        self.check_not_run(&mut violations);
+        self.check_once(&mut violations);
+        self.check_attempts(&mut violations);
+        self.check_leaving(&mut violations);
         violations
     }
 
@@ -75,7 +76,8 @@
         self.ledger.iter().filter(|line| line.event == LedgerEvent::Start)
     }
 
-    fn judge_residency(&self, violations: &mut Vec<Violation>) {
+    /// Requests run only where a description that may have been in force permits it.
+    fn check_residency(&self, violations: &mut Vec<Violation>) {
         let sent: BTreeMap<&str, &SentRequest> =
             self.sent.iter().map(|sent| (sent.request.as_str(), sent)).collect();
         let indexes: Vec<_> = self
@@ -85,11 +87,11 @@
             .collect();
         for line in self.starts() {
             let Some(sent) = sent.get(line.request.as_str()) else { continue };
-            let could_hold = |epoch: &RuleEpoch| {
+            let is_possible = |epoch: &RuleEpoch| {
                 epoch.from_ms <= line.at_ms && epoch.until_ms.is_none_or(|it| line.at_ms <= it)
             };
-            let held = indexes.iter().filter(|(epoch, _)| could_hold(epoch));
-            if !held.clone().any(|(_, index)| permits(index, sent, &line.data_centre)) {
+            let possible = indexes.iter().filter(|(epoch, _)| is_possible(epoch));
+            if !possible.clone().any(|(_, index)| permits(index, sent, &line.data_centre)) {
                 let permitted = indexes
                     .iter()
                     .filter(|(_, index)| permits(index, sent, &line.data_centre))
@@ -103,7 +105,8 @@
         }
     }
 
-    fn judge_answers(&self, violations: &mut Vec<Violation>) {
+    /// A complete answer is the expected one.
+    fn check_answers(&self, violations: &mut Vec<Violation>) {
         for sent in self.sent.iter().filter(|sent| sent.answer.is_complete()) {
             if sent.answer.text != sent.expected {
                 let got: String = sent.answer.text.chars().take(60).collect();
@@ -114,7 +117,8 @@
         }
     }
 
-    fn judge_not_run(&self, violations: &mut Vec<Violation>) {
+    /// A request that was reported as not run did not start.
+    fn check_not_run(&self, violations: &mut Vec<Violation>) {
         let started: BTreeSet<&str> = self.starts().map(|line| line.request.as_str()).collect();
         let mut sends: BTreeMap<&str, Vec<&SentRequest>> = BTreeMap::new();
         for sent in self.sent {
@@ -123,21 +127,22 @@
         for (request, sends) in sends {
             let not_run = |sent: &&SentRequest| sent.answer.outcome == RequestOutcome::NotRun;
             if sends.iter().all(not_run) && started.contains(request) {
-                let detail = format!("{request} was said not to have run, and ran");
+                let detail = format!("{request} was reported as not run but ran");
                 violations.push(Violation::new("not_run is true", detail));
             }
         }
     }
 
-    fn judge_once(&self, violations: &mut Vec<Violation>) {
-        let once: BTreeSet<&str> = self
+    /// A request that is not repeatable runs at most once.
+    fn check_once(&self, violations: &mut Vec<Violation>) {
+        let not_repeatable: BTreeSet<&str> = self
             .sent
             .iter()
             .filter(|sent| !sent.is_repeatable)
             .map(|sent| sent.request.as_str())
             .collect();
         let mut runs: BTreeMap<&str, Vec<String>> = BTreeMap::new();
-        for line in self.starts().filter(|line| once.contains(line.request.as_str())) {
+        for line in self.starts().filter(|line| not_repeatable.contains(line.request.as_str())) {
             let run = format!("{} at {} {}", line.attempt, line.upstream, line.at_ms);
             runs.entry(&line.request).or_default().push(run);
         }
@@ -147,8 +152,8 @@
         }
     }
 
-    /// An attempt that starts at two upstreams was forwarded again by its receiver.
-    fn judge_attempts(&self, violations: &mut Vec<Violation>) {
+    /// An attempt starts only once. A second start means that its receiver forwarded it again.
+    fn check_attempts(&self, violations: &mut Vec<Violation>) {
         let mut starts: BTreeMap<&str, usize> = BTreeMap::new();
         for line in self.starts().filter(|line| !line.attempt.is_empty()) {
             *starts.entry(&line.attempt).or_default() += 1;
@@ -159,12 +164,13 @@
         }
     }
 
-    fn judge_leaving(&self, violations: &mut Vec<Violation>) {
+    /// A leaving upstream gets no new requests after [`MAX_LEAVING_DELAY_MS`].
+    fn check_leaving(&self, violations: &mut Vec<Violation>) {
         for line in self.ledger {
             let is_new = matches!(line.event, LedgerEvent::Arrive | LedgerEvent::Refuse);
-            let Some(left) = self.left.get(&line.upstream) else { continue };
-            if is_new && line.at_ms > left + LEAVING_LIMIT_MS {
-                let late = line.at_ms - left;
+            let Some(left_at) = self.left_at.get(&line.upstream) else { continue };
+            if is_new && line.at_ms > left_at + MAX_LEAVING_DELAY_MS {
+                let late = line.at_ms - left_at;
                 let detail = format!("{} got {} {late}ms after", line.upstream, line.request);
                 violations.push(Violation::new("leaving upstream", detail));
             }
@@ -172,13 +178,13 @@
     }
 }
 
-fn permits(index: &DescriptionIndex, sent: &SentRequest, centre: &str) -> bool {
+fn permits(index: &DescriptionIndex, sent: &SentRequest, data_centre: &str) -> bool {
     let permitted = || {
         let account = index.account(&sent.account.parse().ok()?)?;
         let class = index.class(&sent.class.parse().ok()?)?;
         let rule = index.residency_of(account, class)?;
-        let centre: DataCentreName = centre.parse().ok()?;
-        Some(rule.permits(&account.home, index.region_of(&centre)?))
+        let data_centre: DataCentreName = data_centre.parse().ok()?;
+        Some(rule.permits(&account.home, index.region_of(&data_centre)?))
     };
     permitted().unwrap_or(false)
 }
--- a/crates/foldhaven-testkit/src/scenario/mod.rs
+++ b/crates/foldhaven-testkit/src/scenario/mod.rs
@@ -1,7 +1,8 @@
-//! The test language: scenarios of faults against real processes, and the judge of the promises.
+//! The scenario language: sequences of faults against real processes, after which the guarantees of
+//! the system are checked.
 
 mod chaos;
-mod judge;
+mod guarantees;
 mod observer;
 mod parse;
 mod runner;
@@ -9,7 +10,7 @@
 mod traffic;
 
 pub use self::chaos::{ChaosSchedule, shrink_schedule};
-pub use self::judge::Violation;
+pub use self::guarantees::Violation;
 pub use self::parse::{ParseError, parse_scenario};
 pub use self::runner::{ScenarioReport, run_scenario};
 pub use self::steps::{Scenario, Step, StepKind};
--- a/crates/foldhaven-testkit/src/scenario/observer.rs
+++ b/crates/foldhaven-testkit/src/scenario/observer.rs
@@ -1,4 +1,4 @@
-//! Watches which description is in force on each VM, to see that none goes back.
+//! Checks that no VM reverts to an older description than it had in force.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,43 +10,44 @@
 use parking_lot::Mutex;
 use tokio::task::JoinHandle;
 
-use super::judge::Violation;
+use super::guarantees::Violation;
 
-const INTERVAL: Duration = Duration::from_millis(150);
+/// Interval at which the status of all VMs is read.
+const POLL_INTERVAL: Duration = Duration::from_millis(150);
 
-/// The highest stamp seen on each VM's process lifetime, and what went back.
+/// The highest stamp seen per VM and incarnation, and the violations found.
 #[derive(Default)]
-struct Seen {
+struct ObservedStamps {
     highest: BTreeMap<(String, u64), DescriptionStamp>,
     violations: Vec<Violation>,
 }
 
-/// A watcher that runs until it is dropped.
+/// Observes the stamps of all VMs in the background until it is dropped.
 pub struct StampObserver {
-    seen: Arc<Mutex<Seen>>,
+    observed: Arc<Mutex<ObservedStamps>>,
     task: JoinHandle<()>,
 }
 
 impl StampObserver {
-    /// Starts to watch VMs, given by name and peer address.
+    /// Starts to observe VMs, given by name and peer address.
     pub fn start(client: reqwest::Client, vms: Vec<(String, SocketAddr)>) -> Self {
-        let seen: Arc<Mutex<Seen>> = Arc::default();
-        let shared = seen.clone();
+        let observed: Arc<Mutex<ObservedStamps>> = Arc::default();
+        let shared = observed.clone();
         let task = tokio::spawn(async move {
             loop {
                 let reads = vms.iter().map(|(_, address)| read_status(&client, *address));
                 for status in futures::future::join_all(reads).await.into_iter().flatten() {
-                    shared.lock().take(&status);
+                    shared.lock().record(&status);
                 }
-                tokio::time::sleep(INTERVAL).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         });
-        Self { seen, task }
+        Self { observed, task }
     }
 
-    /// What went back so far.
+    /// Returns the violations found so far.
     pub fn violations(&self) -> Vec<Violation> {
-        self.seen.lock().violations.clone()
+        self.observed.lock().violations.clone()
     }
 }
 
@@ -56,8 +57,8 @@
     }
 }
 
-impl Seen {
-    fn take(&mut self, status: &StatusAnswer) {
+impl ObservedStamps {
+    fn record(&mut self, status: &StatusAnswer) {
         let stamp = status.stamp.as_ref().and_then(|text| text.parse().ok());
         let key = (status.vm.to_string(), status.incarnation.0);
         match (self.highest.get(&key), stamp) {
@@ -71,8 +72,8 @@
     }
 }
 
-/// Descriptions that a daemon adopted after a larger one, by its log: a moment that is too short to
-/// be seen from outside shows there.
+/// Returns a violation for each description that a daemon adopted after one with a larger stamp,
+/// according to its log. The log also shows reverts that are too short for the status polls.
 pub fn adoption_violations(vm: &str, log: &str) -> Vec<Violation> {
     let mut highest: Option<DescriptionStamp> = None;
     let mut violations = Vec::new();
