--- a/crates/foldhaven-testkit/src/simulate/engine.rs
+++ b/crates/foldhaven-testkit/src/simulate/engine.rs
@@ -1,4 +1,4 @@
-//! A simulated engine: it runs some requests at once, lets some more wait, and reads one prompt at a time.
+//! A simulated engine with a fixed number of slots, a bounded queue and serial prefill of prompts.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,44 +9,44 @@
 
 use super::experiment::EngineMix;
 
-/// What an engine needs to know of a request.
+/// The properties of a request that the engine's timing depends on.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct EngineWork {
-    /// The number of the request.
+    /// Index of the request in the simulation.
     pub request: usize,
-    /// The prompt tokens to be read.
+    /// Prompt tokens that need prefill.
     pub tokens: u32,
-    /// The events of the answer.
+    /// Number of events in the answer.
     pub events: u32,
-    /// Whether it goes behind others that wait.
+    /// Whether the request is queued after all timely ones.
     pub rank: QueueRank,
 }
 
-/// When an admitted request is answered.
+/// The times at which an admitted request is answered.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct EngineTimes {
     pub request: usize,
-    /// The first event.
+    /// Time of the first event.
     pub first: MonoTime,
-    /// The last one.
+    /// Time of the last event.
     pub last: MonoTime,
 }
 
-/// One engine.
+/// The state of one simulated engine.
 #[derive(Debug)]
 pub(super) struct SimulatedEngine {
     mix: EngineMix,
     running: u32,
     waiting: VecDeque<EngineWork>,
-    /// Those of them that go behind the others.
-    behind: VecDeque<EngineWork>,
-    /// When it has read all prompts that it was given.
-    read_until: MonoTime,
-    /// The prompt tokens that it has still to read, with when each is read.
-    unread: VecDeque<(MonoTime, u32)>,
-    /// The requests that arrived, those refused included.
+    /// Waiting requests that start only when no timely one waits.
+    deferred: VecDeque<EngineWork>,
+    /// When prefill of all admitted prompts is done.
+    prefill_done_at: MonoTime,
+    /// Prompts of admitted requests: when the prefill of each ends, and its number of tokens.
+    prefill_queue: VecDeque<(MonoTime, u32)>,
+    /// Number of requests that arrived, including refused ones.
     pub arrivals: u64,
-    /// Those that it refused.
+    /// Number of requests that the engine refused.
     pub refused: u64,
 }
 
@@ -56,20 +56,20 @@
             mix: mix.clone(),
             running: 0,
             waiting: VecDeque::new(),
-            behind: VecDeque::new(),
-            read_until: MonoTime::default(),
-            unread: VecDeque::new(),
+            deferred: VecDeque::new(),
+            prefill_done_at: MonoTime::default(),
+            prefill_queue: VecDeque::new(),
             arrivals: 0,
             refused: 0,
         }
     }
 
-    /// Takes a request: it runs, waits, or is refused.
+    /// Accepts a request. Returns its answer times if it starts at once, `None` if it waits.
     ///
     /// # Errors
     ///
-    /// When as many wait as may.
-    pub(super) fn take(
+    /// Fails if the queue is full.
+    pub(super) fn accept(
         &mut self,
         work: EngineWork,
         now: MonoTime,
@@ -84,51 +84,52 @@
         }
         match work.rank {
             QueueRank::Timely => self.waiting.push_back(work),
-            QueueRank::Deferred => self.behind.push_back(work),
+            QueueRank::Deferred => self.deferred.push_back(work),
         }
         Ok(None)
     }
 
-    /// One of those that ran has ended; another may begin.
+    /// Frees the slot of a finished request. Returns the answer times of the waiting request that
+    /// takes it, or `None` if none waits.
     pub(super) fn end(&mut self, now: MonoTime) -> Option<EngineTimes> {
         self.running -= 1;
-        let work = self.waiting.pop_front().or_else(|| self.behind.pop_front())?;
+        let work = self.waiting.pop_front().or_else(|| self.deferred.pop_front())?;
         Some(self.admit(work, now))
     }
 
     fn waiting_count(&self) -> u32 {
-        (self.waiting.len() + self.behind.len()) as u32
+        (self.waiting.len() + self.deferred.len()) as u32
     }
 
     fn admit(&mut self, work: EngineWork, now: MonoTime) -> EngineTimes {
         self.running += 1;
-        let reading = Duration::from_secs_f64(f64::from(work.tokens) / self.mix.tokens_per_s);
-        self.read_until = self.read_until.max(now) + reading;
-        self.unread.push_back((self.read_until, work.tokens));
-        let first = self.read_until;
-        let last = first + self.mix.event.0 * work.events;
+        let prefill_time = Duration::from_secs_f64(f64::from(work.tokens) / self.mix.tokens_per_s);
+        self.prefill_done_at = self.prefill_done_at.max(now) + prefill_time;
+        self.prefill_queue.push_back((self.prefill_done_at, work.tokens));
+        let first = self.prefill_done_at;
+        let last = first + self.mix.event_time.0 * work.events;
         EngineTimes { request: work.request, first, last }
     }
 
-    /// Its queue as it is.
+    /// Returns the current state of the queue.
     pub(super) fn queue(&mut self, now: MonoTime) -> QueueState {
-        while self.unread.front().is_some_and(|(read, _)| *read <= now) {
-            self.unread.pop_front();
+        while self.prefill_queue.front().is_some_and(|(read, _)| *read <= now) {
+            self.prefill_queue.pop_front();
         }
-        let admitted: u32 = self.unread.iter().map(|(_, tokens)| tokens).sum();
+        let admitted: u32 = self.prefill_queue.iter().map(|(_, tokens)| tokens).sum();
         let waiting: u32 = self.waiting.iter().map(|work| work.tokens).sum();
-        let behind: u32 = self.behind.iter().map(|work| work.tokens).sum();
+        let deferred: u32 = self.deferred.iter().map(|work| work.tokens).sum();
         let in_flight = self.running + self.waiting_count();
         QueueState {
             slots: self.mix.slots,
             in_flight,
             on_track: in_flight,
-            deferred: self.behind.len() as u32,
-            prefill_backlog: PrefillBacklog { timely: admitted + waiting, deferred: behind },
+            deferred: self.deferred.len() as u32,
+            prefill_backlog: PrefillBacklog { timely: admitted + waiting, deferred: deferred },
         }
     }
 }
 
-/// As many requests wait at the engine as may.
+/// The engine's queue is full.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct EngineFull;
--- a/crates/foldhaven-testkit/src/simulate/experiment.rs
+++ b/crates/foldhaven-testkit/src/simulate/experiment.rs
@@ -1,4 +1,4 @@
-//! The description of an experiment, in YAML.
+//! Description of a load simulation, read from YAML.
 
 use std::path::Path;
 use std::time::Duration;
@@ -6,39 +6,39 @@
 use foldhaven_core::units::{CoreShare, TimeSpan};
 use serde::{Deserialize, Serialize};
 
-/// Why an experiment cannot be played.
+/// An error in an experiment file.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum ExperimentError {
     /// reading {path}: {source}
     Read {
-        /// The file.
+        /// Path of the experiment file.
         path: String,
-        /// What went wrong.
+        /// The I/O error.
         source: std::io::Error,
     },
     /// reading {path}: {source}
     Parse {
-        /// The file.
+        /// Path of the experiment file.
         path: String,
-        /// What went wrong.
+        /// The parse error.
         source: Box<serde_saphyr::Error>,
     },
     /// {field}: {message}
     Value {
-        /// The field.
+        /// Name of the invalid field.
         field: &'static str,
-        /// What is expected of it.
+        /// The values that the field accepts.
         message: &'static str,
     },
 }
 
-/// Which VMs callers are sent to.
+/// Selects the VMs that callers send requests to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServicePolicy {
-    /// All of them.
+    /// All VMs, with equal weight.
     All,
-    /// Those that the order of service names for the load.
+    /// The VMs that the service order selects for the expected load, weighted by their cores.
     Order,
 }
 
@@ -46,111 +46,117 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChoicePolicy {
-    /// As the gateway does: the least expected cost by what the VM knows.
+    /// The lowest expected cost according to the VM's view, as in the gateway.
     Cost,
-    /// The least expected cost over all engines, as if what the VM knows were new.
+    /// The lowest expected cost over all engines, treating the VM's view as up to date.
     CostOfAll,
-    /// The same by the queues as they are at that moment, which nobody can know.
+    /// The lowest expected cost by the actual queues: an upper bound that real VMs can't reach.
     Perfect,
-    /// The fewest requests by what the VM knows.
+    /// The fewest requests in flight according to the VM's view.
     LeastLoaded,
-    /// The one of two drawn engines that has fewer requests by what the VM knows.
+    /// The engine with fewer requests in flight, by the VM's view, of two random ones.
     TwoChoices,
-    /// Any.
+    /// A random engine.
     Random,
 }
 
-/// A time in which callers send more or less.
+/// A change of the request rate.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct LoadStep {
-    /// From when on.
+    /// When the change starts, counted from the start of the load.
     pub at: TimeSpan,
-    /// By what the usual rate is multiplied from then on.
-    pub times: f64,
+    /// Multiple of the base rate from then on.
+    #[serde(rename = "times")]
+    pub rate_factor: f64,
 }
 
 /// One kind of request.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RequestMix {
-    /// How many callers send in a second, in all.
+    /// Total requests per second of all callers.
     pub per_s: f64,
-    /// The mean tokens of a prompt that are read.
+    /// Mean number of prompt tokens that need prefill.
     pub prompt_tokens: f64,
-    /// The spread of its logarithm.
+    /// Standard deviation of the logarithm of the prompt tokens.
     pub prompt_spread: f64,
-    /// The most tokens of a prompt.
-    pub largest_prompt: f64,
-    /// The mean number of events of an answer.
+    /// Maximum number of tokens of a prompt.
+    #[serde(rename = "largest_prompt")]
+    pub max_prompt_tokens: f64,
+    /// Mean number of events of an answer.
     pub events: f64,
-    /// The time within which callers want the first one.
+    /// Target for the time to the first event.
     pub target: TimeSpan,
-    /// For how long they wait.
-    pub patience: TimeSpan,
+    /// How long callers wait for the first event before they give up.
+    #[serde(rename = "patience")]
+    pub max_wait: TimeSpan,
 }
 
-/// The engines.
+/// The number and performance of the engines.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct EngineMix {
-    /// How many there are.
+    /// Number of engines.
     pub count: usize,
-    /// How many requests one of them runs at once.
+    /// Requests that one engine runs at once.
     pub slots: u32,
-    /// How many more wait there; any beyond is refused.
+    /// Requests that can wait at one engine; further ones are refused.
     pub queue: u32,
-    /// Prompt tokens that one of them reads in a second.
+    /// Prefill rate of one engine, in prompt tokens per second.
     pub tokens_per_s: f64,
-    /// The time that one event takes.
-    pub event: TimeSpan,
+    /// Time to generate one event.
+    #[serde(rename = "event")]
+    pub event_time: TimeSpan,
 }
 
-/// The VMs.
+/// The number and size of the VMs.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct VmMix {
-    /// How many large ones there are.
+    /// Number of large VMs.
     pub large: usize,
-    /// How many small ones.
+    /// Number of small VMs.
     pub small: usize,
-    /// The processor of a large one.
+    /// Processor cores of a large VM.
     pub large_cores: CoreShare,
-    /// That of a small one.
+    /// Processor cores of a small VM.
     pub small_cores: CoreShare,
-    /// The processor time that a request takes.
+    /// Processor time that a request costs at its VM.
     pub request_time: TimeSpan,
 }
 
-/// An experiment: what is played, with which policies side by side.
+/// An experiment: the simulated load, and the policies to compare.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// How long callers send.
+    /// How long callers send requests.
     pub length: TimeSpan,
-    /// The way from a VM to another or to an engine.
-    pub way: TimeSpan,
-    /// How long after a refusal a caller comes back, once.
-    pub come_back: TimeSpan,
-    /// The seeds; each policy is played with each of them.
+    /// One-way network delay between two VMs, or between a VM and an engine.
+    #[serde(rename = "way")]
+    pub one_way_latency: TimeSpan,
+    /// How long after its first refusal a request is retried, once.
+    #[serde(rename = "come_back")]
+    pub retry_after: TimeSpan,
+    /// Seeds; each combination of policies runs once per seed.
     pub seeds: Vec<u64>,
-    /// Which VMs callers are sent to.
+    /// Policies that select the VMs in service.
     pub service: Vec<ServicePolicy>,
-    /// How VMs choose.
+    /// Policies by which VMs choose an engine.
     pub choice: Vec<ChoicePolicy>,
-    /// The VMs.
+    /// The simulated VMs.
     pub vms: VmMix,
-    /// The engines.
+    /// The simulated engines.
     pub engines: EngineMix,
     /// The kinds of requests.
     pub requests: Vec<RequestMix>,
-    /// Changes of the rate.
+    /// Changes of the request rate, in the order of their times; none by default.
     #[serde(default)]
     pub steps: Vec<LoadStep>,
 }
 
 impl Experiment {
-    /// Reads an experiment.
+    /// Reads an experiment from a YAML file.
     ///
     /// # Errors
     ///
-    /// When the file cannot be read, is not of the right shape, or has a value out of range.
+    /// Fails if the file can't be read or parsed, or if a value is out of range.
     pub fn read(path: &Path) -> Result<Self, ExperimentError> {
         let name = || path.display().to_string();
         let text = std::fs::read_to_string(path)
@@ -161,11 +167,11 @@
         Ok(experiment)
     }
 
-    /// Checks the values that cannot be played.
+    /// Checks that the values can be simulated.
     ///
     /// # Errors
     ///
-    /// When a value is out of range.
+    /// Fails if a value is out of range.
     pub fn check(&self) -> Result<(), ExperimentError> {
         let fault = |field, message| Err(ExperimentError::Value { field, message });
         if self.vms.large + self.vms.small == 0 {
@@ -178,7 +184,7 @@
             return fault("engines.tokens_per_s", "expected more than 0");
         }
         let is_sound = |mix: &RequestMix| {
-            mix.per_s > 0.0 && mix.prompt_tokens >= 1.0 && mix.largest_prompt >= 1.0
+            mix.per_s > 0.0 && mix.prompt_tokens >= 1.0 && mix.max_prompt_tokens >= 1.0
         };
         if self.requests.is_empty() || !self.requests.iter().all(is_sound) {
             return fault("requests", "expected a rate above 0 and prompts of 1 token at least");
@@ -189,9 +195,9 @@
         Ok(())
     }
 
-    /// By what the usual rate is multiplied at a moment.
+    /// Returns the multiple of the base rate that applies at a time since the start of the load.
     pub fn rate_at(&self, moment: Duration) -> f64 {
         let begun = self.steps.iter().rev().find(|step| step.at.0 <= moment);
-        begun.map_or(1.0, |step| step.times)
+        begun.map_or(1.0, |step| step.rate_factor)
     }
 }
--- a/crates/foldhaven-testkit/src/simulate/mod.rs
+++ b/crates/foldhaven-testkit/src/simulate/mod.rs
@@ -1,9 +1,9 @@
-//! Plays the gateway's decisions in simulated time: hundreds of VMs before the engines of one region, without
-//! sockets and faster than the clock.
+//! Simulates the gateway's routing decisions for hundreds of VMs and the engines of one region,
+//! without sockets and faster than real time.
 //!
-//! The decisions are those of `foldhaven-core`: the order of service, whom reports go to, what others' reports
-//! add up to, and which upstream gets a request. What is simulated is the rest: callers, ways, engines. Kept
-//! prompt memory, data centres that are cut off and other regions are not simulated.
+//! The decisions are made by `foldhaven-core`: the service order, the receivers of load reports,
+//! the totals over other VMs' reports, and the upstream of each request. Callers, network delays
+//! and engines are simulated. Prefix caches, partitioned data centres and other regions are not.
 
 mod engine;
 mod experiment;
--- a/crates/foldhaven-testkit/src/simulate/page.rs
+++ b/crates/foldhaven-testkit/src/simulate/page.rs
@@ -1,4 +1,4 @@
-//! An experiment as one HTML page with plots, which opens from a file.
+//! Renders the trials of an experiment as one self-contained HTML page with plots.
 
 use std::fmt::Write;
 
@@ -10,18 +10,18 @@
 
 const SIZE: (u32, u32) = (900, 260);
 
-/// Takes one count of a second.
-type SecondCount = fn(&SecondCounts) -> u64;
+/// Selects one of the counts of a second.
+type CountSelector = fn(&SecondCounts) -> u64;
 
 /// A plot could not be drawn: {0}
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub struct PageError(String);
 
-/// Writes the page: a row for each trial, and what happened in each second of it.
+/// Returns the page: a table row for each trial, and a plot of its requests per second.
 ///
 /// # Errors
 ///
-/// When a plot cannot be drawn.
+/// Fails if a plot can't be drawn.
 pub fn make_page(trials: &[Trial]) -> Result<String, PageError> {
     let columns = [
         "VMs that take requests",
@@ -57,17 +57,17 @@
         trial.service,
         trial.choice,
         trial.seed,
-        trial.worth,
-        trial.first_worth,
+        trial.on_time_share,
+        trial.startup_on_time_share,
         trial.refused_arrivals,
-        trial.busiest,
+        trial.busiest_ratio,
         trial.opened,
-        trial.heard_per_s,
+        trial.received_reports_per_s,
         trial.first_p99_ms,
     )
 }
 
-/// The requests of each second: sent, in time, late, refused.
+/// Plots the requests of each second: sent, answered in time, late and refused.
 fn plot(title: &str, seconds: &[SecondCounts]) -> Result<String, PageError> {
     let most = seconds.iter().map(|counts| counts.sent).max().unwrap_or(1).max(1) as f64;
     let mut svg = String::new();
@@ -75,7 +75,7 @@
         let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
         let failed = |error: &dyn std::fmt::Display| PageError(error.to_string());
         area.fill(&WHITE).map_err(|error| failed(&error))?;
-        let lines: [(RGBColor, SecondCount); 4] = [
+        let lines: [(RGBColor, CountSelector); 4] = [
             (BLACK, |counts| counts.sent),
             (GREEN, |counts| counts.timely),
             (BLUE, |counts| counts.late),
--- a/crates/foldhaven-testkit/src/simulate/tally.rs
+++ b/crates/foldhaven-testkit/src/simulate/tally.rs
@@ -1,127 +1,128 @@
-//! What callers got, by the second in which they asked.
+//! Counts the outcomes of requests by the second in which they were sent.
 
 use std::time::Duration;
 
 use serde::Serialize;
 
-/// Requests of this long after the start are counted by themselves, too: nothing is learnt yet.
-const FIRST_SPAN: Duration = Duration::from_secs(2);
+/// Requests sent this soon after the start are also counted separately, because the VMs have
+/// learned no performance values yet.
+const STARTUP_SPAN: Duration = Duration::from_secs(2);
 
-/// What happened in one second.
+/// The outcomes of the requests that were sent in one second.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 pub struct SecondCounts {
-    /// Requests that callers sent, those that came back not counted again.
+    /// Requests that callers sent, not counting retries.
     pub sent: u64,
-    /// Those that were answered within their target.
+    /// Requests answered within their target.
     pub timely: u64,
-    /// Those that were answered later.
+    /// Requests answered after their target, while the caller still waited.
     pub late: u64,
-    /// Those that were refused for good, or answered after their caller had left.
+    /// Requests refused twice, or answered after the caller had given up.
     pub refused: u64,
 }
 
-/// A request as it is counted.
+/// The properties of a request that the tally needs.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct CountedRequest {
-    /// When its caller sent it first, after the start.
-    pub asked: Duration,
-    /// Its size in tokens.
+    /// When its caller first sent it, counted from the start of the load.
+    pub first_sent: Duration,
+    /// Size in tokens.
     pub size: f64,
-    /// The time within which its caller wants an answer.
+    /// Target for the time to the first event.
     pub target: Duration,
-    /// For how long it waits.
-    pub patience: Duration,
+    /// How long the caller waits for the first event.
+    pub max_wait: Duration,
 }
 
-/// Sizes of requests that were sent, and that were answered in time.
+/// Total sizes of the requests that were sent and of those answered in time.
 #[derive(Debug, Clone, Copy, Default)]
-struct EarnedShare {
-    owed: f64,
-    earned: f64,
+struct OnTimeShare {
+    sent_size: f64,
+    on_time_size: f64,
 }
 
-impl EarnedShare {
+impl OnTimeShare {
     fn value(self) -> f64 {
-        if self.owed > 0.0 { self.earned / self.owed } else { 0.0 }
+        if self.sent_size > 0.0 { self.on_time_size / self.sent_size } else { 0.0 }
     }
 }
 
-/// The counts of one trial.
+/// The request counts of one trial.
 #[derive(Debug)]
 pub(super) struct RequestTally {
     seconds: Vec<SecondCounts>,
-    all: EarnedShare,
-    first: EarnedShare,
+    all: OnTimeShare,
+    first: OnTimeShare,
     /// Times to the first event, in milliseconds.
     times_ms: Vec<f64>,
 }
 
 impl RequestTally {
-    /// No requests, over so long.
+    /// Returns an empty tally for a trial of the given length.
     pub(super) fn new(length: Duration) -> Self {
         let seconds = length.as_secs_f64().ceil().max(1.0) as usize;
         Self {
             seconds: vec![SecondCounts::default(); seconds],
-            all: EarnedShare::default(),
-            first: EarnedShare::default(),
+            all: OnTimeShare::default(),
+            first: OnTimeShare::default(),
             times_ms: Vec::new(),
         }
     }
 
     /// Counts a request that was sent.
-    pub(super) fn note_sent(&mut self, request: &CountedRequest) {
-        self.all.owed += request.size;
-        if request.asked < FIRST_SPAN {
-            self.first.owed += request.size;
+    pub(super) fn record_sent(&mut self, request: &CountedRequest) {
+        self.all.sent_size += request.size;
+        if request.first_sent < STARTUP_SPAN {
+            self.first.sent_size += request.size;
         }
         self.second(request).sent += 1;
     }
 
-    /// Counts one whose first event came after its caller had waited so long.
-    pub(super) fn note_answered(&mut self, request: &CountedRequest, waited: Duration) {
+    /// Counts a request whose first event arrived after the caller had waited for `waited`.
+    pub(super) fn record_answered(&mut self, request: &CountedRequest, waited: Duration) {
         self.times_ms.push(waited.as_secs_f64() * 1e3);
         if waited > request.target {
-            let is_wanted = waited <= request.patience;
+            let is_awaited = waited <= request.max_wait;
             let second = self.second(request);
-            second.late += u64::from(is_wanted);
-            second.refused += u64::from(!is_wanted);
+            second.late += u64::from(is_awaited);
+            second.refused += u64::from(!is_awaited);
             return;
         }
-        self.all.earned += request.size;
-        if request.asked < FIRST_SPAN {
-            self.first.earned += request.size;
+        self.all.on_time_size += request.size;
+        if request.first_sent < STARTUP_SPAN {
+            self.first.on_time_size += request.size;
         }
         self.second(request).timely += 1;
     }
 
-    /// Counts one that was refused for good.
-    pub(super) fn note_refused(&mut self, request: &CountedRequest) {
+    /// Counts a request that was refused on its retry.
+    pub(super) fn record_refused(&mut self, request: &CountedRequest) {
         self.second(request).refused += 1;
     }
 
     fn second(&mut self, request: &CountedRequest) -> &mut SecondCounts {
         let last = self.seconds.len() - 1;
-        &mut self.seconds[(request.asked.as_secs() as usize).min(last)]
+        &mut self.seconds[(request.first_sent.as_secs() as usize).min(last)]
     }
 
-    /// The share of all sizes that was answered in time.
-    pub(super) fn worth(&self) -> f64 {
+    /// Returns the share of the size of all requests that was answered in time.
+    pub(super) fn on_time_share(&self) -> f64 {
         self.all.value()
     }
 
-    /// The same of the first two seconds.
-    pub(super) fn first_worth(&self) -> f64 {
+    /// Returns the same share for requests of the first two seconds.
+    pub(super) fn startup_on_time_share(&self) -> f64 {
         self.first.value()
     }
 
-    /// The time in milliseconds that 99 in 100 answers kept within.
+    /// Returns the 99th percentile of the time to the first event, in milliseconds.
     pub(super) fn p99_ms(&mut self) -> f64 {
         self.times_ms.sort_by(f64::total_cmp);
         let at = (self.times_ms.len() as f64 * 0.99) as usize;
         self.times_ms.get(at).copied().unwrap_or_default()
     }
 
-    /// By second.
+    /// Returns the counts of each second.
     pub(super) fn into_seconds(self) -> Vec<SecondCounts> {
         self.seconds
     }
--- a/crates/foldhaven-testkit/src/simulate/vm.rs
+++ b/crates/foldhaven-testkit/src/simulate/vm.rs
@@ -1,4 +1,4 @@
-//! A simulated VM: what it knows of engines, and how it chooses one.
+//! A simulated VM: its view of the engines, and how it chooses one.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -23,110 +23,127 @@
 use super::experiment::ChoicePolicy;
 
 /// How long the gateway keeps an unused connection to an upstream.
-const IDLE_LIMIT: Duration = Duration::from_secs(4);
-/// A VM without requests reports in every n-th round, as the gateway does.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+/// A VM without requests reports only in every n-th round, as in the gateway.
 const IDLE_ROUNDS: u32 = 4;
 
-/// What a VM knows of one engine.
+/// A VM's view of one engine.
 #[derive(Debug, Default)]
-struct KnownEngine {
+struct EngineView {
     own: UpstreamShare,
     others: UpstreamShare,
-    pace: UpstreamPerformance,
-    /// Since when each unused connection has been so.
-    idle: Vec<MonoTime>,
+    performance: UpstreamPerformance,
+    /// When each unused connection became idle.
+    idle_since: Vec<MonoTime>,
 }
 
-/// One VM.
+/// The state of one simulated VM.
 pub(super) struct SimulatedVm {
     pub tag: VmTag,
-    engines: Vec<KnownEngine>,
-    /// The place of each engine by its tag.
-    tags: HashMap<UpstreamTag, usize>,
-    book: LoadTable,
-    plan: ReportPlanner,
-    pace: ServicePerformance,
+    engines: Vec<EngineView>,
+    /// Index of each engine by its tag.
+    engine_indexes: HashMap<UpstreamTag, usize>,
+    load_table: LoadTable,
+    planner: ReportPlanner,
+    performance: ServicePerformance,
     sequence: u32,
     idle_rounds: u32,
-    /// Connections that it has opened.
+    /// Number of connections that the VM has opened.
     pub opened: u64,
-    /// Reports that it has heard.
-    pub heard: u64,
+    /// Number of load reports that the VM has received.
+    pub received_reports: u64,
 }
 
-/// What it needs to know of a request.
+/// The properties of a request that a VM's choice depends on.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct VmRequest {
     pub tokens: u32,
     pub events: f64,
     pub size: u32,
     pub target: Duration,
-    /// How long its caller has waited.
+    /// How long the caller has waited so far.
     pub waited: Duration,
-    /// How long it will still wait.
+    /// How much longer the caller waits.
     pub remaining: Duration,
 }
 
-/// A chosen engine, and the time that was expected of it.
+/// A chosen engine, with the expected time to the first event.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct VmChoice {
     pub engine: usize,
     pub expected: Duration,
     pub prefill_before_answer: Option<u32>,
-    /// Its rank there.
+    /// Rank of the request in the engine's queue.
     pub rank: QueueRank,
-    /// The queue that it saw there.
+    /// The engine's queue in the view of the VM.
     pub queue: QueueState,
 }
 
 impl SimulatedVm {
     pub(super) fn new(name: &str, engines: &[UpstreamName]) -> Self {
-        let tags = engines
+        let engine_indexes = engines
             .iter()
             .enumerate()
             .map(|(at, name)| (UpstreamTag::of(name, UpstreamStartTime::default()), at));
         Self {
             tag: VmTag::of(&name.parse().expect("a number makes a name")),
-            engines: engines.iter().map(|_| KnownEngine::default()).collect(),
-            tags: tags.collect(),
-            book: LoadTable::default(),
-            plan: ReportPlanner::default(),
-            pace: ServicePerformance::default(),
+            engines: engines.iter().map(|_| EngineView::default()).collect(),
+            engine_indexes: engine_indexes.collect(),
+            load_table: LoadTable::default(),
+            planner: ReportPlanner::default(),
+            performance: ServicePerformance::default(),
             sequence: 0,
             idle_rounds: 0,
             opened: 0,
-            heard: 0,
+            received_reports: 0,
         }
     }
 
-    /// Chooses an engine; none when the request is better refused at once. `truth` is what the queues are, of which it sees `slots` alone unless the policy is
-    /// [`ChoicePolicy::Perfect`].
+    /// Chooses an engine. Returns `None` if admission control refuses the request.
+    ///
+    /// Of the actual queues, only `slots` is used unless the policy is [`ChoicePolicy::Perfect`].
     pub(super) fn choose(
         &self,
         policy: ChoicePolicy,
         request: &VmRequest,
-        names: &[UpstreamName],
-        truth: &[QueueState],
+        engine_names: &[UpstreamName],
+        actual_queues: &[QueueState],
         now: MonoTime,
         random: &mut StdRng,
     ) -> Option<VmChoice> {
         let queues: Vec<QueueState> = match policy {
-            ChoicePolicy::Perfect => truth.to_vec(),
+            ChoicePolicy::Perfect => actual_queues.to_vec(),
             _ => self
                 .engines
                 .iter()
-                .zip(truth)
-                .map(|(it, truth)| it.queue(truth.slots, self.pace.slot_time, now))
+                .zip(actual_queues)
+                .map(|(it, actual_queues)| {
+                    it.queue(actual_queues.slots, self.performance.slot_time, now)
+                })
                 .collect(),
         };
         let any = random.random_range(0..queues.len());
         let chosen = match policy {
             ChoicePolicy::Cost => {
-                let report_age = report_interval(self.book.active_vms().count());
-                return self.cheapest(request, names, &queues, report_age, now, random);
+                let report_age = report_interval(self.load_table.active_vms().count());
+                return self.choose_cheapest(
+                    request,
+                    engine_names,
+                    &queues,
+                    report_age,
+                    now,
+                    random,
+                );
             }
             ChoicePolicy::CostOfAll | ChoicePolicy::Perfect => {
-                return self.cheapest(request, names, &queues, Duration::ZERO, now, random);
+                return self.choose_cheapest(
+                    request,
+                    engine_names,
+                    &queues,
+                    Duration::ZERO,
+                    now,
+                    random,
+                );
             }
             ChoicePolicy::Random => any,
             ChoicePolicy::TwoChoices => {
@@ -147,20 +164,20 @@
         })
     }
 
-    fn cheapest(
+    fn choose_cheapest(
         &self,
         request: &VmRequest,
-        names: &[UpstreamName],
+        engine_names: &[UpstreamName],
         queues: &[QueueState],
         report_age: Duration,
         now: MonoTime,
         random: &mut StdRng,
     ) -> Option<VmChoice> {
-        let facts = |at: usize| UpstreamCandidate {
-            name: &names[at],
+        let candidate = |at: usize| UpstreamCandidate {
+            name: &engine_names[at],
             queue: queues[at],
-            latency_factor: self.engines[at].pace.latency_factor(now),
-            failure_share: self.engines[at].pace.failure_share(now),
+            latency_factor: self.engines[at].performance.latency_factor(now),
+            failure_share: self.engines[at].performance.failure_share(now),
             long_pause_share: 0.0,
             transfer_cost: 0.0,
             cached_tokens: 0,
@@ -168,7 +185,8 @@
             is_throttled: false,
             is_tried: false,
         };
-        let candidates: Vec<UpstreamCandidate<'_>> = (0..names.len()).map(facts).collect();
+        let candidates: Vec<UpstreamCandidate<'_>> =
+            (0..engine_names.len()).map(candidate).collect();
         let query = ChoiceQuery {
             target: request.target,
             waited: request.waited,
@@ -181,8 +199,9 @@
             report_age,
             draw: random.random(),
         };
-        let choice = choose_upstream(&candidates, &query, &self.pace).expect("there is an engine");
-        let offer = DestinationEstimate {
+        let choice =
+            choose_upstream(&candidates, &query, &self.performance).expect("there is an engine");
+        let estimate = DestinationEstimate {
             time_to_first: choice.time_to_first,
             breakdown: choice.breakdown,
             rank: choice.rank,
@@ -194,7 +213,7 @@
             waited: request.waited,
             remaining: request.remaining,
         };
-        admit(&offer, limits).ok()?;
+        admit(&estimate, limits).ok()?;
         Some(VmChoice {
             engine: choice.index,
             expected: choice.time_to_first,
@@ -204,99 +223,103 @@
         })
     }
 
-    /// Counts a request at an engine, over a connection that is open or not.
-    pub(super) fn enter(&mut self, choice: &VmChoice, tokens: u32, now: MonoTime) {
-        let known = &mut self.engines[choice.engine];
-        known.own.in_flight += 1;
-        known.own.on_track += u16::from(choice.rank == QueueRank::Timely);
-        known.own.deferred += u16::from(choice.rank == QueueRank::Deferred);
-        *unread_of(&mut known.own, choice.rank) += tokens;
-        known.idle.retain(|since| now.since(*since) < IDLE_LIMIT);
-        if known.idle.pop().is_none() {
+    /// Counts a request that is sent to an engine, and opens a connection if none is idle.
+    pub(super) fn record_request(&mut self, choice: &VmChoice, tokens: u32, now: MonoTime) {
+        let view = &mut self.engines[choice.engine];
+        view.own.in_flight += 1;
+        view.own.on_track += u16::from(choice.rank == QueueRank::Timely);
+        view.own.deferred += u16::from(choice.rank == QueueRank::Deferred);
+        *prefill_backlog_of(&mut view.own, choice.rank) += tokens;
+        view.idle_since.retain(|since| now.since(*since) < IDLE_TIMEOUT);
+        if view.idle_since.pop().is_none() {
             self.opened += 1;
         }
     }
 
-    /// Notes the first event of an answer.
-    pub(super) fn note_first(
+    /// Records the first event of an answer.
+    pub(super) fn record_first_event(
         &mut self,
         choice: &VmChoice,
         tokens: u32,
         took: Duration,
         now: MonoTime,
     ) {
-        let known = &mut self.engines[choice.engine];
-        take_off(&mut known.own, choice.rank, tokens);
-        self.pace.queue_capacity.record_accepted(choice.queue);
+        let view = &mut self.engines[choice.engine];
+        subtract_prefill(&mut view.own, choice.rank, tokens);
+        self.performance.queue_capacity.record_accepted(choice.queue);
         if choice.rank == QueueRank::Deferred {
-            known.own.deferred -= 1;
+            view.own.deferred -= 1;
             return;
         }
-        known.pace.record_time_to_first(choice.expected, took, now);
+        view.performance.record_time_to_first(choice.expected, took, now);
         if let Some(prefill_before_answer) = choice.prefill_before_answer {
-            self.pace.record_prefill(prefill_before_answer, took);
+            self.performance.record_prefill(prefill_before_answer, took);
         }
     }
 
-    /// Notes that a request has left an engine: with its last event, or refused.
-    pub(super) fn leave(
+    /// Records that a request has left an engine, either with its last event or refused.
+    ///
+    /// `refused` holds the prompt tokens of a refused request and is `None` for an answered one.
+    pub(super) fn record_end(
         &mut self,
         choice: &VmChoice,
-        held: Duration,
+        request_duration: Duration,
         refused: Option<u32>,
         now: MonoTime,
     ) {
-        let known = &mut self.engines[choice.engine];
-        known.own.in_flight -= 1;
-        known.own.on_track -= u16::from(choice.rank == QueueRank::Timely);
-        known.idle.push(now);
+        let view = &mut self.engines[choice.engine];
+        view.own.in_flight -= 1;
+        view.own.on_track -= u16::from(choice.rank == QueueRank::Timely);
+        view.idle_since.push(now);
         match refused {
             Some(tokens) => {
-                take_off(&mut known.own, choice.rank, tokens);
-                known.own.deferred -= u16::from(choice.rank == QueueRank::Deferred);
-                self.pace.queue_capacity.record_refused(choice.queue);
-                known
-                    .pace
-                    .record_queue_full(self.pace.queue_capacity.full_queue_load(choice.queue), now);
-                known.pace.record_end(true, 0.0, now);
+                subtract_prefill(&mut view.own, choice.rank, tokens);
+                view.own.deferred -= u16::from(choice.rank == QueueRank::Deferred);
+                self.performance.queue_capacity.record_refused(choice.queue);
+                view.performance.record_queue_full(
+                    self.performance.queue_capacity.full_queue_load(choice.queue),
+                    now,
+                );
+                view.performance.record_end(true, 0.0, now);
             }
-            None => self.pace.record_slot_time(held),
+            None => self.performance.record_slot_time(request_duration),
         }
     }
 
-    /// Whether it has requests.
+    /// Returns whether the VM has requests in flight.
     fn is_active(&self) -> bool {
-        self.engines.iter().any(|known| known.own.in_flight > 0)
+        self.engines.iter().any(|view| view.own.in_flight > 0)
     }
 
-    /// Plans its report of a round: what it tells, whom, and when the next one is due.
+    /// Plans the load report of a round. Returns the report, its receivers, and the time until the
+    /// next round.
     pub(super) fn report(
         &mut self,
         others: &[(VmTag, SocketAddr)],
         now: MonoTime,
     ) -> (LoadReport, Vec<ReportBatch>, Duration) {
-        self.take_totals(others.len(), now);
+        self.refresh_totals(others.len(), now);
         self.sequence += 1;
         let is_active = self.is_active();
-        let active: HashSet<VmTag> = self.book.active_vms().collect();
+        let active: HashSet<VmTag> = self.load_table.active_vms().collect();
         let target = |(tag, address): &(VmTag, SocketAddr)| ReportTarget {
             address: *address,
             is_active: active.contains(tag),
         };
         let targets: Vec<ReportTarget> = others.iter().map(target).collect();
-        let (legs, interval) = match is_active {
+        let (batches, interval) = match is_active {
             true => {
                 let count = targets.iter().filter(|target| target.is_active).count();
                 let interval = report_interval(count);
-                (self.plan.plan_round(&targets, ReportUpdates::default(), interval), interval)
+                (self.planner.plan_round(&targets, ReportUpdates::default(), interval), interval)
             }
-            false => (self.idle_legs(&targets), report_interval(targets.len())),
+            false => (self.idle_batches(&targets), report_interval(targets.len())),
         };
         self.idle_rounds = if is_active { 0 } else { self.idle_rounds + 1 };
-        (self.own_report(), legs, interval)
+        (self.own_report(), batches, interval)
     }
 
-    fn idle_legs(&self, targets: &[ReportTarget]) -> Vec<ReportBatch> {
+    fn idle_batches(&self, targets: &[ReportTarget]) -> Vec<ReportBatch> {
         if !self.idle_rounds.is_multiple_of(IDLE_ROUNDS) {
             return Vec::new();
         }
@@ -305,7 +328,7 @@
     }
 
     fn own_report(&self) -> LoadReport {
-        let shares = self.tags.iter().map(|(tag, at)| (*tag, self.engines[*at].own));
+        let shares = self.engine_indexes.iter().map(|(tag, at)| (*tag, self.engines[*at].own));
         LoadReport {
             vm: self.tag,
             incarnation: IncarnationId(1),
@@ -317,44 +340,44 @@
         }
     }
 
-    /// Takes in the report of another VM.
-    pub(super) fn hear(&mut self, report: LoadReport, now: MonoTime) {
-        self.heard += 1;
-        for tag in self.book.apply(report, now).into_iter().flatten() {
-            self.engines[self.tags[&tag]].others = self.book.total(tag);
+    /// Applies the load report of another VM.
+    pub(super) fn receive_report(&mut self, report: LoadReport, now: MonoTime) {
+        self.received_reports += 1;
+        for tag in self.load_table.apply(report, now).into_iter().flatten() {
+            self.engines[self.engine_indexes[&tag]].others = self.load_table.total(tag);
         }
     }
 
-    fn take_totals(&mut self, others: usize, now: MonoTime) {
-        self.book.remove_stale(report_interval(others), now);
-        for (tag, at) in &self.tags {
-            self.engines[*at].others = self.book.total(*tag);
+    fn refresh_totals(&mut self, others: usize, now: MonoTime) {
+        self.load_table.remove_stale(report_interval(others), now);
+        for (tag, at) in &self.engine_indexes {
+            self.engines[*at].others = self.load_table.total(*tag);
         }
     }
 }
 
-impl KnownEngine {
-    fn queue(&self, slots: u32, hold: Duration, now: MonoTime) -> QueueState {
-        let told = QueueState {
+impl EngineView {
+    fn queue(&self, slots: u32, slot_time: Duration, now: MonoTime) -> QueueState {
+        let reported = QueueState {
             slots,
             in_flight: u32::from(self.own.in_flight) + u32::from(self.others.in_flight),
             on_track: u32::from(self.own.on_track) + u32::from(self.others.on_track),
             deferred: u32::from(self.own.deferred) + u32::from(self.others.deferred),
             prefill_backlog: self.own.prefill_backlog.plus(self.others.prefill_backlog),
         };
-        self.pace.queue_after_refusal(told, hold, now)
+        self.performance.queue_after_refusal(reported, slot_time, now)
     }
 }
 
-/// The tokens that are still to be read of requests of a rank.
-fn unread_of(share: &mut UpstreamShare, rank: QueueRank) -> &mut u32 {
+/// Returns the prefill backlog of requests of a rank.
+fn prefill_backlog_of(share: &mut UpstreamShare, rank: QueueRank) -> &mut u32 {
     match rank {
         QueueRank::Timely => &mut share.prefill_backlog.timely,
         QueueRank::Deferred => &mut share.prefill_backlog.deferred,
     }
 }
 
-fn take_off(share: &mut UpstreamShare, rank: QueueRank, tokens: u32) {
-    let unread = unread_of(share, rank);
-    *unread = unread.saturating_sub(tokens);
+fn subtract_prefill(share: &mut UpstreamShare, rank: QueueRank, tokens: u32) {
+    let backlog = prefill_backlog_of(share, rank);
+    *backlog = backlog.saturating_sub(tokens);
 }
--- a/crates/foldhaven-testkit/src/simulate/world.rs
+++ b/crates/foldhaven-testkit/src/simulate/world.rs
@@ -1,4 +1,4 @@
-//! The events of a simulated region, in the order of their time.
+//! Discrete-event simulation of one region.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -23,37 +23,41 @@
 use super::tally::{CountedRequest, RequestTally, SecondCounts};
 use super::vm::{SimulatedVm, VmChoice, VmRequest};
 
-/// How long VMs report to each other before callers send.
-const LEAD: Duration = Duration::from_secs(2);
-/// How many tokens of a prompt one event counts for in the size of a request.
+/// How long VMs exchange reports before the load starts.
+const WARM_UP_TIME: Duration = Duration::from_secs(2);
+/// Prompt tokens that one event of the answer counts for in the size of a request.
 const EVENT_TOKENS: u32 = 10;
 
-/// One policy with one seed, played.
+/// The results of one run with one pair of policies and one seed.
 #[derive(Debug, Clone, Serialize)]
 pub struct Trial {
-    /// Which VMs took requests.
+    /// Policy that selected the VMs in service.
     pub service: ServicePolicy,
-    /// How they chose.
+    /// Policy by which VMs chose engines.
     pub choice: ChoicePolicy,
-    /// The seed.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// How many VMs took requests.
+    /// Number of VMs in service.
     pub in_service: usize,
-    /// The share of the size of all requests that was answered within its target.
-    pub worth: f64,
-    /// The same of the first two seconds.
-    pub first_worth: f64,
-    /// The share of arrivals that engines refused.
+    /// Share of the size of all requests that was answered within the target.
+    #[serde(rename = "worth")]
+    pub on_time_share: f64,
+    /// The same share for requests of the first two seconds.
+    #[serde(rename = "first_worth")]
+    pub startup_on_time_share: f64,
+    /// Share of arrivals that engines refused.
     pub refused_arrivals: f64,
-    /// The most arrivals of an engine against the mean.
-    pub busiest: f64,
-    /// Connections opened, for each arrival.
+    /// Arrivals at the busiest engine, divided by the mean over all engines.
+    #[serde(rename = "busiest")]
+    pub busiest_ratio: f64,
+    /// Connections opened per arrival.
     pub opened: f64,
-    /// Reports that a VM with requests heard in a second.
-    pub heard_per_s: f64,
-    /// The time to the first event that 99 in 100 answers kept within, in milliseconds.
+    /// Mean number of reports per second that a VM in service received.
+    #[serde(rename = "heard_per_s")]
+    pub received_reports_per_s: f64,
+    /// 99th percentile of the time to the first event, in milliseconds.
     pub first_p99_ms: f64,
-    /// By second.
+    /// Request counts of each second of the load.
     pub seconds: Vec<SecondCounts>,
 }
 
@@ -61,12 +65,12 @@
 enum WorldEvent {
     Send { mix: usize },
     ReachEngine { request: usize },
-    First { request: usize },
-    Last { request: usize },
+    FirstEvent { request: usize },
+    LastEvent { request: usize },
     Refused { request: usize },
-    ComeBack { request: usize },
+    Retry { request: usize },
     Report { vm: usize },
-    Hear { targets: Vec<SocketAddr>, report: Box<LoadReport> },
+    ReceiveReport { targets: Vec<SocketAddr>, report: Box<LoadReport> },
 }
 
 struct SimulatedRequest {
@@ -74,21 +78,21 @@
     vm: usize,
     work: EngineWork,
     size: u32,
-    /// When its caller sent it first.
-    asked: MonoTime,
-    /// When it was sent to its engine.
+    /// When the caller first sent it.
+    first_sent: MonoTime,
+    /// When it was last sent to an engine.
     sent: MonoTime,
     choice: VmChoice,
-    has_come_back: bool,
+    has_retried: bool,
 }
 
 struct World<'a> {
     experiment: &'a Experiment,
     service: ServicePolicy,
     choice: ChoicePolicy,
-    /// Draws what callers send: the same for all policies.
+    /// Generator of the load; separate, so that all policies get the same requests.
     traffic: StdRng,
-    /// Draws what the policies leave open.
+    /// Generator for all other random choices.
     random: StdRng,
     now: MonoTime,
     queue: BinaryHeap<Reverse<(MonoTime, u64)>>,
@@ -97,7 +101,7 @@
     vms: Vec<SimulatedVm>,
     addresses: Vec<(VmTag, SocketAddr)>,
     by_address: HashMap<SocketAddr, usize>,
-    /// The VMs that take requests, with the share of callers that comes to each of them and all before it.
+    /// The VMs in service, each with the cumulative weight of itself and all before it.
     in_service: Vec<(usize, f64)>,
     names: Vec<UpstreamName>,
     engines: Vec<SimulatedEngine>,
@@ -105,7 +109,7 @@
     tally: RequestTally,
 }
 
-/// Plays one policy with one seed.
+/// Simulates one pair of policies with one seed.
 pub fn play(
     experiment: &Experiment,
     service: ServicePolicy,
@@ -119,7 +123,7 @@
         let event = world.events.remove(&number).expect("each number has its event");
         world.handle(event);
     }
-    world.trial(seed)
+    world.into_trial(seed)
 }
 
 impl<'a> World<'a> {
@@ -167,9 +171,9 @@
         self.events.insert(self.scheduled, event);
     }
 
-    /// The moment from which on callers send.
-    fn zero() -> MonoTime {
-        MonoTime::default() + LEAD
+    /// Returns the time at which the load starts.
+    fn start_of_load() -> MonoTime {
+        MonoTime::default() + WARM_UP_TIME
     }
 
     fn begin(&mut self) {
@@ -180,14 +184,14 @@
         }
         for mix in 0..self.experiment.requests.len() {
             let pause = self.pause(mix);
-            self.schedule(LEAD + pause, WorldEvent::Send { mix });
+            self.schedule(WARM_UP_TIME + pause, WorldEvent::Send { mix });
         }
     }
 
-    /// Sets who takes requests: by the processor time of the usual load, or everybody.
+    /// Selects the VMs in service: all, or as many as the processor time of the base load needs.
     fn set_service(&mut self) {
         let vms = &self.experiment.vms;
-        let centres: [DataCentreName; 2] =
+        let data_centres: [DataCentreName; 2] =
             ["hall-a", "hall-b"].map(|name| name.parse().expect("a constant makes a name"));
         let names: Vec<VmName> = (0..vms.large + vms.small)
             .map(|at| vm_name(at).parse().expect("a number makes a name"))
@@ -195,7 +199,7 @@
         let size = |at: usize| if at < vms.large { vms.large_cores } else { vms.small_cores };
         let order = ServiceOrder::of(names.iter().enumerate().map(|(at, vm)| ServiceCandidate {
             vm,
-            data_centre: &centres[at % 2],
+            data_centre: &data_centres[at % 2],
             cores: size(at),
         }));
         let rate: f64 = self.experiment.requests.iter().map(|mix| mix.per_s).sum();
@@ -207,14 +211,14 @@
                 chosen.filter_map(|it| names.iter().position(|name| name == it.vm)).collect()
             }
         };
-        // The directory of before named all alike.
-        let part = |at: usize| match self.service {
+        // Without a service order, the directory lists all VMs with equal weight.
+        let weight = |at: usize| match self.service {
             ServicePolicy::All => 1.0,
             ServicePolicy::Order => size(at).as_cores(),
         };
         let mut sum = 0.0;
         let shares = chosen.into_iter().map(|at| {
-            sum += part(at);
+            sum += weight(at);
             (at, sum)
         });
         self.in_service = shares.collect();
@@ -224,9 +228,9 @@
         &self.experiment.requests[mix]
     }
 
-    /// The time until the next request of a kind.
+    /// Draws the time until the next request of a kind.
     fn pause(&mut self, mix: usize) -> Duration {
-        let since = self.now.since(Self::zero());
+        let since = self.now.since(Self::start_of_load());
         let rate = self.mix(mix).per_s * self.experiment.rate_at(since).max(1e-3);
         let pauses = Exp::new(rate).expect("the rate is above 0");
         Duration::from_secs_f64(pauses.sample(&mut self.traffic))
@@ -235,33 +239,33 @@
     fn handle(&mut self, event: WorldEvent) {
         match event {
             WorldEvent::Send { mix } => self.send(mix),
-            WorldEvent::ReachEngine { request } => self.reach(request),
-            WorldEvent::First { request } => self.first(request),
-            WorldEvent::Last { request } => self.last(request),
-            WorldEvent::Refused { request } => self.refused(request),
-            WorldEvent::ComeBack { request } => self.dispatch(request),
+            WorldEvent::ReachEngine { request } => self.reach_engine(request),
+            WorldEvent::FirstEvent { request } => self.on_first_event(request),
+            WorldEvent::LastEvent { request } => self.on_last_event(request),
+            WorldEvent::Refused { request } => self.on_refused(request),
+            WorldEvent::Retry { request } => self.dispatch(request),
             WorldEvent::Report { vm } => self.report(vm),
-            WorldEvent::Hear { targets, report } => {
+            WorldEvent::ReceiveReport { targets, report } => {
                 for target in targets {
                     let at = self.by_address[&target];
-                    self.vms[at].hear((*report).clone(), self.now);
+                    self.vms[at].receive_report((*report).clone(), self.now);
                 }
             }
         }
     }
 
     fn is_over(&self) -> bool {
-        self.now.since(Self::zero()) >= self.experiment.length.0
+        self.now.since(Self::start_of_load()) >= self.experiment.length.0
     }
 
-    /// A request as the tally counts it.
-    fn counted(&self, request: &SimulatedRequest) -> CountedRequest {
+    /// Returns the properties of a request that the tally needs.
+    fn counted_request(&self, request: &SimulatedRequest) -> CountedRequest {
         let kind = self.mix(request.mix);
         CountedRequest {
-            asked: request.asked.since(Self::zero()),
+            first_sent: request.first_sent.since(Self::start_of_load()),
             size: f64::from(request.size),
             target: kind.target.0,
-            patience: kind.patience.0,
+            max_wait: kind.max_wait.0,
         }
     }
 
@@ -272,8 +276,8 @@
         let pause = self.pause(mix);
         self.schedule(pause, WorldEvent::Send { mix });
         let request = self.make_request(mix);
-        let counted = self.counted(&request);
-        self.tally.note_sent(&counted);
+        let counted = self.counted_request(&request);
+        self.tally.record_sent(&counted);
         self.requests.push(request);
         self.dispatch(self.requests.len() - 1);
     }
@@ -283,7 +287,7 @@
         let spread = kind.prompt_spread;
         let middle = kind.prompt_tokens.ln() - spread * spread / 2.0;
         let prompts = LogNormal::new(middle, spread).expect("the spread is finite");
-        let tokens = prompts.sample(&mut self.traffic).clamp(1.0, kind.largest_prompt) as u32;
+        let tokens = prompts.sample(&mut self.traffic).clamp(1.0, kind.max_prompt_tokens) as u32;
         let events = Exp::new(1.0 / kind.events.max(1.0)).expect("the mean is above 0");
         let events = events.sample(&mut self.traffic).ceil().max(1.0) as u32;
         let work =
@@ -293,7 +297,7 @@
             vm: 0,
             work,
             size: tokens + EVENT_TOKENS * events,
-            asked: self.now,
+            first_sent: self.now,
             sent: self.now,
             choice: VmChoice {
                 engine: 0,
@@ -302,94 +306,101 @@
                 rank: QueueRank::Timely,
                 queue: QueueState::default(),
             },
-            has_come_back: false,
+            has_retried: false,
         }
     }
 
-    /// Sends a request to a VM, and from there to an engine.
+    /// Sends a request to a random VM in service, and from there to an engine.
     fn dispatch(&mut self, request: usize) {
         let all = self.in_service.last().map_or(0.0, |(_, sum)| *sum);
         let draw = self.random.random::<f64>() * all;
         let at = self.in_service.partition_point(|(_, sum)| *sum <= draw);
         let vm = self.in_service[at.min(self.in_service.len() - 1)].0;
         let now = self.now;
-        let truth: Vec<QueueState> = self.engines.iter_mut().map(|it| it.queue(now)).collect();
-        let held = &mut self.requests[request];
-        let kind = &self.experiment.requests[held.mix];
-        let asked = VmRequest {
-            tokens: held.work.tokens,
+        let actual_queues: Vec<QueueState> =
+            self.engines.iter_mut().map(|it| it.queue(now)).collect();
+        let state = &mut self.requests[request];
+        let kind = &self.experiment.requests[state.mix];
+        let vm_request = VmRequest {
+            tokens: state.work.tokens,
             events: kind.events,
-            size: held.size,
+            size: state.size,
             target: kind.target.0,
-            waited: now.since(held.asked),
-            remaining: kind.patience.0.saturating_sub(now.since(held.asked)),
+            waited: now.since(state.first_sent),
+            remaining: kind.max_wait.0.saturating_sub(now.since(state.first_sent)),
         };
-        let choice =
-            self.vms[vm].choose(self.choice, &asked, &self.names, &truth, now, &mut self.random);
-        let Some(choice) = choice else { return self.turn_away(request) };
-        (held.vm, held.choice, held.sent) = (vm, choice, now);
-        held.work.rank = choice.rank;
-        self.vms[vm].enter(&choice, held.work.tokens, now);
-        self.schedule(self.experiment.way.0, WorldEvent::ReachEngine { request });
+        let choice = self.vms[vm].choose(
+            self.choice,
+            &vm_request,
+            &self.names,
+            &actual_queues,
+            now,
+            &mut self.random,
+        );
+        let Some(choice) = choice else { return self.handle_refusal(request) };
+        (state.vm, state.choice, state.sent) = (vm, choice, now);
+        state.work.rank = choice.rank;
+        self.vms[vm].record_request(&choice, state.work.tokens, now);
+        self.schedule(self.experiment.one_way_latency.0, WorldEvent::ReachEngine { request });
     }
 
-    fn reach(&mut self, request: usize) {
+    fn reach_engine(&mut self, request: usize) {
         let SimulatedRequest { work, choice, .. } = self.requests[request];
-        let taken = self.engines[choice.engine].take(work, self.now);
-        match taken {
+        let accepted = self.engines[choice.engine].accept(work, self.now);
+        match accepted {
             Ok(Some(times)) => self.schedule_answer(times),
             Ok(None) => {}
             Err(_) => {
-                let way = self.experiment.way.0;
-                self.schedule(way, WorldEvent::Refused { request });
+                let one_way_latency = self.experiment.one_way_latency.0;
+                self.schedule(one_way_latency, WorldEvent::Refused { request });
             }
         }
     }
 
     fn schedule_answer(&mut self, times: EngineTimes) {
         let EngineTimes { request, first, last } = times;
-        let way = self.experiment.way.0;
-        let after = |moment: MonoTime| moment.since(self.now) + way;
+        let one_way_latency = self.experiment.one_way_latency.0;
+        let after = |moment: MonoTime| moment.since(self.now) + one_way_latency;
         let (first, last) = (after(first), after(last));
-        self.schedule(first, WorldEvent::First { request });
-        self.schedule(last, WorldEvent::Last { request });
+        self.schedule(first, WorldEvent::FirstEvent { request });
+        self.schedule(last, WorldEvent::LastEvent { request });
     }
 
-    fn first(&mut self, request: usize) {
-        let held = &self.requests[request];
-        let (vm, choice, tokens) = (held.vm, held.choice, held.work.tokens);
-        let took = self.now.since(held.sent);
-        let waited = self.now.since(held.asked);
-        let counted = self.counted(held);
-        self.vms[vm].note_first(&choice, tokens, took, self.now);
-        self.tally.note_answered(&counted, waited);
+    fn on_first_event(&mut self, request: usize) {
+        let state = &self.requests[request];
+        let (vm, choice, tokens) = (state.vm, state.choice, state.work.tokens);
+        let took = self.now.since(state.sent);
+        let waited = self.now.since(state.first_sent);
+        let counted = self.counted_request(state);
+        self.vms[vm].record_first_event(&choice, tokens, took, self.now);
+        self.tally.record_answered(&counted, waited);
     }
 
-    fn last(&mut self, request: usize) {
+    fn on_last_event(&mut self, request: usize) {
         let SimulatedRequest { vm, choice, sent, .. } = self.requests[request];
         let now = self.now;
-        self.vms[vm].leave(&choice, now.since(sent), None, now);
+        self.vms[vm].record_end(&choice, now.since(sent), None, now);
         if let Some(times) = self.engines[choice.engine].end(now) {
             self.schedule_answer(times);
         }
     }
 
-    fn refused(&mut self, request: usize) {
-        let held = &mut self.requests[request];
-        let (vm, choice, tokens) = (held.vm, held.choice, held.work.tokens);
-        self.vms[vm].leave(&choice, Duration::ZERO, Some(tokens), self.now);
-        self.turn_away(request);
+    fn on_refused(&mut self, request: usize) {
+        let state = &mut self.requests[request];
+        let (vm, choice, tokens) = (state.vm, state.choice, state.work.tokens);
+        self.vms[vm].record_end(&choice, Duration::ZERO, Some(tokens), self.now);
+        self.handle_refusal(request);
     }
 
-    /// A caller was refused: it comes back once, when it is told to, to another VM.
-    fn turn_away(&mut self, request: usize) {
-        let held = &mut self.requests[request];
-        if !std::mem::replace(&mut held.has_come_back, true) {
-            self.schedule(self.experiment.come_back.0, WorldEvent::ComeBack { request });
+    /// Handles a refusal: the first one schedules a retry, at any VM; the second one is counted.
+    fn handle_refusal(&mut self, request: usize) {
+        let state = &mut self.requests[request];
+        if !std::mem::replace(&mut state.has_retried, true) {
+            self.schedule(self.experiment.retry_after.0, WorldEvent::Retry { request });
             return;
         }
-        let counted = self.counted(&self.requests[request]);
-        self.tally.note_refused(&counted);
+        let counted = self.counted_request(&self.requests[request]);
+        self.tally.record_refused(&counted);
     }
 
     fn report(&mut self, vm: usize) {
@@ -398,34 +409,40 @@
         }
         let mut others = self.addresses.clone();
         others.remove(vm);
-        let (report, legs, interval) = self.vms[vm].report(&others, self.now);
-        let way = self.experiment.way.0;
-        for leg in legs {
+        let (report, batches, interval) = self.vms[vm].report(&others, self.now);
+        let one_way_latency = self.experiment.one_way_latency.0;
+        for batch in batches {
             let report = Box::new(report.clone());
-            self.schedule(way, WorldEvent::Hear { targets: leg.targets, report });
+            self.schedule(
+                one_way_latency,
+                WorldEvent::ReceiveReport { targets: batch.targets, report },
+            );
         }
         self.schedule(interval, WorldEvent::Report { vm });
     }
 
-    fn trial(mut self, seed: u64) -> Trial {
+    fn into_trial(mut self, seed: u64) -> Trial {
         let arrivals: u64 = self.engines.iter().map(|engine| engine.arrivals).sum();
         let refused: u64 = self.engines.iter().map(|engine| engine.refused).sum();
         let most = self.engines.iter().map(|engine| engine.arrivals).max().unwrap_or_default();
         let opened: u64 = self.vms.iter().map(|vm| vm.opened).sum();
-        let heard: u64 = self.in_service.iter().map(|(vm, _)| self.vms[*vm].heard).sum();
-        let length = (self.experiment.length.0 + LEAD).as_secs_f64();
+        let received_reports: u64 =
+            self.in_service.iter().map(|(vm, _)| self.vms[*vm].received_reports).sum();
+        let length = (self.experiment.length.0 + WARM_UP_TIME).as_secs_f64();
         let share = |part: f64, whole: f64| if whole > 0.0 { part / whole } else { 0.0 };
         Trial {
             service: self.service,
             choice: self.choice,
             seed,
             in_service: self.in_service.len(),
-            worth: self.tally.worth(),
-            first_worth: self.tally.first_worth(),
+            on_time_share: self.tally.on_time_share(),
+            startup_on_time_share: self.tally.startup_on_time_share(),
             refused_arrivals: share(refused as f64, arrivals as f64),
-            busiest: share(most as f64 * self.engines.len() as f64, arrivals as f64),
+            busiest_ratio: share(most as f64 * self.engines.len() as f64, arrivals as f64),
             opened: share(opened as f64, arrivals as f64),
-            heard_per_s: heard as f64 / length / self.in_service.len().max(1) as f64,
+            received_reports_per_s: received_reports as f64
+                / length
+                / self.in_service.len().max(1) as f64,
             first_p99_ms: self.tally.p99_ms(),
             seconds: self.tally.into_seconds(),
         }
