--- a/crates/foldhaven-testkit/src/cmd/simulate.rs
+++ b/crates/foldhaven-testkit/src/cmd/simulate.rs
@@ -6,9 +6,9 @@
 
 use clap::{Arg, ArgMatches, Command, value_parser};
 
-use crate::limits::{self, LimitsExperiment, LimitsTrial, play_limits};
+use crate::limits::{self, LimitsExperiment, LimitsTrial, run_limits_trial};
 use crate::membership::{self, MembershipExperiment, StartTrial, play_starts};
-use crate::simulate::{Experiment, Trial, make_page, play};
+use crate::simulate::{Experiment, Trial, make_page, run_trial};
 
 /// The arguments of `simulate`.
 pub fn make_subcommand() -> Command {
@@ -47,7 +47,7 @@
     for service in &experiment.service {
         for choice in &experiment.choice {
             for seed in &experiment.seeds {
-                let trial = play(&experiment, *service, *choice, *seed);
+                let trial = run_trial(&experiment, *service, *choice, *seed);
                 let line = serde_json::to_string(&trial).map_err(|error| error.to_string())?;
                 println!("{line}");
                 trials.push(trial);
@@ -63,7 +63,7 @@
     let mut trials: Vec<LimitsTrial> = Vec::new();
     for plan in experiment.plans() {
         for seed in &experiment.seeds {
-            let trial = play_limits(&plan, *seed);
+            let trial = run_limits_trial(&plan, *seed);
             let line = serde_json::to_string(&trial).map_err(|error| error.to_string())?;
             println!("{line}");
             trials.push(trial);
--- a/crates/foldhaven-testkit/src/limits/experiment.rs
+++ b/crates/foldhaven-testkit/src/limits/experiment.rs
@@ -1,56 +1,60 @@
-//! The description of an experiment on limits, in YAML.
+//! Description of an experiment on account limits, read from YAML.
 
 use std::path::Path;
 
 use serde::{Deserialize, Serialize};
 
-use super::trouble::LimitTrouble;
-use super::vm::LimitWay;
+use super::scenario::LimitScenario;
+use super::vm::LimitStrategy;
 use crate::simulate::ExperimentError;
 
-/// An experiment on limits: each combination is played with each seed.
+/// An experiment on account limits: each combination is simulated with each seed.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LimitsExperiment {
-    /// How many VMs there are, and in how many regions.
+    /// Pairs of the number of VMs and the number of regions.
     pub vms: Vec<(usize, usize)>,
-    /// How many accounts messages tell of.
+    /// Number of accounts in each message; affects the reported bytes only.
     pub accounts: Vec<usize>,
-    /// What goes wrong.
-    pub troubles: Vec<LimitTrouble>,
-    /// How the limit is kept.
-    pub ways: Vec<LimitWay>,
-    /// The seeds.
+    /// Load changes and faults.
+    #[serde(rename = "troubles")]
+    pub scenarios: Vec<LimitScenario>,
+    /// Strategies that enforce the limit.
+    #[serde(rename = "ways")]
+    pub strategies: Vec<LimitStrategy>,
+    /// Seeds of the random numbers.
     pub seeds: Vec<u64>,
 }
 
-/// One combination.
+/// One combination of an experiment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitsPlan {
-    /// How many VMs there are.
+    /// Number of VMs.
     pub vms: usize,
-    /// In how many regions.
+    /// Number of regions.
     pub regions: usize,
-    /// How many accounts messages tell of.
+    /// Number of accounts in each message; affects the reported bytes only.
     pub accounts: usize,
-    /// What goes wrong.
-    pub trouble: LimitTrouble,
-    /// How the limit is kept.
-    pub way: LimitWay,
+    /// Load change or fault.
+    #[serde(rename = "trouble")]
+    pub scenario: LimitScenario,
+    /// Strategy that enforces the limit.
+    #[serde(rename = "way")]
+    pub strategy: LimitStrategy,
 }
 
-/// A file that holds one.
+/// An experiment file, which may hold an experiment of another kind.
 #[derive(Debug, Deserialize)]
 struct LimitsFile {
     limits: Option<LimitsExperiment>,
 }
 
 impl LimitsExperiment {
-    /// Reads a file; nothing where it holds an experiment of another kind.
+    /// Reads an experiment file. Returns `None` if it holds an experiment of another kind.
     ///
     /// # Errors
     ///
-    /// When it cannot be read, is not of the right shape, or has a value out of range.
+    /// Fails if the file can't be read or parsed, or if a value is out of range.
     pub fn read(path: &Path) -> Result<Option<Self>, ExperimentError> {
         let name = || path.display().to_string();
         let text = std::fs::read_to_string(path)
@@ -63,11 +67,11 @@
         Ok(file.limits)
     }
 
-    /// Checks the values that cannot be played.
+    /// Checks that the values can be simulated.
     ///
     /// # Errors
     ///
-    /// When a value is out of range.
+    /// Fails if a value is out of range.
     pub fn check(&self) -> Result<(), ExperimentError> {
         let fault = |field, message| Err(ExperimentError::Value { field, message });
         let is_size =
@@ -78,26 +82,27 @@
         if self.accounts.iter().any(|accounts| !(1..=1_200).contains(accounts)) {
             return fault("limits.accounts", "expected 1 to 1,200 each");
         }
-        let lists = [self.accounts.len(), self.troubles.len(), self.ways.len(), self.seeds.len()];
+        let lists =
+            [self.accounts.len(), self.scenarios.len(), self.strategies.len(), self.seeds.len()];
         if lists.contains(&0) {
             return fault("limits", "expected accounts, troubles, ways and seeds, one at least");
         }
         Ok(())
     }
 
-    /// All combinations.
+    /// Returns all combinations.
     pub fn plans(&self) -> Vec<LimitsPlan> {
         let mut plans = Vec::new();
         for (vms, regions) in &self.vms {
             for accounts in &self.accounts {
-                for trouble in &self.troubles {
-                    for way in &self.ways {
+                for scenario in &self.scenarios {
+                    for strategy in &self.strategies {
                         plans.push(LimitsPlan {
                             vms: *vms,
                             regions: *regions,
                             accounts: *accounts,
-                            trouble: *trouble,
-                            way: *way,
+                            scenario: *scenario,
+                            strategy: *strategy,
                         });
                     }
                 }
--- a/crates/foldhaven-testkit/src/limits/mod.rs
+++ b/crates/foldhaven-testkit/src/limits/mod.rs
@@ -1,18 +1,18 @@
-//! Plays one limited account over many VMs, in simulated time, with several ways of keeping its limit.
+//! Simulates one rate-limited account on many VMs, with several strategies to enforce its limit.
 //!
-//! What VMs tell each other and how they divide by it is the code that the daemon runs, for the way that the daemon uses. The
-//! other ways are there to be compared with it. Simulated are callers, the ways of messages, cuts, and processes that
-//! die, stand still and come back.
+//! For the daemon's own strategy, the messages and the division of the limit are the code that the
+//! daemon runs. The other strategies are for comparison. Callers, network delays, partitions, and
+//! processes that are killed, frozen and restarted are simulated.
 
 mod experiment;
 mod page;
+mod scenario;
 mod trial;
-mod trouble;
 mod vm;
 mod world;
 
 pub use self::experiment::{LimitsExperiment, LimitsPlan};
 pub use self::page::make_page;
-pub use self::trial::{LimitsTrial, play_limits};
-pub use self::trouble::LimitTrouble;
-pub use self::vm::LimitWay;
+pub use self::scenario::LimitScenario;
+pub use self::trial::{LimitsTrial, run_limits_trial};
+pub use self::vm::LimitStrategy;
--- a/crates/foldhaven-testkit/src/limits/page.rs
+++ b/crates/foldhaven-testkit/src/limits/page.rs
@@ -1,4 +1,4 @@
-//! An experiment on limits as one HTML page, which opens from a file.
+//! Renders the trials of an experiment on limits as one self-contained HTML page.
 
 use std::fmt::Write;
 
@@ -6,22 +6,23 @@
 
 use super::experiment::LimitsPlan;
 use super::trial::LimitsTrial;
-use super::vm::LimitWay;
+use super::vm::LimitStrategy;
 use crate::html::page_head;
 
 const SIZE: (u32, u32) = (700, 200);
-/// The largest use against the limit that is drawn.
-const MOST_DRAWN: f64 = 3.2;
+/// Largest ratio of usage to limit that is drawn; higher values are clipped.
+const MAX_DRAWN: f64 = 3.2;
 
 /// A plot could not be drawn: {0}
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub struct PageError(String);
 
-/// Writes the page: a row for each trial, and the use over time of each combination with all ways.
+/// Returns the page: a table row for each trial, and for each combination a plot of the usage over
+/// time under all strategies.
 ///
 /// # Errors
 ///
-/// When a plot cannot be drawn.
+/// Fails if a plot can't be drawn.
 pub fn make_page(trials: &[LimitsTrial]) -> Result<String, PageError> {
     let columns = [
         "VMs",
@@ -40,22 +41,22 @@
         let _ = writeln!(page, "{}", row(trial));
     }
     page.push_str("</table>\n");
-    let mut drawn: Vec<String> = Vec::new();
+    let mut drawn_titles: Vec<String> = Vec::new();
     for trial in trials {
-        let title = title_of(&trial.plan);
-        if !drawn.contains(&title) {
+        let title = plot_title(&trial.plan);
+        if !drawn_titles.contains(&title) {
             let same =
-                trials.iter().filter(|it| title_of(&it.plan) == title && it.seed == trial.seed);
+                trials.iter().filter(|it| plot_title(&it.plan) == title && it.seed == trial.seed);
             page.push_str(&plot(&title, &same.collect::<Vec<&LimitsTrial>>())?);
-            drawn.push(title);
+            drawn_titles.push(title);
         }
     }
     page.push_str("</body></html>\n");
     Ok(page)
 }
 
-fn title_of(plan: &LimitsPlan) -> String {
-    format!("{} VMs, {:?}", plan.vms, plan.trouble)
+fn plot_title(plan: &LimitsPlan) -> String {
+    format!("{} VMs, {:?}", plan.vms, plan.scenario)
 }
 
 fn row(trial: &LimitsTrial) -> String {
@@ -63,11 +64,16 @@
     format!(
         "<tr><td>{}</td><td>{}</td><td>{:?}</td><td>{:?}</td><td>{worst_window:.2}</td>\
          <td>{refused_below:.3}</td><td>{used_share:.2}</td><td>{:.1}</td><td>{:.0}</td></tr>",
-        plan.vms, plan.accounts, plan.trouble, plan.way, trial.messages_per_s, trial.bytes_per_s,
+        plan.vms,
+        plan.accounts,
+        plan.scenario,
+        plan.strategy,
+        trial.messages_per_s,
+        trial.bytes_per_s,
     )
 }
 
-/// The use against the limit, by the time since the start of the play.
+/// Plots the ratio of usage to limit over the time since the start of the trial.
 fn plot(title: &str, trials: &[&LimitsTrial]) -> Result<String, PageError> {
     let longest = trials.iter().filter_map(|trial| trial.curve.last()).map(|(at, _)| *at);
     let longest = longest.max().unwrap_or(1) as f64;
@@ -78,11 +84,11 @@
         area.fill(&WHITE).map_err(|error| failed(&error))?;
         let mut chart = ChartBuilder::on(&area)
             .margin(10)
-            .build_cartesian_2d(0.0..longest, 0.0..MOST_DRAWN)
+            .build_cartesian_2d(0.0..longest, 0.0..MAX_DRAWN)
             .map_err(|error| failed(&error))?;
         for trial in trials {
-            let points = trial.curve.iter().map(|(at, used)| (*at as f64, used.min(MOST_DRAWN)));
-            let line = LineSeries::new(points, color_of(trial.plan.way));
+            let points = trial.curve.iter().map(|(at, used)| (*at as f64, used.min(MAX_DRAWN)));
+            let line = LineSeries::new(points, color_of(trial.plan.strategy));
             chart.draw_series(line).map_err(|error| failed(&error))?;
         }
         area.present().map_err(|error| failed(&error))?;
@@ -93,11 +99,11 @@
     ))
 }
 
-fn color_of(way: LimitWay) -> RGBColor {
-    match way {
-        LimitWay::EqualParts => BLACK,
-        LimitWay::AddedCounts => RED,
-        LimitWay::GrantingOwner => BLUE,
-        LimitWay::ToldWants => GREEN,
+fn color_of(strategy: LimitStrategy) -> RGBColor {
+    match strategy {
+        LimitStrategy::EqualParts => BLACK,
+        LimitStrategy::AddedCounts => RED,
+        LimitStrategy::GrantingOwner => BLUE,
+        LimitStrategy::ToldWants => GREEN,
     }
 }
--- a/crates/foldhaven-testkit/src/limits/trial.rs
+++ b/crates/foldhaven-testkit/src/limits/trial.rs
@@ -1,55 +1,57 @@
-//! Plays a combination and says what came of its limit.
+//! Simulates one combination and measures how well its limit was enforced.
 
 use std::collections::VecDeque;
 
 use serde::Serialize;
 
 use super::experiment::LimitsPlan;
-use super::trouble::{LimitTrouble, TROUBLE_AT};
+use super::scenario::{CHANGE_AT, LimitScenario};
 use super::vm::{RATE, SLACK, limit_of};
-use super::world::{LimitsWorld, StepUse};
+use super::world::{LimitsWorld, StepUsage};
 
-/// How long a play is, in milliseconds.
-const PLAY_MS: u64 = 26_000;
-/// Callers come when processes have run for a while.
-const LEAD_MS: u64 = 3_000;
-/// The bytes of a message without what it tells, and of the want of one account.
+/// Length of a trial, in milliseconds.
+const TRIAL_MS: u64 = 26_000;
+/// Usage is not counted in this time after the start, in milliseconds, as VMs still learn of others.
+const WARM_UP_MS: u64 = 3_000;
+/// Size of a message without its demands, and of the demand of one account, in bytes.
 const MESSAGE_BYTES: f64 = 24.0;
-const WANT_BYTES: f64 = 9.0;
-/// Between two points of a curve, in milliseconds.
-const CURVE_STEP: u64 = 250;
+const DEMAND_BYTES: f64 = 9.0;
+/// Distance of two points of a usage curve, in milliseconds.
+const CURVE_STEP_MS: u64 = 250;
 
-/// What came of a play.
+/// The results of one trial.
 #[derive(Debug, Clone, Serialize)]
 pub struct LimitsTrial {
-    /// What was played.
+    /// The simulated combination.
     pub plan: LimitsPlan,
-    /// The seed.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// What was used in the worst window, against what is permitted there, slack included.
+    /// Highest ratio of usage to permitted usage, slack included, over all windows.
     pub worst_window: f64,
-    /// What was refused though one count of all would have let it through, as a share of what that lets through.
+    /// Cost refused although an ideal central limiter would have admitted it, as a share of the
+    /// cost that the ideal limiter admits.
     pub refused_below: f64,
-    /// What was used of the limit while more was asked for and nothing was cut any more.
+    /// Share of the limit that was used in the last seven seconds, after all faults; 1 if the
+    /// demand doesn't exceed the limit then.
     pub used_share: f64,
-    /// Messages of a VM in a second.
+    /// Messages per second and VM.
     pub messages_per_s: f64,
-    /// Their bytes, where all accounts are told in each.
+    /// Bytes per second and VM, if each message holds the demands of all accounts.
     pub bytes_per_s: f64,
-    /// What was used a second against the limit, by time in milliseconds.
+    /// Time in milliseconds, and ratio of usage per second to the limit.
     #[serde(skip)]
     pub curve: Vec<(u64, f64)>,
 }
 
-/// The uses of the newest window.
+/// Usage in a sliding window that ends now.
 #[derive(Default)]
-struct UseWindow {
+struct UsageWindow {
     steps: VecDeque<(u64, f64)>,
     sum: f64,
 }
 
-impl UseWindow {
-    fn note(&mut self, at: u64, used: f64) -> f64 {
+impl UsageWindow {
+    fn record(&mut self, at: u64, used: f64) -> f64 {
         let window = SLACK.window.as_millis() as u64;
         self.steps.push_back((at, used));
         self.sum += used;
@@ -60,61 +62,61 @@
     }
 }
 
-/// What is permitted in a window that ends at a time.
-fn permitted(plan: &LimitsPlan, at: u64) -> f64 {
-    // A lower limit binds one window and the time of news after it was published.
+/// Returns the permitted usage of a window that ends at a time.
+fn permitted_usage(plan: &LimitsPlan, at: u64) -> f64 {
+    // A lowered limit is binding only one window and one second of propagation after publication.
     let window = SLACK.window.as_millis() as u64;
-    let bound_at = at.saturating_sub(window + 1_000);
-    let limit = limit_of(plan.trouble.limit(bound_at.min(at)));
-    let plain = limit.per_s * SLACK.window.as_secs_f64() + limit.burst;
-    plain * (1.0 + SLACK.share) + SLACK.extra
+    let limit_at = at.saturating_sub(window + 1_000);
+    let limit = limit_of(plan.scenario.limit(limit_at.min(at)));
+    let base = limit.per_s * SLACK.window.as_secs_f64() + limit.burst;
+    base * (1.0 + SLACK.share) + SLACK.extra
 }
 
-/// Plays a combination.
-pub fn play_limits(plan: &LimitsPlan, seed: u64) -> LimitsTrial {
+/// Simulates one combination with one seed.
+pub fn run_limits_trial(plan: &LimitsPlan, seed: u64) -> LimitsTrial {
     let mut world = LimitsWorld::new(*plan, seed);
-    let mut window = UseWindow::default();
-    let mut all = StepUse::default();
-    let (mut worst, mut late, mut late_ms) = (0.0_f64, 0.0, 0_u64);
+    let mut window = UsageWindow::default();
+    let mut total = StepUsage::default();
+    let (mut worst, mut final_usage, mut final_ms) = (0.0_f64, 0.0, 0_u64);
     let mut curve: Vec<(u64, f64)> = Vec::new();
-    while world.at() < PLAY_MS {
+    while world.at() < TRIAL_MS {
         let before = world.at();
         let step = world.step();
         let at = world.at();
-        if at > LEAD_MS {
-            all.owed += step.owed;
-            all.used += step.used.min(step.owed.max(step.used));
+        if at > WARM_UP_MS {
+            total.ideal += step.ideal;
+            total.admitted += step.admitted.min(step.ideal.max(step.admitted));
         }
-        worst = worst.max(window.note(at, step.used) / permitted(plan, at));
-        if is_contended(plan.trouble) && at > PLAY_MS - 7_000 {
-            late += step.used;
-            late_ms += at - before;
+        worst = worst.max(window.record(at, step.admitted) / permitted_usage(plan, at));
+        if exceeds_limit(plan.scenario) && at > TRIAL_MS - 7_000 {
+            final_usage += step.admitted;
+            final_ms += at - before;
         }
-        if at.is_multiple_of(CURVE_STEP) {
+        if at.is_multiple_of(CURVE_STEP_MS) {
             curve.push((at, 0.0));
         }
         if let Some(point) = curve.last_mut() {
-            point.1 += step.used / (RATE * CURVE_STEP as f64 / 1e3);
+            point.1 += step.admitted / (RATE * CURVE_STEP_MS as f64 / 1e3);
         }
     }
-    let seconds = PLAY_MS as f64 / 1e3;
+    let seconds = TRIAL_MS as f64 / 1e3;
     let messages_per_s = world.messages as f64 / seconds / plan.vms as f64;
-    let wants_per_s = world.wants as f64 / seconds / plan.vms as f64;
-    let limit = RATE * plan.trouble.limit(PLAY_MS);
+    let demands_per_s = world.sent_demands as f64 / seconds / plan.vms as f64;
+    let limit = RATE * plan.scenario.limit(TRIAL_MS);
     LimitsTrial {
         plan: *plan,
         seed,
         worst_window: worst,
-        refused_below: (1.0 - all.used / all.owed.max(1.0)).max(0.0),
-        used_share: if late_ms == 0 { 1.0 } else { late / (limit * late_ms as f64 / 1e3) },
+        refused_below: (1.0 - total.admitted / total.ideal.max(1.0)).max(0.0),
+        used_share: if final_ms == 0 { 1.0 } else { final_usage / (limit * final_ms as f64 / 1e3) },
         messages_per_s,
         bytes_per_s: messages_per_s * MESSAGE_BYTES
-            + wants_per_s * WANT_BYTES * plan.accounts as f64,
+            + demands_per_s * DEMAND_BYTES * plan.accounts as f64,
         curve,
     }
 }
 
-/// Whether more is asked for than the limit permits when all is well again.
-fn is_contended(trouble: LimitTrouble) -> bool {
-    trouble.load(TROUBLE_AT) > trouble.limit(TROUBLE_AT)
+/// Returns whether the demand exceeds the limit from the load change until the end of the trial.
+fn exceeds_limit(scenario: LimitScenario) -> bool {
+    scenario.load(CHANGE_AT) > scenario.limit(CHANGE_AT)
 }
--- a/crates/foldhaven-testkit/src/simulate/mod.rs
+++ b/crates/foldhaven-testkit/src/simulate/mod.rs
@@ -15,4 +15,4 @@
 pub use self::experiment::{ChoicePolicy, Experiment, ExperimentError, LoadStep, ServicePolicy};
 pub use self::page::make_page;
 pub use self::tally::SecondCounts;
-pub use self::world::{Trial, play};
+pub use self::world::{Trial, run_trial};
--- a/crates/foldhaven-testkit/src/simulate/world.rs
+++ b/crates/foldhaven-testkit/src/simulate/world.rs
@@ -110,7 +110,7 @@
 }
 
 /// Simulates one pair of policies with one seed.
-pub fn play(
+pub fn run_trial(
     experiment: &Experiment,
     service: ServicePolicy,
     choice: ChoicePolicy,
--- a/crates/foldhaven-testkit/tests/testsuite/simulate.rs
+++ b/crates/foldhaven-testkit/tests/testsuite/simulate.rs
@@ -4,7 +4,7 @@
 
 use foldhaven_core::units::TimeSpan;
 use foldhaven_testkit::simulate::{
-    ChoicePolicy, Experiment, ServicePolicy, Trial, make_page, play,
+    ChoicePolicy, Experiment, ServicePolicy, Trial, make_page, run_trial,
 };
 use rstest::rstest;
 
@@ -32,8 +32,8 @@
 #[test]
 fn few_well_informed_vms_overload_no_engine() {
     let experiment = short();
-    let all = play(&experiment, ServicePolicy::All, ChoicePolicy::CostOfAll, 1);
-    let order = play(&experiment, ServicePolicy::Order, ChoicePolicy::Cost, 1);
+    let all = run_trial(&experiment, ServicePolicy::All, ChoicePolicy::CostOfAll, 1);
+    let order = run_trial(&experiment, ServicePolicy::Order, ChoicePolicy::Cost, 1);
     assert_eq!((all.in_service, order.in_service), (100, 11));
     assert!(all.refused_arrivals > 0.01, "{}", all.refused_arrivals);
     assert!(order.refused_arrivals < 0.002, "{}", order.refused_arrivals);
@@ -55,8 +55,8 @@
 fn overload_keeps_goodput_high() {
     let mut experiment = short();
     experiment.steps[0].rate_factor = 6.0;
-    let trial = play(&experiment, ServicePolicy::Order, ChoicePolicy::Cost, 1);
-    let perfect = play(&experiment, ServicePolicy::Order, ChoicePolicy::Perfect, 1);
+    let trial = run_trial(&experiment, ServicePolicy::Order, ChoicePolicy::Cost, 1);
+    let perfect = run_trial(&experiment, ServicePolicy::Order, ChoicePolicy::Perfect, 1);
     assert!(trial.refused_arrivals < 0.02, "{}", trial.refused_arrivals);
     assert!(trial.on_time_share > 0.74, "{}", trial.on_time_share);
     for (counts, best) in trial.seconds[3..6].iter().zip(&perfect.seconds[3..6]) {
@@ -76,8 +76,8 @@
     let mut experiment = read("peak.yaml");
     experiment.length = TimeSpan::from_secs(8);
     experiment.steps[1].at = TimeSpan::from_secs(6);
-    let cost = play(&experiment, ServicePolicy::Order, ChoicePolicy::Cost, 1);
-    let perfect = play(&experiment, ServicePolicy::Order, ChoicePolicy::Perfect, 1);
+    let cost = run_trial(&experiment, ServicePolicy::Order, ChoicePolicy::Cost, 1);
+    let perfect = run_trial(&experiment, ServicePolicy::Order, ChoicePolicy::Perfect, 1);
     assert_eq!(cost.in_service, 51);
     assert!(cost.refused_arrivals < 0.1, "{}", cost.refused_arrivals);
     assert!(
@@ -96,12 +96,12 @@
 #[test]
 fn idle_vms_do_not_affect_vms_in_service() {
     let mut experiment = short();
-    let hundred = play(&experiment, ServicePolicy::Order, ChoicePolicy::Cost, 1);
+    let hundred = run_trial(&experiment, ServicePolicy::Order, ChoicePolicy::Cost, 1);
     experiment.vms.large = 18;
     experiment.vms.small = 282;
     experiment.vms.large_cores = "0.167".parse().unwrap();
     experiment.vms.small_cores = "0.04".parse().unwrap();
-    let more = play(&experiment, ServicePolicy::Order, ChoicePolicy::Cost, 1);
+    let more = run_trial(&experiment, ServicePolicy::Order, ChoicePolicy::Cost, 1);
     assert!(
         more.on_time_share > hundred.on_time_share - 0.03,
         "{} {}",
@@ -121,9 +121,9 @@
 fn all_policies_get_the_same_requests() {
     let experiment = short();
     let sent = |trial: &Trial| trial.seconds.iter().map(|counts| counts.sent).collect::<Vec<_>>();
-    let first = play(&experiment, ServicePolicy::Order, ChoicePolicy::Cost, 7);
-    let random = play(&experiment, ServicePolicy::All, ChoicePolicy::Random, 7);
-    let again = play(&experiment, ServicePolicy::Order, ChoicePolicy::Cost, 7);
+    let first = run_trial(&experiment, ServicePolicy::Order, ChoicePolicy::Cost, 7);
+    let random = run_trial(&experiment, ServicePolicy::All, ChoicePolicy::Random, 7);
+    let again = run_trial(&experiment, ServicePolicy::Order, ChoicePolicy::Cost, 7);
     assert_eq!(sent(&first), sent(&random));
     assert_eq!(first.on_time_share.to_bits(), again.on_time_share.to_bits());
     for counts in first.seconds {
@@ -133,7 +133,7 @@
 
 #[test]
 fn page_has_a_plot_for_each_trial() {
-    let trial = play(&short(), ServicePolicy::Order, ChoicePolicy::Perfect, 1);
+    let trial = run_trial(&short(), ServicePolicy::Order, ChoicePolicy::Perfect, 1);
     let page = make_page(&[trial]).unwrap();
     assert!(page.contains("<svg") && page.contains("Perfect"), "{page}");
 }
