--- a/crates/foldhaven-testkit/src/cmd/simulate.rs
+++ b/crates/foldhaven-testkit/src/cmd/simulate.rs
@@ -7,7 +7,7 @@
 use clap::{Arg, ArgMatches, Command, value_parser};
 
 use crate::limits::{self, LimitsExperiment, LimitsTrial, run_limits_trial};
-use crate::membership::{self, MembershipExperiment, StartTrial, play_starts};
+use crate::membership::{self, MembershipExperiment, StartTrial, run_start_trial};
 use crate::simulate::{Experiment, Trial, make_page, run_trial};
 
 /// The arguments of `simulate`.
@@ -77,7 +77,7 @@
 fn run_membership(experiment: &MembershipExperiment, html: Option<&PathBuf>) -> Result<(), String> {
     let mut trials: Vec<StartTrial> = Vec::new();
     for plan in experiment.plans() {
-        let trial = play_starts(&plan, experiment.plays);
+        let trial = run_start_trial(&plan, experiment.runs);
         let line = serde_json::to_string(&trial).map_err(|error| error.to_string())?;
         println!("{line}");
         trials.push(trial);
--- a/crates/foldhaven-testkit/src/limits/trial.rs
+++ b/crates/foldhaven-testkit/src/limits/trial.rs
@@ -11,7 +11,7 @@
 
 /// Length of a trial, in milliseconds.
 const TRIAL_MS: u64 = 26_000;
-/// Usage is not counted in this time after the start, in milliseconds, as VMs still learn of others.
+/// Time after the start, in milliseconds, without counting usage: VMs still learn of each other.
 const WARM_UP_MS: u64 = 3_000;
 /// Size of a message without its demands, and of the demand of one account, in bytes.
 const MESSAGE_BYTES: f64 = 24.0;
--- a/crates/foldhaven-testkit/src/membership/experiment.rs
+++ b/crates/foldhaven-testkit/src/membership/experiment.rs
@@ -1,4 +1,4 @@
-//! The description of a membership experiment, in YAML.
+//! Description of a membership experiment, read from YAML.
 
 use std::path::Path;
 
@@ -7,66 +7,69 @@
 use super::trial::StartPlan;
 use crate::simulate::ExperimentError;
 
-/// How VMs start.
+/// The order in which VMs start, and the faults while they do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StartKind {
-    /// All within 50 ms.
+    /// All VMs start within 50 ms.
     Together,
-    /// One after another, within 300 ms at most.
+    /// VMs start one after another, within about 300 ms if there are at most 30 VMs.
     Apart,
-    /// The seeds 40 ms after all others have begun to start.
+    /// The seed VMs start 40 ms after the beginning, the others at random in the first 50 ms.
     SeedsLast,
-    /// Half of them are killed after 4 s and are back 0.1 to 1 s later.
+    /// Half of the VMs are killed after 4 s and restart 0.1 to 1 s later.
     HalfBack,
     /// One region starts 3 s after the others.
     RegionLater,
-    /// Two halves of each region are cut from each other from the start on, for 5 s; one direction only with even seeds.
+    /// The two halves of each region are partitioned from each other for the first 5 s, with even
+    /// seeds in one direction only.
     Cut,
 }
 
-/// How VMs learn of those that they do not know.
+/// How VMs discover VMs that they don't know.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum TellingWay {
-    /// By heartbeats, and by asking one VM for all once.
+pub enum DiscoveryMethod {
+    /// By heartbeats, and by requesting the heartbeats of all VMs from one VM once.
     Heartbeats,
-    /// By asking one VM for all again each second.
+    /// By requesting the heartbeats of all VMs from one VM again every second.
     AskingAgain,
-    /// By comparing digests of what is known, and exchanging what differs. The daemon does this.
+    /// By comparing digests of the VMs' views and exchanging the differences, as the daemon does.
     Views,
 }
 
-/// A membership experiment: each combination is played.
+/// A membership experiment: each combination is simulated.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MembershipExperiment {
-    /// How many VMs there are.
+    /// Numbers of VMs.
     pub vms: Vec<usize>,
-    /// In how many regions; the first VM of each is a seed.
+    /// Number of regions; the first VM of each region is a seed VM.
     pub regions: usize,
-    /// How they start.
+    /// Start orders.
     pub starts: Vec<StartKind>,
-    /// How they learn of each other.
-    pub ways: Vec<TellingWay>,
-    /// Which share of the messages is lost.
+    /// Discovery methods.
+    #[serde(rename = "ways")]
+    pub methods: Vec<DiscoveryMethod>,
+    /// Shares of messages that are lost, from 0 to below 1.
     pub loss: Vec<f64>,
-    /// How many starts of each kind are played, with the seeds from 0 on.
-    pub plays: u64,
+    /// Number of runs of each combination, with random seeds from 0 on.
+    #[serde(rename = "plays")]
+    pub runs: u64,
 }
 
-/// A file that holds one.
+/// An experiment file, which may hold an experiment of another kind.
 #[derive(Debug, Deserialize)]
 struct MembershipFile {
     membership: Option<MembershipExperiment>,
 }
 
 impl MembershipExperiment {
-    /// Reads a file; nothing where it holds an experiment of another kind.
+    /// Reads an experiment file. Returns `None` if it holds an experiment of another kind.
     ///
     /// # Errors
     ///
-    /// When it cannot be read, is not of the right shape, or has a value out of range.
+    /// Fails if the file can't be read or parsed, or if a value is out of range.
     pub fn read(path: &Path) -> Result<Option<Self>, ExperimentError> {
         let name = || path.display().to_string();
         let text = std::fs::read_to_string(path)
@@ -79,11 +82,11 @@
         Ok(file.membership)
     }
 
-    /// Checks the values that cannot be played.
+    /// Checks that the values can be simulated.
     ///
     /// # Errors
     ///
-    /// When a value is out of range.
+    /// Fails if a value is out of range.
     pub fn check(&self) -> Result<(), ExperimentError> {
         let fault = |field, message| Err(ExperimentError::Value { field, message });
         if self.vms.is_empty() || self.vms.iter().any(|vms| *vms < 2 || *vms > 10_000) {
@@ -95,26 +98,26 @@
         if self.loss.is_empty() || self.loss.iter().any(|loss| !(0.0..1.0).contains(loss)) {
             return fault("membership.loss", "expected shares from 0 to below 1, and one at least");
         }
-        if self.starts.is_empty() || self.ways.is_empty() || self.plays == 0 {
+        if self.starts.is_empty() || self.methods.is_empty() || self.runs == 0 {
             return fault("membership.starts, ways, plays", "expected one of each at least");
         }
         Ok(())
     }
 
-    /// All combinations.
+    /// Returns all combinations.
     pub fn plans(&self) -> Vec<StartPlan> {
         let mut plans = Vec::new();
         for vms in &self.vms {
             for start in &self.starts {
                 for loss in &self.loss {
-                    for way in &self.ways {
+                    for method in &self.methods {
                         let (vms, regions) = (*vms, self.regions);
                         plans.push(StartPlan {
                             vms,
                             regions,
                             start: *start,
                             loss: *loss,
-                            way: *way,
+                            method: *method,
                         });
                     }
                 }
--- a/crates/foldhaven-testkit/src/membership/mod.rs
+++ b/crates/foldhaven-testkit/src/membership/mod.rs
@@ -1,13 +1,15 @@
-//! Plays how VMs that start learn of each other, in simulated time and by the code that the daemon runs.
+//! Simulates how starting VMs discover each other, with the membership code that the daemon runs.
 //!
-//! What is simulated is the rest: the ways of messages, their loss, cuts, and processes that start and die. Load reports,
-//! which also tell that a VM lives, are left out.
+//! Network delays, message loss, partitions, and processes that start and are killed are simulated.
+//! Load reports, which also show that a VM is live, are left out.
 
 mod experiment;
 mod page;
 mod trial;
 mod world;
 
-pub use self::experiment::{MembershipExperiment, StartKind, TellingWay};
+pub use self::experiment::{DiscoveryMethod, MembershipExperiment, StartKind};
 pub use self::page::make_page;
-pub use self::trial::{COMPLETE_AFTER, StartPlan, StartTrial, play_starts, strangers_after};
+pub use self::trial::{
+    COMPLETION_DEADLINE, StartPlan, StartTrial, incomplete_views_after, run_start_trial,
+};
--- a/crates/foldhaven-testkit/src/membership/page.rs
+++ b/crates/foldhaven-testkit/src/membership/page.rs
@@ -1,28 +1,29 @@
-//! A membership experiment as one HTML page, which opens from a file.
+//! Renders the trials of a membership experiment as one self-contained HTML page.
 
 use std::fmt::Write;
 
 use plotters::prelude::*;
 
-use super::experiment::TellingWay;
+use super::experiment::DiscoveryMethod;
 use super::trial::{StartPlan, StartTrial};
 use crate::html::page_head;
 
 const SIZE: (u32, u32) = (700, 200);
-/// How many moments of an example are shown.
-const SHOWN_MOMENTS: usize = 12;
-/// How many VMs of it at each.
-const SHOWN_VMS: usize = 4;
+/// Maximum number of rows of an example, one for each check of the views.
+const MAX_EXAMPLE_ROWS: usize = 12;
+/// Maximum number of VMs in one row of an example.
+const MAX_EXAMPLE_VMS: usize = 4;
 
 /// A plot could not be drawn: {0}
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub struct PageError(String);
 
-/// Writes the page: a row for each trial, a curve for each kind of start with all ways, and who lacked whom in one play.
+/// Returns the page: a table row for each trial, a plot of all discovery methods for each start
+/// order, and the incomplete views of one run.
 ///
 /// # Errors
 ///
-/// When a plot cannot be drawn.
+/// Fails if a plot can't be drawn.
 pub fn make_page(trials: &[StartTrial]) -> Result<String, PageError> {
     let columns =
         ["VMs", "start", "lost", "way", "incomplete", "of", "messages a VM a second", "bytes"];
@@ -32,13 +33,13 @@
         let _ = writeln!(page, "{}", row(trial));
     }
     page.push_str("</table>\n");
-    let mut drawn: Vec<String> = Vec::new();
+    let mut drawn_titles: Vec<String> = Vec::new();
     for trial in trials {
-        let title = title_of(&trial.plan);
-        if !drawn.contains(&title) {
-            let same = trials.iter().filter(|other| title_of(&other.plan) == title);
+        let title = plot_title(&trial.plan);
+        if !drawn_titles.contains(&title) {
+            let same = trials.iter().filter(|other| plot_title(&other.plan) == title);
             page.push_str(&plot(&title, &same.collect::<Vec<&StartTrial>>())?);
-            drawn.push(title);
+            drawn_titles.push(title);
         }
     }
     for trial in trials.iter().filter(|trial| !trial.example.is_empty()) {
@@ -48,20 +49,20 @@
     Ok(page)
 }
 
-fn title_of(plan: &StartPlan) -> String {
+fn plot_title(plan: &StartPlan) -> String {
     format!("{} VMs, {:?}, {} lost", plan.vms, plan.start, plan.loss)
 }
 
 fn row(trial: &StartTrial) -> String {
-    let StartTrial { plan, plays, incomplete, messages_per_s, bytes_per_s, .. } = trial;
+    let StartTrial { plan, runs, incomplete, messages_per_s, bytes_per_s, .. } = trial;
     format!(
-        "<tr><td>{}</td><td>{:?}</td><td>{}</td><td>{:?}</td><td>{incomplete}</td><td>{plays}</td>\
+        "<tr><td>{}</td><td>{:?}</td><td>{}</td><td>{:?}</td><td>{incomplete}</td><td>{runs}</td>\
          <td>{messages_per_s:.1}</td><td>{bytes_per_s:.0}</td></tr>",
-        plan.vms, plan.start, plan.loss, plan.way,
+        plan.vms, plan.start, plan.loss, plan.method,
     )
 }
 
-/// The share of plays that are complete, by the time after the last start.
+/// Plots the share of runs with complete views over the time since the last start.
 fn plot(title: &str, trials: &[&StartTrial]) -> Result<String, PageError> {
     let longest = trials.iter().filter_map(|trial| trial.curve.last()).map(|(after, _)| *after);
     let longest = longest.max().unwrap_or(1) as f64;
@@ -76,7 +77,7 @@
             .map_err(|error| failed(&error))?;
         for trial in trials {
             let points = trial.curve.iter().map(|(after, share)| (*after as f64, *share));
-            let line = LineSeries::new(points, color_of(trial.plan.way));
+            let line = LineSeries::new(points, color_of(trial.plan.method));
             chart.draw_series(line).map_err(|error| failed(&error))?;
         }
         area.present().map_err(|error| failed(&error))?;
@@ -87,24 +88,29 @@
     ))
 }
 
-fn color_of(way: TellingWay) -> RGBColor {
-    match way {
-        TellingWay::Heartbeats => RED,
-        TellingWay::AskingAgain => BLUE,
-        TellingWay::Views => GREEN,
+fn color_of(method: DiscoveryMethod) -> RGBColor {
+    match method {
+        DiscoveryMethod::Heartbeats => RED,
+        DiscoveryMethod::AskingAgain => BLUE,
+        DiscoveryMethod::Views => GREEN,
     }
 }
 
-/// Who lacked whom, moment by moment.
+/// Renders the incomplete views of the example run at each check.
 fn example(trial: &StartTrial) -> String {
     let mut text = format!(
         "<h2>{}, {:?}: one play</h2>\n<table><tr><th>ms</th><th>VMs</th></tr>\n",
-        title_of(&trial.plan),
-        trial.plan.way
+        plot_title(&trial.plan),
+        trial.plan.method
     );
-    for (after, strangers) in trial.example.iter().take(SHOWN_MOMENTS) {
-        let shown = strangers.iter().take(SHOWN_VMS).cloned().collect::<Vec<String>>().join("; ");
-        let count = strangers.len();
+    for (after, incomplete_views) in trial.example.iter().take(MAX_EXAMPLE_ROWS) {
+        let shown = incomplete_views
+            .iter()
+            .take(MAX_EXAMPLE_VMS)
+            .cloned()
+            .collect::<Vec<String>>()
+            .join("; ");
+        let count = incomplete_views.len();
         let _ = writeln!(text, "<tr><td>{after}</td><td>{count}: {shown}</td></tr>");
     }
     text.push_str("</table>\n");
--- a/crates/foldhaven-testkit/src/membership/trial.rs
+++ b/crates/foldhaven-testkit/src/membership/trial.rs
@@ -1,53 +1,57 @@
-//! Plays starts, and tells how soon all VMs know their regions.
+//! Simulates starts and measures how soon all VMs know the VMs of their region.
 
 use rand::Rng;
 use serde::Serialize;
 
-use super::experiment::{StartKind, TellingWay};
-use super::world::{LinkCut, StartEvent, StartWorld};
+use super::experiment::{DiscoveryMethod, StartKind};
+use super::world::{Partition, StartEvent, StartWorld};
 
-/// So long after the last start or the heal each VM is to know all of its region, in milliseconds.
-pub const COMPLETE_AFTER: u64 = 2_000;
-/// For so long after it the views are looked at, in milliseconds.
-const WATCHED: u64 = 6_000;
-/// How often they are looked at, in milliseconds.
-const LOOK_PAUSE: u64 = 200;
+/// Time after the last start or the end of a partition by which each VM must know all VMs of its
+/// region, in milliseconds.
+pub const COMPLETION_DEADLINE: u64 = 2_000;
+/// How long the views are checked after the last start, in milliseconds.
+const OBSERVATION_TIME: u64 = 6_000;
+/// Interval between two checks of the views, in milliseconds.
+const CHECK_INTERVAL: u64 = 200;
 
-/// One kind of start.
+/// One combination of an experiment.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct StartPlan {
-    /// How many VMs start.
+    /// Number of VMs.
     pub vms: usize,
-    /// In how many regions.
+    /// Number of regions.
     pub regions: usize,
-    /// In which order.
+    /// Order in which the VMs start.
     pub start: StartKind,
-    /// The share of messages that is lost.
+    /// Share of messages that are lost.
     pub loss: f64,
-    /// How they learn of each other.
-    pub way: TellingWay,
+    /// How VMs discover each other.
+    #[serde(rename = "way")]
+    pub method: DiscoveryMethod,
 }
 
-/// What came of the starts of one kind.
+/// The results of all runs of one combination.
 #[derive(Debug, Clone, Serialize)]
 pub struct StartTrial {
-    /// The kind.
+    /// The simulated combination.
     pub plan: StartPlan,
-    /// How many starts were played.
-    pub plays: u64,
-    /// How many were not complete after [`COMPLETE_AFTER`].
+    /// Number of runs.
+    #[serde(rename = "plays")]
+    pub runs: u64,
+    /// Number of runs with incomplete views at [`COMPLETION_DEADLINE`].
     pub incomplete: u64,
-    /// Milliseconds after the last start, and the share of the plays that were complete then.
+    /// Milliseconds after the last start, and the share of runs with complete views then.
     pub curve: Vec<(u64, f64)>,
-    /// Messages of one VM in a second, over the whole play.
+    /// Messages per second and VM, averaged over the whole run.
     pub messages_per_s: f64,
-    /// Their bytes, headers of datagrams not counted.
+    /// Bytes per second and VM, without datagram headers.
     pub bytes_per_s: f64,
-    /// In the first play that was incomplete: who lacked whom, at each moment.
+    /// Incomplete views at each check of the first run that missed the deadline.
     pub example: Vec<(u64, Vec<String>)>,
 }
 
-/// Sets a start up. Returns when the last VM starts, or the cut heals, in milliseconds.
+/// Prepares a run. Returns it with the time of the last start or of the end of the partition, in
+/// milliseconds.
 fn set_up(plan: &StartPlan, seed: u64) -> (StartWorld, u64) {
     let mut world = StartWorld::new(seed, plan);
     let StartPlan { vms, regions, start, .. } = *plan;
@@ -62,66 +66,67 @@
             _ => world.rng.random_range(0..50_000),
         };
         last = last.max(moment);
-        world.plan(moment, StartEvent::Start(vm));
+        world.schedule(moment, StartEvent::Start(vm));
     }
     if start == StartKind::HalfBack {
         for vm in (0..vms).filter(|vm| vm % 2 == (seed % 2) as usize) {
             let back = 4_000_000 + world.rng.random_range(100_000..1_000_000);
-            world.plan(4_000_000, StartEvent::Kill(vm));
-            world.plan(back, StartEvent::Start(vm));
+            world.schedule(4_000_000, StartEvent::Kill(vm));
+            world.schedule(back, StartEvent::Start(vm));
             last = last.max(back);
         }
     }
     if start == StartKind::Cut {
         let side = (0..vms).filter(|vm| (vm / regions).is_multiple_of(2)).collect();
         let is_one_way = seed.is_multiple_of(2);
-        world.cuts.push(LinkCut { from: 0, until: 5_000, side, is_one_way });
+        world.partitions.push(Partition { from: 0, until: 5_000, side, is_one_way });
         last = 5_000_000;
     }
     (world, last / 1_000)
 }
 
-/// The VMs that do not know all of their region [`COMPLETE_AFTER`] the last start, with whom they lack.
-pub fn strangers_after(plan: &StartPlan, seed: u64) -> Vec<String> {
-    let (mut world, last) = set_up(plan, seed);
-    world.run_until(last + COMPLETE_AFTER);
-    world.strangers()
+/// Returns the VMs that lack VMs of their region at [`COMPLETION_DEADLINE`], with some of those.
+pub fn incomplete_views_after(plan: &StartPlan, seed: u64) -> Vec<String> {
+    let (mut world, last_change) = set_up(plan, seed);
+    world.run_until(last_change + COMPLETION_DEADLINE);
+    world.incomplete_views()
 }
 
-/// Plays so many starts of one kind.
-pub fn play_starts(plan: &StartPlan, plays: u64) -> StartTrial {
-    let looks: Vec<u64> = (0..=WATCHED / LOOK_PAUSE).map(|look| look * LOOK_PAUSE).collect();
-    let mut complete = vec![0_u64; looks.len()];
+/// Simulates a number of runs of one combination.
+pub fn run_start_trial(plan: &StartPlan, runs: u64) -> StartTrial {
+    let check_times: Vec<u64> =
+        (0..=OBSERVATION_TIME / CHECK_INTERVAL).map(|check| check * CHECK_INTERVAL).collect();
+    let mut complete = vec![0_u64; check_times.len()];
     let (mut incomplete, mut messages, mut bytes, mut vm_seconds) = (0, 0, 0, 0.0);
     let mut example = Vec::new();
-    for seed in 0..plays {
-        let (mut world, last) = set_up(plan, seed);
+    for seed in 0..runs {
+        let (mut world, last_change) = set_up(plan, seed);
         world.counts_bytes = true;
-        let mut seen = Vec::new();
-        for (look, after) in looks.iter().enumerate() {
-            world.run_until(last + after);
-            let strangers = world.strangers();
-            complete[look] += u64::from(strangers.is_empty());
-            if !strangers.is_empty() && *after == COMPLETE_AFTER {
+        let mut views = Vec::new();
+        for (check, after) in check_times.iter().enumerate() {
+            world.run_until(last_change + after);
+            let incomplete_views = world.incomplete_views();
+            complete[check] += u64::from(incomplete_views.is_empty());
+            if !incomplete_views.is_empty() && *after == COMPLETION_DEADLINE {
                 incomplete += 1;
             }
-            seen.push((*after, strangers));
+            views.push((*after, incomplete_views));
         }
         let is_example =
-            seen.iter().any(|(after, them)| *after == COMPLETE_AFTER && !them.is_empty());
+            views.iter().any(|(after, them)| *after == COMPLETION_DEADLINE && !them.is_empty());
         if is_example && example.is_empty() {
-            example = seen;
+            example = views;
         }
         messages += world.sent;
         bytes += world.bytes;
-        vm_seconds += plan.vms as f64 * (last + WATCHED) as f64 / 1_000.0;
+        vm_seconds += plan.vms as f64 * (last_change + OBSERVATION_TIME) as f64 / 1_000.0;
     }
-    let share = |count: &u64| *count as f64 / plays as f64;
+    let share = |count: &u64| *count as f64 / runs as f64;
     StartTrial {
         plan: *plan,
-        plays,
+        runs,
         incomplete,
-        curve: looks.into_iter().zip(complete.iter().map(share)).collect(),
+        curve: check_times.into_iter().zip(complete.iter().map(share)).collect(),
         messages_per_s: messages as f64 / vm_seconds,
         bytes_per_s: bytes as f64 / vm_seconds,
         example,
--- a/crates/foldhaven-testkit/src/membership/world.rs
+++ b/crates/foldhaven-testkit/src/membership/world.rs
@@ -1,4 +1,4 @@
-//! The VMs of a simulated start, and the messages between them.
+//! The VMs of a run, and the messages between them.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -17,72 +17,74 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use super::experiment::TellingWay;
+use super::experiment::DiscoveryMethod;
 use super::trial::StartPlan;
 
-/// Those who ask for all again do so in every second round of half a second.
-const ASKING_ROUNDS: u32 = 2;
+/// With [`DiscoveryMethod::AskingAgain`], VMs request all heartbeats in every second round of half
+/// a second.
+const FULL_REQUEST_ROUNDS: u32 = 2;
 
-/// What happens at a moment.
+/// A scheduled event.
 #[derive(Debug, Clone)]
 pub(super) enum StartEvent {
-    /// A VM starts, in a new lifetime.
+    /// A VM starts with a new incarnation.
     Start(usize),
     /// A VM is killed.
     Kill(usize),
-    /// The next round of a lifetime.
+    /// The next heartbeat round of an incarnation of a VM.
     Round(usize, u64),
     /// A message arrives.
     Arrive(usize, Box<PeerMessage>),
 }
 
-/// One VM of the simulation.
+/// The state of one simulated VM.
 pub(super) struct StartVm {
     pub name: VmName,
     pub region: RegionName,
-    /// Nothing while it is down.
+    /// `None` while the VM is down.
     pub table: Option<PeerTable>,
     started: u64,
     incarnation: u64,
     sequence: u32,
 }
 
-/// Which VMs cannot reach each other, and when.
+/// VMs that can't reach each other for some time.
 #[derive(Debug, Clone)]
-pub(super) struct LinkCut {
-    /// Milliseconds since the beginning.
+pub(super) struct Partition {
+    /// Start and end of the partition, in milliseconds since the beginning.
     pub from: u64,
     pub until: u64,
-    /// The VMs on one side; one way only messages from it are lost.
+    /// The VMs on one side. If `is_one_way` is set, only messages from these are lost.
     pub side: BTreeSet<usize>,
     pub is_one_way: bool,
 }
 
-/// The VMs of one play, what is to happen, and the time.
+/// The state of one run.
 pub(super) struct StartWorld {
     pub rng: SmallRng,
     pub vms: Vec<StartVm>,
     by_address: BTreeMap<SocketAddr, usize>,
     seeds: Vec<SocketAddr>,
-    /// When events are due, the order of those due at one moment, and where they are held.
+    /// Time of each event in microseconds, its order among events of the same time, and its index
+    /// in `pending`.
     events: BinaryHeap<Reverse<(u64, u64, usize)>>,
-    held: Vec<Option<StartEvent>>,
+    pending: Vec<Option<StartEvent>>,
     /// Microseconds since the beginning.
     now: u64,
     loss: f64,
-    pub cuts: Vec<LinkCut>,
-    way: TellingWay,
-    /// How many messages were sent, and their bytes without the headers of their datagrams.
+    pub partitions: Vec<Partition>,
+    method: DiscoveryMethod,
+    /// Number of messages sent, and their bytes without datagram headers.
     pub sent: u64,
     pub bytes: u64,
-    /// Whether bytes are counted: writing each message costs half of the time of a play.
+    /// Whether bytes are counted. Encoding each message takes half of the time of a run.
     pub counts_bytes: bool,
 }
 
 impl StartWorld {
-    /// The VMs of a plan, all down; the first of each region is a seed.
+    /// Creates the VMs of a plan, all down. The first VM of each region is a seed VM.
     pub fn new(seed: u64, plan: &StartPlan) -> Self {
-        let StartPlan { vms, regions, loss, way, .. } = *plan;
+        let StartPlan { vms, regions, loss, method, .. } = *plan;
         let region = |at: usize| format!("region-{}", at % regions).parse().expect("it is a name");
         let names = (0..vms).map(|at| (format!("vm-{at}"), region(at)));
         let vms: Vec<StartVm> = names
@@ -100,27 +102,27 @@
             addresses.map(|(at, _)| (address_of(at), at)).collect();
         let seeds = (0..regions.min(vms.len())).map(address_of).collect();
         let rng = SmallRng::seed_from_u64(seed);
-        let (events, held) = (BinaryHeap::new(), Vec::new());
+        let (events, pending) = (BinaryHeap::new(), Vec::new());
         Self {
             rng,
             vms,
             by_address,
             seeds,
             events,
-            held,
+            pending,
             now: 0,
             loss,
-            cuts: Vec::new(),
-            way,
+            partitions: Vec::new(),
+            method,
             sent: 0,
             bytes: 0,
             counts_bytes: false,
         }
     }
 
-    pub fn plan(&mut self, micros: u64, event: StartEvent) {
-        let number = self.held.len();
-        self.held.push(Some(event));
+    pub fn schedule(&mut self, micros: u64, event: StartEvent) {
+        let number = self.pending.len();
+        self.pending.push(Some(event));
         self.events.push(Reverse((micros, number as u64, number)));
     }
 
@@ -136,13 +138,13 @@
             }
             self.events.pop();
             self.now = micros;
-            let event = self.held[number].take().expect("each event comes once");
-            self.play(event);
+            let event = self.pending[number].take().expect("each event comes once");
+            self.handle(event);
         }
         self.now = end;
     }
 
-    fn play(&mut self, event: StartEvent) {
+    fn handle(&mut self, event: StartEvent) {
         match event {
             StartEvent::Start(vm) => self.start(vm),
             StartEvent::Kill(vm) => self.vms[vm].table = None,
@@ -159,10 +161,10 @@
         vm_state.sequence = 0;
         let incarnation = vm_state.incarnation;
         vm_state.table = Some(new_table(vm_state));
-        self.plan(started + micros(LEARNING_INTERVAL), StartEvent::Round(vm, incarnation));
+        self.schedule(started + micros(LEARNING_INTERVAL), StartEvent::Round(vm, incarnation));
     }
 
-    fn own_beat(&self, vm: usize) -> PeerHeartbeat {
+    fn own_heartbeat(&self, vm: usize) -> PeerHeartbeat {
         let StartVm { name, region, sequence, .. } = &self.vms[vm];
         let table = self.vms[vm].table.as_ref().expect("it is up");
         let address = address_of(vm);
@@ -170,7 +172,7 @@
             vm: name.clone(),
             incarnation: table.incarnation(),
             sequence: *sequence,
-            data_centre: centre_of(region),
+            data_centre: data_centre_of(region),
             region: region.clone(),
             cores: CoreShare::ONE,
             caller: address,
@@ -190,31 +192,35 @@
         }
         vm_state.sequence += 1;
         let is_learning = self.now - vm_state.started < micros(LEARNING_TIME);
-        let own = self.own_beat(vm);
+        let own = self.own_heartbeat(vm);
         let seeds: Vec<SocketAddr> =
             self.seeds.iter().copied().filter(|seed| *seed != own.peer).collect();
         let table = self.vms[vm].table.as_mut().expect("it is up");
-        if self.way == TellingWay::AskingAgain && own.sequence.is_multiple_of(ASKING_ROUNDS) {
+        if self.method == DiscoveryMethod::AskingAgain
+            && own.sequence.is_multiple_of(FULL_REQUEST_ROUNDS)
+        {
             table.ask_again();
         }
-        let call = RoundInput { own: own.clone(), seeds, is_to_all: false };
-        let beats = table.plan_round(call, now);
-        let targets = match self.way {
-            TellingWay::Views => table.view_targets(&beats, is_learning, now),
-            TellingWay::Heartbeats | TellingWay::AskingAgain => Vec::new(),
+        let input = RoundInput { own: own.clone(), seeds, is_to_all: false };
+        let heartbeats = table.plan_round(input, now);
+        let targets = match self.method {
+            DiscoveryMethod::Views => table.view_targets(&heartbeats, is_learning, now),
+            DiscoveryMethod::Heartbeats | DiscoveryMethod::AskingAgain => Vec::new(),
         };
-        let pause = table.round_interval(is_learning, now);
-        let notice = ViewDigest {
+        let interval = table.round_interval(is_learning, now);
+        let digest_message = ViewDigest {
             vm: VmTag::of(&own.vm),
             incarnation: own.incarnation,
             region: RegionTag::of(&own.region),
             digest: table.region_digest(now),
             known: table.known_counts(),
         };
-        beats.into_iter().for_each(|(to, beat)| self.send(vm, to, PeerMessage::Beat(beat)));
-        targets.into_iter().for_each(|to| self.send(vm, to, PeerMessage::View(notice)));
-        let late = self.rng.random_range(0..2_000);
-        self.plan(self.now + micros(pause) + late, StartEvent::Round(vm, incarnation));
+        heartbeats
+            .into_iter()
+            .for_each(|(to, heartbeat)| self.send(vm, to, PeerMessage::Beat(heartbeat)));
+        targets.into_iter().for_each(|to| self.send(vm, to, PeerMessage::View(digest_message)));
+        let jitter = self.rng.random_range(0..2_000);
+        self.schedule(self.now + micros(interval) + jitter, StartEvent::Round(vm, incarnation));
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, message: PeerMessage) {
@@ -223,19 +229,19 @@
         if self.counts_bytes {
             self.bytes += message.bytes().map_or(0, |bytes| bytes.len() as u64);
         }
-        let is_cut = self.cuts.iter().any(|cut| {
-            let is_now = (cut.from..cut.until).contains(&(self.now / 1_000));
-            let crosses = cut.side.contains(&from) != cut.side.contains(&to);
-            is_now && crosses && (!cut.is_one_way || cut.side.contains(&from))
+        let is_lost = self.partitions.iter().any(|partition| {
+            let is_now = (partition.from..partition.until).contains(&(self.now / 1_000));
+            let crosses = partition.side.contains(&from) != partition.side.contains(&to);
+            is_now && crosses && (!partition.is_one_way || partition.side.contains(&from))
         });
-        if is_cut || self.rng.random_bool(self.loss) {
+        if is_lost || self.rng.random_bool(self.loss) {
             return;
         }
-        let way = match self.vms[from].region == self.vms[to].region {
+        let delay = match self.vms[from].region == self.vms[to].region {
             true => self.rng.random_range(100..1_500),
             false => self.rng.random_range(50_000..60_000),
         };
-        self.plan(self.now + way, StartEvent::Arrive(to, Box::new(message)));
+        self.schedule(self.now + delay, StartEvent::Arrive(to, Box::new(message)));
     }
 
     fn arrive(&mut self, vm: usize, message: PeerMessage) {
@@ -243,7 +249,7 @@
         if self.vms[vm].table.is_none() {
             return;
         }
-        let own = self.own_beat(vm);
+        let own = self.own_heartbeat(vm);
         let table = self.vms[vm].table.as_mut().expect("it is up");
         match message {
             PeerMessage::Beat(message) => {
@@ -251,10 +257,10 @@
                 let replies = table.reply_to(&message, &own, now);
                 replies
                     .into_iter()
-                    .for_each(|(to, beat)| self.send(vm, to, PeerMessage::Beat(beat)));
+                    .for_each(|(to, heartbeat)| self.send(vm, to, PeerMessage::Beat(heartbeat)));
             }
-            PeerMessage::View(notice) => {
-                if let ViewAnswer::List(to, list) = table.apply_view_digest(&notice, now) {
+            PeerMessage::View(digest_message) => {
+                if let ViewAnswer::List(to, list) = table.apply_view_digest(&digest_message, now) {
                     self.send(vm, to, PeerMessage::ViewList(list));
                 }
             }
@@ -262,29 +268,32 @@
                 let replies = table.apply_view_list(&list, &own, now);
                 replies
                     .into_iter()
-                    .for_each(|(to, beat)| self.send(vm, to, PeerMessage::Beat(beat)));
+                    .for_each(|(to, heartbeat)| self.send(vm, to, PeerMessage::Beat(heartbeat)));
             }
             _ => {}
         }
     }
 
-    /// The VMs that are up and do not hold exactly those of their region to live that are up.
-    pub fn strangers(&self) -> Vec<String> {
+    /// Returns the running VMs that lack other running VMs of their region, with up to three of
+    /// those.
+    pub fn incomplete_views(&self) -> Vec<String> {
         let now = self.time();
         let is_up = |vm: &&StartVm| vm.table.is_some();
-        let mut strangers = Vec::new();
+        let mut incomplete_views = Vec::new();
         for vm in self.vms.iter().filter(is_up) {
-            let near = self.vms.iter().filter(is_up).filter(|other| other.region == vm.region);
-            let wanted: BTreeSet<&VmName> =
-                near.map(|other| &other.name).filter(|name| **name != vm.name).collect();
+            let region_vms =
+                self.vms.iter().filter(is_up).filter(|other| other.region == vm.region);
+            let expected: BTreeSet<&VmName> =
+                region_vms.map(|other| &other.name).filter(|name| **name != vm.name).collect();
             let table = vm.table.as_ref().expect("it is up");
-            let known: BTreeSet<&VmName> = table.live_local(now).map(|beat| &beat.vm).collect();
-            if !wanted.is_subset(&known) {
-                let lacked: Vec<&&VmName> = wanted.difference(&known).take(3).collect();
-                strangers.push(format!("{} lacks {lacked:?}", vm.name));
+            let known: BTreeSet<&VmName> =
+                table.live_local(now).map(|heartbeat| &heartbeat.vm).collect();
+            if !expected.is_subset(&known) {
+                let missing: Vec<&&VmName> = expected.difference(&known).take(3).collect();
+                incomplete_views.push(format!("{} lacks {missing:?}", vm.name));
             }
         }
-        strangers
+        incomplete_views
     }
 }
 
@@ -295,14 +304,14 @@
 fn new_table(vm_state: &StartVm) -> PeerTable {
     let own = OwnVm {
         vm: vm_state.name.clone(),
-        data_centre: centre_of(&vm_state.region),
+        data_centre: data_centre_of(&vm_state.region),
         region: vm_state.region.clone(),
         cores: CoreShare::ONE,
     };
     PeerTable::new(own, IncarnationId(vm_state.incarnation))
 }
 
-fn centre_of(region: &RegionName) -> DataCentreName {
+fn data_centre_of(region: &RegionName) -> DataCentreName {
     format!("{region}-hall").parse().expect("it is a name")
 }
 
--- a/crates/foldhaven-testkit/tests/testsuite/limits.rs
+++ b/crates/foldhaven-testkit/tests/testsuite/limits.rs
@@ -1,6 +1,6 @@
 //! Simulations of an account limit that all VMs enforce together, by the code that the daemon runs.
 //!
-//! An account sends six times its base load while regions or VMs are partitioned, all VMs are killed
+//! An account sends six times its base load while regions or VMs are partitioned, VMs are killed
 //! twice, or VMs are frozen. In other trials callers move from one region to the next at once, or
 //! the limit is lowered far below the demand. There is no central counter; still, the total must
 //! stay within the permitted usage in every window, and requests within the limit must be admitted.
--- a/crates/foldhaven-testkit/tests/testsuite/membership.rs
+++ b/crates/foldhaven-testkit/tests/testsuite/membership.rs
@@ -1,24 +1,27 @@
-//! VMs that start in any order learn of each other, by the code that the daemon runs, in simulated time.
+//! Simulations of VMs that start in any order and must discover each other.
 //!
-//! Three VMs of a region whose first one started last knew only that one, for as long as they lived: a process asked one VM
-//! for all others, once, and nobody repeats in a small region what others said. Shares of limits were divided by what each
-//! knew. Drawn here: starts within 50 ms, one after another, half of the VMs killed and back, a region at once,
-//! messages lost, and cuts within a region that heal.
+//! Guards against permanently incomplete views: if the seed VM of a small region started last, the
+//! region's three other VMs knew only that one, because a process requested all heartbeats only
+//! once, and in small regions heartbeats aren't relayed. Each VM then divided account limits by its
+//! own number of known VMs. The trials cover starts within 50 ms, starts one after another, half of
+//! the VMs killed and restarted, a region that starts late, lost messages, and partitions within a
+//! region.
 
 use std::path::Path;
 
 use foldhaven_testkit::membership::{
-    MembershipExperiment, StartKind, StartPlan, TellingWay, make_page, play_starts, strangers_after,
+    DiscoveryMethod, MembershipExperiment, StartKind, StartPlan, incomplete_views_after, make_page,
+    run_start_trial,
 };
 use rstest::rstest;
 
-/// How many starts of each kind are played: some by themselves, others by hand.
-fn plays(usual: u64) -> u64 {
-    std::env::var("START_PLAYS").ok().and_then(|plays| plays.parse().ok()).unwrap_or(usual)
+/// Returns the number of runs: the given one, or that of the variable `START_PLAYS`.
+fn runs(usual: u64) -> u64 {
+    std::env::var("START_PLAYS").ok().and_then(|runs| runs.parse().ok()).unwrap_or(usual)
 }
 
 #[rstest]
-fn vms_that_start_know_their_region_soon(
+fn starting_vms_discover_their_region_in_time(
     #[values(
         StartKind::Together,
         StartKind::Apart,
@@ -32,40 +35,40 @@
     #[values(0.0, 0.05)] loss: f64,
 ) {
     let (vms, regions, usual) = size;
-    let plan = StartPlan { vms, regions, start, loss, way: TellingWay::Views };
-    let plays = plays(usual);
-    let failed: Vec<String> = (0..plays)
+    let plan = StartPlan { vms, regions, start, loss, method: DiscoveryMethod::Views };
+    let runs = runs(usual);
+    let failed: Vec<String> = (0..runs)
         .filter_map(|seed| {
-            let strangers = strangers_after(&plan, seed);
-            let few = strangers.iter().take(2).cloned().collect::<Vec<String>>().join("; ");
-            (!strangers.is_empty())
-                .then(|| format!("seed {seed}: {} of {vms}: {few}", strangers.len()))
+            let incomplete = incomplete_views_after(&plan, seed);
+            let few = incomplete.iter().take(2).cloned().collect::<Vec<String>>().join("; ");
+            (!incomplete.is_empty())
+                .then(|| format!("seed {seed}: {} of {vms}: {few}", incomplete.len()))
         })
         .collect();
     let few = failed.iter().take(4).collect::<Vec<&String>>();
-    assert!(failed.is_empty(), "{} of {plays} starts: {few:#?}", failed.len());
+    assert!(failed.is_empty(), "{} of {runs} starts: {few:#?}", failed.len());
 }
 
-/// Without the exchange some starts stay incomplete, so that the test above can fail.
+/// Without the exchange of views some runs stay incomplete, so the test above can fail.
 #[test]
-fn heartbeats_alone_leave_strangers() {
+fn heartbeats_alone_leave_views_incomplete() {
     let plan = StartPlan {
         vms: 9,
         regions: 3,
         start: StartKind::Together,
         loss: 0.05,
-        way: TellingWay::Heartbeats,
+        method: DiscoveryMethod::Heartbeats,
     };
-    let trial = play_starts(&plan, 60);
+    let trial = run_start_trial(&plan, 60);
     assert!(trial.incomplete > 0, "{trial:?}");
-    let last = trial.curve.last().expect("it was looked at");
-    assert!(last.1 < 1.0, "they are strangers for as long as they live");
+    let last = trial.curve.last().expect("the views were checked");
+    assert!(last.1 < 1.0, "some views never become complete");
     let page = make_page(&[trial]).unwrap();
     assert!(page.contains("<svg") && page.contains("lacks"));
 }
 
 #[test]
-fn the_example_experiment_can_be_read_and_others_are_refused() {
+fn example_experiment_is_read_and_others_are_rejected() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/simulate");
     let read = |name: &str| MembershipExperiment::read(&folder.join(name));
     assert!(read("membership.yaml").unwrap().is_some());
