--- a/crates/foldhaven-testkit/src/cmd/harm.rs
+++ b/crates/foldhaven-testkit/src/cmd/harm.rs
@@ -1,12 +1,12 @@
-//! `foldhaven-testkit harm`: simulates requests that end their engines.
+//! `foldhaven-testkit harm`: simulates poison requests, which crash their engines.
 
 use std::process::ExitCode;
 
 use clap::{Arg, ArgMatches, Command, value_parser};
 
-use crate::harm::{HarmPlan, TellPolicy, play};
+use crate::harm::{PoisonPlan, SharingPolicy, run_trial};
 
-/// The arguments of `harm`.
+/// Returns the `harm` subcommand.
 pub fn make_subcommand() -> Command {
     let number = |name: &'static str, help: &'static str| {
         let arg = Arg::new(name).long(name).value_name("N");
@@ -29,21 +29,21 @@
         )
 }
 
-/// Carries `harm` out.
+/// Runs `harm`.
 pub fn execute(args: &ArgMatches) -> ExitCode {
-    let usual = HarmPlan::default();
-    let number = |name: &str, usual: usize| args.get_one(name).copied().unwrap_or(usual);
-    let plan = HarmPlan {
-        vms: number("vms", usual.vms),
-        engines: number("engines", usual.engines),
-        regions: number("regions", usual.regions),
-        deadly: number("deadly", usual.deadly),
-        rate: args.get_one("rate").copied().unwrap_or(usual.rate),
-        ..usual
+    let defaults = PoisonPlan::default();
+    let number = |name: &str, default: usize| args.get_one(name).copied().unwrap_or(default);
+    let plan = PoisonPlan {
+        vms: number("vms", defaults.vms),
+        engines: number("engines", defaults.engines),
+        regions: number("regions", defaults.regions),
+        poison_bodies: number("deadly", defaults.poison_bodies),
+        rate: args.get_one("rate").copied().unwrap_or(defaults.rate),
+        ..defaults
     };
-    for policy in [TellPolicy::Joined, TellPolicy::Alone, TellPolicy::Nothing] {
+    for policy in [SharingPolicy::Shared, SharingPolicy::LocalOnly, SharingPolicy::Disabled] {
         for seed in 1..=number("seeds", 3) as u64 {
-            let outcome = play(plan, policy, seed);
+            let outcome = run_trial(plan, policy, seed);
             println!("{}", serde_json::to_string(&outcome).expect("typed outcomes are JSON"));
         }
     }
--- a/crates/foldhaven-testkit/src/harm/engine.rs
+++ b/crates/foldhaven-testkit/src/harm/engine.rs
@@ -1,34 +1,34 @@
-//! An engine that ends under deadly requests, and starts again.
+//! A simulated engine that crashes and restarts.
 
 use std::collections::VecDeque;
 
-/// One engine.
+/// The state of one simulated engine.
 #[derive(Debug, Default)]
-pub(super) struct MortalEngine {
-    /// Its life; it rises with each start.
-    pub life: u32,
-    /// Whether it is down.
+pub(super) struct SimulatedEngine {
+    /// Incarnation of the engine; rises with each restart.
+    pub incarnation: u32,
+    /// Whether the engine is down.
     pub is_down: bool,
     running: Vec<usize>,
     waiting: VecDeque<usize>,
 }
 
-impl MortalEngine {
-    /// Takes a request. Returns whether there was room, and whether it begins to run.
-    pub fn take(&mut self, request: usize, slots: usize, places: usize) -> (bool, bool) {
+impl SimulatedEngine {
+    /// Offers a request. Returns whether it was accepted, and whether it starts to run at once.
+    pub fn accept(&mut self, request: usize, slots: usize, queue_limit: usize) -> (bool, bool) {
         if self.running.len() < slots {
             self.running.push(request);
             return (true, true);
         }
-        let has_room = self.waiting.len() < places;
-        if has_room {
+        let is_accepted = self.waiting.len() < queue_limit;
+        if is_accepted {
             self.waiting.push_back(request);
         }
-        (has_room, false)
+        (is_accepted, false)
     }
 
-    /// Ends a request. Returns the one that begins in its place.
-    pub fn finish(&mut self, request: usize) -> Option<usize> {
+    /// Finishes a running request. Returns the waiting request that starts in its slot.
+    pub fn finish_request(&mut self, request: usize) -> Option<usize> {
         let at = self.running.iter().position(|it| *it == request)?;
         self.running.swap_remove(at);
         let next = self.waiting.pop_front()?;
@@ -36,20 +36,20 @@
         Some(next)
     }
 
-    /// Ends the engine, with all that it has.
-    pub fn end(&mut self) -> Vec<usize> {
+    /// Stops the engine. Returns all requests that were running or waiting.
+    pub fn crash(&mut self) -> Vec<usize> {
         self.is_down = true;
         let running = std::mem::take(&mut self.running);
         running.into_iter().chain(std::mem::take(&mut self.waiting)).collect()
     }
 
-    /// Starts it again.
+    /// Restarts the engine with a new incarnation.
     pub fn start(&mut self) {
         self.is_down = false;
-        self.life += 1;
+        self.incarnation += 1;
     }
 
-    /// How many requests it has.
+    /// Returns the number of running and waiting requests.
     pub fn load(&self) -> usize {
         self.running.len() + self.waiting.len()
     }
--- a/crates/foldhaven-testkit/src/harm/mod.rs
+++ b/crates/foldhaven-testkit/src/harm/mod.rs
@@ -1,11 +1,12 @@
-//! Simulates requests that end their engines beside crashes that are nobody's fault: how often such a request is still sent on,
-//! and how many innocent ones are held back.
+//! Simulates poison requests, which crash their engines, together with crashes that no request
+//! causes. Measures how often poison requests are still forwarded, and how many innocent requests
+//! are quarantined.
 
 mod engine;
 mod plan;
-mod telling;
+mod record_exchange;
 mod vm;
 mod world;
 
-pub use self::plan::{HarmOutcome, HarmPlan, TellPolicy};
-pub use self::world::play;
+pub use self::plan::{PoisonOutcome, PoisonPlan, SharingPolicy};
+pub use self::world::run_trial;
--- a/crates/foldhaven-testkit/src/harm/plan.rs
+++ b/crates/foldhaven-testkit/src/harm/plan.rs
@@ -1,97 +1,104 @@
-//! What is simulated, and what comes of it.
+//! Settings and results of the simulation.
 
 use std::time::Duration;
 
 use serde::Serialize;
 
-/// How VMs learn of ends that others saw.
+/// How VMs share records of the engine exits that they observed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum TellPolicy {
-    /// Records are told and joined.
-    Joined,
-    /// Each VM goes by what it has seen itself.
-    Alone,
-    /// Nothing is noted.
-    Nothing,
+pub enum SharingPolicy {
+    /// VMs exchange and merge their records.
+    #[serde(rename = "joined")]
+    Shared,
+    /// Each VM uses its own observations only.
+    #[serde(rename = "alone")]
+    LocalOnly,
+    /// VMs record no exits.
+    #[serde(rename = "nothing")]
+    Disabled,
 }
 
-/// A deployment and what happens to it.
+/// The simulated deployment, its load and its faults. Times count from the start of the trial.
 #[derive(Debug, Clone, Copy)]
-pub struct HarmPlan {
-    /// The entry VMs.
+pub struct PoisonPlan {
+    /// Number of entry VMs.
     pub vms: usize,
-    /// The engines.
+    /// Number of engines.
     pub engines: usize,
-    /// The regions, among which both are dealt evenly.
+    /// Number of regions; VMs and engines are spread evenly over them.
     pub regions: usize,
-    /// How many requests an engine runs at once.
+    /// Requests that an engine runs at once.
     pub slots: usize,
-    /// How many wait there at most.
-    pub places: usize,
-    /// Innocent requests a second.
+    /// Maximum number of requests that wait at an engine.
+    pub queue_limit: usize,
+    /// Innocent requests per second.
     pub rate: f64,
-    /// The share of them that have one of a few popular bodies.
-    pub popular: f64,
-    /// How long an innocent request runs, on average.
-    pub work: Duration,
-    /// How many bodies end their engines.
-    pub deadly: usize,
-    /// The pause between two sendings of such a body.
-    pub deadly_pause: Duration,
-    /// When the first of them comes.
-    pub deadly_from: Duration,
+    /// Share of innocent requests that have one of a few popular bodies.
+    pub popular_share: f64,
+    /// Mean run time of an innocent request.
+    pub mean_work_time: Duration,
+    /// Number of distinct poison request bodies, which crash their engine.
+    pub poison_bodies: usize,
+    /// Interval between two requests with the same poison body.
+    pub poison_interval: Duration,
+    /// When poison requests begin.
+    pub poison_start: Duration,
     /// When a quarter of the engines crash.
     pub crash_at: Duration,
-    /// When the first region loses its power.
-    pub loss_at: Duration,
-    /// How long all of it takes.
+    /// When the first region loses power.
+    pub power_loss_at: Duration,
+    /// Length of the trial.
     pub length: Duration,
-    /// The share of datagrams that are lost.
-    pub lossy: f64,
+    /// Share of messages between VMs that are lost.
+    pub message_loss: f64,
 }
 
-impl Default for HarmPlan {
+impl Default for PoisonPlan {
     fn default() -> Self {
         Self {
             vms: 300,
             engines: 128,
             regions: 3,
             slots: 12,
-            places: 36,
+            queue_limit: 36,
             rate: 1_500.0,
-            popular: 0.1,
-            work: Duration::from_millis(300),
-            deadly: 1,
-            deadly_pause: Duration::from_millis(70),
-            deadly_from: Duration::from_secs(5),
+            popular_share: 0.1,
+            mean_work_time: Duration::from_millis(300),
+            poison_bodies: 1,
+            poison_interval: Duration::from_millis(70),
+            poison_start: Duration::from_secs(5),
             crash_at: Duration::from_secs(12),
-            loss_at: Duration::from_secs(20),
+            power_loss_at: Duration::from_secs(20),
             length: Duration::from_secs(40),
-            lossy: 0.01,
+            message_loss: 0.01,
         }
     }
 }
 
-/// What came of one play.
+/// The results of one trial.
 #[derive(Debug, Clone, Serialize)]
-pub struct HarmOutcome {
-    /// How VMs learnt of ends.
-    pub policy: TellPolicy,
-    /// The seed.
+pub struct PoisonOutcome {
+    /// How VMs shared records.
+    pub policy: SharingPolicy,
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// How many engines ended under deadly requests.
-    pub ends: usize,
-    /// How often the worst body was sent to an engine later than two seconds after its third end.
+    /// Number of engine exits caused by poison requests.
+    #[serde(rename = "ends")]
+    pub exits: usize,
+    /// Arrivals of the worst poison body at engines later than two seconds after its third exit.
     pub late_sends: usize,
-    /// Innocent requests.
+    /// Number of innocent requests, not counting retries.
     pub innocent: usize,
-    /// How many of them were held back as suspects.
-    pub held_back: usize,
-    /// How many of them were not served.
-    pub lost: usize,
-    /// What a VM told others of suspects, in bytes a second.
+    /// Number of innocent requests, counting retries, that were quarantined as suspects.
+    #[serde(rename = "held_back")]
+    pub quarantined: usize,
+    /// Number of innocent requests that failed on their retry, too.
+    #[serde(rename = "lost")]
+    pub unserved: usize,
+    /// Mean rate of suspect records that a VM sends, in bytes per second.
     pub bytes_per_s: f64,
-    /// The same in the busiest second of any VM.
-    pub most_bytes: usize,
+    /// Bytes of suspect records in the busiest second of any VM.
+    #[serde(rename = "most_bytes")]
+    pub max_bytes_per_s: usize,
 }
--- a/crates/foldhaven-testkit/src/harm/vm.rs
+++ b/crates/foldhaven-testkit/src/harm/vm.rs
@@ -1,4 +1,4 @@
-//! A VM of the simulation: the table of the product, and which engines it knows to be down.
+//! A simulated VM: the suspect table that the gateway uses, and its view of unreachable engines.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,38 +7,38 @@
 use foldhaven_core::opaque::suspects::{InFlightRequests, SuspectTable};
 use foldhaven_core::time::MonoTime;
 
-/// For how long an engine is left alone that could not be reached.
-const EJECTED: Duration = Duration::from_millis(1_000);
+/// How long an unreachable engine is not used.
+const EJECTION_TIME: Duration = Duration::from_millis(1_000);
 
-/// One entry VM.
-pub(super) struct HarmVm {
+/// The state of one simulated entry VM.
+pub(super) struct SimulatedVm {
     pub region: usize,
     pub is_down: bool,
     pub table: SuspectTable,
-    /// Its requests at each life of an engine.
-    pub guests: HashMap<(usize, u32), InFlightRequests>,
-    ejected: HashMap<usize, MonoTime>,
+    /// Requests in flight by engine and its incarnation.
+    pub in_flight: HashMap<(usize, u32), InFlightRequests>,
+    ejected_until: HashMap<usize, MonoTime>,
 }
 
-impl HarmVm {
+impl SimulatedVm {
     pub fn new(number: usize, region: usize) -> Self {
         let tag = VmTag(u32::try_from(number).expect("few VMs"));
         Self {
             region,
             is_down: false,
             table: SuspectTable::new(tag),
-            guests: HashMap::new(),
-            ejected: HashMap::new(),
+            in_flight: HashMap::new(),
+            ejected_until: HashMap::new(),
         }
     }
 
-    /// Leaves an engine alone for a time.
+    /// Excludes an engine for [`EJECTION_TIME`].
     pub fn eject(&mut self, engine: usize, now: MonoTime) {
-        self.ejected.insert(engine, now + EJECTED);
+        self.ejected_until.insert(engine, now + EJECTION_TIME);
     }
 
-    /// Whether an engine may be tried.
-    pub fn trusts(&self, engine: usize, now: MonoTime) -> bool {
-        self.ejected.get(&engine).is_none_or(|until| now >= *until)
+    /// Returns whether an engine may be used.
+    pub fn is_available(&self, engine: usize, now: MonoTime) -> bool {
+        self.ejected_until.get(&engine).is_none_or(|until| now >= *until)
     }
 }
--- a/crates/foldhaven-testkit/tests/testsuite/harm.rs
+++ b/crates/foldhaven-testkit/tests/testsuite/harm.rs
@@ -1,32 +1,33 @@
-//! Requests that end their engines, at hundreds of VMs in simulated time.
+//! Simulations of poison requests, which crash their engines, at hundreds of VMs.
 
-use foldhaven_testkit::harm::{HarmPlan, TellPolicy, play};
+use foldhaven_testkit::harm::{PoisonPlan, SharingPolicy, run_trial};
 use rstest::rstest;
 
-/// Each sending meets another of 300 VMs; meanwhile a quarter of the engines crash and a region loses its power. Without a word
-/// between VMs each of them makes up its own mind, and over 500 engines end.
+/// Each poison request reaches another of 300 VMs, while a quarter of the engines crash and a
+/// region loses power. If VMs don't share records, each VM must observe the exits itself, and over 500
+/// engines exit.
 #[rstest]
 #[case::one_body(1)]
 #[case::three_bodies(3)]
-fn hundreds_of_vms_hold_a_deadly_request_back_together(#[case] deadly: usize) {
-    let plan = HarmPlan { deadly, ..HarmPlan::default() };
-    let joined = play(plan, TellPolicy::Joined, 7);
-    assert!(joined.late_sends <= 3, "{joined:?}");
-    assert!(joined.ends <= 12 * deadly, "{joined:?}");
-    assert!(joined.held_back * 1_000 < joined.innocent, "{joined:?}");
-    assert!(joined.lost * 1_000 < joined.innocent, "{joined:?}");
+fn hundreds_of_vms_quarantine_a_poison_request_together(#[case] poison_bodies: usize) {
+    let plan = PoisonPlan { poison_bodies, ..PoisonPlan::default() };
+    let shared = run_trial(plan, SharingPolicy::Shared, 7);
+    assert!(shared.late_sends <= 3, "{shared:?}");
+    assert!(shared.exits <= 12 * poison_bodies, "{shared:?}");
+    assert!(shared.quarantined * 1_000 < shared.innocent, "{shared:?}");
+    assert!(shared.unserved * 1_000 < shared.innocent, "{shared:?}");
 }
 
 #[test]
-fn vms_that_do_not_tell_each_other_hold_nothing_back_together() {
-    let alone = play(HarmPlan::default(), TellPolicy::Alone, 7);
-    assert!(alone.late_sends > 100, "{alone:?}");
+fn vms_without_shared_records_keep_sending_a_poison_request() {
+    let local_only = run_trial(PoisonPlan::default(), SharingPolicy::LocalOnly, 7);
+    assert!(local_only.late_sends > 100, "{local_only:?}");
 }
 
-/// Where nothing ends under a request, nothing is told.
+/// If no request causes crashes, almost no request is quarantined.
 #[test]
-fn crashes_alone_hold_no_request_back() {
-    let plan = HarmPlan { deadly: 0, ..HarmPlan::default() };
-    let joined = play(plan, TellPolicy::Joined, 7);
-    assert!(joined.held_back * 1_000 < joined.innocent, "{joined:?}");
+fn crashes_alone_quarantine_no_requests() {
+    let plan = PoisonPlan { poison_bodies: 0, ..PoisonPlan::default() };
+    let shared = run_trial(plan, SharingPolicy::Shared, 7);
+    assert!(shared.quarantined * 1_000 < shared.innocent, "{shared:?}");
 }
