--- a/crates/foldhaven-testkit/src/cmd/chaos.rs
+++ b/crates/foldhaven-testkit/src/cmd/chaos.rs
@@ -13,7 +13,7 @@
 use crate::demo::read_example;
 use crate::scenario::{ChaosSchedule, Scenario, run_scenario, shrink_schedule};
 
-/// The arguments of `chaos`.
+/// Returns the `chaos` subcommand.
 pub fn make_subcommand() -> Command {
     Command::new("chaos")
         .about("Runs random fault schedules from seeds")
@@ -43,7 +43,7 @@
         )
 }
 
-/// Carries `chaos` out. Exits with 0 when no promise was broken.
+/// Runs `chaos`. Exits with 0 if no run violated a guarantee.
 pub fn execute(args: &ArgMatches) -> ExitCode {
     let seeds: &String = args.get_one("seeds").expect("it has a default");
     let Some((from, to)) = read_range(seeds) else {
@@ -67,7 +67,7 @@
     description: Description,
     seeds: std::ops::RangeInclusive<u64>,
     at_once: usize,
-    shrinks: bool,
+    should_shrink: bool,
 ) -> io::Result<bool> {
     let program = std::env::current_exe()?;
     let runs = seeds.map(|seed| {
@@ -91,7 +91,7 @@
         }
     }
     drop(runs);
-    if shrinks && let Some(scenario) = failed.first() {
+    if should_shrink && let Some(scenario) = failed.first() {
         let smallest = shrink(program, description, scenario.clone()).await;
         println!("{smallest}");
     }
--- a/crates/foldhaven-testkit/src/cmd/demo.rs
+++ b/crates/foldhaven-testkit/src/cmd/demo.rs
@@ -8,7 +8,7 @@
 use super::block_on;
 use crate::demo::run_demo;
 
-/// The arguments of `demo`.
+/// Returns the `demo` subcommand.
 pub fn make_subcommand() -> Command {
     Command::new("demo")
         .about("Serves both users' deployments from end to end and checks every answer")
@@ -22,7 +22,7 @@
         )
 }
 
-/// Carries `demo` out. Exits with 0 when every check held.
+/// Runs `demo`. Exits with 0 if every check passed.
 pub fn execute(args: &ArgMatches) -> ExitCode {
     let examples: &PathBuf = args.get_one("examples").expect("the argument has a default");
     block_on(run_demo(examples))
--- a/crates/foldhaven-testkit/src/cmd/measure.rs
+++ b/crates/foldhaven-testkit/src/cmd/measure.rs
@@ -1,4 +1,5 @@
-//! `foldhaven-testkit measure`: policies side by side, the overhead of the gateway, and slopes.
+//! `foldhaven-testkit measure`: compares routing policies, or measures the overhead of the gateway
+//! or the cost of the control plane by fleet size.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -19,7 +20,7 @@
 const POLICIES: [PolicyKind; 4] =
     [PolicyKind::Planner, PolicyKind::Home, PolicyKind::Random, PolicyKind::LeastLoaded];
 
-/// The arguments of `measure`.
+/// Returns the `measure` subcommand.
 pub fn make_subcommand() -> Command {
     let list = |name: &'static str, help: &'static str| {
         Arg::new(name).long(name).value_delimiter(',').action(ArgAction::Append).help(help)
@@ -59,11 +60,11 @@
     Arg::new(name).long(name).default_value(default).value_parser(value_parser!(u64)).help(help)
 }
 
-fn get_number(args: &ArgMatches, name: &str) -> u64 {
+fn number_arg(args: &ArgMatches, name: &str) -> u64 {
     *args.get_one(name).expect("the argument has a default")
 }
 
-/// Carries `measure` out.
+/// Runs `measure`.
 pub fn execute(args: &ArgMatches) -> ExitCode {
     block_on(async move {
         let program = std::env::current_exe()?;
@@ -110,8 +111,8 @@
                 policy,
                 label,
                 program,
-                length: Duration::from_secs(get_number(args, "seconds")),
-                seed: get_number(args, "seed"),
+                length: Duration::from_secs(number_arg(args, "seconds")),
+                seed: number_arg(args, "seed"),
             };
             let all =
                 POLICIES.into_iter().filter(|it| policies.is_empty() || policies.contains(it));
@@ -121,7 +122,7 @@
             specs.extend(previous.map(earlier));
         }
     }
-    let at_once = get_number(args, "at-once") as usize;
+    let at_once = number_arg(args, "at-once") as usize;
     let is_json = args.get_flag("json");
     if !is_json {
         println!(
@@ -160,10 +161,10 @@
         run.profile,
         run.policy,
         run.requests,
-        run.on_time_worth * 100.0,
+        run.on_time_share * 100.0,
         pair(&run.first_ms),
-        pair(&run.whole_ms),
-        run.away * 100.0,
+        pair(&run.complete_ms),
+        run.remote_share * 100.0,
         run.cost,
         run.estimate_error * 100.0,
         recovered,
@@ -214,8 +215,8 @@
         row.control_kb[0],
         row.control_kb[1],
         row.platform_calls,
-        row.in_force_ms[0],
-        row.in_force_ms[1],
-        row.change_kb
+        row.propagation_ms[0],
+        row.propagation_ms[1],
+        row.kb_per_change
     );
 }
--- a/crates/foldhaven-testkit/src/cmd/mod.rs
+++ b/crates/foldhaven-testkit/src/cmd/mod.rs
@@ -12,7 +12,7 @@
 
 use clap::Command;
 
-/// The whole command line.
+/// Returns the command line with all subcommands.
 pub fn make_command() -> Command {
     Command::new("foldhaven-testkit")
         .about("Runs foldhaven against stand-ins")
@@ -31,11 +31,11 @@
         .subcommand(stand_ins::make_vm())
 }
 
-/// Reads the command line and carries it out.
+/// Parses the command line and runs the chosen subcommand.
 pub fn main() -> ExitCode {
     let matches = make_command().get_matches();
     if matches!(matches.subcommand_name(), Some("platform" | "engine" | "service" | "vm")) {
-        stand_ins::end_with_parent();
+        stand_ins::exit_with_parent();
     }
     match matches.subcommand() {
         Some(("demo", args)) => demo::execute(args),
@@ -52,7 +52,7 @@
     }
 }
 
-/// Runs a future on a new runtime and reports its error.
+/// Runs a future on a new runtime. Prints its error, and fails on an error or on `false`.
 pub fn block_on<E: std::fmt::Display>(future: impl Future<Output = Result<bool, E>>) -> ExitCode {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
     let result = match runtime {
--- a/crates/foldhaven-testkit/src/cmd/scenario.rs
+++ b/crates/foldhaven-testkit/src/cmd/scenario.rs
@@ -1,4 +1,4 @@
-//! `foldhaven-testkit scenario`: runs scenario files and prints the timeline of those that fail.
+//! `foldhaven-testkit scenario`: runs scenario files and prints the timeline of each failed one.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -10,7 +10,7 @@
 use crate::demo::read_example;
 use crate::scenario::{ScenarioReport, parse_scenario, run_scenario};
 
-/// The arguments of `scenario`.
+/// Returns the `scenario` subcommand.
 pub fn make_subcommand() -> Command {
     Command::new("scenario")
         .about("Runs scenario files, or all of a folder")
@@ -30,18 +30,18 @@
         )
 }
 
-/// Carries `scenario` out. Exits with 0 when every scenario passed.
+/// Runs `scenario`. Exits with 0 if every scenario passed.
 pub fn execute(args: &ArgMatches) -> ExitCode {
     let paths: Vec<PathBuf> = args.get_many("paths").expect("it is required").cloned().collect();
     let is_verbose = args.get_flag("verbose");
     block_on(run_all(paths, is_verbose))
 }
 
-/// The scenario files under a path, in the order of their names.
+/// Returns the scenario files in a folder, sorted by name, or the given file itself.
 ///
 /// # Errors
 ///
-/// When a folder cannot be read.
+/// Fails if the folder can't be read.
 pub fn scenario_files(path: &Path) -> io::Result<Vec<PathBuf>> {
     if path.is_file() {
         return Ok(vec![path.to_owned()]);
@@ -57,11 +57,11 @@
     Ok(files)
 }
 
-/// Runs one scenario file against the fleet of `small.yaml` beside it.
+/// Runs one scenario file on a fleet described by `small.yaml` in the same folder.
 ///
 /// # Errors
 ///
-/// When the file cannot be read or the fleet cannot be started.
+/// Fails if the file can't be read or parsed, or if the fleet can't be started.
 pub async fn run_file(program: PathBuf, path: &Path) -> io::Result<ScenarioReport> {
     let text = std::fs::read_to_string(path)?;
     let mut scenario = parse_scenario(&text)
@@ -75,7 +75,7 @@
     run_scenario(program, description, &scenario).await
 }
 
-/// Prints one report; the timeline only when something failed or when it is asked for.
+/// Prints a report. The timeline is included only if the scenario failed or `is_verbose` is set.
 pub fn print_report(report: &ScenarioReport, is_verbose: bool) {
     let verdict = if report.failures.is_empty() { "ok" } else { "FAILED" };
     let ScenarioReport { name, judged, faults, .. } = report;
--- a/crates/foldhaven-testkit/src/cmd/simulate.rs
+++ b/crates/foldhaven-testkit/src/cmd/simulate.rs
@@ -1,5 +1,5 @@
-//! `simulate`: plays the gateway's decisions before simulated engines, how VMs that start learn of each other, or
-//! how they keep a limit together.
+//! `foldhaven-testkit simulate`: simulates the routing decisions of the gateway, the discovery of
+//! starting VMs, or the enforcement of an account limit, depending on the experiment file.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -10,7 +10,7 @@
 use crate::membership::{self, MembershipExperiment, StartTrial, run_start_trial};
 use crate::simulate::{Experiment, Trial, make_page, run_trial};
 
-/// The arguments of `simulate`.
+/// Returns the `simulate` subcommand.
 pub fn make_subcommand() -> Command {
     let file = |name: &'static str, help: &'static str| {
         Arg::new(name).value_name("FILE").value_parser(value_parser!(PathBuf)).help(help)
@@ -23,7 +23,7 @@
         .arg(file("html", "Writes a page with plots").long("html"))
 }
 
-/// Plays an experiment.
+/// Runs `simulate`.
 pub fn execute(args: &ArgMatches) -> ExitCode {
     let path: &PathBuf = args.get_one("experiment").expect("the argument is required");
     match run(path, args.get_one("html")) {
--- a/crates/foldhaven-testkit/src/cmd/stand_ins.rs
+++ b/crates/foldhaven-testkit/src/cmd/stand_ins.rs
@@ -1,4 +1,4 @@
-//! The processes that a fleet consists of, as subcommands.
+//! Subcommands for the processes of a fleet: stand-in platform, engine and service, and a daemon.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -33,7 +33,7 @@
     args.get_one::<T>(name).expect("the argument is required").clone()
 }
 
-/// The arguments of `platform`.
+/// Returns the `platform` subcommand.
 pub fn make_platform() -> Command {
     Command::new("platform")
         .about("A stand-in platform")
@@ -41,7 +41,7 @@
         .arg(path("content"))
 }
 
-/// The arguments of `engine`.
+/// Returns the `engine` subcommand.
 pub fn make_engine() -> Command {
     Command::new("engine")
         .about("A stand-in model engine")
@@ -56,7 +56,7 @@
         .arg(text("checks-fences").value_parser(value_parser!(bool)))
 }
 
-/// The arguments of `service`.
+/// Returns the `service` subcommand.
 pub fn make_service() -> Command {
     Command::new("service")
         .about("A stand-in plain service")
@@ -66,20 +66,20 @@
         .arg(path("ledger"))
 }
 
-/// The arguments of `vm`.
+/// Returns the `vm` subcommand.
 pub fn make_vm() -> Command {
     Command::new("vm").about("A foldhaven daemon").arg(path("settings"))
 }
 
-/// Ends this process when the one that started it has ended, by the pipe between them.
-pub fn end_with_parent() {
+/// Exits this process when its parent has exited, which closes the pipe on standard input.
+pub fn exit_with_parent() {
     std::thread::spawn(|| {
         let _ = std::io::copy(&mut std::io::stdin(), &mut std::io::sink());
         std::process::exit(0);
     });
 }
 
-/// Carries `platform` out.
+/// Runs `platform`.
 pub fn execute_platform(args: &ArgMatches) -> ExitCode {
     let content: PathBuf = get(args, "content");
     block_on(async {
@@ -88,7 +88,7 @@
     })
 }
 
-/// Carries `engine` out.
+/// Runs `engine`.
 pub fn execute_engine(args: &ArgMatches) -> ExitCode {
     let options = EngineOptions {
         name: get(args, "name"),
@@ -107,7 +107,7 @@
     block_on(async { run_engine(settings).await.map(|()| true) })
 }
 
-/// Carries `service` out.
+/// Runs `service`.
 pub fn execute_service(args: &ArgMatches) -> ExitCode {
     let settings = ServiceSettings {
         name: get(args, "name"),
--- a/crates/foldhaven-testkit/src/measure/load.rs
+++ b/crates/foldhaven-testkit/src/measure/load.rs
@@ -1,4 +1,5 @@
-//! Open-loop load: arrivals are fixed ahead, and times are counted from when a request was due.
+//! Open-loop load: arrival times are fixed in advance, and latencies count from the time at which a
+//! request was due.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -13,87 +14,92 @@
 use serde::Serialize;
 use tokio::task::JoinSet;
 
-use super::profile::{PlannedAsk, ProfileKind, draw_asks};
+use super::profile::{PlannedRequest, ProfileKind, draw_requests};
 use crate::caller::{CallerAnswer, CallerClient, ModelAsk};
 use crate::fleet::{Fleet, FleetOptions};
 use crate::relay::LinkEnds;
 use crate::stand_in::ledger::{LedgerEvent, LedgerLine};
 
-/// Entry VMs per data centre of measured fleets.
+/// Number of entry VMs per data centre.
 const VMS: usize = 2;
-/// The part of a run before its fault.
-const FAULT_FROM: f64 = 0.33;
+/// Share of a run before its fault.
+const FAULT_START_SHARE: f64 = 0.33;
 
-/// One measured run.
+/// The settings of one measured run.
 #[derive(Debug, Clone)]
 pub struct RunSpec {
-    /// The user whose description is run.
+    /// Name of the user whose deployment is measured.
     pub user: String,
-    /// The description.
+    /// Description of the deployment.
     pub description: Description,
-    /// What happens.
+    /// Load profile and fault of the run.
     pub kind: ProfileKind,
-    /// How requests are routed.
+    /// Routing policy.
     pub policy: PolicyKind,
-    /// The name under which the policy is shown.
+    /// Name under which the policy is shown.
     pub label: String,
-    /// The binary to run.
+    /// The testkit binary that the fleet's processes run.
     pub program: PathBuf,
-    /// How long.
+    /// Length of the run.
     pub length: Duration,
-    /// What the requests are drawn from.
+    /// Seed of the random requests.
     pub seed: u64,
 }
 
-/// What a run gave.
+/// The results of one run.
 #[derive(Debug, Clone, Serialize)]
 pub struct RunResult {
-    /// The user.
+    /// Name of the user.
     pub user: String,
-    /// The profile.
+    /// Name of the load profile.
     pub profile: &'static str,
-    /// The policy.
+    /// Label of the policy.
     pub policy: String,
-    /// Requests that were due.
+    /// Number of requests that were due.
     pub requests: usize,
-    /// The part of all worth that was delivered whole and on time.
-    pub on_time_worth: f64,
-    /// Time to the first token in milliseconds: median, 95th and 99th percentile.
+    /// Share of the total worth of all requests that was answered completely and on time.
+    #[serde(rename = "on_time_worth")]
+    pub on_time_share: f64,
+    /// Time to the first token of complete answers, in milliseconds: median, 95th and 99th
+    /// percentile.
     pub first_ms: [f64; 3],
-    /// Time to the whole answer in milliseconds, of complete ones.
-    pub whole_ms: [f64; 3],
-    /// The part of complete requests that was served outside the home region.
-    pub away: f64,
-    /// Slot seconds, each at the price of its region, per complete request.
+    /// Time to the complete answer, in milliseconds: median, 95th and 99th percentile.
+    #[serde(rename = "whole_ms")]
+    pub complete_ms: [f64; 3],
+    /// Share of complete requests that were served outside their home region.
+    #[serde(rename = "away")]
+    pub remote_share: f64,
+    /// Slot seconds per complete request, weighted by the price of their region.
     pub cost: f64,
-    /// Requests that were refused, by code.
+    /// Number of incomplete requests by error code; the code is empty if there was none.
     pub refusals: BTreeMap<String, usize>,
-    /// The running spread of estimates, as a mean over the VMs.
+    /// Moving spread of the time estimates, as a mean over the VMs.
     pub estimate_error: f64,
-    /// Worth on time a second: before the fault, during it, and after it.
+    /// Worth answered on time per second: before, during and after the fault.
     pub goodput: [f64; 3],
-    /// Seconds after the end of the fault until goodput was back at 95% of before.
+    /// Seconds from the end of the fault until goodput was back at 95% of its value before; `None`
+    /// if it didn't recover.
     pub recovered_s: Option<f64>,
 }
 
-struct DoneAsk {
-    ask: PlannedAsk,
+struct CompletedRequest {
+    request: PlannedRequest,
     answer: CallerAnswer,
     first: Option<Duration>,
     whole: Duration,
 }
 
-impl DoneAsk {
+impl CompletedRequest {
     fn is_on_time(&self) -> bool {
-        self.answer.is_complete() && self.whole <= self.ask.class.deadline.0
+        self.answer.is_complete() && self.whole <= self.request.class.deadline.0
     }
 }
 
-/// Runs one profile under one policy on a fleet of its own.
+/// Runs one profile under one policy on a new fleet.
 ///
 /// # Errors
 ///
-/// When the fleet cannot be started.
+/// Fails if the fleet can't be started.
 pub async fn measure_run(spec: &RunSpec) -> io::Result<RunResult> {
     let options = FleetOptions {
         vms: VMS,
@@ -103,16 +109,17 @@
         ..FleetOptions::default()
     };
     let mut fleet = Fleet::start(spec.program.clone(), spec.description.clone(), options).await?;
-    let asks = draw_asks(&spec.description, spec.kind, spec.length, spec.seed);
-    let running = tokio::spawn(send_all(Arc::new(entry_table(&fleet)), asks, spec.clone()));
+    let requests = draw_requests(&spec.description, spec.kind, spec.length, spec.seed);
+    let running =
+        tokio::spawn(send_requests(Arc::new(caller_addresses(&fleet)), requests, spec.clone()));
     inject_fault(&mut fleet, spec).await;
     let done = running.await.map_err(io::Error::other)?;
     let error = estimate_error(&fleet).await;
-    Ok(summarise(spec, &done, &fleet.ledger(), error))
+    Ok(summarize(spec, &done, &fleet.ledger(), error))
 }
 
-/// The caller addresses of each region's VMs.
-fn entry_table(fleet: &Fleet) -> BTreeMap<String, Vec<SocketAddr>> {
+/// Returns the addresses of each region's VMs that callers use.
+fn caller_addresses(fleet: &Fleet) -> BTreeMap<String, Vec<SocketAddr>> {
     let mut table: BTreeMap<String, Vec<SocketAddr>> = BTreeMap::new();
     for vm in fleet.vms.values() {
         table.entry(vm.region.clone()).or_default().push(vm.settings.addresses.caller);
@@ -120,64 +127,64 @@
     table
 }
 
-async fn send_all(
-    entries: Arc<BTreeMap<String, Vec<SocketAddr>>>,
-    asks: Vec<PlannedAsk>,
+async fn send_requests(
+    entry_vms: Arc<BTreeMap<String, Vec<SocketAddr>>>,
+    requests: Vec<PlannedRequest>,
     spec: RunSpec,
-) -> Vec<DoneAsk> {
+) -> Vec<CompletedRequest> {
     let caller = CallerClient::new(spec.description.network.caller.0);
     let started = Instant::now();
     let mut sends = JoinSet::new();
-    for (number, ask) in asks.into_iter().enumerate() {
-        tokio::time::sleep_until((started + ask.due).into()).await;
-        let (caller, entries, kind) = (caller.clone(), entries.clone(), spec.kind);
+    for (number, request) in requests.into_iter().enumerate() {
+        tokio::time::sleep_until((started + request.due).into()).await;
+        let (caller, entry_vms, kind) = (caller.clone(), entry_vms.clone(), spec.kind);
         sends.spawn(async move {
-            let home = &entries[&ask.home];
-            send_one(&caller, home, ask, number, started, kind.asks_again()).await
+            let home = &entry_vms[&request.home];
+            send_request(&caller, home, request, number, started, kind.max_retries()).await
         });
     }
     sends.join_all().await
 }
 
-async fn send_one(
+async fn send_request(
     caller: &CallerClient,
-    entries: &[SocketAddr],
-    ask: PlannedAsk,
+    entry_vms: &[SocketAddr],
+    request: PlannedRequest,
     number: usize,
     started: Instant,
-    asks_again: usize,
-) -> DoneAsk {
-    let due = started + ask.due;
-    let mut tries = 0;
+    max_retries: usize,
+) -> CompletedRequest {
+    let due = started + request.due;
+    let mut attempt = 0;
     loop {
-        let left = ask.class.deadline.0.saturating_sub(due.elapsed());
-        let model_ask = ModelAsk {
-            account: ask.account.clone(),
-            class: ask.class.name.to_string(),
-            request: format!("ask-{number}-{tries}"),
-            prompt: ask.prompt.clone(),
-            max_tokens: ask.max_tokens,
+        let left = request.class.deadline.0.saturating_sub(due.elapsed());
+        let model_request = ModelAsk {
+            account: request.account.clone(),
+            class: request.class.name.to_string(),
+            request: format!("ask-{number}-{attempt}"),
+            prompt: request.prompt.clone(),
+            max_tokens: request.max_tokens,
             stream: true,
             chat: false,
             deadline: Some(left.max(Duration::from_millis(1))),
             worth: None,
         };
         let before = due.elapsed();
-        let entry = entries[(number + tries) % entries.len()];
-        let answer = caller.ask_model(entry, &model_ask).await;
-        let gives_up = answer.is_complete() || tries >= asks_again || left.is_zero();
-        if gives_up {
+        let entry = entry_vms[(number + attempt) % entry_vms.len()];
+        let answer = caller.ask_model(entry, &model_request).await;
+        let is_final = answer.is_complete() || attempt >= max_retries || left.is_zero();
+        if is_final {
             let first = answer.first.map(|first| before + first);
             let whole = before + answer.whole;
-            return DoneAsk { ask, answer, first, whole };
+            return CompletedRequest { request, answer, first, whole };
         }
-        tries += 1;
+        attempt += 1;
     }
 }
 
-/// Injects the fault of a profile and takes it away again.
+/// Injects the fault of a profile after a third of the run. Partitions and pauses are ended again.
 async fn inject_fault(fleet: &mut Fleet, spec: &RunSpec) {
-    let third = spec.length.mul_f64(FAULT_FROM);
+    let third = spec.length.mul_f64(FAULT_START_SHARE);
     let region = spec.description.regions[0].name.to_string();
     let centre = &spec.description.regions[0].data_centres[0];
     tokio::time::sleep(third).await;
@@ -235,20 +242,27 @@
     errors.iter().sum::<f64>() / errors.len().max(1) as f64
 }
 
-fn summarise(spec: &RunSpec, done: &[DoneAsk], ledger: &[LedgerLine], error: f64) -> RunResult {
-    let worth = |done: &DoneAsk| done.ask.class.worth;
+fn summarize(
+    spec: &RunSpec,
+    done: &[CompletedRequest],
+    ledger: &[LedgerLine],
+    error: f64,
+) -> RunResult {
+    let worth = |done: &CompletedRequest| done.request.class.worth;
     let all: f64 = done.iter().map(worth).sum();
     let on_time: f64 = done.iter().filter(|done| done.is_on_time()).map(worth).sum();
-    let complete: Vec<&DoneAsk> = done.iter().filter(|done| done.answer.is_complete()).collect();
+    let complete: Vec<&CompletedRequest> =
+        done.iter().filter(|done| done.answer.is_complete()).collect();
     let region = |centre: &str| {
         let regions = spec.description.regions.iter();
         let mut holds = regions.filter(|it| it.data_centres.iter().any(|dc| dc.as_str() == centre));
         holds.next().map(|region| (region.name.to_string(), region.price))
     };
-    let is_away = |done: &&&DoneAsk| {
-        region(&done.answer.served_by).is_some_and(|(name, _)| name != done.ask.home)
+    let is_remote = |done: &&&CompletedRequest| {
+        region(&done.answer.served_by).is_some_and(|(name, _)| name != done.request.home)
     };
-    let away = complete.iter().filter(is_away).count() as f64 / complete.len().max(1) as f64;
+    let remote_share =
+        complete.iter().filter(is_remote).count() as f64 / complete.len().max(1) as f64;
     let price = |centre: &str| region(centre).map_or(1.0, |(_, price)| price);
     let mut refusals: BTreeMap<String, usize> = BTreeMap::new();
     for done in done.iter().filter(|done| !done.answer.is_complete()) {
@@ -260,10 +274,10 @@
         profile: spec.kind.name(),
         policy: spec.label.clone(),
         requests: done.len(),
-        on_time_worth: on_time / all.max(1e-9),
+        on_time_share: on_time / all.max(1e-9),
         first_ms: percentiles(complete.iter().filter_map(|done| done.first)),
-        whole_ms: percentiles(complete.iter().map(|done| done.whole)),
-        away,
+        complete_ms: percentiles(complete.iter().map(|done| done.whole)),
+        remote_share,
         cost: slot_cost(ledger, price) / complete.len().max(1) as f64,
         refusals,
         estimate_error: error,
@@ -272,7 +286,8 @@
     }
 }
 
-/// Slot seconds that engines spent, whole or not, at the price of their region.
+/// Returns the slot seconds that engines spent on finished and cancelled requests, each weighted by
+/// the price of its region.
 fn slot_cost(ledger: &[LedgerLine], price: impl Fn(&str) -> f64) -> f64 {
     let mut starts: BTreeMap<(&str, &str), u64> = BTreeMap::new();
     let mut cost = 0.0;
@@ -291,14 +306,15 @@
     cost
 }
 
-/// Worth on time a second, by when requests were due: before, during and after the fault.
-fn goodput(spec: &RunSpec, done: &[DoneAsk]) -> ([f64; 3], Option<f64>) {
+/// Returns the worth answered on time per second, by due time, before, during and after the fault,
+/// and the recovery time in seconds.
+fn goodput(spec: &RunSpec, done: &[CompletedRequest]) -> ([f64; 3], Option<f64>) {
     let length = spec.length.as_secs_f64();
-    let (from, to) = (length * FAULT_FROM, length * FAULT_FROM * 2.0);
+    let (from, to) = (length * FAULT_START_SHARE, length * FAULT_START_SHARE * 2.0);
     let rate = |low: f64, high: f64| {
-        let due = |done: &&DoneAsk| (low..high).contains(&done.ask.due.as_secs_f64());
+        let due = |done: &&CompletedRequest| (low..high).contains(&done.request.due.as_secs_f64());
         let good = done.iter().filter(due).filter(|done| done.is_on_time());
-        good.map(|done| done.ask.class.worth).sum::<f64>() / (high - low).max(1e-9)
+        good.map(|done| done.request.class.worth).sum::<f64>() / (high - low).max(1e-9)
     };
     let before = rate(0.0, from);
     let seconds = (length - to).max(0.0) as usize;
@@ -309,7 +325,7 @@
     ([before, rate(from, to), rate(to, length)], back.map(|at| at as f64))
 }
 
-/// The median, 95th and 99th percentile in milliseconds.
+/// Returns the median, 95th and 99th percentile in milliseconds.
 pub fn percentiles(times: impl Iterator<Item = Duration>) -> [f64; 3] {
     let mut histogram =
         Histogram::<u64>::new_with_bounds(1, 3_600_000_000, 3).expect("valid bounds");
--- a/crates/foldhaven-testkit/src/measure/overhead.rs
+++ b/crates/foldhaven-testkit/src/measure/overhead.rs
@@ -1,4 +1,4 @@
-//! What the gateway adds over a direct call to the same engine, in the same run.
+//! Measures the latency that the gateway adds to a direct call to the same engine.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,40 +17,43 @@
 use crate::fleet::{Fleet, FleetOptions};
 
 const ROUNDS: usize = 5;
-/// Calls of one round for each request in flight, at least [`LEAST_CALLS`].
-const CALLS_PER_PLACE: usize = 20;
-const LEAST_CALLS: usize = 100;
+/// Calls of one round for each request in flight, at least [`MIN_CALLS`].
+const CALLS_PER_IN_FLIGHT: usize = 20;
+const MIN_CALLS: usize = 100;
 const TOKENS: u64 = 4;
 
-/// Times in milliseconds: median, 95th and 99th percentile.
+/// Latencies with and without the gateway. Times are in milliseconds: median, 95th and 99th
+/// percentile.
 #[derive(Debug, Clone, Serialize)]
 pub struct OverheadRow {
-    /// How many requests were in flight.
+    /// Number of requests in flight.
     pub in_flight: usize,
-    /// First token of direct calls.
+    /// Time to the first token of direct calls.
     pub direct_first_ms: [f64; 3],
-    /// First token through the gateway.
+    /// Time to the first token through the gateway.
     pub gateway_first_ms: [f64; 3],
-    /// Whole answer of direct calls.
+    /// Time to the complete answer of direct calls.
     pub direct_whole_ms: [f64; 3],
-    /// Whole answer through the gateway.
+    /// Time to the complete answer through the gateway.
     pub gateway_whole_ms: [f64; 3],
-    /// Added at the median and at the 99th percentile of the whole answer.
+    /// Difference between gateway and direct calls in the time to the complete answer, at the
+    /// median and the 99th percentile.
     pub added_ms: [f64; 2],
-    /// Gateway over direct at the median and at the 99th percentile of the whole answer.
+    /// Ratio of gateway to direct calls in the time to the complete answer, at the median and the
+    /// 99th percentile.
     pub ratio: [f64; 2],
 }
 
-/// Measures with 1 and with 64 requests in flight, direct and through the gateway in turn.
+/// Measures with 1 and with 64 requests in flight, alternating direct and gateway rounds.
 ///
 /// # Errors
 ///
-/// When the fleet cannot be started.
+/// Fails if the fleet can't be started.
 pub async fn measure_overhead(
     program: PathBuf,
     mut description: Description,
 ) -> io::Result<Vec<OverheadRow>> {
-    // One engine with slots for all, so that nothing waits and both ways meet the same engine.
+    // One engine with slots for all requests: none waits, and both paths use the same engine.
     for model in &mut description.models {
         model.slots = 256;
     }
@@ -89,7 +92,7 @@
     let account = fleet.description.accounts[0].name.to_string();
     let class = fleet.description.classes[0].clone();
     let model = class.model.as_ref().map(|model| model.to_string()).unwrap_or_default();
-    let count = LEAST_CALLS.max(CALLS_PER_PLACE * in_flight);
+    let count = MIN_CALLS.max(CALLS_PER_IN_FLIGHT * in_flight);
     let calls = (0..count).map(|number| {
         let (client, caller) = (fleet.client.clone(), caller.clone());
         let (account, class, model) = (account.clone(), class.name.to_string(), model.clone());
--- a/crates/foldhaven-testkit/src/measure/profile.rs
+++ b/crates/foldhaven-testkit/src/measure/profile.rs
@@ -1,4 +1,4 @@
-//! What a measured run consists of: who asks for what and when, and what goes wrong meanwhile.
+//! Load profiles of measured runs, and the requests that are drawn for them.
 
 use std::time::Duration;
 
@@ -6,24 +6,27 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// The kinds of runs.
+/// The load and the fault of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProfileKind {
-    /// Half the capacity everywhere.
+    /// Load of half the capacity in all regions.
     Steady,
-    /// One region has twice its capacity to serve, the others a fifth of theirs.
+    /// Load of twice the capacity in one region, and a fifth of it in the others.
     Peak,
-    /// At 0.8 of the capacity everywhere, one region loses half of its engines.
+    /// Load of 0.8 times the capacity in all regions; one data centre loses half of its engines.
     CapacityLoss,
-    /// One region at 1.2 times its capacity is cut from the others for a third of the run.
+    /// Load of 1.2 times the capacity in one region, which is partitioned from the others for a
+    /// third of the run, and of 0.4 times the capacity in these.
     Partition,
-    /// Three times the capacity of one region, from callers who ask again at once.
+    /// Load of three times the capacity in one region and half of it in the others, from callers
+    /// that retry at once, up to twice.
     RetryStorm,
-    /// A VM is frozen for a fifth of the run.
+    /// Load of half the capacity; a VM is frozen for a fifth of the run.
     Pause,
-    /// Long case files that several requests share, and short answers.
+    /// Load of 0.7 times the capacity, with long prompt prefixes that several requests share, and
+    /// short answers.
     Prefix,
-    /// Three times the capacity everywhere.
+    /// Load of three times the capacity in all regions.
     Overload,
 }
 
@@ -40,7 +43,7 @@
         Self::Overload,
     ];
 
-    /// The name on the command line.
+    /// Returns the name on the command line and in results.
     pub fn name(self) -> &'static str {
         match self {
             Self::Steady => "steady",
@@ -54,8 +57,9 @@
         }
     }
 
-    /// Load as a multiple of the capacity, for a region by its place in the description.
-    fn factor(self, region: usize) -> f64 {
+    /// Returns the load as a multiple of the capacity, for the region at an index of the
+    /// description.
+    fn load_factor(self, region: usize) -> f64 {
         match (self, region) {
             (Self::Steady | Self::Pause, _) => 0.5,
             (Self::Peak, 0) => 2.0,
@@ -70,55 +74,55 @@
         }
     }
 
-    /// How often a caller who was not served asks again.
-    pub fn asks_again(self) -> usize {
+    /// Returns how often a caller retries an incomplete request.
+    pub fn max_retries(self) -> usize {
         if self == Self::RetryStorm { 2 } else { 0 }
     }
 
-    /// The bytes of the part of a prompt that requests share.
+    /// Returns the length in bytes of the prompt prefix that several requests share.
     fn shared_bytes(self) -> usize {
         if self == Self::Prefix { 64 << 10 } else { 6 << 10 }
     }
 }
 
-/// The share of requests that are bound to their home region.
-const BOUND_SHARE: f64 = 0.16;
-/// How many case files a region works on at a time.
+/// Share of requests from accounts with a residency rule, where the region has such an account.
+const RESIDENCY_SHARE: f64 = 0.16;
+/// Number of case files, the shared prompt prefixes, of a region.
 const CASE_FILES: usize = 40;
-/// The mean part of the longest answer that the stand-in engines write.
-const MEAN_ANSWER: f64 = 0.85;
+/// Mean length of the answers of stand-in engines, as a share of the maximum length.
+const MEAN_ANSWER_SHARE: f64 = 0.85;
 
 /// One request of a run.
 #[derive(Debug, Clone)]
-pub struct PlannedAsk {
-    /// When it is due, from the start of the run.
+pub struct PlannedRequest {
+    /// When it is due, counted from the start of the run.
     pub due: Duration,
-    /// Its account.
+    /// Name of the account.
     pub account: String,
-    /// The home region of the account.
+    /// Home region of the account.
     pub home: String,
-    /// Its class.
+    /// Request class.
     pub class: ClassConfig,
-    /// Its prompt.
+    /// The prompt.
     pub prompt: String,
-    /// The most tokens of its answer.
+    /// Maximum number of tokens of the answer.
     pub max_tokens: u64,
 }
 
 /// Draws all requests of a run from a seed, so that every policy gets the same ones.
-pub fn draw_asks(
+pub fn draw_requests(
     description: &Description,
     kind: ProfileKind,
     length: Duration,
     seed: u64,
-) -> Vec<PlannedAsk> {
+) -> Vec<PlannedRequest> {
     let mut draw = StdRng::seed_from_u64(seed);
-    let mut asks = Vec::new();
+    let mut requests = Vec::new();
     let classes: Vec<&ClassConfig> =
         description.classes.iter().filter(|class| class.kind == ClassKind::Model).collect();
-    for (place, region) in description.regions.iter().enumerate() {
+    for (index, region) in description.regions.iter().enumerate() {
         for class in &classes {
-            let rate = capacity(description, region, class, kind) * kind.factor(place);
+            let rate = capacity(description, region, class, kind) * kind.load_factor(index);
             let mut due = 0.0;
             loop {
                 due += -draw.random_range(f64::EPSILON..1.0).ln() / rate;
@@ -126,15 +130,15 @@
                     break;
                 }
                 let due = Duration::from_secs_f64(due);
-                asks.push(draw_ask(&mut draw, description, region, class, kind, due));
+                requests.push(draw_request(&mut draw, description, region, class, kind, due));
             }
         }
     }
-    asks.sort_by_key(|ask| ask.due);
-    asks
+    requests.sort_by_key(|request| request.due);
+    requests
 }
 
-/// The requests a second that a region can serve of a class, with cold caches.
+/// Returns the requests of a class per second that a region can serve with cold caches.
 fn capacity(
     description: &Description,
     region: &foldhaven_core::description::RegionConfig,
@@ -147,7 +151,7 @@
     let here = deployments.filter(|it| region.data_centres.contains(&it.data_centre));
     let engines: u32 = here.map(|it| it.engines).sum();
     let prompt = kind.shared_bytes() as f64 / foldhaven_core::prefix::BYTES_PER_TOKEN as f64;
-    let answer = answer_limit(class, kind) as f64 * MEAN_ANSWER;
+    let answer = answer_limit(class, kind) as f64 * MEAN_ANSWER_SHARE;
     let work = prompt / model.prefill.0 + answer / model.decode.0;
     f64::from(engines * model.slots) / work
 }
@@ -159,26 +163,26 @@
     }
 }
 
-fn draw_ask(
+fn draw_request(
     draw: &mut StdRng,
     description: &Description,
     region: &foldhaven_core::description::RegionConfig,
     class: &ClassConfig,
     kind: ProfileKind,
     due: Duration,
-) -> PlannedAsk {
+) -> PlannedRequest {
     let at_home = || description.accounts.iter().filter(|account| account.home == region.name);
     let bound = at_home().find(|account| account.residency.is_some());
     let free = at_home().find(|account| account.residency.is_none());
-    let is_bound = draw.random_bool(BOUND_SHARE);
-    let account = bound.filter(|_| is_bound).or(free).or(bound);
+    let has_residency = draw.random_bool(RESIDENCY_SHARE);
+    let account = bound.filter(|_| has_residency).or(free).or(bound);
     let account = account.expect("every region of the examples has an account");
-    // A few case files are asked about often, most seldom.
+    // Most requests share the prefixes of a few case files; the other files are used rarely.
     let case = (draw.random_range(0.0f64..1.0).powi(2) * CASE_FILES as f64) as usize;
     let file = format!("case {case} of {} ", region.name);
     let shared: String = file.chars().cycle().take(kind.shared_bytes()).collect();
     let number: u32 = draw.random();
-    PlannedAsk {
+    PlannedRequest {
         due,
         account: account.name.to_string(),
         home: region.name.to_string(),
--- a/crates/foldhaven-testkit/src/measure/slopes.rs
+++ b/crates/foldhaven-testkit/src/measure/slopes.rs
@@ -1,5 +1,5 @@
-//! What control costs a daemon, against members, data centres, engines and accounts: from real
-//! idle daemons, read out of `/proc` and `/metrics`.
+//! Measures the cost of the control plane per daemon by the number of VMs, data centres, engines
+//! and accounts. The values of real idle daemons are read from `/proc` and `/metrics`.
 
 use std::io;
 use std::path::PathBuf;
@@ -13,45 +13,48 @@
 
 use crate::fleet::{Fleet, FleetOptions};
 
-/// How long an idle fleet is watched.
-const WATCH: Duration = Duration::from_secs(10);
-/// Clock ticks a second in `/proc`, as Linux has it on all common machines.
+/// How long an idle fleet is measured.
+const IDLE_TIME: Duration = Duration::from_secs(10);
+/// Clock ticks per second in `/proc`; Linux uses this value on all common machines.
 const TICKS_PER_SECOND: f64 = 100.0;
-const CHANGES: usize = 5;
+const CHANGE_COUNT: usize = 5;
 
 /// The size of a fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct FleetSize {
-    /// Data centres, three to a region.
+    /// Number of data centres; three form a region.
     pub centres: usize,
-    /// VMs in each.
+    /// Number of VMs per data centre.
     pub vms: usize,
-    /// Engines in each.
+    /// Number of engines per data centre.
     pub engines: u32,
-    /// Client accounts.
+    /// Number of client accounts.
     pub accounts: usize,
 }
 
-/// What an idle daemon of such a fleet costs, as a mean over its daemons and as the highest.
+/// The cost of a daemon in a fleet of one size, as the mean and the maximum over its daemons.
 #[derive(Debug, Clone, Serialize)]
 pub struct SlopeRow {
-    /// The size.
+    /// Size of the fleet.
     pub size: FleetSize,
-    /// Processor time, in percent of a core: mean and highest.
+    /// Processor time of an idle daemon, in percent of a core: mean and maximum.
     pub cpu_percent: [f64; 2],
-    /// Resident memory in MiB: mean and highest.
+    /// Resident memory in MiB: mean and maximum.
     pub memory_mib: [f64; 2],
-    /// Control bytes sent and received a second, in KB: mean and highest.
+    /// Control traffic that an idle daemon sends and receives, in KB per second: mean and maximum.
     pub control_kb: [f64; 2],
-    /// Calls to the platform a second, of the whole fleet.
+    /// Calls of the whole idle fleet to the platform, per second.
     pub platform_calls: f64,
-    /// Milliseconds until a change was in force on every daemon: mean and highest.
-    pub in_force_ms: [f64; 2],
-    /// Control bytes of the whole fleet per change, over those of an idle one, per daemon in KB.
-    pub change_kb: f64,
+    /// Time until a change is in force on all daemons, in milliseconds: mean and maximum over the
+    /// changes.
+    #[serde(rename = "in_force_ms")]
+    pub propagation_ms: [f64; 2],
+    /// Mean control traffic per change and daemon in KB, beyond that of an idle daemon.
+    #[serde(rename = "change_kb")]
+    pub kb_per_change: f64,
 }
 
-/// The sizes that are measured: one axis is varied at a time.
+/// Returns the fleet sizes to measure; one dimension varies at a time.
 pub fn default_sizes() -> Vec<FleetSize> {
     let size = |centres, vms, engines, accounts| FleetSize { centres, vms, engines, accounts };
     vec![
@@ -69,17 +72,17 @@
     ]
 }
 
-/// Starts a fleet of that size and measures its idle daemons, then its changes.
+/// Starts a fleet of a given size and measures its idle daemons, then the propagation of changes.
 ///
 /// # Errors
 ///
-/// When the fleet cannot be started or does not answer.
+/// Fails if the fleet can't be started or doesn't answer.
 pub async fn measure_size(
     program: PathBuf,
     base: &Description,
     size: FleetSize,
 ) -> io::Result<SlopeRow> {
-    let description = sized(base, size);
+    let description = make_description(base, size);
     let options = FleetOptions {
         vms: size.vms,
         services: 0,
@@ -92,7 +95,7 @@
     let calls_before = platform_calls(&fleet).await;
     let before = read_all(&fleet, &names).await?;
     let started = Instant::now();
-    tokio::time::sleep(WATCH).await;
+    tokio::time::sleep(IDLE_TIME).await;
     let after = read_all(&fleet, &names).await?;
     let seconds = started.elapsed().as_secs_f64();
     let calls = platform_calls(&fleet).await - calls_before;
@@ -101,7 +104,7 @@
         mean_and_highest(pairs.map(|(before, after)| (read(after) - read(before)) / seconds))
     };
     let control_kb = rates(&|cost| cost.control_bytes / 1_000.0);
-    let (in_force_ms, change_kb) =
+    let (propagation_ms, kb_per_change) =
         measure_changes(&fleet, &names, description, control_kb[0]).await?;
     Ok(SlopeRow {
         size,
@@ -109,20 +112,22 @@
         memory_mib: mean_and_highest(after.iter().map(|cost| cost.memory_mib)),
         control_kb,
         platform_calls: calls / seconds,
-        in_force_ms,
-        change_kb,
+        propagation_ms,
+        kb_per_change,
     })
 }
 
-/// A description of that size with the models and classes of `base`.
-fn sized(base: &Description, size: FleetSize) -> Description {
+/// Returns a description of a given size with the models and classes of `base`.
+fn make_description(base: &Description, size: FleetSize) -> Description {
     let mut description = base.clone();
-    let centre = |at: usize| format!("dc-{at:03}").parse().expect("a data centre name");
+    let data_centre_name = |at: usize| format!("dc-{at:03}").parse().expect("a data centre name");
     let regions = size.centres.div_ceil(3);
     description.regions = (0..regions)
         .map(|region| RegionConfig {
             name: format!("region-{region:02}").parse().expect("a region name"),
-            data_centres: (region * 3..(region * 3 + 3).min(size.centres)).map(centre).collect(),
+            data_centres: (region * 3..(region * 3 + 3).min(size.centres))
+                .map(data_centre_name)
+                .collect(),
             price: 1.0,
         })
         .collect();
@@ -132,7 +137,7 @@
         .filter(|_| size.engines > 0)
         .map(|at| DeploymentConfig {
             model: model.clone(),
-            data_centre: centre(at),
+            data_centre: data_centre_name(at),
             engines: size.engines,
         })
         .collect();
@@ -152,7 +157,7 @@
     description
 }
 
-/// What one daemon has spent so far.
+/// Resources that one daemon has used since its start, and its current memory.
 #[derive(Debug, Clone, Copy)]
 struct DaemonCost {
     cpu_seconds: f64,
@@ -169,8 +174,8 @@
 }
 
 async fn read_cost(fleet: &Fleet, name: &str) -> io::Result<DaemonCost> {
-    let gone = || io::Error::other(format!("{name} does not run"));
-    let id = fleet.process_id(name).ok_or_else(gone)?;
+    let not_running = || io::Error::other(format!("{name} does not run"));
+    let id = fleet.process_id(name).ok_or_else(not_running)?;
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat"))?;
     let fields: Vec<&str> =
         stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
@@ -184,7 +189,7 @@
     let bytes =
         |line: &str| line.strip_prefix("foldhaven_control_")?.split(' ').nth(1)?.parse().ok();
     Ok(DaemonCost {
-        // Fields 14 and 15 of the whole line: processor time in user and in system mode.
+        // Fields 14 and 15 of the whole line: processor time in user and system mode.
         cpu_seconds: (ticks(11) + ticks(12)) / TICKS_PER_SECOND,
         memory_mib: resident.unwrap_or(0.0) / 1_024.0,
         control_bytes: page.lines().filter_map(|line| bytes(line).map(|it: f64| it)).sum(),
@@ -202,7 +207,7 @@
     [mean, values.iter().copied().fold(0.0, f64::max)]
 }
 
-/// Publishes changes of one account each, and waits for each until every daemon has it.
+/// Publishes changes of one account each. Waits after each until every daemon has applied it.
 async fn measure_changes(
     fleet: &Fleet,
     names: &[String],
@@ -212,7 +217,7 @@
     let before = read_all(fleet, names).await?;
     let started = Instant::now();
     let mut times = Vec::new();
-    for change in 0..CHANGES {
+    for change in 0..CHANGE_COUNT {
         description.generation += 1;
         description.accounts[change].share += 0.5;
         let (manifest, bundle) = ValueBundle::of(&description);
@@ -229,8 +234,8 @@
     let spent = mean_and_highest(
         spent.map(|(before, after)| (after.control_bytes - before.control_bytes) / 1_000.0),
     );
-    let change_kb = (spent[0] - idle_kb * seconds).max(0.0) / CHANGES as f64;
-    Ok((mean_and_highest(times.into_iter()), change_kb))
+    let kb_per_change = (spent[0] - idle_kb * seconds).max(0.0) / CHANGE_COUNT as f64;
+    Ok((mean_and_highest(times.into_iter()), kb_per_change))
 }
 
 async fn wait_for_stamp(fleet: &Fleet, name: &str, stamp: &str) {
--- a/crates/foldhaven-testkit/tests/testsuite/harm.rs
+++ b/crates/foldhaven-testkit/tests/testsuite/harm.rs
@@ -4,8 +4,8 @@
 use rstest::rstest;
 
 /// Each poison request reaches another of 300 VMs, while a quarter of the engines crash and a
-/// region loses power. If VMs don't share records, each VM must observe the exits itself, and over 500
-/// engines exit.
+/// region loses power. If VMs don't share records, each VM must observe the exits itself, and over
+/// 500 engines exit.
 #[rstest]
 #[case::one_body(1)]
 #[case::three_bodies(3)]
