--- a/crates/foldhaven-testkit/src/harm/world.rs
+++ b/crates/foldhaven-testkit/src/harm/world.rs
@@ -99,7 +99,7 @@
 /// Simulates one policy with one seed.
 pub fn run_trial(plan: PoisonPlan, policy: SharingPolicy, seed: u64) -> PoisonOutcome {
     let mut world = World::new(plan, policy, seed);
-    world.begin();
+    world.schedule_first_events();
     world.run();
     world.outcome(seed)
 }
@@ -132,7 +132,7 @@
         }
     }
 
-    fn begin(&mut self) {
+    fn schedule_first_events(&mut self) {
         self.schedule(Duration::ZERO, WorldEvent::Innocent);
         for body in 0..self.plan.poison_bodies {
             let at =
--- a/crates/foldhaven-testkit/src/limits/world.rs
+++ b/crates/foldhaven-testkit/src/limits/world.rs
@@ -103,8 +103,8 @@
             if !self.is_up(to) {
                 continue;
             }
-            if let Some((back, answer)) = self.vms[to].receive(message, self.at) {
-                self.send(to, back, answer);
+            if let Some((receiver, answer)) = self.vms[to].receive(message, self.at) {
+                self.send(to, receiver, answer);
             }
         }
     }
@@ -189,8 +189,8 @@
         let dt = STEP_MS as f64 / 1e3;
         self.ideal_level = (self.ideal_level + limit.per_s * dt).min(limit.burst);
         let mut sum = StepUsage::default();
-        let usual = MEAN_COST / (1.0 - LONG_SHARE + LONG_SHARE * LONG_COST);
-        let costs = Exp::new(1.0 / usual).expect("the rate is positive");
+        let base_cost = MEAN_COST / (1.0 - LONG_SHARE + LONG_SHARE * LONG_COST);
+        let costs = Exp::new(1.0 / base_cost).expect("the rate is positive");
         for region in 0..self.plan.regions {
             let available = (region * size..(region + 1) * size).take(MAX_USED_VMS);
             let available: Vec<usize> = available.filter(|vm| self.is_up(*vm)).collect();
--- a/crates/foldhaven-testkit/src/measure/load.rs
+++ b/crates/foldhaven-testkit/src/measure/load.rs
@@ -318,11 +318,11 @@
     };
     let before = rate(0.0, from);
     let seconds = (length - to).max(0.0) as usize;
-    let back = (0..seconds).find(|at| {
+    let recovered_after = (0..seconds).find(|at| {
         let low = to + *at as f64;
         rate(low, (low + 2.0).min(length)) >= 0.95 * before
     });
-    ([before, rate(from, to), rate(to, length)], back.map(|at| at as f64))
+    ([before, rate(from, to), rate(to, length)], recovered_after.map(|at| at as f64))
 }
 
 /// Returns the median, 95th and 99th percentile in milliseconds.
--- a/crates/foldhaven-testkit/src/membership/trial.rs
+++ b/crates/foldhaven-testkit/src/membership/trial.rs
@@ -70,10 +70,10 @@
     }
     if start == StartKind::HalfBack {
         for vm in (0..vms).filter(|vm| vm % 2 == (seed % 2) as usize) {
-            let back = 4_000_000 + world.rng.random_range(100_000..1_000_000);
+            let restart_at = 4_000_000 + world.rng.random_range(100_000..1_000_000);
             world.schedule(4_000_000, StartEvent::Kill(vm));
-            world.schedule(back, StartEvent::Start(vm));
-            last = last.max(back);
+            world.schedule(restart_at, StartEvent::Start(vm));
+            last = last.max(restart_at);
         }
     }
     if start == StartKind::Cut {
--- a/crates/foldhaven-testkit/src/simulate/engine.rs
+++ b/crates/foldhaven-testkit/src/simulate/engine.rs
@@ -125,7 +125,7 @@
             in_flight,
             on_track: in_flight,
             deferred: self.deferred.len() as u32,
-            prefill_backlog: PrefillBacklog { timely: admitted + waiting, deferred: deferred },
+            prefill_backlog: PrefillBacklog { timely: admitted + waiting, deferred },
         }
     }
 }
--- a/crates/foldhaven-testkit/src/simulate/world.rs
+++ b/crates/foldhaven-testkit/src/simulate/world.rs
@@ -117,7 +117,7 @@
     seed: u64,
 ) -> Trial {
     let mut world = World::new(experiment, service, choice, seed);
-    world.begin();
+    world.schedule_first_events();
     while let Some(Reverse((at, number))) = world.queue.pop() {
         world.now = at;
         let event = world.events.remove(&number).expect("each number has its event");
@@ -176,7 +176,7 @@
         MonoTime::default() + WARM_UP_TIME
     }
 
-    fn begin(&mut self) {
+    fn schedule_first_events(&mut self) {
         self.set_service();
         for vm in 0..self.vms.len() {
             let phase = Duration::from_secs_f64(self.random.random::<f64>() * 0.3);
--- a/crates/foldhaven-testkit/tests/testsuite/limits.rs
+++ b/crates/foldhaven-testkit/tests/testsuite/limits.rs
@@ -15,8 +15,11 @@
 }
 
 /// Returns the seeds to run: the given number, or as many as the variable `LIMIT_PLAYS` says.
-fn seeds(usual: u64) -> std::ops::Range<u64> {
-    0..std::env::var("LIMIT_PLAYS").ok().and_then(|plays| plays.parse().ok()).unwrap_or(usual)
+fn seeds(default_count: u64) -> std::ops::Range<u64> {
+    0..std::env::var("LIMIT_PLAYS")
+        .ok()
+        .and_then(|plays| plays.parse().ok())
+        .unwrap_or(default_count)
 }
 
 #[rstest]
--- a/crates/foldhaven-testkit/tests/testsuite/membership.rs
+++ b/crates/foldhaven-testkit/tests/testsuite/membership.rs
@@ -16,8 +16,8 @@
 use rstest::rstest;
 
 /// Returns the number of runs: the given one, or that of the variable `START_PLAYS`.
-fn runs(usual: u64) -> u64 {
-    std::env::var("START_PLAYS").ok().and_then(|runs| runs.parse().ok()).unwrap_or(usual)
+fn runs(default_runs: u64) -> u64 {
+    std::env::var("START_PLAYS").ok().and_then(|runs| runs.parse().ok()).unwrap_or(default_runs)
 }
 
 #[rstest]
@@ -34,9 +34,9 @@
     #[values((4, 1, 60), (9, 3, 60), (60, 3, 4), (295, 3, 1))] size: (usize, usize, u64),
     #[values(0.0, 0.05)] loss: f64,
 ) {
-    let (vms, regions, usual) = size;
+    let (vms, regions, default_runs) = size;
     let plan = StartPlan { vms, regions, start, loss, method: DiscoveryMethod::Views };
-    let runs = runs(usual);
+    let runs = runs(default_runs);
     let failed: Vec<String> = (0..runs)
         .filter_map(|seed| {
             let incomplete = incomplete_views_after(&plan, seed);
