--- a/crates/foldhaven-testkit/src/cmd/simulate.rs
+++ b/crates/foldhaven-testkit/src/cmd/simulate.rs
@@ -1,16 +1,16 @@
-//! `simulate`: plays the gateway's decisions before simulated engines, how VMs that start learn of each other, or
-//! how they keep a limit together.
+//! `foldhaven-testkit simulate`: simulates the routing decisions of the gateway, the discovery of
+//! starting VMs, or the enforcement of an account limit, depending on the experiment file.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 use clap::{Arg, ArgMatches, Command, value_parser};
 
-use crate::limits::{self, LimitsExperiment, LimitsTrial, play_limits};
-use crate::membership::{self, MembershipExperiment, StartTrial, play_starts};
-use crate::simulate::{Experiment, Trial, make_page, play};
+use crate::limits::{self, LimitsExperiment, LimitsTrial, run_limits_trial};
+use crate::membership::{self, MembershipExperiment, StartTrial, run_start_trial};
+use crate::simulate::{Experiment, Trial, make_page, run_trial};
 
-/// The arguments of `simulate`.
+/// Returns the `simulate` subcommand.
 pub fn make_subcommand() -> Command {
     let file = |name: &'static str, help: &'static str| {
         Arg::new(name).value_name("FILE").value_parser(value_parser!(PathBuf)).help(help)
@@ -23,7 +23,7 @@
         .arg(file("html", "Writes a page with plots").long("html"))
 }
 
-/// Plays an experiment.
+/// Runs `simulate`.
 pub fn execute(args: &ArgMatches) -> ExitCode {
     let path: &PathBuf = args.get_one("experiment").expect("the argument is required");
     match run(path, args.get_one("html")) {
@@ -47,7 +47,7 @@
     for service in &experiment.service {
         for choice in &experiment.choice {
             for seed in &experiment.seeds {
-                let trial = play(&experiment, *service, *choice, *seed);
+                let trial = run_trial(&experiment, *service, *choice, *seed);
                 let line = serde_json::to_string(&trial).map_err(|error| error.to_string())?;
                 println!("{line}");
                 trials.push(trial);
@@ -63,7 +63,7 @@
     let mut trials: Vec<LimitsTrial> = Vec::new();
     for plan in experiment.plans() {
         for seed in &experiment.seeds {
-            let trial = play_limits(&plan, *seed);
+            let trial = run_limits_trial(&plan, *seed);
             let line = serde_json::to_string(&trial).map_err(|error| error.to_string())?;
             println!("{line}");
             trials.push(trial);
@@ -77,7 +77,7 @@
 fn run_membership(experiment: &MembershipExperiment, html: Option<&PathBuf>) -> Result<(), String> {
     let mut trials: Vec<StartTrial> = Vec::new();
     for plan in experiment.plans() {
-        let trial = play_starts(&plan, experiment.plays);
+        let trial = run_start_trial(&plan, experiment.runs);
         let line = serde_json::to_string(&trial).map_err(|error| error.to_string())?;
         println!("{line}");
         trials.push(trial);
