--- a/crates/foldhaven-core/src/burn.rs
+++ b/crates/foldhaven-core/src/burn.rs
@@ -8,9 +8,9 @@
 use crate::ids::{AccountName, ClassName};
 use crate::time::MonoTime;
 
-/// The short window.
+/// Length of the short window over which burn rates are reported.
 pub const SHORT_WINDOW: Duration = Duration::from_secs(300);
-/// The long window.
+/// Length of the long window over which burn rates are reported.
 pub const LONG_WINDOW: Duration = Duration::from_secs(3_600);
 
 const BUCKET_SPAN: Duration = Duration::from_secs(30);
@@ -82,7 +82,7 @@
     rings: BTreeMap<(AccountName, ClassName), BurnRing>,
 }
 
-/// One row of a report.
+/// The counts of one account and class in a burn rate report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct BurnRow {
     /// The account.
--- a/crates/foldhaven-core/src/description/model.rs
+++ b/crates/foldhaven-core/src/description/model.rs
@@ -115,7 +115,8 @@
     }
 }
 
-/// Configuration of order fences.
+/// Which engines check the fences of orders. A fence is a token by which an engine refuses an order
+/// that is older than the last one it accepted.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FenceConfig {
@@ -220,7 +221,8 @@
     pub service: Option<ServiceName>,
     /// The deadline of requests that specify none.
     pub deadline: TimeSpan,
-    /// The worth of a request that completes on time.
+    /// The worth of a request that completes on time, on a scale common to all classes. If capacity
+    /// is short, requests of less worth are refused first.
     pub worth: f64,
     /// The residency rule.
     pub residency: RuleName,
--- a/crates/foldhaven-core/src/offers.rs
+++ b/crates/foldhaven-core/src/offers.rs
@@ -99,8 +99,9 @@
 }
 
 impl OfferTracker {
-    /// Sets the rate and the expiry of this data centre's slice. The slice is divided equally among
-    /// the data centre's `members`, and this daemon may spend its own share.
+    /// Sets the rate and the expiry of the slice that the data centre `from` offers to this one.
+    /// The slice is divided equally among the `members` VMs of this data centre; this daemon may
+    /// spend one such share.
     pub fn update_slice(
         &mut self,
         from: &DataCentreName,
@@ -124,7 +125,7 @@
         slice.is_some_and(|slice| slice.balance_at(now) > 0.0)
     }
 
-    /// Spends the slot time of one request.
+    /// Deducts the slot time of one request from the balance of the slice offered by `from`.
     pub fn spend(
         &mut self,
         from: &DataCentreName,
--- a/crates/foldhaven-core/src/placement.rs
+++ b/crates/foldhaven-core/src/placement.rs
@@ -2,7 +2,8 @@
 //!
 //! The assignment is a pure function of the description and the live view, so every daemon computes
 //! the same one. The daemon with the highest rank for an engine is its issuer. If two daemons both
-//! act as the issuer, they issue the same orders, and the fence orders them.
+//! act as the issuer, they issue the same orders, and an engine refuses those whose fence is
+//! smaller than that of the last order it accepted.
 
 use std::collections::BTreeMap;
 
@@ -45,7 +46,7 @@
     pub engine: UpstreamName,
     /// The fence, which orders this order among others to the engine.
     pub fence: OrderFence,
-    /// The action.
+    /// What the engine must do.
     #[serde(flatten)]
     pub action: OrderAction,
 }
--- a/crates/foldhaven-core/src/planner.rs
+++ b/crates/foldhaven-core/src/planner.rs
@@ -65,11 +65,11 @@
 /// The properties of a request that a routing decision depends on.
 #[derive(Debug, Clone)]
 pub struct RouteQuery<'a> {
-    /// The account.
+    /// The account that sent the request.
     pub account: &'a AccountConfig,
-    /// The class.
+    /// The class of the request.
     pub class: &'a ClassConfig,
-    /// The model.
+    /// The model that must answer the request.
     pub model: &'a ModelConfig,
     /// The residency rule of the request.
     pub rule: &'a ResidencyRule,
@@ -145,7 +145,7 @@
     pub cached_tokens: u64,
     /// The probability of being late, 0 to 1.
     pub chance_late: f64,
-    /// The price.
+    /// The price by which the target is compared with the others.
     pub price: RoutePrice,
 }
 
@@ -156,7 +156,7 @@
 /// The options of a request, cheapest first, and the price of refusing it.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct RoutePlan {
-    /// The options.
+    /// The targets that can run the request, cheapest first.
     pub options: Vec<RouteOption>,
     /// The price of refusing: the whole worth is lost.
     pub refusal: f64,
--- a/crates/foldhaven-wire/src/caller.rs
+++ b/crates/foldhaven-wire/src/caller.rs
@@ -132,7 +132,8 @@
     /// Delay after which the request may be retried, in milliseconds; `None` if no delay is given.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// A ticket for the next attempt, if the request needs one.
+    /// A ticket to send with the next attempt; `None` unless the request may run at most once and
+    /// came without one. See [`EntriesAnswer::tickets`].
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ticket: Option<String>,
 }
@@ -140,7 +141,7 @@
 /// The body of an error response.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// The error.
+    /// Why the request was refused or failed.
     pub error: ErrorDetail,
 }
 
@@ -186,7 +187,9 @@
     /// Time for which this response is valid, in milliseconds.
     #[serde(rename = "holds_ms")]
     pub valid_for_ms: u64,
-    /// Tickets for requests that are not repeatable, at most as many as were requested.
+    /// Tickets, at most as many as were requested. A ticket names the only VM process that may run
+    /// a request that is not repeatable, and permits it to run the request once. See
+    /// [`foldhaven_core::ticket`].
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub tickets: Vec<String>,
 }
--- a/crates/foldhaven-wire/src/control.rs
+++ b/crates/foldhaven-wire/src/control.rs
@@ -59,7 +59,7 @@
     pub upstreams: Option<UpstreamList>,
 }
 
-/// Calls between daemons.
+/// The calls that a daemon makes to the control address of another one.
 #[tarpc::service]
 pub trait PeerControl {
     /// Exchanges heartbeats and summaries.
--- a/crates/foldhaven-wire/src/operator.rs
+++ b/crates/foldhaven-wire/src/operator.rs
@@ -6,7 +6,7 @@
 use foldhaven_core::planner::RoutePlan;
 use serde::{Deserialize, Serialize};
 
-/// The state of a daemon.
+/// Whether a daemon accepts requests, and if not, why.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DaemonState {
@@ -61,7 +61,7 @@
     pub data_centre: DataCentreName,
     /// The incarnation of its process; 0 if it is not known yet.
     pub incarnation: IncarnationId,
-    /// The state of the daemon.
+    /// Whether the daemon accepts requests.
     pub state: DaemonState,
     /// The stamp of the description in force at this VM; `None` if it has no description.
     pub stamp: Option<String>,
--- a/crates/foldhaven-wire/src/platform.rs
+++ b/crates/foldhaven-wire/src/platform.rs
@@ -20,7 +20,7 @@
 /// Prefix of the keys of sections; the digest follows.
 pub const SECTION_KEY_PREFIX: &str = "description/sections/";
 
-/// The kind of an upstream.
+/// What an upstream runs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum UpstreamKind {
@@ -37,7 +37,7 @@
     pub name: UpstreamName,
     /// The data centre of the upstream.
     pub data_centre: DataCentreName,
-    /// The kind of the upstream.
+    /// What the upstream runs.
     pub kind: UpstreamKind,
     /// The address at which the upstream accepts requests.
     pub address: SocketAddr,
--- a/crates/foldhaven-wire/src/settings_file.rs
+++ b/crates/foldhaven-wire/src/settings_file.rs
@@ -41,7 +41,7 @@
     pub message: &'static str,
 }
 
-/// Settings that can be validated beyond their types.
+/// Settings whose values are checked against permitted ranges after parsing.
 pub trait CheckedSettings: DeserializeOwned {
     /// Returns the first value that is out of range, or `None` if all are valid.
     fn fault(&self) -> Option<SettingsFault>;
--- a/crates/foldhavend/src/control/actor/exchanges.rs
+++ b/crates/foldhavend/src/control/actor/exchanges.rs
@@ -15,7 +15,7 @@
 const ROUNDS_PER_SEED_CALL: u64 = 4;
 /// Delegates exchange summaries with other data centres once in this many rounds.
 const ROUNDS_PER_SUMMARY: u64 = 2;
-/// The same with more than [`MANY_PARTNERS`] exchange partners.
+/// Replaces [`ROUNDS_PER_SUMMARY`] if there are more than [`MANY_PARTNERS`] exchange partners.
 const ROUNDS_PER_SUMMARY_MANY: u64 = 4;
 const MANY_PARTNERS: usize = 4;
 
--- a/crates/foldhavend/src/control/actor/mod.rs
+++ b/crates/foldhavend/src/control/actor/mod.rs
@@ -26,7 +26,7 @@
 const MAX_LOAD_AGE: Duration = Duration::from_secs(8);
 /// Time after which an engine's load is removed if the VM that polls it no longer reports it.
 const MAX_UNREPORTED_TIME: Duration = Duration::from_millis(1_500);
-/// Number of consecutive unanswered polls after which an engine is not used.
+/// Number of consecutive unanswered polls after which an engine gets no requests.
 const MAX_FAILED_POLLS: u32 = 2;
 /// The key by which the VMs of a data centre are ranked to choose the reader of the platform.
 const READER_KEY: &str = "platform-reader";
--- a/crates/foldhavend/src/control/watch.rs
+++ b/crates/foldhavend/src/control/watch.rs
@@ -18,8 +18,8 @@
 const READER_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Delay after a failed read of the platform.
 const FAILURE_DELAY: Duration = Duration::from_millis(500);
-/// Maximum time at the start for which peers are asked before the platform is read: its answer may
-/// be older than the peers' state.
+/// Maximum time for which a starting daemon fetches state from peers before it reads the platform,
+/// whose answer may be older than the peers' state.
 const PEER_FETCH_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Watches the manifest of the description and offers each new description to the actor.
--- a/crates/foldhavend/src/shared.rs
+++ b/crates/foldhavend/src/shared.rs
@@ -219,7 +219,7 @@
     }
 }
 
-/// Counts a request as in flight while it lives.
+/// A guard that counts a request as in flight until it is dropped.
 pub struct InFlightGuard {
     shared: Arc<SharedState>,
 }
@@ -232,8 +232,8 @@
     }
 }
 
-/// Counts a request as waiting while it lives: it is being routed, or waits at an upstream for the
-/// first part of its answer.
+/// A guard that counts a request as waiting until it is dropped. A waiting request is being routed,
+/// or waits at an upstream for the first part of its answer.
 pub struct WaitGuard {
     shared: Arc<SharedState>,
     /// The description by which the request was last checked.
--- a/crates/foldhavend/src/traffic/tickets.rs
+++ b/crates/foldhavend/src/traffic/tickets.rs
@@ -23,7 +23,7 @@
     Denied(TicketVerdict<()>),
 }
 
-/// The one permitted run of a ticket.
+/// The right to run the request of a ticket, given to the first request that redeems the ticket.
 pub struct TicketRun {
     sender: watch::Sender<Option<ServiceResult>>,
 }
