--- a/crates/foldhaven-core/src/fairness.rs
+++ b/crates/foldhaven-core/src/fairness.rs
@@ -38,8 +38,9 @@
 
     /// Returns the factor by which an account's price of scarce capacity is multiplied.
     ///
-    /// This is the account's part of the active accounts' usage divided by its part of their
-    /// shares, limited to 0.25 to 4. It is 1 if the account used exactly its share.
+    /// This is the fraction that the account has of the usage of all active accounts, divided by
+    /// the fraction that it has of their configured shares, limited to 0.25 to 4. It is 1 if the
+    /// account used exactly its share.
     pub fn price_factor(&self, account: &AccountName, share: f64) -> f64 {
         let shares: f64 = self.shares.values().sum();
         let is_active = self.shares.contains_key(account);
--- a/crates/foldhaven-core/src/membership.rs
+++ b/crates/foldhaven-core/src/membership.rs
@@ -81,7 +81,7 @@
     pub sequence: u64,
     /// Whether the daemon is draining: it finishes its requests and accepts no new ones.
     pub leaving: bool,
-    /// The stamp of the description in force at the VM, `None` if it has none yet.
+    /// The stamp of the description that the VM has adopted, `None` if it has none yet.
     pub stamp: Option<DescriptionStamp>,
     /// Number of requests in flight at the VM.
     pub in_flight: u32,
@@ -133,8 +133,8 @@
     pub version: (IncarnationId, u64),
     /// Age of the content in milliseconds, accumulated over all hops.
     pub age_ms: u32,
-    /// The lowest and the highest stamp in force among the serving members, `None` if no member
-    /// has a description.
+    /// The lowest and the highest stamp of the descriptions that the serving members have adopted,
+    /// `None` if no member has a description.
     pub stamps: Option<(DescriptionStamp, DescriptionStamp)>,
     /// The serving members, at most [`MAX_SUMMARY_VMS`] of them.
     pub vms: Vec<VmContact>,
@@ -217,7 +217,8 @@
     }
 
     /// Applies a heartbeat from a member of this data centre. Returns whether it updated the table:
-    /// a heartbeat with an ended incarnation or an older sequence number does not.
+    /// a heartbeat of an ended incarnation, or one that is not newer than the member's last, does
+    /// not.
     pub fn apply_heartbeat(&mut self, heartbeat: VmHeartbeat, now: MonoTime) -> bool {
         if heartbeat.vm == self.own || heartbeat.data_centre != self.centre {
             return false;
--- a/crates/foldhaven-core/src/planner.rs
+++ b/crates/foldhaven-core/src/planner.rs
@@ -94,7 +94,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RouteTarget {
-    /// An engine of this data centre.
+    /// An engine of this data centre or, for a service request, an instance of the service.
     Engine(UpstreamName),
     /// Another data centre.
     Centre(DataCentreName),
@@ -226,8 +226,8 @@
     }
 }
 
-/// Returns the time after which the queue of the best option will have shrunk enough for the
-/// deadline.
+/// Returns the time by which the fastest option exceeds the deadline, but at least a quarter of the
+/// shortest wait for a slot. Returns 1 s if there are no options.
 fn retry_delay(options: &[RouteOption], remaining: Duration) -> Duration {
     const DELAY_WITHOUT_OPTIONS: Duration = Duration::from_secs(1);
     let excess = options.iter().map(|option| option.estimate.saturating_sub(remaining));
--- a/crates/foldhaven-wire/src/control.rs
+++ b/crates/foldhaven-wire/src/control.rs
@@ -51,7 +51,7 @@
 /// The state that a daemon requests from others after it started or resumed from suspension.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct StateReply {
-    /// The stamp of the description in force at the receiver; `None` if it has no description.
+    /// The stamp of the description that the receiver has adopted; `None` if it has none.
     pub stamp: Option<DescriptionStamp>,
     /// The receiver's data centre.
     pub data_centre: DataCentreName,
@@ -64,11 +64,11 @@
 pub trait PeerControl {
     /// Exchanges heartbeats and summaries.
     async fn exchange(request: ExchangeRequest) -> ExchangeReply;
-    /// Returns the state in force at the receiver.
+    /// Returns the receiver's current state.
     async fn state() -> StateReply;
-    /// Returns the manifest of the description in force, or `None` if there is no description.
+    /// Returns the manifest of the adopted description, or `None` if there is none.
     async fn manifest() -> Option<SectionManifest>;
-    /// Returns the contents of sections of the description in force. Unknown sections are omitted.
+    /// Returns the contents of sections of the adopted description. Unknown sections are omitted.
     async fn sections(digests: Vec<SectionDigest>) -> Vec<String>;
 }
 
--- a/crates/foldhaven-wire/src/operator.rs
+++ b/crates/foldhaven-wire/src/operator.rs
@@ -46,7 +46,7 @@
     pub age_ms: u64,
     /// Number of VMs that serve there.
     pub serving: u32,
-    /// The lowest and the highest stamp in force there; `None` if none is known.
+    /// The lowest and the highest stamp of the descriptions adopted there; `None` if none is known.
     pub stamps: Option<(String, String)>,
     /// The peer addresses of some of its VMs.
     pub peers: Vec<String>,
@@ -93,7 +93,7 @@
     pub vm: VmName,
     /// The state of the VM: `live`, `leaving` or `suspect`.
     pub state: String,
-    /// The stamp of the description in force there; `None` if none is known.
+    /// The stamp of the description that the VM has adopted; `None` if none is known.
     pub stamp: Option<String>,
     /// The peer address of the VM.
     pub peer: String,
--- a/crates/foldhavend/src/control/messages.rs
+++ b/crates/foldhavend/src/control/messages.rs
@@ -79,7 +79,7 @@
     pub list: UpstreamList,
 }
 
-/// Records that the daemon at `source` has a description in force, which is fetched if it is newer.
+/// Records that the daemon at `source` has adopted a description, which is fetched if it is newer.
 pub struct RecordStamp {
     pub stamp: DescriptionStamp,
     pub source: SocketAddr,
--- a/crates/foldhavend/src/control/mod.rs
+++ b/crates/foldhavend/src/control/mod.rs
@@ -57,7 +57,7 @@
         self.send(RecordUpstreamLeaving { upstream });
     }
 
-    /// Records that the daemon with the control address `source` has this description in force.
+    /// Records that the daemon with the control address `source` has adopted this description.
     pub fn record_stamp(&self, stamp: DescriptionStamp, source: SocketAddr) {
         self.send(RecordStamp { stamp, source });
     }
--- a/crates/foldhavend/src/control/publish.rs
+++ b/crates/foldhavend/src/control/publish.rs
@@ -55,9 +55,9 @@
         self.shared.publish(view);
     }
 
-    /// Returns whether this daemon has warmed up. It has once it knows the list of upstreams and, if
-    /// that contains engines, the load of one of them; at the latest after [`MAX_WARM_UP_TIME`].
-    /// Once warm, it stays warm.
+    /// Returns whether this daemon has warmed up. It has once it knows the list of upstreams and,
+    /// if that contains engines, the load of one of them; at the latest after
+    /// [`MAX_WARM_UP_TIME`]. Once warm, it stays warm.
     fn update_warm_state(&mut self, now: MonoTime) -> bool {
         let has_engines = self.upstreams().any(|entry| entry.kind == UpstreamKind::Engine);
         let knows_loads = !has_engines || !self.fresh_loads().is_empty();
--- a/crates/foldhavend/src/traffic/service.rs
+++ b/crates/foldhavend/src/traffic/service.rs
@@ -155,7 +155,8 @@
         self.forward_to_owner(&job, &ticket, raw).await
     }
 
-    /// Tries destinations until one answers, a retry is not permitted, or the deadline passes.
+    /// Tries destinations until one answers, no further attempt is possible or permitted, or the
+    /// deadline passes.
     pub(super) async fn run(&self, job: &ServiceJob) -> ServiceResult {
         let mut log = AttemptLog::default();
         let mut tried = Vec::new();
