--- a/crates/foldhaven-core/src/burn.rs
+++ b/crates/foldhaven-core/src/burn.rs
@@ -57,7 +57,7 @@
     }
 }
 
-/// How one request ended, for its account and class.
+/// How one request ended, as counted against the error budget of its account and class.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BurnEvent {
     /// Complete and on time.
@@ -76,7 +76,7 @@
     current: u64,
 }
 
-/// Burn counts of one daemon, per account and class.
+/// Counts of good, bad and refused requests at one daemon, per account and class.
 #[derive(Debug, Default)]
 pub struct BurnMeter {
     rings: BTreeMap<(AccountName, ClassName), BurnRing>,
--- a/crates/foldhaven-core/src/load.rs
+++ b/crates/foldhaven-core/src/load.rs
@@ -22,7 +22,7 @@
     pub incarnation: u64,
 }
 
-/// A model that an engine holds or is loading.
+/// A model that an engine has in memory or is loading.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct HeldModel {
     /// The model.
@@ -86,7 +86,7 @@
     pub work: Duration,
 }
 
-/// The size of a request's work at one engine.
+/// Number of tokens that an engine must process for a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WorkSize {
     /// Number of prompt tokens that are not in the engine's cache.
--- a/crates/foldhaven-wire/src/operator.rs
+++ b/crates/foldhaven-wire/src/operator.rs
@@ -14,7 +14,7 @@
     Serving,
     /// The daemon finishes its requests and accepts no new ones.
     Leaving,
-    /// The daemon has no description yet.
+    /// The daemon cannot accept requests yet, since it has no description or is still warming up.
     NoDescription,
 }
 
--- a/crates/foldhavend/src/control/actor/exchanges.rs
+++ b/crates/foldhavend/src/control/actor/exchanges.rs
@@ -135,10 +135,10 @@
         );
         let mut summaries = Vec::new();
         if let Some(own_summary) = own_summary {
-            let asker = own_summary.data_centre.clone();
+            let requester = own_summary.data_centre.clone();
             self.members.apply_summary(own_summary, now);
             if self.index.is_some() {
-                summaries.push(self.make_summary(Some(&asker)));
+                summaries.push(self.make_summary(Some(&requester)));
             }
         }
         if let Some(known_summaries) = known_summaries {
--- a/crates/foldhavend/src/control/messages.rs
+++ b/crates/foldhavend/src/control/messages.rs
@@ -9,7 +9,8 @@
 use foldhaven_wire::control::{ExchangeReply, ExchangeRequest};
 use foldhaven_wire::platform::UpstreamList;
 
-/// Checks the state and publishes a view.
+/// Detects pauses of the process, removes stale members and summaries, and publishes a view. Sent
+/// at a fixed interval.
 pub struct TickControl;
 
 /// Applies an exchange that a peer started and answers it.
--- a/crates/foldhavend/src/control/publish.rs
+++ b/crates/foldhavend/src/control/publish.rs
@@ -74,9 +74,9 @@
         for centre in centres {
             let from = &centre.summary.data_centre;
             for offer in centre.summary.offers.iter().filter(|offer| offer.to == *own_centre) {
-                let facts = &self.shared.traffic_state;
+                let traffic_state = &self.shared.traffic_state;
                 let span = (now, centre.observed);
-                facts.update_offer(from, &offer.model, offer.slots, members, span);
+                traffic_state.update_offer(from, &offer.model, offer.slots, members, span);
             }
         }
     }
--- a/crates/foldhavend/src/traffic/call_errors.rs
+++ b/crates/foldhavend/src/traffic/call_errors.rs
@@ -10,7 +10,8 @@
 use super::call::CallError;
 use crate::shared::SharedState;
 
-/// Records what a failed call implies about its target.
+/// Records what a failed call implies about its target: that it is leaving, that its offer is
+/// exhausted, or that the call counts as a failure in its health check.
 pub fn record_call_error(
     shared: &SharedState,
     target: &RouteTarget,
--- a/crates/foldhavend/src/traffic/entries.rs
+++ b/crates/foldhavend/src/traffic/entries.rs
@@ -57,10 +57,10 @@
 ) -> impl Iterator<Item = EntryVm> + 'a {
     view.route.centres.iter().flat_map(move |centre| {
         let name = &centre.summary.data_centre;
-        centre.summary.vms.iter().map(move |brief| EntryVm {
-            vm: brief.vm.clone(),
+        centre.summary.vms.iter().map(move |contact| EntryVm {
+            vm: contact.vm.clone(),
             data_centre: name.clone(),
-            address: brief.addresses.caller,
+            address: contact.addresses.caller,
             weight: FULL_WEIGHT,
             preference: preference(view, name, home),
         })
--- a/crates/foldhavend/src/traffic/origin.rs
+++ b/crates/foldhavend/src/traffic/origin.rs
@@ -57,7 +57,7 @@
     pub policy: Arc<dyn RoutePolicy>,
 }
 
-/// The progress of a job.
+/// What is known about a job (a model request at its origin) after its attempts so far.
 #[derive(Default)]
 struct JobProgress {
     log: AttemptLog,
--- a/crates/foldhavend/src/traffic/receiver.rs
+++ b/crates/foldhavend/src/traffic/receiver.rs
@@ -100,7 +100,7 @@
     theirs: DescriptionStamp,
 ) {
     let vms = view.route.centres.iter().flat_map(|centre| &centre.summary.vms);
-    let sender = vms.into_iter().find(|brief| brief.vm == head.attempt.origin);
+    let sender = vms.into_iter().find(|contact| contact.vm == head.attempt.origin);
     if let (Some(sender), Some(control)) = (sender, shared.control.get()) {
         control.record_stamp(theirs, shared.settings.dial_address(sender.addresses.control));
     }
--- a/crates/foldhavend/src/traffic/request.rs
+++ b/crates/foldhavend/src/traffic/request.rs
@@ -28,7 +28,7 @@
     Chat,
 }
 
-/// The properties that model and service requests have in common.
+/// The properties that every request has, whether to a model or to a plain service.
 #[derive(Debug, Clone)]
 pub struct RequestHead {
     pub request: RequestId,
--- a/crates/foldhavend/src/traffic/service.rs
+++ b/crates/foldhavend/src/traffic/service.rs
@@ -243,7 +243,7 @@
         view: &PublishedView,
         tried: &[String],
     ) -> Option<ServiceInstance> {
-        let facts = &self.shared().traffic_state;
+        let traffic_state = &self.shared().traffic_state;
         let now = self.shared().now();
         let instances = view.services.get(&job.service)?;
         let untried: Vec<&ServiceInstance> = instances
@@ -252,13 +252,13 @@
             .collect();
         let healthy: Vec<&ServiceInstance> = untried
             .iter()
-            .filter(|instance| !facts.is_ejected(instance.name.as_str(), now))
+            .filter(|instance| !traffic_state.is_ejected(instance.name.as_str(), now))
             .copied()
             .collect();
         // If all instances are ejected, the requests are a more likely cause than the instances.
         let candidates = if healthy.is_empty() { untried } else { healthy };
         let rank = |instance: &&ServiceInstance| {
-            (facts.calls_in_flight(&instance.name), rand::random::<u32>())
+            (traffic_state.calls_in_flight(&instance.name), rand::random::<u32>())
         };
         candidates.into_iter().min_by_key(rank).cloned()
     }
--- a/crates/foldhavend/src/traffic/state.rs
+++ b/crates/foldhavend/src/traffic/state.rs
@@ -99,8 +99,8 @@
         self.inner.lock().serving_vms = f64::from(serving.max(1));
     }
 
-    /// Updates the offered slice of another data centre's spare capacity. It expires
-    /// [`OFFER_LIFETIME`] after it was `written`.
+    /// Updates the slice of spare capacity that the data centre `from` offers to this one. It
+    /// expires [`OFFER_LIFETIME`] after `written`, when `from` wrote the summary that contains it.
     pub fn update_offer(
         &self,
         from: &DataCentreName,
--- a/crates/foldhavend/src/traffic/ticketed.rs
+++ b/crates/foldhavend/src/traffic/ticketed.rs
@@ -141,9 +141,9 @@
     if let Some(member) = member {
         return Some(member.addresses.peer);
     }
-    let briefs = view.route.centres.iter().flat_map(|centre| &centre.summary.vms);
-    let brief = briefs.into_iter().find(|it| is_owner(&it.vm, it.incarnation));
-    brief.map(|it| it.addresses.peer)
+    let contacts = view.route.centres.iter().flat_map(|centre| &centre.summary.vms);
+    let contact = contacts.into_iter().find(|it| is_owner(&it.vm, it.incarnation));
+    contact.map(|it| it.addresses.peer)
 }
 
 /// Returns a hash of the request's content, to detect the use of a ticket for another request.
