--- a/crates/foldhaven-core/src/description/stamp.rs
+++ b/crates/foldhaven-core/src/description/stamp.rs
@@ -9,7 +9,7 @@
 
 /// The version of a description.
 ///
-/// Of two descriptions, the one with the larger stamp is in force. If two operators publish the
+/// Of two descriptions, daemons adopt the one with the larger stamp. If two operators publish the
 /// same generation, the digests differ, so that every daemon prefers the same description.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct DescriptionStamp {
--- a/crates/foldhaven-core/src/headers.rs
+++ b/crates/foldhaven-core/src/headers.rs
@@ -10,7 +10,8 @@
 pub const WORTH: &str = "foldhaven-worth";
 /// The request id, chosen by the caller, or else by the origin daemon.
 pub const REQUEST_ID: &str = "foldhaven-request-id";
-/// `no` for a request that may run at most once.
+/// Whether the request may run more than once: `yes` (the default) leaves that to its class, `no`
+/// forbids it.
 pub const REPEATABLE: &str = "foldhaven-repeatable";
 /// The ticket of a request that may run at most once.
 pub const TICKET: &str = "foldhaven-ticket";
--- a/crates/foldhaven-core/src/planner.rs
+++ b/crates/foldhaven-core/src/planner.rs
@@ -32,7 +32,7 @@
 /// Immutable snapshot of the shared state for routing decisions, built by the control thread.
 #[derive(Debug, Clone)]
 pub struct RouteView {
-    /// The description in force.
+    /// The adopted description, by which requests are routed.
     pub index: Arc<DescriptionIndex>,
     /// This data centre.
     pub centre: DataCentreName,
--- a/crates/foldhaven-core/src/residency.rs
+++ b/crates/foldhaven-core/src/residency.rs
@@ -92,12 +92,12 @@
     SenderNewer {
         /// The sender's stamp.
         theirs: DescriptionStamp,
-        /// The stamp in force here.
+        /// The stamp of the description adopted here.
         ours: DescriptionStamp,
     },
 }
 
-/// Checks the path of a forwarded request against this data centre and the description in force.
+/// Checks the path of a forwarded request against this data centre and the adopted description.
 ///
 /// A request that passes may still be refused for residency, which the receiver checks against its
 /// own description: the same as the sender's, or a newer one.
--- a/crates/foldhaven-wire/src/operator.rs
+++ b/crates/foldhaven-wire/src/operator.rs
@@ -63,7 +63,8 @@
     pub incarnation: IncarnationId,
     /// Whether the daemon accepts requests.
     pub state: DaemonState,
-    /// The stamp of the description in force at this VM; `None` if it has no description.
+    /// The stamp of the description in force at this VM: every request that can still start there
+    /// follows it or a newer one. `None` if the VM has no description.
     pub stamp: Option<String>,
     /// The digest of the content of that description. VMs with the same stamp have the same digest.
     /// `None` if not reported.
@@ -106,7 +107,7 @@
     pub vm: VmName,
     /// The data centre of the VM.
     pub data_centre: DataCentreName,
-    /// The stamp of the description in force at this VM.
+    /// The stamp of the description by which the request was planned.
     pub stamp: String,
     /// The options with their prices, computed as for a real request.
     pub plan: RoutePlan,
@@ -120,7 +121,7 @@
     pub vm: VmName,
     /// The data centre of the VM.
     pub data_centre: DataCentreName,
-    /// The version of the description in force at this VM.
+    /// The version of the description by which the request was routed.
     pub version: u64,
     /// The route that matches the host and the path.
     pub route: String,
--- a/crates/foldhavend/src/traffic/api.rs
+++ b/crates/foldhavend/src/traffic/api.rs
@@ -48,7 +48,7 @@
             .collect()
     }
 
-    /// Reads the body within the size and time limits of the description in force.
+    /// Reads the body within the size and time limits of the adopted description.
     pub async fn read_body(self, shared: &SharedState) -> Result<Bytes, RefusalAnswer> {
         let limits = shared.view()?.route.index.description.limits.clone();
         read_body(self.body, limits.body.0, limits.body_pause.0).await
--- a/crates/foldhavend/src/traffic/peer_api.rs
+++ b/crates/foldhavend/src/traffic/peer_api.rs
@@ -134,7 +134,7 @@
         )
     }
 
-    /// Returns the whole description in force as JSON.
+    /// Returns the whole adopted description as JSON.
     fn description(&self) -> Response {
         match self.context.shared.view() {
             Ok(view) => json_reply(200, &view.route.index.description),
--- a/crates/foldhavend/src/traffic/permission.rs
+++ b/crates/foldhavend/src/traffic/permission.rs
@@ -1,4 +1,4 @@
-//! Checks where the description in force permits a request to run.
+//! Checks where the adopted description permits a request to run.
 
 use foldhaven_core::description::DescriptionIndex;
 use foldhaven_core::ids::DataCentreName;
@@ -9,7 +9,7 @@
 use super::request::{ModelJob, RequestHead};
 use crate::views::PublishedView;
 
-/// Returns whether the description in force permits a request at a target.
+/// Returns whether the description in `view` permits a request at a target.
 pub fn is_permitted(job: &ModelJob, view: &PublishedView, target: &RouteTarget) -> bool {
     let centre = match target {
         RouteTarget::Engine(_) => &view.route.centre,
@@ -18,7 +18,7 @@
     is_permitted_in(&job.head, view, centre)
 }
 
-/// Returns whether the description in force permits a request in a data centre. This is false if
+/// Returns whether the description in `view` permits a request in a data centre. This is false if
 /// the description does not contain its account, class, residency rule or the data centre.
 pub fn is_permitted_in(head: &RequestHead, view: &PublishedView, centre: &DataCentreName) -> bool {
     let index = &view.route.index;
