--- a/crates/foldhaven-wire/src/operator.rs
+++ b/crates/foldhaven-wire/src/operator.rs
@@ -63,8 +63,9 @@
     pub incarnation: IncarnationId,
     /// Whether the daemon accepts requests.
     pub state: DaemonState,
-    /// The stamp of the description in force at this VM: every request that can still start there
-    /// follows it or a newer one. `None` if the VM has no description.
+    /// The stamp of the description in force at this VM; `None` if it has no description.
+    /// `foldhavend` reports a newly adopted one only once no waiting request follows an older one
+    /// (see [`foldhaven_core::waits`]).
     pub stamp: Option<String>,
     /// The digest of the content of that description. VMs with the same stamp have the same digest.
     /// `None` if not reported.
