--- a/crates/foldhaven-core/src/planner.rs
+++ b/crates/foldhaven-core/src/planner.rs
@@ -32,7 +32,7 @@
 /// Immutable snapshot of the shared state for routing decisions, built by the control thread.
 #[derive(Debug, Clone)]
 pub struct RouteView {
-    /// The description in force.
+    /// The adopted description, by which requests are routed.
     pub index: Arc<DescriptionIndex>,
     /// This data centre.
     pub centre: DataCentreName,
@@ -65,11 +65,11 @@
 /// The properties of a request that a routing decision depends on.
 #[derive(Debug, Clone)]
 pub struct RouteQuery<'a> {
-    /// The account.
+    /// The account that sent the request.
     pub account: &'a AccountConfig,
-    /// The class.
+    /// The class of the request.
     pub class: &'a ClassConfig,
-    /// The model.
+    /// The model that must answer the request.
     pub model: &'a ModelConfig,
     /// The residency rule of the request.
     pub rule: &'a ResidencyRule,
@@ -94,7 +94,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RouteTarget {
-    /// An engine of this data centre.
+    /// An engine of this data centre or, for a service request, an instance of the service.
     Engine(UpstreamName),
     /// Another data centre.
     Centre(DataCentreName),
@@ -145,7 +145,7 @@
     pub cached_tokens: u64,
     /// The probability of being late, 0 to 1.
     pub chance_late: f64,
-    /// The price.
+    /// The price by which the target is compared with the others.
     pub price: RoutePrice,
 }
 
@@ -156,7 +156,7 @@
 /// The options of a request, cheapest first, and the price of refusing it.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct RoutePlan {
-    /// The options.
+    /// The targets that can run the request, cheapest first.
     pub options: Vec<RouteOption>,
     /// The price of refusing: the whole worth is lost.
     pub refusal: f64,
@@ -226,8 +226,8 @@
     }
 }
 
-/// Returns the time after which the queue of the best option will have shrunk enough for the
-/// deadline.
+/// Returns the time by which the fastest option exceeds the deadline, but at least a quarter of the
+/// shortest wait for a slot. Returns 1 s if there are no options.
 fn retry_delay(options: &[RouteOption], remaining: Duration) -> Duration {
     const DELAY_WITHOUT_OPTIONS: Duration = Duration::from_secs(1);
     let excess = options.iter().map(|option| option.estimate.saturating_sub(remaining));
--- a/crates/foldhaven-wire/src/operator.rs
+++ b/crates/foldhaven-wire/src/operator.rs
@@ -6,7 +6,7 @@
 use foldhaven_core::planner::RoutePlan;
 use serde::{Deserialize, Serialize};
 
-/// The state of a daemon.
+/// Whether a daemon accepts requests, and if not, why.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DaemonState {
@@ -14,7 +14,7 @@
     Serving,
     /// The daemon finishes its requests and accepts no new ones.
     Leaving,
-    /// The daemon has no description yet.
+    /// The daemon cannot accept requests yet, since it has no description or is still warming up.
     NoDescription,
 }
 
@@ -46,7 +46,7 @@
     pub age_ms: u64,
     /// Number of VMs that serve there.
     pub serving: u32,
-    /// The lowest and the highest stamp in force there; `None` if none is known.
+    /// The lowest and the highest stamp of the descriptions adopted there; `None` if none is known.
     pub stamps: Option<(String, String)>,
     /// The peer addresses of some of its VMs.
     pub peers: Vec<String>,
@@ -61,9 +61,11 @@
     pub data_centre: DataCentreName,
     /// The incarnation of its process; 0 if it is not known yet.
     pub incarnation: IncarnationId,
-    /// The state of the daemon.
+    /// Whether the daemon accepts requests.
     pub state: DaemonState,
     /// The stamp of the description in force at this VM; `None` if it has no description.
+    /// `foldhavend` reports a newly adopted one only once no waiting request follows an older one
+    /// (see [`foldhaven_core::waits`]).
     pub stamp: Option<String>,
     /// The digest of the content of that description. VMs with the same stamp have the same digest.
     /// `None` if not reported.
@@ -93,7 +95,7 @@
     pub vm: VmName,
     /// The state of the VM: `live`, `leaving` or `suspect`.
     pub state: String,
-    /// The stamp of the description in force there; `None` if none is known.
+    /// The stamp of the description that the VM has adopted; `None` if none is known.
     pub stamp: Option<String>,
     /// The peer address of the VM.
     pub peer: String,
@@ -106,7 +108,7 @@
     pub vm: VmName,
     /// The data centre of the VM.
     pub data_centre: DataCentreName,
-    /// The stamp of the description in force at this VM.
+    /// The stamp of the description by which the request was planned.
     pub stamp: String,
     /// The options with their prices, computed as for a real request.
     pub plan: RoutePlan,
@@ -120,7 +122,7 @@
     pub vm: VmName,
     /// The data centre of the VM.
     pub data_centre: DataCentreName,
-    /// The version of the description in force at this VM.
+    /// The version of the description by which the request was routed.
     pub version: u64,
     /// The route that matches the host and the path.
     pub route: String,
--- a/crates/foldhavend/src/control/messages.rs
+++ b/crates/foldhavend/src/control/messages.rs
@@ -9,7 +9,8 @@
 use foldhaven_wire::control::{ExchangeReply, ExchangeRequest};
 use foldhaven_wire::platform::UpstreamList;
 
-/// Checks the state and publishes a view.
+/// Detects pauses of the process, removes stale members and summaries, and publishes a view. Sent
+/// at a fixed interval.
 pub struct TickControl;
 
 /// Applies an exchange that a peer started and answers it.
@@ -79,7 +80,7 @@
     pub list: UpstreamList,
 }
 
-/// Records that the daemon at `source` has a description in force, which is fetched if it is newer.
+/// Records that the daemon at `source` has adopted a description, which is fetched if it is newer.
 pub struct RecordStamp {
     pub stamp: DescriptionStamp,
     pub source: SocketAddr,
