--- a/crates/foldhaven-testkit/src/scenario/chaos.rs
+++ b/crates/foldhaven-testkit/src/scenario/chaos.rs
@@ -135,7 +135,7 @@
         let again = SendSpec {
             account: "west-bar".to_owned(),
             entry: Some(format!("{region}-1-vm-2")),
-            repeats: Some(name.clone()),
+            repeat_of: Some(name.clone()),
             ..SendSpec::default()
         };
         self.steps.push(StepKind::Send(format!("{name}-again"), again));
--- a/crates/foldhaven-testkit/src/scenario/guarantees.rs
+++ b/crates/foldhaven-testkit/src/scenario/guarantees.rs
@@ -76,7 +76,7 @@
         self.ledger.iter().filter(|line| line.event == LedgerEvent::Start)
     }
 
-    /// Requests run only where a description that may have been in force permits it.
+    /// Checks that requests ran only where a description that may have been in force permits it.
     fn check_residency(&self, violations: &mut Vec<Violation>) {
         let sent: BTreeMap<&str, &SentRequest> =
             self.sent.iter().map(|sent| (sent.request.as_str(), sent)).collect();
@@ -105,7 +105,7 @@
         }
     }
 
-    /// A complete answer is the expected one.
+    /// Checks that each complete answer is the expected one.
     fn check_answers(&self, violations: &mut Vec<Violation>) {
         for sent in self.sent.iter().filter(|sent| sent.answer.is_complete()) {
             if sent.answer.text != sent.expected {
@@ -117,7 +117,7 @@
         }
     }
 
-    /// A request that was reported as not run did not start.
+    /// Checks that no request whose every sending was reported as not run has started.
     fn check_not_run(&self, violations: &mut Vec<Violation>) {
         let started: BTreeSet<&str> = self.starts().map(|line| line.request.as_str()).collect();
         let mut sends: BTreeMap<&str, Vec<&SentRequest>> = BTreeMap::new();
@@ -133,7 +133,7 @@
         }
     }
 
-    /// A request that is not repeatable runs at most once.
+    /// Checks that a request that is not repeatable ran at most once.
     fn check_once(&self, violations: &mut Vec<Violation>) {
         let not_repeatable: BTreeSet<&str> = self
             .sent
@@ -152,7 +152,8 @@
         }
     }
 
-    /// An attempt starts only once. A second start means that its receiver forwarded it again.
+    /// Checks that each attempt started only once. A second start means that its receiver forwarded
+    /// it again.
     fn check_attempts(&self, violations: &mut Vec<Violation>) {
         let mut starts: BTreeMap<&str, usize> = BTreeMap::new();
         for line in self.starts().filter(|line| !line.attempt.is_empty()) {
@@ -164,7 +165,7 @@
         }
     }
 
-    /// A leaving upstream gets no new requests after [`MAX_LEAVING_DELAY_MS`].
+    /// Checks that a leaving upstream got no new requests after [`MAX_LEAVING_DELAY_MS`].
     fn check_leaving(&self, violations: &mut Vec<Violation>) {
         for line in self.ledger {
             let is_new = matches!(line.event, LedgerEvent::Arrive | LedgerEvent::Refuse);
--- a/crates/foldhaven-testkit/src/scenario/parse.rs
+++ b/crates/foldhaven-testkit/src/scenario/parse.rs
@@ -157,7 +157,7 @@
         max_tokens: line.value("max").map(parse_number).transpose()?.unwrap_or_default(),
         path: text("path").unwrap_or_default(),
         ticket_from: text("ticket"),
-        repeats: text("repeats"),
+        repeat_of: text("repeats"),
     })
 }
 
--- a/crates/foldhaven-testkit/src/scenario/runner/requests.rs
+++ b/crates/foldhaven-testkit/src/scenario/runner/requests.rs
@@ -36,7 +36,7 @@
     }
 
     pub(super) async fn send(&mut self, name: &str, spec: &SendSpec) -> Result<(), String> {
-        let mut call = match &spec.repeats {
+        let mut call = match &spec.repeat_of {
             Some(earlier) => self.prepared.get(earlier).cloned(),
             None => PreparedCall::new(&self.current_description, spec, name.to_owned()),
         };
--- a/crates/foldhaven-testkit/src/scenario/steps.rs
+++ b/crates/foldhaven-testkit/src/scenario/steps.rs
@@ -45,7 +45,7 @@
     /// VM that issues the ticket of a request that is not repeatable.
     pub ticket_from: Option<String>,
     /// Earlier request whose id, ticket and content this request repeats.
-    pub repeats: Option<String>,
+    pub repeat_of: Option<String>,
 }
 
 /// How an upstream announces that it is leaving.
@@ -190,7 +190,7 @@
             ("max", Some(self.max_tokens).filter(|max| *max > 0).map(|max| max.to_string())),
             ("path", Some(self.path.clone()).filter(|text| !text.is_empty())),
             ("ticket", self.ticket_from.clone()),
-            ("repeats", self.repeats.clone()),
+            ("repeats", self.repeat_of.clone()),
         ];
         for (name, value) in pairs {
             if let Some(value) = value {
--- a/crates/foldhaven-testkit/src/scenario/traffic.rs
+++ b/crates/foldhaven-testkit/src/scenario/traffic.rs
@@ -15,7 +15,8 @@
 use crate::stand_in::engine::complete_answer;
 use crate::stand_in::service::service_answer;
 
-/// A sent request with everything that the checks of the guarantees need.
+/// A sent request with its answer, as [`Evidence`](super::guarantees::Evidence) needs it to check
+/// the guarantees of the system.
 #[derive(Debug, Clone)]
 pub struct SentRequest {
     /// Request id.
