--- a/crates/foldhaven-core/tests/testsuite/opaque_choice.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_choice.rs
@@ -65,7 +65,8 @@
     choose_upstream(candidates, &query, &ServicePerformance::default()).map(|choice| choice.index)
 }
 
-/// The second of three upstreams differs from the others in one property.
+/// The second of three upstreams differs from the others in one property, which decides whether it
+/// is chosen.
 #[rstest]
 #[case::is_full(|it: &mut UpstreamCandidate<'_>| it.queue.in_flight = 9, false)]
 #[case::has_prefill_backlog(|it: &mut UpstreamCandidate<'_>| it.queue.prefill_backlog = prefill_backlog(40_000), false)]
--- a/crates/foldhaven-core/tests/testsuite/opaque_estimates.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_estimates.rs
@@ -17,7 +17,7 @@
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
-/// Engines with 0.2 to 5 times the initially assumed speed.
+/// The engines have 0.2, 1 and 5 times the initially assumed prefill rate.
 #[rstest]
 #[case(9_000.0)]
 #[case(45_000.0)]
--- a/crates/foldhaven-core/tests/testsuite/opaque_limits.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_limits.rs
@@ -165,8 +165,8 @@
     sent.iter().map(within).max().unwrap_or_default()
 }
 
-/// Guards against shares of a named limit that add up to more than the limit, in a region of any
-/// size.
+/// Guards against shares of a limit announced by an upstream that add up to more than the limit, in
+/// a region of any size.
 #[rstest]
 fn shares_of_a_limit_hold_in_a_region_of_any_size(
     #[values(1, 9, 74, 295)] vms: usize,
@@ -178,7 +178,8 @@
     assert!(most > 0, "an upstream that gets nothing cannot end its limit");
 }
 
-/// Guards against a limit that rises but is not used until the next slot of the lower limit.
+/// Guards against a raised limit that takes effect only after the wait that the lower limit
+/// imposed.
 #[test]
 fn higher_rate_is_used_at_once() {
     let mut pacer = RatePacer::default();
@@ -188,7 +189,8 @@
     assert!(pacer.try_acquire(2.0, now + Duration::from_millis(1_500)));
 }
 
-/// Without a described rate nothing may be sent.
+/// A VM sends nothing to a cold upstream whose rate is zero, and nothing if it is not itself on the
+/// list of senders.
 #[test]
 fn cold_upstream_without_a_rate_gets_no_requests() {
     let (upstream, own) = ("i-1".parse().unwrap(), vm(0));
--- a/crates/foldhaven-core/tests/testsuite/opaque_news.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_news.rs
@@ -161,8 +161,8 @@
     assert_eq!([receivers("south"), receivers("east"), receivers("north")], [2, 2, 0]);
 }
 
-/// If all VMs requested changes from another region at once, each would carry the same bytes over
-/// the same link.
+/// Guards against all VMs requesting changes from another region at once, which would transfer the
+/// same bytes over the same link once for each VM.
 #[test]
 fn vms_fetch_from_other_regions_in_distinct_ranks() {
     let ranks: Vec<Option<usize>> =
@@ -172,7 +172,8 @@
     assert!(fetching.contains(&0) && fetching.len() >= 3, "{ranks:?}");
 }
 
-/// Otherwise two readers that get no answer would remain the only ones until their long poll ends.
+/// Guards against two readers that get no answer and remain the only ones until their long poll
+/// ends.
 #[rstest]
 #[case::fresh(0, 2)]
 #[case::normal_age(2_400, 2)]
@@ -185,8 +186,8 @@
     assert_eq!(tables.iter().filter(reads).count(), readers);
 }
 
-/// Guards against an offer that is dropped when the VM reaches an earlier revision: the changes
-/// were then requested 0.35 s later.
+/// Guards against dropping an offer of changes up to a revision when the VM reaches an earlier
+/// revision: the changes were then requested 0.35 s later.
 #[test]
 fn an_offer_remains_until_its_revision_is_known() {
     let mut offered = OfferedRevision::default();
--- a/crates/foldhaven-core/tests/testsuite/opaque_remote.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_remote.rs
@@ -17,7 +17,8 @@
     UpstreamShare { in_flight, on_track: in_flight, deferred: 0, prefill_backlog: unread }
 }
 
-/// Requests in transit leave capacity in the other region; requests that occupy slots there do not.
+/// A few short requests are mostly in transit and leave capacity in the other region. Requests that
+/// run long, or many at once, occupy the slots there.
 #[rstest]
 #[case::one_in_transit(1, 20, true)]
 #[case::two_in_transit(2, 20, true)]
--- a/crates/foldhaven-core/tests/testsuite/opaque_service.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_service.rs
@@ -78,7 +78,8 @@
     assert!(order(&beats).for_demand(cores(6.0)).len() > 12);
 }
 
-/// With nine VMs in three regions all are needed: with fewer, the loss of one would be noticed.
+/// In a deployment of nine VMs in three regions, all VMs take requests: with fewer, callers would
+/// notice the loss of one.
 #[test]
 fn all_vms_of_a_small_region_take_requests() {
     let beats = region(0, 3);
--- a/crates/foldhaven-core/tests/testsuite/opaque_signals.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_signals.rs
@@ -21,7 +21,8 @@
     AnswerTiming { sent: at(sent), received: at(received) }
 }
 
-/// Guards against a limit that is ended by an answer that was in flight when the limit was named.
+/// Guards against a limit that is ended by an answer that was in flight when the limit was
+/// announced.
 #[test]
 fn answer_in_flight_does_not_end_a_limit() {
     let mut limits = RateLimits::default();
@@ -35,7 +36,7 @@
 }
 
 /// Guards against an old notice of another VM that restores a limit that has ended, or ends a limit
-/// that was named since.
+/// that was announced since.
 #[rstest]
 #[case::older_limit(None, 900, Some(2.5), 500, None)]
 #[case::newer_limit(None, 900, Some(2.5), 50, Some(2.5))]
@@ -104,8 +105,8 @@
     assert!(first.is_empty() && second.is_empty());
 }
 
-/// Guards against a process that is excluded by the signal of another process, or used again
-/// because it is still listed.
+/// Guards against a leaving signal that also excludes another process, or that expires while its
+/// process is still listed.
 #[test]
 fn leaving_is_final_for_a_process() {
     let mut leaving = LeavingUpstreams::default();
@@ -119,7 +120,7 @@
     assert!(!leaving.contains(UpstreamTag(8)));
 }
 
-/// Guards against a table that grows with each upstream that ever named a limit.
+/// Guards against a table that grows with each upstream that ever announced a limit.
 #[test]
 fn unlisted_upstreams_are_removed() {
     let mut limits = RateLimits::default();
--- a/crates/foldhaven-core/tests/testsuite/opaque_suspect_orders.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_suspect_orders.rs
@@ -81,7 +81,7 @@
     /// Number of upstreams sent to; each send uses another one.
     upstreams: u32,
     /// Number of times that connected VMs sent the request although they could know all exits
-    /// needed to hold it back.
+    /// needed to quarantine it.
     late_sends: usize,
     is_poison: bool,
     sends_updates: bool,
@@ -265,7 +265,7 @@
         prop_assert!(model.late_sends <= 3, "{} late sends, exits {:?}", model.late_sends, model.exits);
     }
 
-    /// A request that crashes no upstream is never held back.
+    /// A request that crashes no upstream is never quarantined.
     #[test]
     fn nothing_is_quarantined_without_an_exit(steps in steps()) {
         let model = run(&steps, false, true);
--- a/crates/foldhaven-core/tests/testsuite/opaque_suspects.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_suspects.rs
@@ -1,5 +1,5 @@
-//! Suspected requests: which requests are blamed for exits of upstreams, how long they are held
-//! back, and how wrongly blamed ones recover.
+//! Suspected requests: which requests are blamed for exits of upstreams, how long they are
+//! quarantined, and how wrongly blamed ones recover.
 
 use std::time::Duration;
 
@@ -173,9 +173,9 @@
     assert!(is_refused(table.decide(&fingerprint, at(7))));
 }
 
-/// Guards against repeated probes: once the maximum number of exits was kept, a probe that crashed
-/// its upstream was taken for one that had reached none, and the same VM probed again at once, each
-/// time that the request came.
+/// Guards against repeated probes: when a record held its maximum number of exits, a probe that
+/// crashed its upstream was mistaken for one that had reached no upstream. The same VM then probed
+/// again at once, each time that the request arrived.
 #[rstest]
 #[case::exit_noticed_later(Some(NoticedExit::AfterProbeEnds))]
 #[case::exit_noticed_before(Some(NoticedExit::BeforeProbeEnds))]
@@ -210,7 +210,7 @@
 }
 
 /// When many upstreams exit at once, each VM has many requests with one exit. These are announced
-/// in the region only and hold nothing back.
+/// in the region only and quarantine no request.
 #[test]
 fn a_single_exit_is_sent_within_its_region_only() {
     let fingerprint = fingerprint_of("a");
@@ -283,7 +283,7 @@
 }
 
 /// A caller that crashes upstreams can create suspects, but can't evict the record of a request
-/// that is held back.
+/// that is quarantined.
 #[test]
 fn eviction_drops_suspects_with_the_fewest_exits() {
     let fingerprint = fingerprint_of("a");
