--- a/crates/foldhaven-core/tests/testsuite/opaque_admission.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_admission.rs
@@ -73,8 +73,8 @@
     );
 }
 
-/// Upstreams accept 48 requests. The queue that this VM believes them to have is 40 to 56 requests
-/// when they refuse one and up to 47 when they accept one.
+/// Upstreams accept up to 48 requests. By the inexact view of this VM, an upstream has 40 to 56
+/// requests when it refuses one, and up to 47 when it accepts one.
 #[test]
 fn the_queue_capacity_is_learned_from_refusals() {
     let queue = |in_flight| QueueState { slots: 12, in_flight, ..QueueState::default() };
--- a/crates/foldhaven-core/tests/testsuite/opaque_sender_agreement.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_sender_agreement.rs
@@ -177,7 +177,8 @@
     simulation.used
 }
 
-/// The number of simulations per case, which an environment variable raises for longer runs.
+/// The number of simulations per case: the environment variable `PACT_PLAYS`, or `usual` if it is
+/// not set.
 fn run_count(usual: u64) -> u64 {
     std::env::var("PACT_PLAYS").ok().and_then(|count| count.parse().ok()).unwrap_or(usual)
 }
--- a/crates/foldhaven-testkit/src/scenario/steps.rs
+++ b/crates/foldhaven-testkit/src/scenario/steps.rs
@@ -116,7 +116,7 @@
     InForce(String, Duration),
     /// Waits until a VM considers another one `live`, `leaving`, `suspect` or `unknown`.
     Judges(String, String, String),
-    /// Waits until the VMs of a group are serving.
+    /// Waits until all running, unfrozen VMs of a group have a description in force.
     Serving(String),
     /// Waits for the given time.
     Hold(Duration),
--- a/crates/foldhavenctl/src/error.rs
+++ b/crates/foldhavenctl/src/error.rs
@@ -32,7 +32,7 @@
     Io {
         /// What was being done.
         step: &'static str,
-        /// The file.
+        /// The path of the file.
         peer: String,
         /// The I/O error.
         source: std::io::Error,
@@ -43,7 +43,7 @@
         step: &'static str,
         /// The address of the VM.
         peer: String,
-        /// The error.
+        /// The HTTP or JSON error, or the status and body of the answer.
         message: String,
     },
     /// {0}
