--- a/crates/foldhaven-core/tests/testsuite/opaque_account_limits.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_account_limits.rs
@@ -127,8 +127,8 @@
     assert!(per_s <= most, "{per_s}");
 }
 
-/// A region that the others do not hear from uses its own equal share, and what those that do hear
-/// it leave unused of theirs.
+/// While another region is not heard from, each region keeps to its own equal share, plus its part
+/// of what the regions that it does hear from leave unused of theirs.
 #[test]
 fn unheard_region_keeps_to_its_share() {
     let cut = SharerView { silent_regions: 2, ..view(1, 0) };
--- a/crates/foldhaven-core/tests/testsuite/opaque_limits.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_limits.rs
@@ -197,8 +197,8 @@
     let alone = SenderList { live: vec![own.clone()], with_unresponsive: vec![own.clone()] };
     let nothing = SharedRate::of_cold(0.0);
     assert_eq!(rate_share(nothing, &upstream, &own, &alone).per_s, 0.0);
-    let bears = SharedRate::of_cold(9.7);
-    assert_eq!(rate_share(bears, &upstream, &own, &SenderList::default()).per_s, 0.0);
+    let cold_rate = SharedRate::of_cold(9.7);
+    assert_eq!(rate_share(cold_rate, &upstream, &own, &SenderList::default()).per_s, 0.0);
 }
 
 #[test]
--- a/crates/foldhaven-core/tests/testsuite/opaque_sender_agreement.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_sender_agreement.rs
@@ -96,8 +96,8 @@
                 all.choose_multiple(&mut self.rng, size).copied().collect();
             list.insert(vm);
             // Often all VMs return to the same list.
-            let is_whole = self.rng.random_bool(0.6);
-            self.vms[vm].list = if is_whole { (0..count).collect() } else { list };
+            let lists_all_vms = self.rng.random_bool(0.6);
+            self.vms[vm].list = if lists_all_vms { (0..count).collect() } else { list };
         }
         if self.rng.random_bool(change_share / 4.0) {
             let pause = Duration::from_millis(self.rng.random_range(10..2_000));
--- a/crates/foldhaven-testkit/src/stand_in/platform.rs
+++ b/crates/foldhaven-testkit/src/stand_in/platform.rs
@@ -28,11 +28,11 @@
     /// Answers normally.
     #[default]
     Up,
-    /// Answers with the content from before its last change.
+    /// Answers with the content from before the last change that preceded the end of the mode `Up`.
     Stale,
     /// Refuses reads of values and lists.
     Down,
-    /// Alternates between old and current content.
+    /// Alternates between the content of the mode `Stale` and the current content.
     Flapping,
     /// Delays its answers to reads of values and lists by one second.
     Slow,
--- a/crates/foldhavenctl/src/cmd/suspects.rs
+++ b/crates/foldhavenctl/src/cmd/suspects.rs
@@ -31,8 +31,8 @@
 /// Returns an error if the VM cannot be reached or does not suspect a request with the fingerprint.
 pub async fn execute(args: &ArgMatches) -> Result<(), CtlError> {
     let client = make_client(args)?;
-    if let Some(print) = args.get_one::<String>("clear") {
-        return clear(&client, print).await;
+    if let Some(fingerprint) = args.get_one::<String>("clear") {
+        return clear(&client, fingerprint).await;
     }
     let answer = list(&client).await?;
     match args.get_flag("json") {
@@ -56,13 +56,13 @@
 /// # Errors
 ///
 /// Returns an error if the VM cannot be reached or does not suspect the request.
-pub async fn clear(client: &OperatorClient, print: &str) -> Result<(), CtlError> {
-    let path = format!("/operator/v1/suspects/clear?print={print}");
+pub async fn clear(client: &OperatorClient, fingerprint: &str) -> Result<(), CtlError> {
+    let path = format!("/operator/v1/suspects/clear?print={fingerprint}");
     let answer: ClearAnswer = client.post("clearing", client.seed_addresses()[0], &path).await?;
     match answer.is_cleared {
         true => Ok(()),
         false => Err(CtlError::Usage(format!(
-            "no request with the fingerprint {print} is suspected at this VM"
+            "no request with the fingerprint {fingerprint} is suspected at this VM"
         ))),
     }
 }
