--- a/crates/foldhaven-core/tests/testsuite/opaque_account_limits.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_account_limits.rs
@@ -131,8 +131,8 @@
 /// of what the regions that it does hear from leave unused of theirs.
 #[test]
 fn unheard_region_keeps_to_its_share() {
-    let cut = SharerView { silent_regions: 2, ..view(1, 0) };
-    let alone = share(&demand(5_000.0, 0.0, &[]), &cut).per_s;
+    let isolated = SharerView { silent_regions: 2, ..view(1, 0) };
+    let alone = share(&demand(5_000.0, 0.0, &[]), &isolated).per_s;
     assert!((300.0..=334.0).contains(&alone), "{alone}");
     let half = SharerView { silent_regions: 1, ..view(1, 0) };
     let with_idle = share(&demand(5_000.0, 0.0, &[0.0]), &half).per_s;
--- a/crates/foldhaven-core/tests/testsuite/opaque_heartbeats.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_heartbeats.rs
@@ -106,13 +106,13 @@
     const LOCAL_VMS: usize = 98;
     const ROUNDS: u64 = 40;
     let centre = |number: usize| if number.is_multiple_of(2) { "north-hall" } else { "other-hall" };
-    let beat_of = |number: usize, sequence: u32| PeerHeartbeat {
+    let heartbeat_of = |number: usize, sequence: u32| PeerHeartbeat {
         data_centre: centre(number).parse().unwrap(),
         ..heartbeat(&format!("vm-{number}"), "north", sequence)
     };
     let addresses: BTreeMap<SocketAddr, Vec<usize>> =
         (0..LOCAL_VMS).fold(BTreeMap::new(), |mut all: BTreeMap<_, Vec<usize>>, number| {
-            all.entry(beat_of(number, 0).peer).or_default().push(number);
+            all.entry(heartbeat_of(number, 0).peer).or_default().push(number);
             all
         });
     let mut tables: Vec<PeerTable> = (0..LOCAL_VMS)
@@ -121,7 +121,7 @@
     for (own, table) in tables.iter_mut().enumerate() {
         (0..LOCAL_VMS)
             .filter(|it| *it != own)
-            .for_each(|it| assert!(table.apply_heartbeat(beat_of(it, 0), at(0))));
+            .for_each(|it| assert!(table.apply_heartbeat(heartbeat_of(it, 0), at(0))));
         (0..190).for_each(|it| {
             assert!(table.apply_heartbeat(heartbeat(&format!("far-{it}"), "south", 0), at(0)))
         });
@@ -138,7 +138,7 @@
                     continue; // lost
                 }
                 for receiver in addresses[&target].iter().filter(|receiver| **receiver != own) {
-                    tables[*receiver].apply_heartbeat(beat_of(own, round as u32), now);
+                    tables[*receiver].apply_heartbeat(heartbeat_of(own, round as u32), now);
                     for update in &updates {
                         tables[*receiver].apply_liveness_update(*update, now);
                     }
@@ -161,11 +161,11 @@
         table.apply_heartbeat(heartbeat(&format!("vm-{number}"), "north", 1), at(0));
     }
     for _ in 0..6 {
-        let (mut beats, mut resent) = (BTreeSet::new(), BTreeSet::new());
+        let (mut heartbeat_targets, mut resent) = (BTreeSet::new(), BTreeSet::new());
         for _ in 0..2 {
-            beats.extend(table.next_targets(at(0)).local);
+            heartbeat_targets.extend(table.next_targets(at(0)).local);
             resent.extend(table.next_resend_targets(at(0)).local);
         }
-        assert_eq!((beats.len(), resent.len()), (OTHERS, OTHERS));
+        assert_eq!((heartbeat_targets.len(), resent.len()), (OTHERS, OTHERS));
     }
 }
--- a/crates/foldhaven-core/tests/testsuite/opaque_remote.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_remote.rs
@@ -13,8 +13,8 @@
 const SENDERS: usize = 26;
 
 fn own(in_flight: u16, tokens: u32) -> UpstreamShare {
-    let unread = PrefillBacklog { timely: tokens, deferred: 0 };
-    UpstreamShare { in_flight, on_track: in_flight, deferred: 0, prefill_backlog: unread }
+    let prefill_backlog = PrefillBacklog { timely: tokens, deferred: 0 };
+    UpstreamShare { in_flight, on_track: in_flight, deferred: 0, prefill_backlog }
 }
 
 /// A few short requests are mostly in transit and leave capacity in the other region. Requests that
--- a/crates/foldhaven-core/tests/testsuite/opaque_routes.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_routes.rs
@@ -108,7 +108,7 @@
 
 /// The addresses that a VM of the region `north` returns, without any demand yet.
 fn select_for(
-    beats: &[PeerHeartbeat],
+    heartbeats: &[PeerHeartbeat],
     region: &RegionName,
     bound: impl Fn(&RegionName) -> usize,
     has_bound: bool,
@@ -120,7 +120,7 @@
         demand: CoreShare::default(),
         unresponsive: &BTreeSet::new(),
     };
-    select_vms(beats, region, &local, bound, has_bound)
+    select_vms(heartbeats, region, &local, bound, has_bound)
 }
 
 #[rstest]
@@ -132,12 +132,12 @@
     #[case] region: &str,
     #[case] expected: &[&str],
 ) {
-    let beats: Vec<PeerHeartbeat> =
+    let heartbeats: Vec<PeerHeartbeat> =
         vms.iter().map(|(vm, region)| heartbeat(vm, region, 1)).collect();
     let region: RegionName = region.parse().unwrap();
     let bound = |region: &RegionName| usize::from(region.as_str() == "south");
-    let named = select_for(&beats, &region, bound, true);
-    let expected_addresses: Vec<_> = beats
+    let named = select_for(&heartbeats, &region, bound, true);
+    let expected_addresses: Vec<_> = heartbeats
         .iter()
         .filter(|heartbeat| expected.contains(&heartbeat.vm.as_str()))
         .map(|it| it.caller)
@@ -155,15 +155,15 @@
     #[case] named: usize,
 ) {
     let leaving = PeerHeartbeat { phase: PeerPhase::Leaving, ..heartbeat("s1", "south", 1) };
-    let beats = [leaving, heartbeat("e1", "east", 1)];
+    let heartbeats = [leaving, heartbeat("e1", "east", 1)];
     let bound = |region: &RegionName| usize::from(region.as_str() == "south");
-    let answer = select_for(&beats, &"north".parse().unwrap(), bound, has_bound);
+    let answer = select_for(&heartbeats, &"north".parse().unwrap(), bound, has_bound);
     assert_eq!(answer.len(), named);
 }
 
 #[test]
 fn starting_and_leaving_vms_are_not_selected() {
-    let beats = [PeerPhase::Starting, PeerPhase::Leaving]
+    let heartbeats = [PeerPhase::Starting, PeerPhase::Leaving]
         .map(|phase| PeerHeartbeat { phase, ..heartbeat("n1", "north", 1) });
-    assert!(select_for(&beats, &"north".parse().unwrap(), |_| 0, false).is_empty());
+    assert!(select_for(&heartbeats, &"north".parse().unwrap(), |_| 0, false).is_empty());
 }
--- a/crates/foldhaven-core/tests/testsuite/opaque_service.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_service.rs
@@ -24,21 +24,21 @@
 
 /// A region of two data centres with the given number of large and small VMs in each.
 fn region(large: usize, small: usize) -> Vec<PeerHeartbeat> {
-    let mut beats = Vec::new();
+    let mut heartbeats = Vec::new();
     for centre in ["hall-a", "hall-b"] {
         for (count, size, kind) in [(large, 0.5, "large"), (small, 0.12, "small")] {
-            beats.extend((0..count).map(|at| PeerHeartbeat {
+            heartbeats.extend((0..count).map(|at| PeerHeartbeat {
                 data_centre: centre.parse().unwrap(),
                 cores: cores(size),
                 ..heartbeat(&format!("{centre}-{kind}-{at}"), "north", 1)
             }));
         }
     }
-    beats
+    heartbeats
 }
 
-fn order(beats: &[PeerHeartbeat]) -> ServiceOrder<'_> {
-    ServiceOrder::of(beats.iter().map(ServiceCandidate::of))
+fn order(heartbeats: &[PeerHeartbeat]) -> ServiceOrder<'_> {
+    ServiceOrder::of(heartbeats.iter().map(ServiceCandidate::of))
 }
 
 fn names(candidates: &[ServiceCandidate<'_>]) -> Vec<VmName> {
@@ -59,8 +59,8 @@
 #[case::high_demand(2.25, 19)]
 #[case::more_than_available(9.0, 98)]
 fn number_of_vms_in_service_follows_the_load(#[case] demand: f64, #[case] expected: usize) {
-    let beats = region(3, 46);
-    let order = order(&beats);
+    let heartbeats = region(3, 46);
+    let order = order(&heartbeats);
     let chosen = order.for_demand(cores(demand));
     assert_eq!(chosen.len(), expected);
     let large = chosen.iter().filter(|candidate| candidate.cores == cores(0.5)).count();
@@ -73,27 +73,27 @@
 /// VM that takes requests.
 #[test]
 fn large_region_has_no_more_baseline_vms() {
-    let beats = region(9, 141);
-    assert_eq!(order(&beats).baseline().len(), 12);
-    assert!(order(&beats).for_demand(cores(6.0)).len() > 12);
+    let heartbeats = region(9, 141);
+    assert_eq!(order(&heartbeats).baseline().len(), 12);
+    assert!(order(&heartbeats).for_demand(cores(6.0)).len() > 12);
 }
 
 /// In a deployment of nine VMs in three regions, all VMs take requests: with fewer, callers would
 /// notice the loss of one.
 #[test]
 fn all_vms_of_a_small_region_take_requests() {
-    let beats = region(0, 3);
-    assert_eq!(order(&beats).baseline().len(), 6);
-    assert_eq!(order(&beats[..3]).baseline().len(), 3);
+    let heartbeats = region(0, 3);
+    assert_eq!(order(&heartbeats).baseline().len(), 6);
+    assert_eq!(order(&heartbeats[..3]).baseline().len(), 3);
 }
 
 #[test]
 fn losing_a_vm_moves_only_the_vms_after_it() {
-    let beats = region(3, 46);
-    let all = order(&beats);
+    let heartbeats = region(3, 46);
+    let all = order(&heartbeats);
     let lost = all.baseline()[2].vm.clone();
     let left: Vec<PeerHeartbeat> =
-        beats.iter().filter(|heartbeat| heartbeat.vm != lost).cloned().collect();
+        heartbeats.iter().filter(|heartbeat| heartbeat.vm != lost).cloned().collect();
     let before: BTreeSet<VmName> = names(all.baseline()).into_iter().collect();
     let after: BTreeSet<VmName> = names(order(&left).baseline()).into_iter().collect();
     assert!(before.difference(&after).all(|vm| *vm == lost), "{before:?} {after:?}");
@@ -101,8 +101,8 @@
 
 #[test]
 fn lost_data_centre_is_replaced_by_the_other() {
-    let beats = region(3, 46);
-    let left: Vec<PeerHeartbeat> = beats
+    let heartbeats = region(3, 46);
+    let left: Vec<PeerHeartbeat> = heartbeats
         .iter()
         .filter(|heartbeat| heartbeat.data_centre.as_str() == "hall-a")
         .cloned()
@@ -122,7 +122,7 @@
 }
 
 fn answer(
-    beats: &[PeerHeartbeat],
+    heartbeats: &[PeerHeartbeat],
     responder: &str,
     demand: f64,
     unresponsive: &BTreeSet<VmName>,
@@ -135,7 +135,7 @@
         demand: cores(demand),
         unresponsive,
     };
-    select_vms(beats, &region, &local, |_| 0, false)
+    select_vms(heartbeats, &region, &local, |_| 0, false)
 }
 
 /// Guards against callers overloading small VMs: callers use each address of an answer equally
@@ -143,17 +143,17 @@
 /// quarter as often.
 #[test]
 fn callers_are_distributed_by_vm_size() {
-    let beats = region(3, 46);
+    let heartbeats = region(3, 46);
     let mut selections: BTreeMap<SocketAddr, f64> = BTreeMap::new();
-    for responder in &beats {
-        let named = answer(&beats, responder.vm.as_str(), 4.5, &BTreeSet::new());
+    for responder in &heartbeats {
+        let named = answer(&heartbeats, responder.vm.as_str(), 4.5, &BTreeSet::new());
         assert!(named.len() <= MAX_ADDRESSES);
         for address in &named {
             *selections.entry(*address).or_default() += 1.0 / named.len() as f64;
         }
     }
     let mean = |size: f64| {
-        let of_size = beats.iter().filter(|heartbeat| heartbeat.cores == cores(size));
+        let of_size = heartbeats.iter().filter(|heartbeat| heartbeat.cores == cores(size));
         let shares: Vec<f64> =
             of_size.filter_map(|heartbeat| selections.get(&heartbeat.caller).copied()).collect();
         shares.iter().sum::<f64>() / shares.len() as f64
@@ -164,42 +164,44 @@
 
 #[test]
 fn different_answers_cover_all_vms() {
-    let beats = region(0, 100);
+    let heartbeats = region(0, 100);
     let mut selections: BTreeMap<SocketAddr, usize> = BTreeMap::new();
-    for responder in &beats {
-        let named = answer(&beats, responder.vm.as_str(), 100.0, &BTreeSet::new());
+    for responder in &heartbeats {
+        let named = answer(&heartbeats, responder.vm.as_str(), 100.0, &BTreeSet::new());
         assert!((32..=MAX_ADDRESSES).contains(&named.len()), "{}", named.len());
         named.into_iter().for_each(|address| *selections.entry(address).or_default() += 1);
     }
     // Two test VMs may share an address.
-    let addresses: BTreeSet<SocketAddr> = beats.iter().map(|heartbeat| heartbeat.caller).collect();
+    let addresses: BTreeSet<SocketAddr> =
+        heartbeats.iter().map(|heartbeat| heartbeat.caller).collect();
     assert_eq!(selections.len(), addresses.len(), "each is in some answer");
 }
 
 #[test]
 fn unresponsive_vm_is_left_out_unless_most_are() {
-    let beats = region(3, 3);
-    let unresponsive: BTreeSet<VmName> = [beats[0].vm.clone()].into();
-    let named = answer(&beats, "n1", 0.0, &unresponsive);
-    assert!(!named.contains(&beats[0].caller) && !named.is_empty());
+    let heartbeats = region(3, 3);
+    let unresponsive: BTreeSet<VmName> = [heartbeats[0].vm.clone()].into();
+    let named = answer(&heartbeats, "n1", 0.0, &unresponsive);
+    assert!(!named.contains(&heartbeats[0].caller) && !named.is_empty());
     let centre: BTreeSet<VmName> =
-        beats[..6].iter().map(|heartbeat| heartbeat.vm.clone()).collect();
-    let left = answer(&beats, "n1", 9.0, &centre);
+        heartbeats[..6].iter().map(|heartbeat| heartbeat.vm.clone()).collect();
+    let left = answer(&heartbeats, "n1", 9.0, &centre);
     assert!(
-        beats[..6].iter().all(|heartbeat| !left.contains(&heartbeat.caller)),
+        heartbeats[..6].iter().all(|heartbeat| !left.contains(&heartbeat.caller)),
         "one of two data centres"
     );
-    let most: BTreeSet<VmName> = beats[..8].iter().map(|heartbeat| heartbeat.vm.clone()).collect();
-    assert!(answer(&beats, "n1", 9.0, &most).contains(&beats[0].caller));
+    let most: BTreeSet<VmName> =
+        heartbeats[..8].iter().map(|heartbeat| heartbeat.vm.clone()).collect();
+    assert!(answer(&heartbeats, "n1", 9.0, &most).contains(&heartbeats[0].caller));
 }
 
 /// Guards against small VMs in special roles: sending platform changes to a hundred others
 /// saturates the link of a small VM.
 #[test]
 fn special_roles_go_to_large_vms() {
-    let beats = region(3, 46);
+    let heartbeats = region(3, 46);
     let mut role_counts = [0, 0];
-    for own in &beats {
+    for own in &heartbeats {
         let vm = OwnVm {
             vm: own.vm.clone(),
             data_centre: own.data_centre.clone(),
@@ -207,10 +209,10 @@
             cores: own.cores,
         };
         let mut table = PeerTable::new(vm, own.incarnation);
-        let others = beats.iter().filter(|heartbeat| heartbeat.vm != own.vm);
+        let others = heartbeats.iter().filter(|heartbeat| heartbeat.vm != own.vm);
         others.for_each(|heartbeat| assert!(table.apply_heartbeat(heartbeat.clone(), at(0))));
         let roles = [table.is_reader(false, Duration::ZERO, at(100)), table.is_delegate(at(100))];
-        let is_baseline = order(&beats).baseline().iter().any(|it| *it.vm == own.vm);
+        let is_baseline = order(&heartbeats).baseline().iter().any(|it| *it.vm == own.vm);
         assert!(is_baseline || roles == [false, false], "{}", own.vm);
         role_counts =
             [role_counts[0] + usize::from(roles[0]), role_counts[1] + usize::from(roles[1])];
@@ -220,11 +222,13 @@
 
 #[test]
 fn reports_to_another_region_rotate_over_its_baseline_vms() {
-    let beats = region(3, 46);
-    let baseline: BTreeSet<VmName> = names(order(&beats).baseline()).into_iter().collect();
+    let heartbeats = region(3, 46);
+    let baseline: BTreeSet<VmName> = names(order(&heartbeats).baseline()).into_iter().collect();
     let mut table = region_table("far", 1, "south");
-    beats.iter().for_each(|heartbeat| assert!(table.apply_heartbeat(heartbeat.clone(), at(0))));
-    let addresses: BTreeSet<SocketAddr> = beats
+    heartbeats
+        .iter()
+        .for_each(|heartbeat| assert!(table.apply_heartbeat(heartbeat.clone(), at(0))));
+    let addresses: BTreeSet<SocketAddr> = heartbeats
         .iter()
         .filter(|heartbeat| baseline.contains(&heartbeat.vm))
         .map(|heartbeat| heartbeat.peer)
--- a/crates/foldhaven-testkit/src/scenario/chaos.rs
+++ b/crates/foldhaven-testkit/src/scenario/chaos.rs
@@ -99,9 +99,9 @@
 
     fn random_regions(&mut self) -> Vec<String> {
         let mut regions: Vec<String> = REGIONS.iter().map(|it| (*it).to_owned()).collect();
-        let gone = self.rng.random_range(0..4);
-        if gone < regions.len() {
-            regions.remove(gone);
+        let removed = self.rng.random_range(0..4);
+        if removed < regions.len() {
+            regions.remove(removed);
         }
         regions
     }
