--- a/crates/foldhaven-core/tests/testsuite/opaque_deltas.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_deltas.rs
@@ -158,9 +158,9 @@
 proptest! {
     /// Guards against VMs that hold the newest version number with routes that the newest version
     /// has dropped or changed. VMs read descriptions at their own pace, and one reads versions that
-    /// another one skips. A delta from a version before the held one lacks a route that the held
-    /// version had changed and the newest one has changed back. Any delta must yield the newest
-    /// description or be rejected, whatever version is held.
+    /// another one skips. A delta that starts at a version before the VM's own lacks a route that
+    /// the VM's version had changed and the newest one has changed back. Any delta must yield the
+    /// newest description or be rejected, whatever version the VM has.
     #[test]
     fn delta_that_skips_versions_yields_the_newest_or_is_rejected(
         versions in versions(),
--- a/crates/foldhaven-testkit/src/stand_in/engine.rs
+++ b/crates/foldhaven-testkit/src/stand_in/engine.rs
@@ -29,7 +29,7 @@
 use super::ledger::{LedgerEvent, LedgerWriter};
 use super::{json_response, serve};
 
-/// Decode time in seconds whose tokens are sent as one event.
+/// Tokens that are decoded within this many seconds are sent as one event.
 const EVENT_SECONDS: f64 = 0.010;
 /// Maximum number of queued requests per slot. Requests that exceed it are refused.
 const MAX_QUEUED_PER_SLOT: u32 = 16;
--- a/crates/foldhaven-testkit/src/stand_in/ledger.rs
+++ b/crates/foldhaven-testkit/src/stand_in/ledger.rs
@@ -66,7 +66,8 @@
         Ok(Self { upstream, data_centre, file: Mutex::new(file) })
     }
 
-    /// Writes a line. The line has been written when this returns.
+    /// Appends a line. It is in the file when this returns, so that it survives a kill of the
+    /// process.
     pub fn write(&self, event: LedgerEvent, request: &str, attempt: &str, target: &str) {
         let line = LedgerLine {
             at_ms: unix_time_ms(),
