--- a/crates/foldhaven-testkit/src/fleet/layout.rs
+++ b/crates/foldhaven-testkit/src/fleet/layout.rs
@@ -1,5 +1,5 @@
-//! Assigns addresses to the processes of a fleet. Each fleet uses its own address block, and each
-//! process its own address in it.
+//! Assigns addresses to the processes of a fleet. Each fleet uses an address block that follows
+//! from the process id and the number of the fleet, and each process its own address in it.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
--- a/crates/foldhaven-testkit/src/scenario/observer.rs
+++ b/crates/foldhaven-testkit/src/scenario/observer.rs
@@ -73,7 +73,8 @@
 }
 
 /// Returns a violation for each description that a daemon adopted after one with a larger stamp,
-/// according to its log. The log also shows reverts that are too short for the status polls.
+/// according to its log. Stamps from before a restart do not count. The log also shows reverts that
+/// are too short for the status polls.
 pub fn adoption_violations(vm: &str, log: &str) -> Vec<Violation> {
     let mut highest: Option<DescriptionStamp> = None;
     let mut violations = Vec::new();
--- a/crates/foldhaven-testkit/src/scenario/traffic.rs
+++ b/crates/foldhaven-testkit/src/scenario/traffic.rs
@@ -170,8 +170,9 @@
     }
 }
 
-/// Sends a request to one of the entry VMs, after getting a ticket there if one is needed. Tries
-/// the next VM if the connection is refused or the VM answers 307 or 503.
+/// Sends a request to one of the first two entry VMs, after getting a ticket there if one is
+/// needed. Tries the other one if the VM issues no ticket, refuses the connection or answers 307 or
+/// 503, up to `MAX_ATTEMPTS` attempts in all.
 async fn send_with_retries(
     caller: CallerClient,
     entries: &Mutex<Vec<SocketAddr>>,
--- a/crates/foldhavenctl/src/burn.rs
+++ b/crates/foldhavenctl/src/burn.rs
@@ -21,7 +21,7 @@
     pub bad: u64,
 }
 
-/// The burn of one account and class.
+/// The error-budget burn of one account and class.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct BurnLine {
     /// The account.
--- a/crates/foldhavenctl/src/cmd/status.rs
+++ b/crates/foldhavenctl/src/cmd/status.rs
@@ -93,7 +93,8 @@
     format_table(&rows)
 }
 
-/// Returns whether an upstream accepts work, and its request limit if it has one.
+/// Returns the text for the state of an upstream: whether it accepts requests, and the limit on
+/// them if it has one.
 fn upstream_state(upstream: &UpstreamStatus) -> String {
     match (upstream.leaving, &upstream.limit) {
         (true, _) => "leaving".to_owned(),
