--- a/crates/foldhaven-core/tests/testsuite/opaque_remote.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_remote.rs
@@ -13,11 +13,12 @@
 const SENDERS: usize = 26;
 
 fn own(in_flight: u16, tokens: u32) -> UpstreamShare {
-    let unread = PrefillBacklog { timely: tokens, deferred: 0 };
-    UpstreamShare { in_flight, on_track: in_flight, deferred: 0, prefill_backlog: unread }
+    let prefill_backlog = PrefillBacklog { timely: tokens, deferred: 0 };
+    UpstreamShare { in_flight, on_track: in_flight, deferred: 0, prefill_backlog }
 }
 
-/// Requests in transit leave capacity in the other region; requests that occupy slots there do not.
+/// A few short requests are mostly in transit and leave capacity in the other region. Requests that
+/// run long, or many at once, occupy the slots there.
 #[rstest]
 #[case::one_in_transit(1, 20, true)]
 #[case::two_in_transit(2, 20, true)]
--- a/crates/foldhaven-core/tests/testsuite/opaque_sender_agreement.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_sender_agreement.rs
@@ -96,8 +96,8 @@
                 all.choose_multiple(&mut self.rng, size).copied().collect();
             list.insert(vm);
             // Often all VMs return to the same list.
-            let is_whole = self.rng.random_bool(0.6);
-            self.vms[vm].list = if is_whole { (0..count).collect() } else { list };
+            let lists_all_vms = self.rng.random_bool(0.6);
+            self.vms[vm].list = if lists_all_vms { (0..count).collect() } else { list };
         }
         if self.rng.random_bool(change_share / 4.0) {
             let pause = Duration::from_millis(self.rng.random_range(10..2_000));
@@ -177,7 +177,8 @@
     simulation.used
 }
 
-/// The number of simulations per case, which an environment variable raises for longer runs.
+/// The number of simulations per case: the environment variable `PACT_PLAYS`, or `usual` if it is
+/// not set.
 fn run_count(usual: u64) -> u64 {
     std::env::var("PACT_PLAYS").ok().and_then(|count| count.parse().ok()).unwrap_or(usual)
 }
--- a/crates/foldhaven-testkit/src/scenario/traffic.rs
+++ b/crates/foldhaven-testkit/src/scenario/traffic.rs
@@ -15,7 +15,8 @@
 use crate::stand_in::engine::complete_answer;
 use crate::stand_in::service::service_answer;
 
-/// A sent request with everything that the checks of the guarantees need.
+/// A sent request with its answer, as [`Evidence`](super::guarantees::Evidence) needs it to check
+/// the guarantees of the system.
 #[derive(Debug, Clone)]
 pub struct SentRequest {
     /// Request id.
@@ -169,8 +170,9 @@
     }
 }
 
-/// Sends a request to one of the entry VMs, after getting a ticket there if one is needed. Tries
-/// the next VM if the connection is refused or the VM answers 307 or 503.
+/// Sends a request to one of the first two entry VMs, after getting a ticket there if one is
+/// needed. Tries the other one if the VM issues no ticket, refuses the connection or answers 307 or
+/// 503, up to `MAX_ATTEMPTS` attempts in all.
 async fn send_with_retries(
     caller: CallerClient,
     entries: &Mutex<Vec<SocketAddr>>,
