--- a/crates/foldhaven-gateway/src/attempts/retries.rs
+++ b/crates/foldhaven-gateway/src/attempts/retries.rs
@@ -16,10 +16,10 @@
     /// follow.
     pub(super) fn final_refusal(&mut self, fault: &CallFault) -> Option<Refusal> {
         let may_repeat = match fault {
-            CallFault::NotSent(_) => self.may_choose_again(),
+            CallFault::NotSent(_) => self.may_try_another_destination(),
             CallFault::Declined { .. } if fault.is_misdirected() => {
                 // Another process has the address: no upstream of the service received the request.
-                self.may_choose_again() && self.try_withdraw_retry()
+                self.may_try_another_destination() && self.try_withdraw_retry()
             }
             CallFault::Declined { .. } => self.may_send_again(),
             CallFault::Broken(_) | CallFault::Unresponsive | CallFault::TimedOut => {
@@ -41,7 +41,7 @@
     /// Whether another destination may be chosen for a request that no upstream received. This
     /// includes a VM that a request was forwarded to, which chooses among the upstreams of its
     /// region.
-    fn may_choose_again(&self) -> bool {
+    fn may_try_another_destination(&self) -> bool {
         self.tried.count() < MAX_DESTINATIONS && BootInstant::now() < self.job.deadline
     }
 
@@ -49,7 +49,10 @@
     fn may_send_again(&mut self) -> bool {
         let is_open =
             self.delivered_attempts < self.job.route.max_attempts && !self.job.is_forwarded;
-        is_open && !self.is_likely_poison() && self.may_choose_again() && self.try_withdraw_retry()
+        is_open
+            && !self.is_likely_poison()
+            && self.may_try_another_destination()
+            && self.try_withdraw_retry()
     }
 
     /// Takes one retry from this VM's share of the retry budget.
--- a/crates/foldhaven-gateway/src/control/account_limits.rs
+++ b/crates/foldhaven-gateway/src/control/account_limits.rs
@@ -1,5 +1,5 @@
-//! This VM's shares of account limits: exchanges the demand of callers with other VMs, and applies
-//! the shares.
+//! Exchanges the demand of limited accounts with other VMs, and sets this VM's shares of the account
+//! limits by it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,10 +14,10 @@
 
 use super::ControlActor;
 
-/// Requests the demand reports of a round.
+/// Requests the demand reports that this VM sends in one round.
 pub struct PlanDemandReports;
 
-/// The demand reports of a round, and their targets.
+/// The demand reports that are due in a round, and the VMs that they are sent to.
 #[derive(Default)]
 pub struct PlannedDemandReports {
     pub local_targets: Vec<SocketAddr>,
--- a/crates/foldhaven-gateway/src/control/announcements.rs
+++ b/crates/foldhaven-gateway/src/control/announcements.rs
@@ -16,7 +16,8 @@
 /// Minimum interval between two announcements to other regions. Changes in between are part of the
 /// next one.
 const REMOTE_ANNOUNCE_INTERVAL: Duration = Duration::from_millis(200);
-/// Minimum interval between two announcements to this region of another region's revision.
+/// Minimum interval between two announcements of other regions' revisions that this VM relays to its
+/// own region.
 const RELAY_INTERVAL: Duration = Duration::from_millis(200);
 /// Stale state counts as fresh again once it was confirmed within this time.
 const FRESH_WITHIN: Duration = Duration::from_millis(2_500);
@@ -105,7 +106,7 @@
 
     /// Announces this VM's revision to a few VMs of each other region, unless it was announced
     /// already or the last announcement is too recent. A region whose own readers get no answer
-    /// learns of changes only in this way.
+    /// from the platform learns of changes only in this way.
     pub(super) fn announce_remotely(&mut self) {
         let (now, revision) = (self.now(), self.platform.revision());
         let is_suppressed = |(at, sent): (MonoTime, u64)| {
--- a/crates/foldhaven-gateway/src/control/catch_up.rs
+++ b/crates/foldhaven-gateway/src/control/catch_up.rs
@@ -28,11 +28,11 @@
 /// A lag of this length is logged.
 const LAG_LOG_THRESHOLD: Duration = Duration::from_millis(1_000);
 
-/// Records that other VMs know a newer revision than this one.
+/// A period during which other VMs have known a newer revision than this one.
 #[derive(Debug, Clone, Copy)]
 pub struct LagState {
     since: MonoTime,
-    /// The newer revision when the lag began.
+    /// The newer revision that was known when the lag began.
     revision: u64,
     /// Whether a VM of this region knew it.
     is_local: bool,
@@ -46,7 +46,8 @@
     pub avoided: Option<SocketAddr>,
 }
 
-/// A VM with newer state, and the revision from which this VM needs the changes.
+/// A VM with newer state, and the revision after which this VM needs the changes. Without one it
+/// needs a snapshot.
 pub struct NewerPeer {
     pub peer: SocketAddr,
     pub base_revision: Option<u64>,
--- a/crates/foldhaven-gateway/src/control/feed_changes.rs
+++ b/crates/foldhaven-gateway/src/control/feed_changes.rs
@@ -40,7 +40,7 @@
     }
 
     /// Checks whether other VMs report a platform outage. An entry that vanishes from the
-    /// platform's lists soon after an outage may only have failed to be renewed.
+    /// platform's lists soon after an outage may merely not have been renewed in time.
     pub(super) fn check_reported_outage(&mut self) {
         let now = self.now();
         let is_reported = self.peers.is_outage_reported(now);
--- a/crates/foldhaven-gateway/src/control/heartbeats.rs
+++ b/crates/foldhaven-gateway/src/control/heartbeats.rs
@@ -27,7 +27,7 @@
     pub list: ViewList,
 }
 
-/// The messages of one heartbeat round, and the delay until the next one.
+/// The messages of one heartbeat round, and the delay until the next round.
 pub struct HeartbeatRound {
     pub heartbeats: PlannedHeartbeats,
     /// The VMs that get this VM's view.
@@ -96,7 +96,8 @@
         let view_targets = self.peers.view_targets(&heartbeats, is_learning, now);
         let next_in = self.peers.round_interval(is_learning, now);
         if self.assignment.borrow().is_reader {
-            // Announces changes that were held back since the last announcement.
+            // Announces a revision that followed the last announcement too closely to be announced
+            // at once.
             self.announce_remotely();
         }
         let notice = self.platform.has_state().then(|| self.own_revision_notice());
--- a/crates/foldhaven-gateway/src/control/load_reports.rs
+++ b/crates/foldhaven-gateway/src/control/load_reports.rs
@@ -70,15 +70,15 @@
     }
 }
 
-/// Requests the load report of a round.
+/// Requests the load report that this VM sends in one round.
 pub struct PlanLoadReport {
     /// How late the timer of the round fired.
     pub timer_delay: Duration,
 }
 
-/// A load report, its targets, and the delay until the next one.
+/// A load report, its targets, and the delay until the next report.
 pub struct PlannedLoadReport {
-    /// The load. Each leg adds its own placements and region reports.
+    /// The load of this VM. Each of the batches adds its own placements and region reports.
     pub report: LoadReport,
     pub legs: Vec<ReportBatch>,
     /// One VM of each other region, which relays the placements and the region report there.
--- a/crates/foldhaven-gateway/src/control/mod.rs
+++ b/crates/foldhaven-gateway/src/control/mod.rs
@@ -50,7 +50,9 @@
 pub use self::peer_changes::{ApplyChanges, ApplySnapshot, ReceiveChanges, ReceiveEarlyChanges};
 pub use self::rate_shares::{PlanAgreementRound, ReceiveAgreement};
 pub use self::suspect_targets::{PlanSuspectTargets, SendReason, SuspectTargets};
-pub use self::upstream_signals::{PlanSignalTargets, ReceiveLeavingNotices, ReceiveLimits};
+pub use self::upstream_signals::{
+    PlanSignalTargets, ReceiveLeavingNotices, ReceiveUpstreamRateLimits,
+};
 use crate::demand_meter::DemandMeter;
 use crate::feed::ReadAssignment;
 use crate::platform_state::{PlatformState, StateOffer};
--- a/crates/foldhaven-gateway/src/control/rate_shares.rs
+++ b/crates/foldhaven-gateway/src/control/rate_shares.rs
@@ -14,17 +14,17 @@
 use super::ControlActor;
 use crate::upstream::Upstream;
 
-/// The factor for the share of a VM that has not heard from any seed: there may be other VMs that
+/// Factor for the rate shares of a VM that has not heard from any seed: there may be other VMs that
 /// have not reached one either.
-const UNWITNESSED_SHARE: f64 = 0.5;
+const NO_SEED_SHARE_FACTOR: f64 = 0.5;
 
-/// Notices of one round with their targets.
+/// The notices of one round, each with the address it is sent to.
 pub type AgreementMessages = Vec<(SocketAddr, AgreementNotice)>;
 
-/// Requests the notices of a round.
+/// Requests the notices that tell the other senders this VM's list of senders in one round.
 pub struct PlanAgreementRound;
 
-/// A notice of another VM's list of senders.
+/// A received notice of another VM's list of senders.
 pub struct ReceiveAgreement {
     pub notice: AgreementNotice,
 }
@@ -111,7 +111,7 @@
         let share = rate_share(rate, upstream.name(), own, &self.senders.list);
         match self.has_reached_seed() {
             true => share,
-            false => RateShare { per_s: share.per_s * UNWITNESSED_SHARE, ..share },
+            false => RateShare { per_s: share.per_s * NO_SEED_SHARE_FACTOR, ..share },
         }
     }
 
--- a/crates/foldhaven-gateway/src/control/suspect_targets.rs
+++ b/crates/foldhaven-gateway/src/control/suspect_targets.rs
@@ -7,24 +7,25 @@
 
 use super::ControlActor;
 
-/// How many VMs of each other region are sent a change. Each of them relays it within its region.
+/// How many VMs of each other region a changed record of a suspected request is sent to. Each of
+/// them relays it within its region.
 const TARGETS_PER_REGION: usize = 2;
 
-/// Why a message is sent.
+/// Why a message about suspected requests or upstream signals is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendReason {
-    /// Something has changed.
+    /// A record or signal has changed.
     Change,
-    /// An earlier message may have been lost.
+    /// Periodic resending, as an earlier message may have been lost.
     Repeat,
 }
 
-/// Requests the targets of a message.
+/// Requests the VMs that a message about suspected requests is sent to.
 pub struct PlanSuspectTargets {
     pub reason: SendReason,
 }
 
-/// The targets of a message.
+/// The VMs that a message about suspected requests is sent to.
 #[derive(Debug, Default)]
 pub struct SuspectTargets {
     /// VMs of this region.
--- a/crates/foldhaven-gateway/src/control/upstream_signals.rs
+++ b/crates/foldhaven-gateway/src/control/upstream_signals.rs
@@ -1,5 +1,5 @@
-//! Handles the limits and leave notices of upstreams that other VMs relay, and chooses the targets
-//! of those that this VM received.
+//! Handles the rate limits and leaving notices of upstreams that other VMs relay, and chooses the
+//! VMs that this VM relays those to that it received itself.
 
 use std::net::SocketAddr;
 
@@ -10,15 +10,15 @@
 use crate::leaving_tracker::record_leaving;
 use crate::rate_limit_tracker::record_limit_change;
 
-/// Upstream limits received from another VM of the region.
-pub struct ReceiveLimits {
+/// Rate limits of upstreams, received from another VM of the region.
+pub struct ReceiveUpstreamRateLimits {
     pub limits: Vec<LimitNotice>,
 }
 
-impl Handler<ReceiveLimits> for ControlActor {
+impl Handler<ReceiveUpstreamRateLimits> for ControlActor {
     type Return = ();
 
-    async fn handle(&mut self, message: ReceiveLimits, _: &mut Context<Self>) {
+    async fn handle(&mut self, message: ReceiveUpstreamRateLimits, _: &mut Context<Self>) {
         let now = self.now();
         let mut has_changed = false;
         for notice in &message.limits {
@@ -58,8 +58,8 @@
     }
 }
 
-/// Applies the signals that this VM has received from upstreams, and requests the VMs to relay them
-/// to.
+/// Requests the VMs that upstream signals are sent to. After a change, the control thread also
+/// updates the rate shares, which depend on the limits that upstreams have announced.
 pub struct PlanSignalTargets {
     pub reason: SendReason,
 }
--- a/crates/foldhaven-gateway/src/datagrams.rs
+++ b/crates/foldhaven-gateway/src/datagrams.rs
@@ -24,9 +24,9 @@
 use crate::control::{
     ControlAddress, OutgoingChanges, OutgoingUpdate, PlanAgreementRound, PlanDemandReports,
     PlanHeartbeats, PlanLoadReport, PlannedLoadReport, ReceiveAgreement, ReceiveChanges,
-    ReceiveEarlyChanges, ReceiveHeartbeat, ReceiveLeavingNotices, ReceiveLimits, ReceiveLoadReport,
+    ReceiveEarlyChanges, ReceiveHeartbeat, ReceiveLeavingNotices, ReceiveLoadReport,
     ReceiveLocalDemand, ReceivePlacements, ReceiveRegionDemand, ReceiveRegionReport,
-    ReceiveRevisionNotice, ReceiveView, ReceiveViewList,
+    ReceiveRevisionNotice, ReceiveUpstreamRateLimits, ReceiveView, ReceiveViewList,
 };
 use crate::feed::NumberedChange;
 use crate::peer_message::{MAX_DATAGRAM, PeerMessage, SuspectMessage};
@@ -245,7 +245,7 @@
         PeerMessage::News(notice) => control.send(ReceiveRevisionNotice { notice }).await?,
         PeerMessage::Demand(demand) => control.send(ReceiveLocalDemand { demand }).await?,
         PeerMessage::RegionDemand(demand) => control.send(ReceiveRegionDemand { demand }).await?,
-        PeerMessage::Limits(limits) => control.send(ReceiveLimits { limits }).await?,
+        PeerMessage::Limits(limits) => control.send(ReceiveUpstreamRateLimits { limits }).await?,
         PeerMessage::Leavers(leavers) => control.send(ReceiveLeavingNotices { leavers }).await?,
         PeerMessage::Suspects(_) => {}
     }
--- a/crates/foldhaven-gateway/src/leaving_tracker.rs
+++ b/crates/foldhaven-gateway/src/leaving_tracker.rs
@@ -1,5 +1,5 @@
 //! Tracks the upstreams that have announced in their answers that they are leaving, shared by both
-//! threads. Each one is logged.
+//! threads. Each one is counted, and logged as far as the log quota permits.
 
 use foldhaven_core::opaque::affinity::UpstreamTag;
 use foldhaven_core::opaque::upstream_signals::{LeavingNotice, LeavingUpstreams};
@@ -66,7 +66,8 @@
     }
 }
 
-/// Counts and logs that an upstream is leaving. `source` names where this VM learned of it.
+/// Counts that an upstream is leaving, and logs it if the log quota permits. `source` names where
+/// this VM learned of it.
 pub fn record_leaving(shared: &GatewayShared, upstream: &Upstream, source: &'static str) {
     shared.metrics.count_event("upstream_leaving_signalled");
     if shared.quota.take(false) {
--- a/crates/foldhaven-gateway/src/metrics.rs
+++ b/crates/foldhaven-gateway/src/metrics.rs
@@ -110,7 +110,7 @@
         record(inner.spans.entry(name).or_insert_with(new_histogram), span);
     }
 
-    /// Sets a level of the control state, such as the known revision.
+    /// Sets a gauge of the control state, such as the known revision.
     pub fn set_level(&self, name: &'static str, level: u64) {
         self.inner.lock().levels.insert(name, level);
     }
--- a/crates/foldhaven-gateway/tests/testsuite/platform_state.rs
+++ b/crates/foldhaven-gateway/tests/testsuite/platform_state.rs
@@ -82,7 +82,8 @@
     AccountDescription { accounts, open_routes: open.into_iter().collect() }
 }
 
-/// The simulated platform with its complete history.
+/// The simulated platform. It keeps all changes, but serves those up to `compacted_revision` no
+/// longer.
 #[derive(Default)]
 struct Platform {
     history: Vec<NumberedChange>,
