--- a/crates/foldhaven-gateway/src/control/account_limits.rs
+++ b/crates/foldhaven-gateway/src/control/account_limits.rs
@@ -56,8 +56,8 @@
         let local =
             self.account_demands.next_local_update(&demands, &view, &heard, incarnation, now);
         self.update_limit_shares(names, &demands, view, now);
-        let is_speaker = self.phase() == PeerPhase::Serving && self.peers.is_delegate(now);
-        let remote = is_speaker
+        let is_serving_delegate = self.phase() == PeerPhase::Serving && self.peers.is_delegate(now);
+        let remote = is_serving_delegate
             .then(|| self.account_demands.next_region_update(&demands, incarnation, now))
             .flatten();
         PlannedDemandReports {
--- a/crates/foldhaven-gateway/src/control/catch_up.rs
+++ b/crates/foldhaven-gateway/src/control/catch_up.rs
@@ -171,11 +171,11 @@
     /// Ends the lag if the newer revision is now known, or if no VM with newer state is left.
     pub(super) fn check_caught_up(&mut self) {
         let Some(lag_state) = self.lag else { return };
-        let is_left = self.platform.revision() < lag_state.revision;
-        if is_left && self.newer_peer(None).is_some() {
+        let is_still_behind = self.platform.revision() < lag_state.revision;
+        if is_still_behind && self.newer_peer(None).is_some() {
             return;
         }
-        if is_left {
+        if is_still_behind {
             self.offered.forget();
         }
         self.lag = None;
--- a/crates/foldhaven-gateway/src/control/feed_changes.rs
+++ b/crates/foldhaven-gateway/src/control/feed_changes.rs
@@ -11,7 +11,7 @@
 
     async fn handle(&mut self, update: FeedUpdate, _: &mut Context<Self>) {
         match update {
-            FeedUpdate::Failed { cause } => return self.note_platform_failure(&cause),
+            FeedUpdate::Failed { cause } => return self.record_platform_failure(&cause),
             FeedUpdate::Snapshot(snapshot) => {
                 let applied = self.apply_snapshot(snapshot);
                 if let Some(applied) = applied {
@@ -30,7 +30,7 @@
 
 impl ControlActor {
     /// Records that the platform could not be read.
-    fn note_platform_failure(&mut self, cause: &str) {
+    fn record_platform_failure(&mut self, cause: &str) {
         let now = self.now();
         self.platform.table.record_list_failure(now);
         if !std::mem::replace(&mut self.is_platform_unreachable, true) {
--- a/crates/foldhaven-gateway/src/control/load_reports.rs
+++ b/crates/foldhaven-gateway/src/control/load_reports.rs
@@ -80,7 +80,7 @@
 pub struct PlannedLoadReport {
     /// The load of this VM. Each of the batches adds its own placements and region reports.
     pub report: LoadReport,
-    pub legs: Vec<ReportBatch>,
+    pub batches: Vec<ReportBatch>,
     /// One VM of each other region, which relays the placements and the region report there.
     pub remote_targets: Vec<SocketAddr>,
     pub remote_placements: Vec<PromptPlacement>,
@@ -102,17 +102,18 @@
         let remote_placements = std::mem::take(&mut *self.shared.placements.lock());
         let mut placements = std::mem::take(&mut self.relayed_placements);
         placements.extend(remote_placements.iter().cloned());
-        let news = ReportUpdates { placements, regions: std::mem::take(&mut self.relayed_regions) };
+        let updates =
+            ReportUpdates { placements, regions: std::mem::take(&mut self.relayed_regions) };
         let report = self.own_report();
-        let (legs, interval) = self.plan_legs(&targets, news, report.is_active());
+        let (batches, interval) = self.plan_batches(&targets, updates, report.is_active());
         let region = self.due_region_report();
-        let has_remote_news = region.is_some() || !remote_placements.is_empty();
+        let has_remote_updates = region.is_some() || !remote_placements.is_empty();
         let now = self.now();
-        let remote_targets = match has_remote_news {
+        let remote_targets = match has_remote_updates {
             true => self.peers.one_serving_per_remote_region(now),
             false => Vec::new(),
         };
-        PlannedLoadReport { report, legs, remote_targets, remote_placements, region, interval }
+        PlannedLoadReport { report, batches, remote_targets, remote_placements, region, interval }
     }
 }
 
@@ -131,21 +132,21 @@
     /// Returns the targets of this round, and the delay until the next one. A VM without requests
     /// reports that it is live only to the VMs that take requests at any load; the others learn it
     /// from heartbeats.
-    fn plan_legs(
+    fn plan_batches(
         &mut self,
         targets: &[ReportTarget],
-        news: ReportUpdates,
+        updates: ReportUpdates,
         is_active: bool,
     ) -> (Vec<ReportBatch>, Duration) {
         if !is_active {
             let interval = report_interval(targets.len());
-            let standing = self.peers.baseline_addresses(self.now());
-            let leg = self.report_plan.plan_idle(targets, standing, news);
-            return (vec![leg], interval);
+            let baseline = self.peers.baseline_addresses(self.now());
+            let batch = self.report_plan.plan_idle(targets, baseline, updates);
+            return (vec![batch], interval);
         }
         let active = targets.iter().filter(|target| target.is_active).count();
         let interval = report_interval(active);
-        (self.report_plan.plan_round(targets, news, interval), interval)
+        (self.report_plan.plan_round(targets, updates, interval), interval)
     }
 
     /// Returns a report of the requests that this VM has at each upstream.
@@ -174,10 +175,10 @@
         }
         self.last_region_report = Some(now);
         self.region_report_count += 1;
-        let mut lives = Vec::new();
+        let mut incarnations = Vec::new();
         if self.region_report_count.is_multiple_of(VM_LIST_EVERY) {
-            lives = self.peers.directly_seen_incarnations(now);
-            lives.push(self.own_heartbeat().vm_incarnation());
+            incarnations = self.peers.directly_seen_incarnations(now);
+            incarnations.push(self.own_heartbeat().vm_incarnation());
         }
         Some(RegionReport {
             region: self.shared.settings.region().clone(),
@@ -185,7 +186,7 @@
             incarnation: self.peers.incarnation(),
             sequence: self.region_report_count,
             waits: self.local_waits(),
-            live_vms: lives,
+            live_vms: incarnations,
         })
     }
 
--- a/crates/foldhaven-gateway/src/control/mod.rs
+++ b/crates/foldhaven-gateway/src/control/mod.rs
@@ -109,7 +109,7 @@
     meter: DemandMeter,
     /// The peak processor time that the region's requests used in the last few seconds.
     demand: PeakCpuDemand,
-    /// The VMs of the region that this demand puts in service.
+    /// The VMs of the region that are needed for this demand and so get callers, as last logged.
     in_service: InService,
     /// The VMs of the region that are known, as last logged.
     members: LoggedMembers,
@@ -155,7 +155,7 @@
     is_platform_unreachable: bool,
     /// Whether other VMs of the region report a platform outage.
     is_outage_reported: bool,
-    /// Tells the feed when to read the platform.
+    /// Tells the feed whether to read the platform, and from which revision.
     assignment: watch::Sender<ReadAssignment>,
     /// Queues updates for sending to other VMs.
     outgoing: mpsc::UnboundedSender<OutgoingUpdate>,
@@ -225,12 +225,14 @@
         }
     }
 
-    /// Returns the receiver that tells the feed when to read, and from which revision.
+    /// Returns the receiver that tells the feed whether to read the platform, and from which
+    /// revision.
     pub fn read_assignments(&self) -> watch::Receiver<ReadAssignment> {
         self.assignment.subscribe()
     }
 
-    /// Returns a receiver that holds whether a rate shared over the region is in use.
+    /// Returns a receiver that holds whether an upstream of the region has a rate that its VMs have
+    /// to share.
     pub fn rate_watch(&self) -> watch::Receiver<bool> {
         self.rate_watch.subscribe()
     }
@@ -267,7 +269,7 @@
     }
 
     /// Records the time when the number of known VMs grows.
-    fn note_growth(&mut self) {
+    fn record_growth(&mut self) {
         let known = self.peers.vm_count();
         if known > self.known_vms {
             self.last_growth = self.now();
@@ -321,7 +323,7 @@
         self.agreement.retain(|vm| peers.address_of(vm).is_some());
         self.shared.suspects.forget(&self.shared.change_context());
         self.forget_signals();
-        self.note_growth();
+        self.record_growth();
         self.check_reported_outage();
         self.check_caught_up();
         self.report_staleness();
--- a/crates/foldhaven-gateway/src/control/traffic_view.rs
+++ b/crates/foldhaven-gateway/src/control/traffic_view.rs
@@ -155,8 +155,8 @@
         }
         let links = by_region.into_iter().map(|(region, candidates)| {
             let order = ServiceOrder::of(candidates);
-            let standing = order.baseline().iter();
-            let links = standing.filter_map(|candidate| self.links.get(candidate.vm).cloned());
+            let baseline = order.baseline().iter();
+            let links = baseline.filter_map(|candidate| self.links.get(candidate.vm).cloned());
             (region.clone(), links.collect())
         });
         links.collect()
--- a/crates/foldhaven-gateway/src/datagrams.rs
+++ b/crates/foldhaven-gateway/src/datagrams.rs
@@ -98,13 +98,19 @@
     let mut timer_delay = Duration::ZERO;
     loop {
         let Ok(planned) = control.send(PlanLoadReport { timer_delay }).await else { return };
-        let PlannedLoadReport { report, legs, remote_targets, remote_placements, region, interval } =
-            planned;
-        let is_idle = !report.is_active() && legs.iter().all(|leg| leg.updates.is_empty());
+        let PlannedLoadReport {
+            report,
+            batches,
+            remote_targets,
+            remote_placements,
+            region,
+            interval,
+        } = planned;
+        let is_idle = !report.is_active() && batches.iter().all(|batch| batch.updates.is_empty());
         // The first idle report says that the earlier requests have ended; later ones say that this
         // VM is live.
         if !is_idle || idle_rounds % IDLE_REPORT_EVERY == 0 {
-            for ReportBatch { targets, updates } in legs {
+            for ReportBatch { targets, updates } in batches {
                 let ReportUpdates { placements, regions } = updates;
                 let report = LoadReport { placements, regions, ..report.clone() };
                 send_report(&socket, &targets, report).await;
--- a/crates/foldhaven-gateway/src/destinations/local.rs
+++ b/crates/foldhaven-gateway/src/destinations/local.rs
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Reserves a request at an upstream that is cold or has announced a limit. Fails if the rate
-    /// does not permit one now.
+    /// Makes this the destination of the request. At an upstream that is cold or has announced a
+    /// limit, takes one request from this VM's rate share, and fails if none is left now.
     pub(super) fn reserve(self, shared: &GatewayShared) -> Result<DestinationChoice, Refusal> {
         let now = shared.now();
         if let Some(rate) = self.upstream.allowed_rate(now) {
@@ -191,7 +191,7 @@
     }
 }
 
-/// Returns the wait that this VM expects for a timely request at an upstream.
+/// Returns the queueing time that this VM expects for a request of timely rank at an upstream.
 pub fn expected_wait(upstream: &Upstream, pace: &ServicePerformance, now: MonoTime) -> Duration {
     let wait = pace.wait(upstream.queue(), QueueRank::Timely);
     wait.mul_f64(upstream.performance.lock().latency_factor(now))
--- a/crates/foldhaven-gateway/src/destinations/mod.rs
+++ b/crates/foldhaven-gateway/src/destinations/mod.rs
@@ -31,7 +31,7 @@
 /// How much cheaper another region must be to be preferred, since reports of it are up to a second
 /// old.
 pub const REGION_MARGIN: RequestCost = RequestCost(0.04);
-/// After this many upstreams of this region failed a request, another region is preferred. The
+/// After a request was tried at this many upstreams of this region, another region is preferred. The
 /// local upstreams may have been lost together, and stay listed for some seconds.
 const MAX_LOCAL_FAULTS: usize = 2;
 /// Prompts whose shared segments have at least this many tokens are announced to other VMs. For
@@ -82,7 +82,7 @@
     }
 }
 
-/// A destination with the estimates for a request.
+/// A chosen destination, with the estimates for the request there.
 pub struct DestinationChoice {
     pub destination: RequestDestination,
     /// The expected time to the answer, or to its first event.
--- a/crates/foldhaven-gateway/src/destinations/remote.rs
+++ b/crates/foldhaven-gateway/src/destinations/remote.rs
@@ -1,4 +1,4 @@
-//! Prices the other regions, and chooses the best VM among them.
+//! Prices a request in the other regions, and chooses a VM of the cheapest one.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,7 +29,7 @@
 /// The assumed share of a prompt's short shared segments that is not cached in another region.
 const REMOTE_MISSING_SHARE: f64 = 0.4;
 
-/// The best VM of another region.
+/// A VM of another region, with the price of the request there.
 pub(super) struct RemoteChoice {
     pub(super) choice: DestinationChoice,
     pub(super) cost: RequestCost,
@@ -51,7 +51,7 @@
     }
 }
 
-/// Chooses among the other regions that the request permits and that have upstreams of its service.
+/// Chooses the cheapest of the other regions where the request may run and its service exists.
 pub(super) fn choose_remote(
     shared: &GatewayShared,
     view: &GatewayView,
@@ -165,7 +165,7 @@
     }
 }
 
-/// Returns a random VM of a region that was not tried yet. VMs in service there and VMs with an
+/// Returns a random VM of a region that the request was not sent to yet. VMs in service there and VMs with an
 /// open connection are preferred.
 fn pick_peer(
     view: &GatewayView,
--- a/crates/foldhaven-gateway/src/platform_state/change_log.rs
+++ b/crates/foldhaven-gateway/src/platform_state/change_log.rs
@@ -18,7 +18,7 @@
 /// The newest changes, in the order of their revisions.
 #[derive(Debug, Clone, Default)]
 pub struct ChangeLog {
-    /// The log is complete after this revision.
+    /// The log contains all changes after this revision.
     after: u64,
     changes: VecDeque<Arc<NumberedChange>>,
     /// The sum of the weights of all changes.
@@ -98,8 +98,8 @@
 
 impl StateOffer {
     /// Returns the answer for a VM that knows all changes up to `known`, or no state at all if
-    /// `known` is `None`. A delta over several versions is sent as such only if `accepts_spanning`
-    /// is set.
+    /// `known` is `None`. Deltas that span several versions of the description are marked as such
+    /// only if `accepts_spanning` is set.
     pub fn state_after(&self, known: Option<u64>, accepts_spanning: bool) -> PeerState {
         let changes = known.and_then(|after| Some((after, self.log.since(after)?)));
         match changes {
--- a/crates/foldhaven-gateway/src/platform_state/early_changes.rs
+++ b/crates/foldhaven-gateway/src/platform_state/early_changes.rs
@@ -20,8 +20,8 @@
         change.is_urgent() && change.subject() != ChangeSubject::Description
     }
 
-    /// Stores a change that is newer than the revision `known`. Returns it if it is to be applied
-    /// now: it is new, and no later change of the same subject is stored.
+    /// Stores a change and returns it if it is to be applied now: it is newer than the revision
+    /// `known`, may be applied early, and no later change of the same subject is stored.
     pub fn insert(&mut self, numbered: NumberedChange, known: u64) -> Option<FeedChange> {
         let (revision, change) = (numbered.revision, numbered.change.clone());
         let subject = change.subject();
--- a/crates/foldhaven-gateway/src/platform_state/mod.rs
+++ b/crates/foldhaven-gateway/src/platform_state/mod.rs
@@ -2,9 +2,9 @@
 //! or timers.
 //!
 //! A VM gets changes from the platform itself, from snapshots and deltas of other VMs, and as early
-//! changes; they may arrive in any order and more than once. In any case, everything that the
-//! platform published up to [`PlatformState::revision`] is applied, or something newer: a VM that
-//! holds the newest revision neither asks for changes nor refuses requests.
+//! changes; they may arrive in any order and more than once. Everything that the platform
+//! published up to [`PlatformState::revision`], or something newer, must be applied in any case,
+//! since a VM that holds the newest revision neither asks for changes nor refuses requests.
 
 mod answer_cache;
 mod change_log;
@@ -28,7 +28,7 @@
 /// The time and lag at which an update is applied, for expiry and for the log.
 #[derive(Debug, Clone, Copy)]
 pub struct ApplyContext {
-    /// The time.
+    /// The current time.
     pub now: MonoTime,
     /// For how long other VMs have known newer state.
     pub lag: Duration,
@@ -97,7 +97,7 @@
         self.needs_snapshot
     }
 
-    /// Returns the revision from which changes are to be requested. `None` if a snapshot is needed.
+    /// Returns the revision after which changes are to be requested. `None` if a snapshot is needed.
     pub fn base_revision(&self) -> Option<u64> {
         (self.has_state && !self.needs_snapshot).then_some(self.revision)
     }
--- a/crates/foldhaven-gateway/src/platform_state/updates.rs
+++ b/crates/foldhaven-gateway/src/platform_state/updates.rs
@@ -14,8 +14,8 @@
 use crate::feed::{ChangeSet, ChangeSubject, FeedChange, FeedSnapshot, NumberedChange};
 
 impl PlatformState {
-    /// Replaces the state by a snapshot, unless the snapshot is older. Returns the changes that
-    /// other VMs may apply early.
+    /// Replaces the state by a snapshot, unless the snapshot is older. Returns those differences
+    /// from the state before that other VMs may apply early.
     pub fn apply_snapshot(
         &mut self,
         snapshot: FeedSnapshot,
@@ -27,8 +27,8 @@
             return None;
         }
         self.revision = revision;
-        // Changes that came and went in between are in no delta, so VMs that know less get the
-        // whole state.
+        // The difference between the states does not show changes that were undone in between, so
+        // VMs with an earlier revision get the whole state.
         self.log.reset(revision);
         let is_replacement = std::mem::replace(&mut self.needs_snapshot, false);
         for name in &unusable {
