--- a/crates/foldhaven-gateway/src/attempts/mod.rs
+++ b/crates/foldhaven-gateway/src/attempts/mod.rs
@@ -32,7 +32,7 @@
 /// Time after its first description by which a process knows the live VMs. Seeds answer within one
 /// round trip between regions, and are asked again every 100 ms.
 const PEER_DISCOVERY_TIME: Duration = Duration::from_millis(600);
-/// Interval at which a request without a destination checks for VMs of other regions.
+/// Interval at which a request that waits for a destination tries again to choose one.
 const PEER_POLL_INTERVAL: Duration = Duration::from_millis(40);
 /// The content type of an event stream.
 const EVENT_STREAM: &[u8] = b"text/event-stream";
@@ -51,7 +51,7 @@
 /// The properties of a chosen destination that are logged.
 #[derive(Debug, Clone, Copy)]
 pub struct LoggedChoice {
-    /// The expected time to the first answer, in milliseconds.
+    /// The expected time to the answer, or to its first event, in milliseconds.
     pub time_to_first_ms: u64,
     /// The prompt tokens to prefill.
     pub prefill_tokens: u32,
@@ -122,7 +122,7 @@
     Answered(CompleteAnswer),
     /// Refuse the request, unless an earlier attempt got an answer.
     Refused(Refusal),
-    /// Retry, since there was no answer or the given one, which reports a failure.
+    /// Retry. The answer is that of the failed attempt, if there was one; it reports a failure.
     Retry(Option<CompleteAnswer>),
 }
 
--- a/crates/foldhaven-gateway/src/attempts/outcomes.rs
+++ b/crates/foldhaven-gateway/src/attempts/outcomes.rs
@@ -50,15 +50,17 @@
         let service = &self.job.service;
         match opened {
             Ok(_) => {
-                self.shared.update_queue_capacity(service, |room| room.record_accepted(queue));
+                self.shared
+                    .update_queue_capacity(service, |capacity| capacity.record_accepted(queue));
             }
             Err(fault) if fault.is_full() => {
-                let room =
-                    self.shared.update_queue_capacity(service, |room| room.record_refused(queue));
+                let capacity = self
+                    .shared
+                    .update_queue_capacity(service, |capacity| capacity.record_refused(queue));
                 upstream
                     .performance
                     .lock()
-                    .record_queue_full(room.full_queue_load(queue), self.shared.now());
+                    .record_queue_full(capacity.full_queue_load(queue), self.shared.now());
             }
             Err(_) => {}
         }
--- a/crates/foldhaven-gateway/src/attempts/retries.rs
+++ b/crates/foldhaven-gateway/src/attempts/retries.rs
@@ -38,9 +38,9 @@
         self.job.route.repeat.is_repeatable() && self.may_send_again()
     }
 
-    /// Whether another destination may be chosen for a request that no upstream received. This
-    /// includes a VM that a request was forwarded to, which chooses among the upstreams of its
-    /// region.
+    /// Whether one more destination may be tried, by the number of destinations and the deadline. If
+    /// no upstream received the request, this also holds at a VM that it was forwarded to, which
+    /// chooses among the upstreams of its region.
     fn may_try_another_destination(&self) -> bool {
         self.tried.count() < MAX_DESTINATIONS && BootInstant::now() < self.job.deadline
     }
--- a/crates/foldhaven-gateway/src/datagrams.rs
+++ b/crates/foldhaven-gateway/src/datagrams.rs
@@ -349,8 +349,8 @@
     }
 }
 
-/// Sends the demand to the VMs of this region. It is split into one message per part if it may not
-/// fit into a datagram.
+/// Sends the demand to the VMs of this region. If it may not fit into a datagram, it is split into
+/// one message for this VM's own demand and one for each other region.
 async fn send_local_demand(socket: &UdpSocket, targets: &[SocketAddr], demand: LocalDemand) {
     let own = demand.own.as_ref().map_or(0, |own| own.demands.len());
     let entries: usize = own + demand.regions.iter().map(|it| it.demands.len()).sum::<usize>();
--- a/crates/foldhaven-gateway/src/events.rs
+++ b/crates/foldhaven-gateway/src/events.rs
@@ -24,8 +24,8 @@
 use crate::shared::InFlightGuard;
 use crate::upstream::{LoadGuard, Upstream, UpstreamRequestGuard};
 
-/// A resumable stream is resumed at another upstream after this many target event gaps without
-/// data.
+/// A resumable stream is resumed at another upstream when no data has arrived for this many times
+/// the target event gap of its route.
 const STALL_GAPS: u32 = 3;
 /// Minimum of that time. Shorter pauses are usual while an upstream prefills a long prompt.
 const MIN_STALL: Duration = Duration::from_millis(1_200);
--- a/crates/foldhaven-gateway/src/feed.rs
+++ b/crates/foldhaven-gateway/src/feed.rs
@@ -184,14 +184,14 @@
 /// The platform state that one VM sends to another.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum PeerState {
-    /// The whole state.
+    /// The whole state, with a description without accounts.
     Snapshot(FeedSnapshot),
     /// The changes after the revision that the requesting VM knows.
     Changes(ChangeSet),
     /// The same, with a description delta that spans these versions. Sent only to VMs that announce
     /// that they understand it.
     SpanningChanges(ChangeSet, Vec<RouteVersion>),
-    /// The whole state, with the accounts of its description.
+    /// The whole state, and the accounts of its description, which are serialized separately.
     KeyedSnapshot(FeedSnapshot, Arc<AccountDescription>),
 }
 
--- a/crates/foldhaven-gateway/src/metrics.rs
+++ b/crates/foldhaven-gateway/src/metrics.rs
@@ -63,7 +63,7 @@
     burn: Option<BurnRing>,
 }
 
-/// The contribution of a request to the service-level burn.
+/// How much a request contributes to the use of its route's error budget.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestBurn {
     pub event: BurnEvent,
@@ -73,7 +73,7 @@
 }
 
 impl GatewayMetrics {
-    /// Counts the outcome of a route's request and its contribution to the service-level burn.
+    /// Counts the outcome of a route's request, and what it uses of the route's error budget.
     pub fn count_end(&self, route: &RouteName, end: RequestEnd, burn: RequestBurn) {
         let mut inner = self.inner.lock();
         let counts = counts_of(&mut inner, route);
--- a/crates/foldhaven-gateway/src/peer_state.rs
+++ b/crates/foldhaven-gateway/src/peer_state.rs
@@ -1,5 +1,5 @@
-//! Fetches platform state from another VM if this one cannot read it from the platform or reads it
-//! later.
+//! Fetches platform state from another VM if this one cannot read it from the platform, or would
+//! get it from there later.
 
 use std::net::SocketAddr;
 use std::pin::pin;
@@ -167,7 +167,7 @@
     if answer.is_ok() {
         return (peer, read_answer(answer).await);
     }
-    // The remaining one may still answer.
+    // The other peer may still answer.
     match peer == first {
         true => (second, read_answer(hedge.await).await),
         false => (first, read_answer(primary.await).await),
--- a/crates/foldhaven-gateway/src/rate_limit_tracker.rs
+++ b/crates/foldhaven-gateway/src/rate_limit_tracker.rs
@@ -1,5 +1,5 @@
 //! Tracks the rate limits that upstreams announce in their answers, shared by both threads. Each
-//! change is logged.
+//! change is counted, and logged as far as the log quota permits.
 
 use foldhaven_core::opaque::affinity::UpstreamTag;
 use foldhaven_core::opaque::upstream_signals::{
@@ -81,7 +81,8 @@
     }
 }
 
-/// Counts and logs the change of a limit. `source` names where this VM learned of it.
+/// Counts the change of a limit, and logs it if the log quota permits. `source` names where this VM
+/// learned of it.
 pub fn record_limit_change(
     shared: &GatewayShared,
     upstream: &Upstream,
--- a/crates/foldhaven-gateway/src/signal_sender.rs
+++ b/crates/foldhaven-gateway/src/signal_sender.rs
@@ -1,4 +1,4 @@
-//! Relays the rate limits and leave notices of upstreams to the other VMs of the region.
+//! Relays the rate limits and leaving notices of upstreams to the other VMs of the region.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -38,7 +38,8 @@
     }
 }
 
-/// Sends limits and leave notices. Several VMs may receive them from one upstream at the same time.
+/// Sends rate limits and leaving notices of upstreams. Several VMs may receive the same one from an
+/// upstream at the same time.
 pub struct SignalSender {
     pub socket: Arc<UdpSocket>,
     pub control: ControlAddress,
--- a/crates/foldhaven-gateway/src/suspects.rs
+++ b/crates/foldhaven-gateway/src/suspects.rs
@@ -1,5 +1,6 @@
 //! Tracks suspected requests: requests that were in flight at upstreams that exited and may have
-//! crashed them. Shared by both threads. Changes are logged.
+//! crashed them. Shared by both threads. Changes are counted, and logged as far
+//! as the log quota permits.
 
 use std::num::NonZeroUsize;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -224,7 +225,8 @@
         context.metrics.set_level("suspects_held_back", table.quarantined_count() as u64);
     }
 
-    /// Counts and logs a change, and notifies the task that sends updates to other VMs.
+    /// Counts a change, logs it if the log quota permits, and notifies the task that sends updates
+    /// to other VMs.
     fn record_change(
         &self,
         change: Option<SuspectChange>,
@@ -244,8 +246,8 @@
         if event == "suspect_refused" {
             self.refused.send_replace(());
         }
-        // Every request at an upstream that exits gets one exit. From the second one on, VMs act on
-        // the record.
+        // One exit is recorded for each request that was in flight at an upstream that exits. VMs
+        // act on a record from its second exit on.
         let is_plain = exits.max(exits_before) < PROBE_EXITS;
         if self.quota.take(is_plain) {
             tracing::info!(
--- a/crates/foldhaven-gateway/src/upstream_exits.rs
+++ b/crates/foldhaven-gateway/src/upstream_exits.rs
@@ -42,8 +42,8 @@
 /// connections beyond its limit.
 ///
 /// Data that is read after the first connection broke may have been sent before the exit, and a
-/// leaving upstream may continue to serve its old connections. The check is repeated until no data
-/// arrived between two checks.
+/// leaving upstream may continue to serve its old connections. The check is repeated, at most
+/// [`MAX_CHECKS`] times, until no data arrived between two checks.
 async fn has_exited(shared: &GatewayShared, upstream: &Upstream, broken_at: MonoTime) -> bool {
     let mut last_check = broken_at;
     for _ in 0..MAX_CHECKS {
--- a/crates/foldhaven-gateway/tests/testsuite/platform_state.rs
+++ b/crates/foldhaven-gateway/tests/testsuite/platform_state.rs
@@ -32,7 +32,7 @@
 use serde::de::DeserializeOwned;
 
 const DEFAULT_SEEDS: u64 = 300;
-/// Events in one order.
+/// Number of events in each random order.
 const EVENTS: usize = 400;
 const VMS: usize = 3;
 const NAMES: [&str; 4] = ["a", "b", "c", "d"];
@@ -82,8 +82,8 @@
     AccountDescription { accounts, open_routes: open.into_iter().collect() }
 }
 
-/// The simulated platform. It keeps all changes, but serves those up to `compacted_revision` no
-/// longer.
+/// The simulated platform. It keeps all changes, but a VM whose revision is below
+/// `compacted_revision` has to read a list instead of them.
 #[derive(Default)]
 struct Platform {
     history: Vec<NumberedChange>,
