--- a/crates/foldhaven-gateway/src/account_limiter.rs
+++ b/crates/foldhaven-gateway/src/account_limiter.rs
@@ -47,7 +47,7 @@
     pub refused: u64,
 }
 
-/// The usage of all accounts with limits.
+/// Limits each account to this VM's share of its limit, and counts its usage.
 pub struct AccountLimiter {
     slack: LimitSlack,
     inner: Mutex<LimiterState>,
--- a/crates/foldhaven-gateway/src/control/account_limits.rs
+++ b/crates/foldhaven-gateway/src/control/account_limits.rs
@@ -50,11 +50,11 @@
             self.account_demands.clear_pending();
             return PlannedDemandReports::default();
         }
-        let heard = self.peers.responsive_local_vms(now);
-        let view = self.sharer_view(heard.len(), now);
+        let responsive = self.peers.responsive_local_vms(now);
+        let view = self.sharer_view(responsive.len(), now);
         let incarnation = self.peers.incarnation();
         let local =
-            self.account_demands.next_local_update(&demands, &view, &heard, incarnation, now);
+            self.account_demands.next_local_update(&demands, &view, &responsive, incarnation, now);
         self.update_limit_shares(names, &demands, view, now);
         let is_serving_delegate = self.phase() == PeerPhase::Serving && self.peers.is_delegate(now);
         let remote = is_serving_delegate
@@ -130,13 +130,13 @@
         limited.unzip()
     }
 
-    /// Returns how complete this VM's view of the VMs is that share account limits with it. `heard`
+    /// Returns how complete this VM's view of the VMs is that share account limits with it. `responsive`
     /// is the number of other VMs of the region that were heard from recently.
-    fn sharer_view(&self, heard: usize, now: MonoTime) -> SharerView {
+    fn sharer_view(&self, responsive: usize, now: MonoTime) -> SharerView {
         let known = self.peers.region_vm_count();
         let vms = usize::from(self.peers.assumed_counts(now).local).max(known);
         let is_informed = self.assumed_vms().is_some() && self.has_reached_seed();
-        self.account_demands.view(LocalSharers { vms, responsive: heard, is_informed }, now)
+        self.account_demands.view(LocalSharers { vms, responsive, is_informed }, now)
     }
 
     /// Recomputes this VM's shares of the account limits.
--- a/crates/foldhaven-gateway/src/control/announcements.rs
+++ b/crates/foldhaven-gateway/src/control/announcements.rs
@@ -62,8 +62,8 @@
         }
         let now = self.now();
         if let Some(age) = notice.age() {
-            let proof = RevisionConfirmation { revision: notice.revision, at: now - age };
-            self.staleness.apply(proof, self.platform.revision());
+            let confirmation = RevisionConfirmation { revision: notice.revision, at: now - age };
+            self.staleness.apply(confirmation, self.platform.revision());
         }
         if notice.revision > self.platform.revision() {
             self.offered.note(&notice);
@@ -75,8 +75,9 @@
 impl ControlActor {
     /// Records that the platform has just confirmed the current revision.
     pub(super) fn confirm_revision(&mut self) {
-        let proof = RevisionConfirmation { revision: self.platform.revision(), at: self.now() };
-        self.staleness.apply(proof, self.platform.revision());
+        let confirmation =
+            RevisionConfirmation { revision: self.platform.revision(), at: self.now() };
+        self.staleness.apply(confirmation, self.platform.revision());
     }
 
     /// Returns the time since the platform state was last confirmed as current, or since the start
--- a/crates/foldhaven-gateway/src/control/load_reports.rs
+++ b/crates/foldhaven-gateway/src/control/load_reports.rs
@@ -203,9 +203,9 @@
     }
 
     fn record_placements(&self, placements: &[PromptPlacement]) {
-        let mut hints = self.shared.prefix_caches.lock();
+        let mut prefix_caches = self.shared.prefix_caches.lock();
         for placement in placements {
-            hints.record(placement);
+            prefix_caches.record(placement);
         }
     }
 
--- a/crates/foldhaven-gateway/src/destinations/local.rs
+++ b/crates/foldhaven-gateway/src/destinations/local.rs
@@ -82,8 +82,8 @@
 ) -> Option<LocalChoice> {
     let local = local_upstreams(shared, view, job);
     let candidates = candidates_of(shared, &local, job, tried);
-    let pace = shared.performance(&job.service, view);
-    let choice = choose_upstream(&candidates, &choice_query(shared, view, job), &pace)?;
+    let performance = shared.performance(&job.service, view);
+    let choice = choose_upstream(&candidates, &choice_query(shared, view, job), &performance)?;
     let fetch_from = choice.fetch_from.map(|at| local[at].identity.address);
     Some(LocalChoice { upstream: local[choice.index].clone(), choice, fetch_from })
 }
@@ -92,11 +92,11 @@
 /// to back off or its share of the upstream's rate is used up. `None` if it may send now.
 fn throttled_for(upstream: &Upstream, now: MonoTime) -> Option<Duration> {
     let backoff = upstream.remaining_backoff(now);
-    let part = upstream.allowed_rate(now).map_or(Duration::ZERO, |rate| {
+    let share_wait = upstream.allowed_rate(now).map_or(Duration::ZERO, |rate| {
         let pacer = *upstream.pacer.lock();
         pacer.wait(rate, now).unwrap_or(NO_SHARE_WAIT)
     });
-    Some(backoff.max(part)).filter(|wait| !wait.is_zero())
+    Some(backoff.max(share_wait)).filter(|wait| !wait.is_zero())
 }
 
 /// Returns whether an upstream of this region can get a request now.
@@ -128,8 +128,8 @@
 ) -> Vec<(Arc<Upstream>, UpstreamChoice)> {
     let local = local_upstreams(shared, view, job);
     let candidates = candidates_of(shared, &local, job, &TriedDestinations::default());
-    let pace = shared.performance(&job.service, view);
-    let priced = price_upstreams(&candidates, &choice_query(shared, view, job), &pace);
+    let performance = shared.performance(&job.service, view);
+    let priced = price_upstreams(&candidates, &choice_query(shared, view, job), &performance);
     priced.into_iter().map(|choice| (local[choice.index].clone(), choice)).collect()
 }
 
@@ -151,8 +151,11 @@
     tried: &TriedDestinations,
 ) -> Vec<UpstreamCandidate<'a>> {
     let now = shared.now();
-    let hold = shared.measured_performance(&job.service).slot_time;
-    local.iter().map(|upstream| candidate_of(shared, upstream, job, tried, hold, now)).collect()
+    let slot_time = shared.measured_performance(&job.service).slot_time;
+    local
+        .iter()
+        .map(|upstream| candidate_of(shared, upstream, job, tried, slot_time, now))
+        .collect()
 }
 
 /// Returns the properties of an upstream that the choice depends on.
@@ -161,28 +164,28 @@
     upstream: &'a Upstream,
     job: &GatewayJob,
     tried: &TriedDestinations,
-    hold: Duration,
+    slot_time: Duration,
     now: MonoTime,
 ) -> UpstreamCandidate<'a> {
-    let pace = *upstream.performance.lock();
+    let performance = *upstream.performance.lock();
     let transfer_cost = match upstream.identity.data_centre == shared.settings.data_centre {
         true => 0.0,
         false => RequestCost::of_bytes(job.body.len(), CENTRE_BYTE_PRICE, job.size()).0,
     };
     let cached_tokens = match job.shared_segments() {
         [] => 0,
-        parts => shared.prefix_caches.lock().cached_tokens(
+        segments => shared.prefix_caches.lock().cached_tokens(
             upstream.tag,
-            parts,
+            segments,
             upstream.identity.prompt_memory,
         ),
     };
     UpstreamCandidate {
         name: upstream.name(),
-        queue: pace.queue_after_refusal(upstream.queue(), hold, now),
-        latency_factor: pace.latency_factor(now),
-        failure_share: pace.failure_share(now),
-        long_pause_share: pace.long_pause_share(now),
+        queue: performance.queue_after_refusal(upstream.queue(), slot_time, now),
+        latency_factor: performance.latency_factor(now),
+        failure_share: performance.failure_share(now),
+        long_pause_share: performance.long_pause_share(now),
         transfer_cost,
         cached_tokens,
         is_ejected: upstream.health.lock().is_ejected(now),
@@ -192,7 +195,11 @@
 }
 
 /// Returns the queueing time that this VM expects for a request of timely rank at an upstream.
-pub fn expected_wait(upstream: &Upstream, pace: &ServicePerformance, now: MonoTime) -> Duration {
-    let wait = pace.wait(upstream.queue(), QueueRank::Timely);
+pub fn expected_wait(
+    upstream: &Upstream,
+    performance: &ServicePerformance,
+    now: MonoTime,
+) -> Duration {
+    let wait = performance.wait(upstream.queue(), QueueRank::Timely);
     wait.mul_f64(upstream.performance.lock().latency_factor(now))
 }
--- a/crates/foldhaven-gateway/src/destinations/overview.rs
+++ b/crates/foldhaven-gateway/src/destinations/overview.rs
@@ -34,7 +34,7 @@
         is_remote: true,
         time_to_first_ms: remote.choice.time_to_first.as_millis() as u64,
         prefill_tokens: remote.choice.prefill_tokens,
-        breakdown: remote.parts,
+        breakdown: remote.breakdown,
     });
     local.chain(remote).collect()
 }
--- a/crates/foldhaven-gateway/src/destinations/remote.rs
+++ b/crates/foldhaven-gateway/src/destinations/remote.rs
@@ -33,7 +33,7 @@
 pub(super) struct RemoteChoice {
     pub(super) choice: DestinationChoice,
     pub(super) cost: RequestCost,
-    pub(super) parts: CostBreakdown,
+    pub(super) breakdown: CostBreakdown,
     pub(super) region: RegionName,
 }
 
@@ -43,7 +43,7 @@
         let DestinationChoice { time_to_first: first, rank, queue, .. } = self.choice;
         DestinationEstimate {
             time_to_first: first,
-            breakdown: self.parts,
+            breakdown: self.breakdown,
             rank,
             queue,
             is_full: false,
@@ -96,20 +96,20 @@
         let query = choice_query(self.shared, self.view, job);
         let missing = self.missing_tokens(query.shared_tokens);
         let prefill_tokens = query.own_tokens + missing;
-        let pace = self.shared.measured_performance(&job.service);
+        let performance = self.shared.measured_performance(&job.service);
         let network_time = self.network_time(&peer);
-        let sent = self.sent_since(pace.slot_time, network_time);
-        let there = pace.time_to_first(sent, QueueRank::Timely, prefill_tokens);
+        let sent = self.sent_since(performance.slot_time, network_time);
+        let there = performance.time_to_first(sent, QueueRank::Timely, prefill_tokens);
         let time_to_first = network_time + self.wait.wait + there;
         // The reported load already contains most of the requests sent since.
         let queue = QueueState { in_flight: sent.in_flight.max(self.wait.load), ..sent };
-        let parts = CostBreakdown {
+        let breakdown = CostBreakdown {
             time: RequestCost::of_time(query.waited + time_to_first, query.target).0,
             repeated_prefill: RequestCost::of_repeated_prefill(missing, query.size).0,
             transfer: RequestCost::of_bytes(job.body.len(), REGION_BYTE_PRICE, query.size).0,
             long_pauses: pause_cost(&query, self.wait.long_pauses).0,
-            streaming: streaming_cost(&query, &pace, queue).0,
-            decode_slowdown: decode_slowdown_cost(&query, &pace, queue, prefill_tokens).0,
+            streaming: streaming_cost(&query, &performance, queue).0,
+            decode_slowdown: decode_slowdown_cost(&query, &performance, queue, prefill_tokens).0,
             ..CostBreakdown::default()
         };
         let destination = RequestDestination::Peer(peer);
@@ -122,7 +122,7 @@
             prefill_before_answer: None,
             fetch_from: None,
         };
-        RemoteChoice { choice, cost: parts.total(), parts, region: self.region.clone() }
+        RemoteChoice { choice, cost: breakdown.total(), breakdown, region: self.region.clone() }
     }
 
     /// Returns the round trip to the region, doubled if a connection has to be opened first.
@@ -136,7 +136,7 @@
 
     /// Estimates the requests that the VMs of this region have sent there since the last report,
     /// from those that this VM has sent.
-    fn sent_since(&self, hold: Duration, network_time: Duration) -> QueueState {
+    fn sent_since(&self, slot_time: Duration, network_time: Duration) -> QueueState {
         let links = self.view.peers.iter().filter(|peer| peer.region == *self.region);
         let sent = links.map(|peer| peer.share(&self.job.service));
         let own = sent.fold(UpstreamShare::default(), |sum, share| UpstreamShare {
@@ -145,7 +145,7 @@
             ..sum
         });
         let RegionWait { upstreams, slots, .. } = self.wait;
-        RemoteService { upstreams, slots, slot_time: hold, round_trip: network_time }
+        RemoteService { upstreams, slots, slot_time, round_trip: network_time }
             .queue(own, self.view.senders)
     }
 
@@ -154,12 +154,12 @@
         if shared_tokens < MIN_ANNOUNCED_TOKENS {
             return (f64::from(shared_tokens) * REMOTE_MISSING_SHARE) as u32;
         }
-        let parts = self.job.shared_segments();
-        let hints = self.shared.prefix_caches.lock();
+        let segments = self.job.shared_segments();
+        let prefix_caches = self.shared.prefix_caches.lock();
         let upstreams = self.view.upstreams_of(&self.job.service).iter();
         let there = upstreams.filter(|upstream| upstream.identity.region == *self.region);
         let held = there.map(|upstream| {
-            hints.cached_tokens(upstream.tag, parts, upstream.identity.prompt_memory)
+            prefix_caches.cached_tokens(upstream.tag, segments, upstream.identity.prompt_memory)
         });
         shared_tokens - held.max().unwrap_or_default().min(shared_tokens)
     }
--- a/crates/foldhaven-gateway/src/feed.rs
+++ b/crates/foldhaven-gateway/src/feed.rs
@@ -184,7 +184,7 @@
 /// The platform state that one VM sends to another.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum PeerState {
-    /// The whole state, with a description without accounts.
+    /// The whole state, if its description has no accounts.
     Snapshot(FeedSnapshot),
     /// The changes after the revision that the requesting VM knows.
     Changes(ChangeSet),
--- a/crates/foldhaven-gateway/src/job.rs
+++ b/crates/foldhaven-gateway/src/job.rs
@@ -27,7 +27,8 @@
 const DEFAULT_REMAINING: Duration = Duration::from_secs(30);
 /// Maximum time that a caller may ask for.
 const MAX_REMAINING: Duration = Duration::from_secs(600);
-/// Minimum remaining time sent to an upstream, in milliseconds. 0 would mean a late request.
+/// Minimum remaining time sent to an upstream, in milliseconds. 0 would mean that the deadline has
+/// passed.
 const MIN_REMAINING_MS: u128 = 1;
 
 /// A request to run.
@@ -223,7 +224,8 @@
     pub waited: Duration,
 }
 
-/// Reads the attempt id and the remaining time of a request. `waited` is zero.
+/// Reads the attempt id and the remaining time of a request. Leaves `waited` at zero, for the caller
+/// of this function to set.
 pub fn read_terms(head: &Parts, names: &HeaderNames) -> Result<CallerTerms, Refusal> {
     let attempt = head.headers.get(&names.attempt).ok_or(Refusal::Malformed)?.clone();
     let remaining = match head.headers.get(&names.remaining_ms) {
--- a/crates/foldhaven-gateway/src/operator_front/mod.rs
+++ b/crates/foldhaven-gateway/src/operator_front/mod.rs
@@ -1,5 +1,5 @@
 //! The interface for operators: metrics, the status of this daemon and its view of the others,
-//! suspected requests, accounts, and service-level burn.
+//! suspected requests, accounts, and the use of error budgets.
 
 mod accounts;
 mod status;
--- a/crates/foldhaven-gateway/src/peer_front.rs
+++ b/crates/foldhaven-gateway/src/peer_front.rs
@@ -31,8 +31,8 @@
 impl FrontHandler for PeerHandler {
     async fn handle(&self, request: Request<Incoming>) -> Answer {
         if request.uri().path() == PEER_STATE_PATH {
-            let is_spanning = request.headers().contains_key(headers::SPANS);
-            return self.state(request.uri().query(), is_spanning);
+            let accepts_spanning = request.headers().contains_key(headers::SPANS);
+            return self.state(request.uri().query(), accepts_spanning);
         }
         let attempt = request.headers().get(&self.shared.names.attempt).cloned();
         let answer = match read_forwarded(&self.shared, request).await {
@@ -52,13 +52,13 @@
     }
 
     /// Returns the platform state, or its changes after the revision that the query names.
-    fn state(&self, query: Option<&str>, is_spanning: bool) -> Answer {
+    fn state(&self, query: Option<&str>, accepts_spanning: bool) -> Answer {
         let Some(view) = self.shared.view() else { return Refusal::NoDescription.answer() };
         let known_revision = query.and_then(|query| query.strip_prefix(PEER_STATE_REVISION_PREFIX));
         let known_revision = known_revision.and_then(|known_revision| known_revision.parse().ok());
         match self
             .answer_cache
-            .answer(&view.offer, StateRequest { known_revision, accepts_spanning: is_spanning })
+            .answer(&view.offer, StateRequest { known_revision, accepts_spanning })
         {
             Ok(body) => {
                 let (revision, bytes) = (view.offer.revision, body.len());
@@ -77,7 +77,8 @@
     }
 }
 
-/// Adds the attempt to a refusal, so that the origin VM knows that nothing of it ran here.
+/// Adds the attempt id to a refusal with status 503, so that the origin VM knows that the attempt
+/// did not run here.
 fn mark_refusal(mut answer: Answer, attempt: Option<HeaderValue>) -> Answer {
     let is_refusal = answer.status() == StatusCode::SERVICE_UNAVAILABLE;
     if let Some(attempt) = attempt.filter(|_| is_refusal) {
@@ -86,8 +87,8 @@
     answer
 }
 
-/// Reads a forwarded request. It must name the VMs that it has visited and the service that the
-/// origin VM chose.
+/// Reads a forwarded request. It must name the data centre that it comes from and the service that
+/// the origin VM chose.
 async fn read_forwarded(
     shared: &GatewayShared,
     request: Request<Incoming>,
@@ -119,8 +120,8 @@
     let account = find_account(&view.routes, &route, credential);
     let account = account.map_err(|_| Refusal::NotPermitted)?;
     let request = ReadRequest { head, body, started };
-    let place = RouteMatch { route, service, account };
-    let job = request.into_job(place, terms, &shared.names);
+    let route_match = RouteMatch { route, service, account };
+    let job = request.into_job(route_match, terms, &shared.names);
     if !job.permits(shared.settings.region()) {
         return Err(Refusal::NotPermitted);
     }
--- a/crates/foldhaven-gateway/src/peer_state.rs
+++ b/crates/foldhaven-gateway/src/peer_state.rs
@@ -142,7 +142,7 @@
 }
 
 /// Fetches state from a peer, and from a second one as well if the first does not answer in time.
-/// Returns the address of the peer whose result it is.
+/// Returns the result with the address of the peer that it came from.
 async fn fetch_hedged(
     control: &ControlAddress,
     first: SocketAddr,
--- a/crates/foldhaven-gateway/src/shared.rs
+++ b/crates/foldhaven-gateway/src/shared.rs
@@ -76,7 +76,7 @@
     /// Limits the number of log lines about requests.
     pub quota: LogQuota,
     pub stage: watch::Sender<StopStage>,
-    /// The prompts that each upstream of the region has probably cached.
+    /// The prompt segments that each upstream has probably cached.
     pub prefix_caches: Mutex<PrefixCacheIndex>,
     /// The destinations of long prompts since the last report to other VMs.
     pub placements: Mutex<Vec<PromptPlacement>>,
@@ -112,7 +112,7 @@
     pub upstream_limits: RateLimitTracker,
     /// The upstreams that have announced that they are leaving.
     pub leaving_upstreams: LeavingTracker,
-    /// The usage of accounts with limits.
+    /// Limits the usage of accounts.
     pub accounts: AccountLimiter,
     /// Detects that the process was suspended, so that its state may be outdated.
     pub wake: SuspensionDetector,
--- a/crates/foldhaven-gateway/src/suspect_sender.rs
+++ b/crates/foldhaven-gateway/src/suspect_sender.rs
@@ -66,7 +66,7 @@
         self.send_by_scope(self.shared.suspects.take_shared_updates()).await
     }
 
-    /// Sends nothing while no request is held back.
+    /// Sends nothing if no record is due.
     async fn resend(&self) -> Result<(), xtra::Error> {
         let records = self.shared.suspects.next_resent(self.shared.now());
         if records.is_empty() {
--- a/crates/foldhaven-gateway/src/suspension.rs
+++ b/crates/foldhaven-gateway/src/suspension.rs
@@ -50,12 +50,12 @@
         is_checked && self.resumed_at.lock().is_none()
     }
 
-    /// Records whether the process has caught up after a suspension. Returns the time since its
-    /// detection once requests are accepted again.
-    pub fn record_caught_up(&self, is_known: bool, now: MonoTime) -> Option<Duration> {
+    /// Records whether the process has caught up after a suspension. Requests are accepted again if
+    /// it has, or after [`MAX_CATCH_UP_TIME`]; then returns the time since the detection.
+    pub fn record_caught_up(&self, has_caught_up: bool, now: MonoTime) -> Option<Duration> {
         let mut resumed_at = self.resumed_at.lock();
         let span = now.since((*resumed_at)?);
-        if !is_known && span < MAX_CATCH_UP_TIME {
+        if !has_caught_up && span < MAX_CATCH_UP_TIME {
             return None;
         }
         *resumed_at = None;
