--- a/crates/foldhaven-gateway/src/attempts/retries.rs
+++ b/crates/foldhaven-gateway/src/attempts/retries.rs
@@ -38,8 +38,8 @@
         self.job.route.repeat.is_repeatable() && self.may_send_again()
     }
 
-    /// Whether one more destination may be tried, by the number of destinations and the deadline. If
-    /// no upstream received the request, this also holds at a VM that it was forwarded to, which
+    /// Whether one more destination may be tried, by the number of destinations and the deadline.
+    /// If no upstream received the request, this also holds at a VM that it was forwarded to, which
     /// chooses among the upstreams of its region.
     fn may_try_another_destination(&self) -> bool {
         self.tried.count() < MAX_DESTINATIONS && BootInstant::now() < self.job.deadline
--- a/crates/foldhaven-gateway/src/attempts/suspicion.rs
+++ b/crates/foldhaven-gateway/src/attempts/suspicion.rs
@@ -45,8 +45,8 @@
     }
 
     /// Waits for the head of an answer, and withdraws the request if it is quarantined meanwhile.
-    /// When the third upstream exits, copies of the request may wait at other upstreams, and each one
-    /// that starts to run would crash its upstream as well.
+    /// When the third upstream exits, copies of the request may wait at other upstreams, and each
+    /// one that starts to run would crash its upstream as well.
     pub(super) async fn unless_quarantined(
         &self,
         answered: impl Future<Output = Result<OpenAnswer, CallFault>>,
--- a/crates/foldhaven-gateway/src/control/account_limits.rs
+++ b/crates/foldhaven-gateway/src/control/account_limits.rs
@@ -1,5 +1,5 @@
-//! Exchanges the demand of limited accounts with other VMs, and sets this VM's shares of the account
-//! limits by it.
+//! Exchanges the demand of limited accounts with other VMs, and sets this VM's shares of the
+//! account limits by it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -130,8 +130,8 @@
         limited.unzip()
     }
 
-    /// Returns how complete this VM's view of the VMs is that share account limits with it. `responsive`
-    /// is the number of other VMs of the region that were heard from recently.
+    /// Returns how complete this VM's view of the VMs is that share account limits with it.
+    /// `responsive` is the number of other VMs of the region that were heard from recently.
     fn sharer_view(&self, responsive: usize, now: MonoTime) -> SharerView {
         let known = self.peers.region_vm_count();
         let vms = usize::from(self.peers.assumed_counts(now).local).max(known);
--- a/crates/foldhaven-gateway/src/control/announcements.rs
+++ b/crates/foldhaven-gateway/src/control/announcements.rs
@@ -16,8 +16,8 @@
 /// Minimum interval between two announcements to other regions. Changes in between are part of the
 /// next one.
 const REMOTE_ANNOUNCE_INTERVAL: Duration = Duration::from_millis(200);
-/// Minimum interval between two announcements of other regions' revisions that this VM relays to its
-/// own region.
+/// Minimum interval between two announcements of other regions' revisions that this VM relays to
+/// its own region.
 const RELAY_INTERVAL: Duration = Duration::from_millis(200);
 /// Stale state counts as fresh again once it was confirmed within this time.
 const FRESH_WITHIN: Duration = Duration::from_millis(2_500);
--- a/crates/foldhaven-gateway/src/control/upstream_signals.rs
+++ b/crates/foldhaven-gateway/src/control/upstream_signals.rs
@@ -1,5 +1,5 @@
 //! Handles the rate limits and leaving notices of upstreams that other VMs relay, and chooses the
-//! VMs that this VM relays those to that it received itself.
+//! VMs to which this VM relays those that it received from upstreams itself.
 
 use std::net::SocketAddr;
 
--- a/crates/foldhaven-gateway/src/destinations/remote.rs
+++ b/crates/foldhaven-gateway/src/destinations/remote.rs
@@ -165,8 +165,8 @@
     }
 }
 
-/// Returns a random VM of a region that the request was not sent to yet. VMs in service there and VMs with an
-/// open connection are preferred.
+/// Returns a random VM of a region that the request was not sent to yet. VMs in service there and
+/// VMs with an open connection are preferred.
 fn pick_peer(
     view: &GatewayView,
     region: &RegionName,
--- a/crates/foldhaven-gateway/src/feed.rs
+++ b/crates/foldhaven-gateway/src/feed.rs
@@ -263,8 +263,8 @@
             .map(|assignment| assignment.known_revision)
     }
 
-    /// Waits until other VMs have known a newer revision for the duration `lasting`, so that a call
-    /// without an answer by then will not get one.
+    /// Waits until [`ReadAssignment::is_superseded`] has been set for the duration `lasting`, so
+    /// that a call without an answer by then will not get one.
     pub async fn await_superseded(&self, lasting: Duration) {
         let mut assignment = self.assignment.clone();
         loop {
--- a/crates/foldhaven-gateway/src/job.rs
+++ b/crates/foldhaven-gateway/src/job.rs
@@ -224,8 +224,8 @@
     pub waited: Duration,
 }
 
-/// Reads the attempt id and the remaining time of a request. Leaves `waited` at zero, for the caller
-/// of this function to set.
+/// Reads the attempt id and the remaining time of a request. Leaves `waited` at zero, for the
+/// caller of this function to set.
 pub fn read_terms(head: &Parts, names: &HeaderNames) -> Result<CallerTerms, Refusal> {
     let attempt = head.headers.get(&names.attempt).ok_or(Refusal::Malformed)?.clone();
     let remaining = match head.headers.get(&names.remaining_ms) {
--- a/crates/foldhaven-gateway/src/platform_state/mod.rs
+++ b/crates/foldhaven-gateway/src/platform_state/mod.rs
@@ -97,7 +97,8 @@
         self.needs_snapshot
     }
 
-    /// Returns the revision after which changes are to be requested. `None` if a snapshot is needed.
+    /// Returns the revision after which changes are to be requested. `None` if a snapshot is
+    /// needed.
     pub fn base_revision(&self) -> Option<u64> {
         (self.has_state && !self.needs_snapshot).then_some(self.revision)
     }
--- a/crates/foldhaven-gateway/src/settings.rs
+++ b/crates/foldhaven-gateway/src/settings.rs
@@ -23,7 +23,8 @@
     pub directory: SocketAddr,
     /// For operators: metrics and status.
     pub operator: SocketAddr,
-    /// For other VMs: heartbeats over UDP and forwarded requests over TCP. The same port on all VMs.
+    /// For other VMs: heartbeats over UDP and forwarded requests over TCP. The same port on all
+    /// VMs.
     pub peer: SocketAddr,
     /// For metrics collectors that do not know the operators' address. `None` if there is no
     /// separate address.
--- a/crates/foldhaven-gateway/src/warm_links.rs
+++ b/crates/foldhaven-gateway/src/warm_links.rs
@@ -17,7 +17,8 @@
 /// Interval at which these connections are checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Opens these connections, and replaces closed ones, for as long as the process runs.
+/// Opens connections to VMs of other regions, and replaces closed ones, for as long as the process
+/// runs.
 pub async fn keep_links_warm(shared: Arc<GatewayShared>) {
     let mut ticks = interval(CHECK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
