--- a/crates/foldhaven-gateway/src/control/traffic_view.rs
+++ b/crates/foldhaven-gateway/src/control/traffic_view.rs
@@ -72,11 +72,11 @@
         routes: &Arc<RouteTable>,
         now: MonoTime,
     ) -> Option<Arc<StateOffer>> {
-        let is_of_now = |offer: &Arc<StateOffer>| {
+        let is_current = |offer: &Arc<StateOffer>| {
             // A snapshot may replace the whole state without a new revision.
             offer.revision == self.platform.revision() && Arc::ptr_eq(&offer.routes, routes)
         };
-        let held = self.offer.take().filter(is_of_now);
+        let held = self.offer.take().filter(is_current);
         self.offer = held.or_else(|| self.platform.offer(now).map(Arc::new));
         self.offer.clone()
     }
--- a/crates/foldhaven-gateway/src/datagrams.rs
+++ b/crates/foldhaven-gateway/src/datagrams.rs
@@ -39,9 +39,9 @@
 /// A VM without requests sends a report only every this many rounds.
 const IDLE_REPORT_EVERY: u32 = 4;
 
-/// Forwards platform changes to VMs that do not read the platform themselves. Changes that do not
-/// fit into a datagram have to be requested by the receivers; urgent ones among them are sent
-/// ahead.
+/// Forwards platform changes to VMs that do not read the platform themselves, and sends
+/// announcements of revisions. Changes that do not fit into a datagram have to be requested by the
+/// receivers; urgent ones among them are sent ahead.
 pub async fn send_updates(
     socket: Arc<UdpSocket>,
     mut updates: mpsc::UnboundedReceiver<OutgoingUpdate>,
