--- a/crates/foldhaven-gateway/src/control/announcements.rs
+++ b/crates/foldhaven-gateway/src/control/announcements.rs
@@ -16,7 +16,8 @@
 /// Minimum interval between two announcements to other regions. Changes in between are part of the
 /// next one.
 const REMOTE_ANNOUNCE_INTERVAL: Duration = Duration::from_millis(200);
-/// Minimum interval between two announcements to this region of another region's revision.
+/// Minimum interval between two announcements of other regions' revisions that this VM relays to
+/// its own region.
 const RELAY_INTERVAL: Duration = Duration::from_millis(200);
 /// Stale state counts as fresh again once it was confirmed within this time.
 const FRESH_WITHIN: Duration = Duration::from_millis(2_500);
@@ -61,8 +62,8 @@
         }
         let now = self.now();
         if let Some(age) = notice.age() {
-            let proof = RevisionConfirmation { revision: notice.revision, at: now - age };
-            self.staleness.apply(proof, self.platform.revision());
+            let confirmation = RevisionConfirmation { revision: notice.revision, at: now - age };
+            self.staleness.apply(confirmation, self.platform.revision());
         }
         if notice.revision > self.platform.revision() {
             self.offered.note(&notice);
@@ -74,8 +75,9 @@
 impl ControlActor {
     /// Records that the platform has just confirmed the current revision.
     pub(super) fn confirm_revision(&mut self) {
-        let proof = RevisionConfirmation { revision: self.platform.revision(), at: self.now() };
-        self.staleness.apply(proof, self.platform.revision());
+        let confirmation =
+            RevisionConfirmation { revision: self.platform.revision(), at: self.now() };
+        self.staleness.apply(confirmation, self.platform.revision());
     }
 
     /// Returns the time since the platform state was last confirmed as current, or since the start
@@ -105,7 +107,7 @@
 
     /// Announces this VM's revision to a few VMs of each other region, unless it was announced
     /// already or the last announcement is too recent. A region whose own readers get no answer
-    /// learns of changes only in this way.
+    /// from the platform learns of changes only in this way.
     pub(super) fn announce_remotely(&mut self) {
         let (now, revision) = (self.now(), self.platform.revision());
         let is_suppressed = |(at, sent): (MonoTime, u64)| {
--- a/crates/foldhaven-gateway/src/control/catch_up.rs
+++ b/crates/foldhaven-gateway/src/control/catch_up.rs
@@ -28,11 +28,11 @@
 /// A lag of this length is logged.
 const LAG_LOG_THRESHOLD: Duration = Duration::from_millis(1_000);
 
-/// Records that other VMs know a newer revision than this one.
+/// A period during which other VMs have known a newer revision than this one.
 #[derive(Debug, Clone, Copy)]
 pub struct LagState {
     since: MonoTime,
-    /// The newer revision when the lag began.
+    /// The newer revision that was known when the lag began.
     revision: u64,
     /// Whether a VM of this region knew it.
     is_local: bool,
@@ -46,7 +46,8 @@
     pub avoided: Option<SocketAddr>,
 }
 
-/// A VM with newer state, and the revision from which this VM needs the changes.
+/// A VM with newer state, and the revision after which this VM needs the changes. Without one it
+/// needs a snapshot.
 pub struct NewerPeer {
     pub peer: SocketAddr,
     pub base_revision: Option<u64>,
@@ -170,11 +171,11 @@
     /// Ends the lag if the newer revision is now known, or if no VM with newer state is left.
     pub(super) fn check_caught_up(&mut self) {
         let Some(lag_state) = self.lag else { return };
-        let is_left = self.platform.revision() < lag_state.revision;
-        if is_left && self.newer_peer(None).is_some() {
+        let is_still_behind = self.platform.revision() < lag_state.revision;
+        if is_still_behind && self.newer_peer(None).is_some() {
             return;
         }
-        if is_left {
+        if is_still_behind {
             self.offered.forget();
         }
         self.lag = None;
--- a/crates/foldhaven-gateway/src/control/traffic_view.rs
+++ b/crates/foldhaven-gateway/src/control/traffic_view.rs
@@ -72,11 +72,11 @@
         routes: &Arc<RouteTable>,
         now: MonoTime,
     ) -> Option<Arc<StateOffer>> {
-        let is_of_now = |offer: &Arc<StateOffer>| {
+        let is_current = |offer: &Arc<StateOffer>| {
             // A snapshot may replace the whole state without a new revision.
             offer.revision == self.platform.revision() && Arc::ptr_eq(&offer.routes, routes)
         };
-        let held = self.offer.take().filter(is_of_now);
+        let held = self.offer.take().filter(is_current);
         self.offer = held.or_else(|| self.platform.offer(now).map(Arc::new));
         self.offer.clone()
     }
@@ -155,8 +155,8 @@
         }
         let links = by_region.into_iter().map(|(region, candidates)| {
             let order = ServiceOrder::of(candidates);
-            let standing = order.baseline().iter();
-            let links = standing.filter_map(|candidate| self.links.get(candidate.vm).cloned());
+            let baseline = order.baseline().iter();
+            let links = baseline.filter_map(|candidate| self.links.get(candidate.vm).cloned());
             (region.clone(), links.collect())
         });
         links.collect()
--- a/crates/foldhaven-gateway/src/datagrams.rs
+++ b/crates/foldhaven-gateway/src/datagrams.rs
@@ -24,9 +24,9 @@
 use crate::control::{
     ControlAddress, OutgoingChanges, OutgoingUpdate, PlanAgreementRound, PlanDemandReports,
     PlanHeartbeats, PlanLoadReport, PlannedLoadReport, ReceiveAgreement, ReceiveChanges,
-    ReceiveEarlyChanges, ReceiveHeartbeat, ReceiveLeavingNotices, ReceiveLimits, ReceiveLoadReport,
+    ReceiveEarlyChanges, ReceiveHeartbeat, ReceiveLeavingNotices, ReceiveLoadReport,
     ReceiveLocalDemand, ReceivePlacements, ReceiveRegionDemand, ReceiveRegionReport,
-    ReceiveRevisionNotice, ReceiveView, ReceiveViewList,
+    ReceiveRevisionNotice, ReceiveUpstreamRateLimits, ReceiveView, ReceiveViewList,
 };
 use crate::feed::NumberedChange;
 use crate::peer_message::{MAX_DATAGRAM, PeerMessage, SuspectMessage};
@@ -39,9 +39,9 @@
 /// A VM without requests sends a report only every this many rounds.
 const IDLE_REPORT_EVERY: u32 = 4;
 
-/// Forwards platform changes to VMs that do not read the platform themselves. Changes that do not
-/// fit into a datagram have to be requested by the receivers; urgent ones among them are sent
-/// ahead.
+/// Forwards platform changes to VMs that do not read the platform themselves, and sends
+/// announcements of revisions. Changes that do not fit into a datagram have to be requested by the
+/// receivers; urgent ones among them are sent ahead.
 pub async fn send_updates(
     socket: Arc<UdpSocket>,
     mut updates: mpsc::UnboundedReceiver<OutgoingUpdate>,
@@ -98,13 +98,19 @@
     let mut timer_delay = Duration::ZERO;
     loop {
         let Ok(planned) = control.send(PlanLoadReport { timer_delay }).await else { return };
-        let PlannedLoadReport { report, legs, remote_targets, remote_placements, region, interval } =
-            planned;
-        let is_idle = !report.is_active() && legs.iter().all(|leg| leg.updates.is_empty());
+        let PlannedLoadReport {
+            report,
+            batches,
+            remote_targets,
+            remote_placements,
+            region,
+            interval,
+        } = planned;
+        let is_idle = !report.is_active() && batches.iter().all(|batch| batch.updates.is_empty());
         // The first idle report says that the earlier requests have ended; later ones say that this
         // VM is live.
         if !is_idle || idle_rounds % IDLE_REPORT_EVERY == 0 {
-            for ReportBatch { targets, updates } in legs {
+            for ReportBatch { targets, updates } in batches {
                 let ReportUpdates { placements, regions } = updates;
                 let report = LoadReport { placements, regions, ..report.clone() };
                 send_report(&socket, &targets, report).await;
@@ -245,7 +251,7 @@
         PeerMessage::News(notice) => control.send(ReceiveRevisionNotice { notice }).await?,
         PeerMessage::Demand(demand) => control.send(ReceiveLocalDemand { demand }).await?,
         PeerMessage::RegionDemand(demand) => control.send(ReceiveRegionDemand { demand }).await?,
-        PeerMessage::Limits(limits) => control.send(ReceiveLimits { limits }).await?,
+        PeerMessage::Limits(limits) => control.send(ReceiveUpstreamRateLimits { limits }).await?,
         PeerMessage::Leavers(leavers) => control.send(ReceiveLeavingNotices { leavers }).await?,
         PeerMessage::Suspects(_) => {}
     }
@@ -343,8 +349,8 @@
     }
 }
 
-/// Sends the demand to the VMs of this region. It is split into one message per part if it may not
-/// fit into a datagram.
+/// Sends the demand to the VMs of this region. If it may not fit into a datagram, it is split into
+/// one message for this VM's own demand and one for each other region.
 async fn send_local_demand(socket: &UdpSocket, targets: &[SocketAddr], demand: LocalDemand) {
     let own = demand.own.as_ref().map_or(0, |own| own.demands.len());
     let entries: usize = own + demand.regions.iter().map(|it| it.demands.len()).sum::<usize>();
