--- a/crates/foldhaven-core/src/opaque/affinity.rs
+++ b/crates/foldhaven-core/src/opaque/affinity.rs
@@ -31,7 +31,7 @@
     /// The segments that other prompts may share, in order.
     pub shared: Vec<PromptSegment>,
     /// The number of tokens in the segment that belongs to this request alone.
-    pub own_tokens: u32,
+    pub unshared_tokens: u32,
 }
 
 impl PromptOutline {
@@ -46,7 +46,7 @@
             prefix_hash = xxh3_64_with_seed(id.as_bytes(), prefix_hash);
             outline.shared.push(PromptSegment { key: prefix_hash, tokens: tokens.parse().ok()? });
         }
-        outline.own_tokens = outline.shared.pop()?.tokens;
+        outline.unshared_tokens = outline.shared.pop()?.tokens;
         Some(outline)
     }
 
@@ -84,7 +84,8 @@
     /// The shared segments of the prompt.
     pub shared: Vec<PromptSegment>,
     /// The number of tokens in the request's own segment and in the longest answer.
-    pub own_tokens: u32,
+    #[serde(rename = "own_tokens")]
+    pub unshared_tokens: u32,
 }
 
 /// Estimates which upstreams have which shared segments cached. Errors cost speed, not correctness.
@@ -116,7 +117,7 @@
             let is_new = holders.insert(tag, written).is_none();
             written += if is_new { u64::from(segment.tokens) } else { 0 };
         }
-        written += u64::from(placement.own_tokens);
+        written += u64::from(placement.unshared_tokens);
         self.written.insert(tag, written);
     }
 
--- a/crates/foldhaven-core/src/opaque/choice/mod.rs
+++ b/crates/foldhaven-core/src/opaque/choice/mod.rs
@@ -71,7 +71,7 @@
     /// The number of tokens in the shared segments of the prompt.
     pub shared_tokens: u32,
     /// The number of prompt tokens that belong to this request alone.
-    pub own_tokens: u32,
+    pub unshared_tokens: u32,
     /// The key that routes requests with the same shared segments to the same upstream.
     pub affinity_key: Option<u64>,
     /// The age of the load reports of other VMs.
--- a/crates/foldhaven-core/src/opaque/choice/pricer.rs
+++ b/crates/foldhaven-core/src/opaque/choice/pricer.rs
@@ -82,7 +82,7 @@
         let fetched_tokens = fetch.map_or(0, |fetch| fetch.tokens);
         let fetch_time = fetch.map_or(Duration::ZERO, |fetch| fetch.time);
         let repeated_tokens = missing.saturating_sub(fetched_tokens);
-        let prefill_tokens = repeated_tokens + query.own_tokens;
+        let prefill_tokens = repeated_tokens + query.unshared_tokens;
         let time_for = |rank| performance.time_to_first(candidate.queue, rank, prefill_tokens);
         let timely = time_for(QueueRank::Timely).mul_f64(candidate.latency_factor) + fetch_time;
         let rank = query.rank(timely);
--- a/crates/foldhaven-core/src/opaque/peer_table/announcements.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/announcements.rs
@@ -16,7 +16,7 @@
 
 /// Number of VMs of each other region that receive an announcement, so that one lost message
 /// doesn't delay a change.
-const REMOTE_ANNOUNCEMENTS: usize = 2;
+const REMOTE_ANNOUNCEMENT_FAN_OUT: usize = 2;
 
 /// Announces the revision up to which a VM knows the platform's changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -93,7 +93,7 @@
     /// Returns a few VMs of each other region, for announcements that don't wait for a round.
     pub fn remote_announcement_targets(&mut self, now: MonoTime) -> Vec<SocketAddr> {
         let mut targets = BTreeSet::new();
-        for _ in 0..REMOTE_ANNOUNCEMENTS {
+        for _ in 0..REMOTE_ANNOUNCEMENT_FAN_OUT {
             targets.extend(self.one_serving_per_remote_region(now));
         }
         targets.into_iter().collect()
--- a/crates/foldhaven-core/src/opaque/peer_table/mod.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/mod.rs
@@ -250,7 +250,7 @@
     }
 
     /// Removes VMs that were last seen longer than `EXPIRE_AFTER` ago.
-    pub fn forget(&mut self, now: MonoTime) {
+    pub fn remove_expired(&mut self, now: MonoTime) {
         self.peers.retain(|_, entry| now.since(entry.last_seen) < EXPIRE_AFTER);
         let peers = &self.peers;
         self.tags.retain(|_, name| peers.contains_key(name));
--- a/crates/foldhaven-core/src/opaque/performance.rs
+++ b/crates/foldhaven-core/src/opaque/performance.rs
@@ -216,8 +216,9 @@
         self.refused = Some((now, load));
     }
 
-    /// Returns the reported queue with at least as many requests as follow from the last refusal:
-    /// an upstream completes at most `slots` requests per slot time.
+    /// Returns the reported queue, with the number of requests raised to the minimum that the
+    /// upstream must still have: the number that it had when it last refused a request, less
+    /// `slots` requests completed per slot time since then.
     ///
     /// A refusal is more reliable than load reports, which may be missing if VMs are partitioned
     /// from each other. Without this, the next requests of this VM would go to the same full
--- a/crates/foldhaven-core/src/opaque/rate_share.rs
+++ b/crates/foldhaven-core/src/opaque/rate_share.rs
@@ -57,13 +57,14 @@
     }
 }
 
-/// The VMs that share the limits of the region, as one VM sees them.
+/// The VMs that share the limits of the region, as one VM sees them. Both lists are empty if that
+/// VM has no share itself.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SenderList {
-    /// The live VMs, including this one.
+    /// The VMs that share the limits if only live VMs are considered.
     pub live: Vec<VmName>,
-    /// The list including the VMs that became unresponsive recently: they may be partitioned and
-    /// still send.
+    /// The VMs that share the limits if VMs that became unresponsive recently are considered too:
+    /// they may be partitioned and still send.
     pub with_unresponsive: Vec<VmName>,
 }
 
--- a/crates/foldhaven-core/src/opaque/suspects/table.rs
+++ b/crates/foldhaven-core/src/opaque/suspects/table.rs
@@ -464,7 +464,7 @@
     }
 
     /// Removes expired records.
-    pub fn forget(&mut self, now: MonoTime) {
+    pub fn remove_expired(&mut self, now: MonoTime) {
         self.entries.retain(|_, entry| !entry.is_expired(now));
     }
 
--- a/crates/foldhaven-core/tests/testsuite/opaque_choice.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_choice.rs
@@ -54,7 +54,7 @@
         events: 0.0,
         size,
         shared_tokens,
-        own_tokens: 100,
+        unshared_tokens: 100,
         affinity_key,
         report_age: Duration::ZERO,
         draw,
@@ -148,7 +148,7 @@
 #[test]
 fn outlines_are_parsed_or_rejected() {
     let outline = PromptOutline::parse("5c1e:800, 91bd:410,e440:250").unwrap();
-    assert_eq!((outline.shared_tokens(), outline.own_tokens), (1_210, 250));
+    assert_eq!((outline.shared_tokens(), outline.unshared_tokens), (1_210, 250));
     let other = PromptOutline::parse("5c1e:800,91bd:410,ffff:9").unwrap();
     assert_eq!(outline.affinity_key(), other.affinity_key());
     let swapped = PromptOutline::parse("91bd:410,5c1e:800,e440:250").unwrap();
@@ -165,7 +165,11 @@
     let tag = UpstreamTag(7);
     let placement = |text: &str| {
         let outline = PromptOutline::parse(text).unwrap();
-        PromptPlacement { upstream: tag, shared: outline.shared, own_tokens: outline.own_tokens }
+        PromptPlacement {
+            upstream: tag,
+            shared: outline.shared,
+            unshared_tokens: outline.unshared_tokens,
+        }
     };
     let first = placement("a:1000,own:100");
     let mut cache_index = PrefixCacheIndex::default();
@@ -279,7 +283,7 @@
     // The other one is slightly worse in another property.
     candidates[1].failure_share = 0.05;
     let mut query = query(0, None, 0.0);
-    query.own_tokens = tokens;
+    query.unshared_tokens = tokens;
     query.size = tokens;
     query.target = Duration::from_secs(2);
     query.event_gap = gap_ms.map(Duration::from_millis);
--- a/crates/foldhaven-core/tests/testsuite/opaque_peers.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_peers.rs
@@ -92,10 +92,10 @@
 fn stale_vms_still_count_where_limits_are_divided() {
     let mut table = table();
     table.apply_heartbeat(heartbeat("a", "north", 1), at(0));
-    table.forget(at(10_000));
+    table.remove_expired(at(10_000));
     assert!(live(&table, at(10_000)).is_empty());
     assert_eq!(table.vm_count(), 2);
-    table.forget(at(60_000));
+    table.remove_expired(at(60_000));
     assert_eq!(table.vm_count(), 1);
 }
 
--- a/crates/foldhaven-core/tests/testsuite/opaque_stale_reports.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_stale_reports.rs
@@ -43,7 +43,7 @@
         events: 3.0,
         size: 800,
         shared_tokens,
-        own_tokens: 300,
+        unshared_tokens: 300,
         affinity_key: None,
         report_age,
         draw,
--- a/crates/foldhaven-gateway/src/attempts/outcomes.rs
+++ b/crates/foldhaven-gateway/src/attempts/outcomes.rs
@@ -32,7 +32,7 @@
         let placement = PromptPlacement {
             upstream: upstream.tag,
             shared: outline.shared.clone(),
-            own_tokens: outline.own_tokens,
+            unshared_tokens: outline.unshared_tokens,
         };
         self.shared.prefix_caches.lock().record(&placement);
         if outline.shared_tokens() >= MIN_ANNOUNCED_TOKENS {
--- a/crates/foldhaven-gateway/src/control/mod.rs
+++ b/crates/foldhaven-gateway/src/control/mod.rs
@@ -313,11 +313,11 @@
     async fn handle(&mut self, _: TickControl, _: &mut Context<Self>) {
         self.check_suspension();
         let now = self.now();
-        self.peers.forget(now);
+        self.peers.remove_expired(now);
         self.regions.remove_stale(now);
         let peers = &self.peers;
         self.agreement.retain(|vm| peers.address_of(vm).is_some());
-        self.shared.suspects.forget(&self.shared.change_context());
+        self.shared.suspects.remove_expired(&self.shared.change_context());
         self.forget_signals();
         self.note_growth();
         self.check_reported_outage();
--- a/crates/foldhaven-gateway/src/destinations/mod.rs
+++ b/crates/foldhaven-gateway/src/destinations/mod.rs
@@ -226,7 +226,7 @@
         events: shared.route_history(&job.route.name).usual_event_count(),
         size: job.size(),
         shared_tokens: outline.map_or(0, |outline| outline.shared_tokens()),
-        own_tokens: outline.map_or(0, |outline| outline.own_tokens),
+        unshared_tokens: outline.map_or(0, |outline| outline.unshared_tokens),
         affinity_key: outline.and_then(|outline| outline.affinity_key()),
         report_age: view.report_age(),
         draw: rand::random(),
--- a/crates/foldhaven-gateway/src/destinations/remote.rs
+++ b/crates/foldhaven-gateway/src/destinations/remote.rs
@@ -95,7 +95,7 @@
         let job = self.job;
         let query = choice_query(self.shared, self.view, job);
         let missing = self.missing_tokens(query.shared_tokens);
-        let prefill_tokens = query.own_tokens + missing;
+        let prefill_tokens = query.unshared_tokens + missing;
         let pace = self.shared.measured_performance(&job.service);
         let network_time = self.network_time(&peer);
         let sent = self.sent_since(pace.slot_time, network_time);
--- a/crates/foldhaven-gateway/src/job.rs
+++ b/crates/foldhaven-gateway/src/job.rs
@@ -98,7 +98,7 @@
     /// Returns the work of the request in tokens. Its worth is proportional to this.
     pub fn size(&self) -> u32 {
         let Some(outline) = &self.outline else { return DEFAULT_SIZE };
-        let prompt = outline.shared_tokens() + outline.own_tokens;
+        let prompt = outline.shared_tokens() + outline.unshared_tokens;
         prompt.saturating_add(self.output_tokens.saturating_mul(OUTPUT_WEIGHT)).max(1)
     }
 
--- a/crates/foldhaven-gateway/src/suspects.rs
+++ b/crates/foldhaven-gateway/src/suspects.rs
@@ -218,9 +218,9 @@
     }
 
     /// Removes expired records.
-    pub fn forget(&self, context: &ChangeContext<'_>) {
+    pub fn remove_expired(&self, context: &ChangeContext<'_>) {
         let mut table = self.table.lock();
-        table.forget(context.now);
+        table.remove_expired(context.now);
         context.metrics.set_level("suspects_held_back", table.quarantined_count() as u64);
     }
 
--- a/crates/foldhaven-testkit/src/harm/telling.rs
+++ b/crates/foldhaven-testkit/src/harm/telling.rs
@@ -78,7 +78,7 @@
             return;
         }
         let now = self.now;
-        self.vms[vm].table.forget(now);
+        self.vms[vm].table.remove_expired(now);
         let records = self.vms[vm].table.next_resent(now);
         let region = self.vms[vm].region;
         for _ in 0..REPEAT_FAN_OUT {
--- a/crates/foldhaven-testkit/src/simulate/vm.rs
+++ b/crates/foldhaven-testkit/src/simulate/vm.rs
@@ -176,7 +176,7 @@
             events: request.events,
             size: request.size,
             shared_tokens: 0,
-            own_tokens: request.tokens,
+            unshared_tokens: request.tokens,
             affinity_key: None,
             report_age,
             draw: random.random(),
