--- a/crates/foldhaven-core/src/opaque/account_demand.rs
+++ b/crates/foldhaven-core/src/opaque/account_demand.rs
@@ -38,7 +38,7 @@
 /// The demand of the callers of one account, in units of its limit per second.
 pub type AccountDemand = (AccountTag, f32);
 
-/// The demand at one VM. Accounts that are missing have almost no demand.
+/// The demand at one VM. Accounts with almost no demand are left out.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct VmDemand {
     /// The VM.
@@ -154,8 +154,8 @@
         true
     }
 
-    /// Drops the reports of VMs that are no longer heard from. A share is reserved for them
-    /// instead.
+    /// Drops the reports of VMs that are no longer heard from. Instead of a share by demand, an
+    /// equal share is reserved for each of them.
     pub fn retain_vms(&mut self, is_heard: impl Fn(VmTag) -> bool) {
         self.vms.retain(|vm, _| is_heard(*vm));
     }
--- a/crates/foldhaven-core/src/opaque/account_table.rs
+++ b/crates/foldhaven-core/src/opaque/account_table.rs
@@ -72,9 +72,9 @@
     /// Each request counts as one.
     Requests,
     /// Each request counts as its prompt tokens plus its maximum output, or as `default_tokens` if
-    /// it names neither.
+    /// it states neither.
     Tokens {
-        /// The cost of a request that names no tokens.
+        /// The cost of a request that states no number of tokens.
         #[serde(rename = "plain")]
         default_tokens: u32,
     },
@@ -87,12 +87,12 @@
     pub unit: LimitUnit,
     /// The permitted rate per second; more than 0.
     pub per_s: f64,
-    /// How much may exceed the rate at once.
+    /// The amount that may be used at once after a pause.
     pub burst: f64,
 }
 
 impl AccountLimit {
-    /// Returns the cost of a request that names `tokens`.
+    /// Returns the cost of a request that states `tokens`; `None` if it states no number.
     pub fn cost(&self, tokens: Option<u64>) -> f64 {
         match self.unit {
             LimitUnit::Requests => 1.0,
--- a/crates/foldhaven-core/src/opaque/demand_exchange.rs
+++ b/crates/foldhaven-core/src/opaque/demand_exchange.rs
@@ -41,8 +41,8 @@
     pub vms: usize,
     /// The number of other VMs that were heard from recently.
     pub responsive: usize,
-    /// Whether this process has run long enough to hear from the others, and has heard from a VM
-    /// that every starting process asks first.
+    /// Whether this process has run long enough to hear from the others, and has heard from a seed,
+    /// one of the VMs that every starting process contacts first.
     pub is_informed: bool,
 }
 
@@ -161,14 +161,13 @@
         })
     }
 
-    /// Whether the demand differs so much from what was reported that the others should divide by
-    /// it.
+    /// Whether the demand differs so much from the last report that it is reported at once.
     fn has_changed(&self, demand: &LimitedDemand, view: &SharerView, now: MonoTime) -> bool {
         let change = (demand.demand - self.announced_demand(demand.account)).abs();
         change > self.current_share(demand, view, now).per_s * ANNOUNCED_CHANGE_SHARE
     }
 
-    /// The share of this VM by what is known now, without the demand of earlier rounds.
+    /// The share of this VM by the demand known now, without the demand of earlier rounds.
     fn current_share(
         &self,
         demand: &LimitedDemand,
--- a/crates/foldhaven-core/src/opaque/limit_share.rs
+++ b/crates/foldhaven-core/src/opaque/limit_share.rs
@@ -25,15 +25,15 @@
 /// The fraction of a limit that is distributed. The rest covers demand that has changed since it
 /// was reported.
 const USED_SHARE: f64 = 0.97;
-/// The fraction of the slack above a limit that VMs may owe at one moment: a request is let through
-/// whole while any allowance is left, and a caller's second request does not wait until the debt of
-/// the first one is reported.
+/// The fraction of the slack above a limit that the debts of all VMs together may reach. A request
+/// is admitted at its full cost while the debt is below its maximum, and a caller's second request
+/// does not wait until the debt of the first one is reported.
 const DEBT_SHARE: f64 = 0.5;
 /// The minimum region size that a process assumes until it knows the other VMs.
 const MIN_ASSUMED_VMS: usize = 32;
 /// The fraction of unclaimed capacity that is split equally. The rest is split by demand: where
-/// many requests arrive, long ones cluster too, and a VM that stands by needs only enough to start
-/// with.
+/// many requests arrive, long ones cluster too, and a VM on standby needs only enough for its first
+/// requests.
 const EVEN_SPLIT_SHARE: f64 = 0.25;
 /// The maximum growth factor of a region over the demand that the other regions know of. Without
 /// it, regions that callers reach at the same moment would each take the same headroom.
@@ -57,8 +57,8 @@
     pub vms: usize,
     /// The number of other VMs in this region that are not heard from.
     pub silent_vms: usize,
-    /// Whether this process has run long enough to hear from the others, and has heard from a VM
-    /// that every starting process asks first.
+    /// Whether this process has run long enough to hear from the others, and has heard from a seed,
+    /// one of the VMs that every starting process contacts first.
     pub is_informed: bool,
 }
 
@@ -88,22 +88,23 @@
 /// The reported demand of the callers of one account, in units of the limit per second.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ReportedDemand {
-    /// At this VM.
+    /// The demand at this VM.
     pub own: f64,
-    /// At the other VMs of this region that are heard from, in total.
+    /// The total demand at the other VMs of this region that are heard from.
     pub local_peers: f64,
-    /// In each other region that hears from this one and is heard from.
+    /// The demand in each other region that hears from this one and is heard from.
     pub other_regions: Vec<f64>,
-    /// In this region, as the other regions know it by now.
+    /// The demand in this region, as far as the other regions have received it by now.
     pub region_as_known_remotely: f64,
 }
 
-/// What may exceed the limits of all accounts, since VMs cannot know everything at once.
+/// By how much the limit of each account may be exceeded, since VMs learn of each other's demand
+/// with a delay.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct LimitSlack {
-    /// As a fraction of what a limit permits in one window.
+    /// The excess as a fraction of what the limit permits in one window.
     pub share: f64,
-    /// On top of that, in the unit of the limit.
+    /// A fixed excess in addition to `share`, in the unit of the limit.
     pub extra: f64,
     /// The length of the window.
     pub window: Duration,
@@ -251,7 +252,7 @@
         self.level
     }
 
-    /// Lets a request through, or returns the time after which one could be let through.
+    /// Admits a request, or returns the time after which one could be admitted.
     pub fn try_acquire(&mut self, cost: f64, now: MonoTime) -> Result<(), Duration> {
         self.refill(now);
         self.demand.record(cost, now);
@@ -265,7 +266,7 @@
         Err(wait.min(MAX_WAIT))
     }
 
-    /// Returns the cost of a request that has not run.
+    /// Gives back the cost of an admitted request that has not run.
     pub fn refund(&mut self, cost: f64) {
         self.level = (self.level + cost).min(self.share.burst);
     }
@@ -278,7 +279,7 @@
         }
     }
 
-    /// Adds what has been permitted since the last update.
+    /// Raises the level by the amount that has become permitted since the last update.
     fn refill(&mut self, now: MonoTime) {
         let valid_until = (self.renewed + SHARE_LIFETIME).max(self.updated_at).min(now);
         let full = valid_until.since(self.updated_at).as_secs_f64() * self.share.per_s;
@@ -289,5 +290,5 @@
     }
 }
 
-/// The maximum wait that a caller is told before it may retry.
+/// The maximum retry delay that is reported to a caller.
 const MAX_WAIT: Duration = Duration::from_secs(30);
--- a/crates/foldhaven-core/src/opaque/load_reports.rs
+++ b/crates/foldhaven-core/src/opaque/load_reports.rs
@@ -31,7 +31,7 @@
     /// Requests that can still be answered within their target.
     #[serde(rename = "whole")]
     pub on_track: u16,
-    /// Unanswered requests that are queued behind all others.
+    /// Unanswered deferred requests, which run after all timely ones.
     #[serde(rename = "behind")]
     pub deferred: u16,
     /// Prompt tokens of requests that have not been answered yet.
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Returns the sum over the other VMs for an upstream.
+    /// Returns the requests of all other VMs together at an upstream.
     pub fn total(&self, upstream: UpstreamTag) -> UpstreamShare {
         self.sums.get(&upstream).map_or(UpstreamShare::default(), ShareSum::share)
     }
--- a/crates/foldhaven-core/src/opaque/peer_table/announcements.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/announcements.rs
@@ -81,8 +81,8 @@
         entry.heartbeat.incarnation == announcement.incarnation
     }
 
-    /// Records the revision up to which a VM delivered all it knows when asked. A VM that claimed a
-    /// later one isn't asked for that again.
+    /// Records the revision up to which a VM delivered its changes on request. If it had announced
+    /// a later one, that is lowered, so that the VM isn't asked for it again.
     pub fn record_delivered_revision(&mut self, peer: SocketAddr, revision: u64) {
         let entry = self.peers.values_mut().find(|entry| entry.heartbeat.peer == peer);
         if let Some(entry) = entry {
--- a/crates/foldhaven-core/src/opaque/peer_table/mod.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/mod.rs
@@ -62,8 +62,8 @@
 /// are responsive ones. A VM that takes requests is seen several times a second, so half of the
 /// callers of one that died are redirected a second sooner than with the liveness timeout alone.
 const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(1_500);
-/// A VM that was last seen this long ago is removed from the table. Until then it counts where
-/// limits are divided.
+/// A VM that was last seen this long ago is removed from the table. Until then it is one of the VMs
+/// that limits are divided by.
 const EXPIRE_AFTER: Duration = Duration::from_secs(30);
 
 /// Describes the VM that a table belongs to.
--- a/crates/foldhaven-core/src/opaque/peer_table/senders.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/senders.rs
@@ -10,10 +10,11 @@
 use crate::rank::rank_hash;
 use crate::time::MonoTime;
 
-/// The VMs that share the limits of the region, and the addresses of the other ones.
+/// The VMs that share the limits of the region (senders), with what this VM needs to reach
+/// agreement with the other ones. Empty if this VM isn't a sender.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SenderView {
-    /// Names of the VMs.
+    /// Names of the senders.
     pub list: SenderList,
     /// Digest of the incarnations of the live senders, the same at all VMs that know the same ones;
     /// `None` if this VM isn't a sender.
--- a/crates/foldhaven-core/src/opaque/peer_table/views.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/views.rs
@@ -1,4 +1,5 @@
-//! Compares the views of two VMs on which VMs of a region are live, and repairs differences.
+//! Compares the views of two VMs, that is, which VMs of a region each of them regards as live, and
+//! repairs differences.
 //!
 //! This guards against two VMs that both know a third one but not each other. Each sends heartbeats
 //! only to the VMs that it knows, in a small region no VM relays the heartbeats of others, and a VM
--- a/crates/foldhaven-core/src/opaque/report_planner.rs
+++ b/crates/foldhaven-core/src/opaque/report_planner.rs
@@ -13,11 +13,13 @@
 use crate::opaque::affinity::PromptPlacement;
 use crate::opaque::region_reports::RegionReport;
 
-/// How often a VM without requests receives a report from a VM that has some. While it stands by it
-/// needs only to know that the other is live; with its first request it receives every round.
+/// The interval at which a VM without requests receives a report from a VM that has some. Such a VM
+/// needs only to know that the other one is live. Once it has a request, it receives a report in
+/// every round.
 const INACTIVE_INTERVAL: Duration = Duration::from_millis(700);
 
-/// Updates that are sent once, in addition to the load that each report contains.
+/// The parts of a report that each VM receives once, in addition to the load that is in every
+/// report.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ReportUpdates {
     /// Long prompts that were sent.
@@ -66,9 +68,9 @@
 }
 
 impl ReportPlanner {
-    /// Plans the report of a VM without requests. The `baseline` VMs receive it as a sign of life.
-    /// If there are updates, all `targets` receive it, along with updates that some of them have
-    /// yet to receive.
+    /// Plans the report of this VM while it has no requests. The `baseline` VMs receive it as a sign
+    /// of life. If there are updates, all `targets` receive it, along with updates that some of
+    /// them have yet to receive.
     pub fn plan_idle(
         &mut self,
         targets: &[ReportTarget],
--- a/crates/foldhaven-core/src/opaque/sender_agreement.rs
+++ b/crates/foldhaven-core/src/opaque/sender_agreement.rs
@@ -93,7 +93,7 @@
         Self { own, list: None, changed_at: now, round, sent_rounds, peers }
     }
 
-    /// Sets the list that this VM holds; `None` if it is on none.
+    /// Sets the list that this VM holds; `None` if it isn't a sender.
     pub fn set_list(&mut self, list: Option<ListDigest>, now: MonoTime) {
         if list != self.list {
             self.list = list;
--- a/crates/foldhaven-core/src/opaque/suspects/table.rs
+++ b/crates/foldhaven-core/src/opaque/suspects/table.rs
@@ -12,8 +12,8 @@
 use crate::time::MonoTime;
 use lru::LruCache;
 
-/// From this number of exits on, a request is probed by one VM at a time. Few requests that aren't
-/// the cause are at two upstreams that exit before they are answered once.
+/// From this number of exits on, a request is probed by one VM at a time. A harmless request is
+/// rarely at two upstreams that exit before it was answered once.
 pub const PROBE_EXITS: usize = 2;
 /// From this number of exits on, a request is refused and probed only after long delays.
 pub const REFUSE_EXITS: usize = 3;
@@ -61,7 +61,7 @@
 pub enum SuspectVerdict {
     /// It is forwarded like any other.
     Allowed,
-    /// It may be forwarded once, to one upstream, while other VMs hold it back.
+    /// It may be forwarded once, to one upstream, while other VMs refuse it.
     Probe,
     /// It is not forwarded.
     Refused {
@@ -156,10 +156,10 @@
         }
     }
 
-    /// Returns the time until a VM may probe the request. After the delay each VM waits for a
-    /// random part of it until its slot, so that the later ones learn of the first probe before
-    /// their own. A slot is a tenth of the delay and comes again after each delay: if no VM
-    /// received the request for a long time and then all do at one moment, only a few probe it.
+    /// Returns the time until a VM may probe the request. After the delay, each VM waits for a
+    /// random fraction of the delay until its slot begins, so that later VMs learn of the first
+    /// probe before their own. A slot lasts a tenth of the delay and recurs once per delay: if all
+    /// VMs receive the request at one moment after a long pause, only a few of them probe it.
     fn wait(&self, vm: VmTag, now: MonoTime) -> Duration {
         let backoff = self.backoff();
         if self.is_probe_unsent || backoff.is_zero() {
@@ -334,7 +334,8 @@
             return None;
         }
         self.exonerate(fingerprint, now);
-        // A single exit holds nothing back at other VMs, and their records of it expire.
+        // A single exit does not quarantine the request at other VMs, and their records of it
+        // expire.
         if self.entries.get(&fingerprint).is_some_and(|entry| entry.is_global) {
             self.queue_update(fingerprint, UpdateScope::Global);
         }
@@ -416,9 +417,9 @@
     }
 
     /// Returns the records that are resent in a round, at most [`MAX_RECORDS_PER_MESSAGE`]: those
-    /// that hold requests back, and exonerations from that. Recently changed ones are resent in
-    /// every round, because datagrams get lost; older ones only in a few rounds, for VMs that were
-    /// partitioned.
+    /// of requests that are or were quarantined. Recently changed ones are resent in every round,
+    /// because datagrams get lost; older ones that still have exits only in every
+    /// [`FULL_ROUND_INTERVAL`]-th round, for VMs that were partitioned.
     pub fn next_resent(&mut self, now: MonoTime) -> Vec<SuspectRecord> {
         self.rounds = self.rounds.wrapping_add(1);
         let is_full = self.rounds.is_multiple_of(FULL_ROUND_INTERVAL);
@@ -483,7 +484,7 @@
             return None;
         }
         if record.exonerations > previous.exonerations {
-            // An answer counts once, wherever it was given.
+            // Each complete answer counts once, also if another VM counted it.
             self.recent_successes.pop(&fingerprint);
         }
         self.evict_if_full();
