--- a/crates/foldhaven-core/src/opaque/affinity.rs
+++ b/crates/foldhaven-core/src/opaque/affinity.rs
@@ -83,7 +83,7 @@
     pub upstream: UpstreamTag,
     /// The shared segments of the prompt.
     pub shared: Vec<PromptSegment>,
-    /// The number of tokens in the request's own segment and in the longest answer.
+    /// The number of prompt tokens that belong to this request alone.
     #[serde(rename = "own_tokens")]
     pub unshared_tokens: u32,
 }
--- a/crates/foldhaven-core/src/opaque/caller_timeouts.rs
+++ b/crates/foldhaven-core/src/opaque/caller_timeouts.rs
@@ -8,8 +8,8 @@
 
 use crate::time::MonoTime;
 
-/// The length of a window. The longest time announced in this and the previous window is taken for
-/// that of a request that was not tried before.
+/// The length of a window. The longest time announced in this and the previous window is assumed to
+/// be the one that a request announces at its first attempt.
 const WINDOW: Duration = Duration::from_secs(10);
 
 /// The longest remaining times that callers of one route have recently announced.
--- a/crates/foldhaven-core/src/opaque/choice/mod.rs
+++ b/crates/foldhaven-core/src/opaque/choice/mod.rs
@@ -24,7 +24,7 @@
 /// would defer requests whose expected time is just above the target, and that estimate is wrong
 /// too often.
 const DEFERRAL_PROBABILITY: f64 = 0.9;
-/// The number of prompt tokens that one token of the answer counts for, by the users' weighting.
+/// The weight of one answer token in the size of a request, in prompt tokens. The users set it.
 pub const OUTPUT_WEIGHT: u32 = 10;
 /// The size in tokens of a request that does not say how many tokens it has.
 pub const DEFAULT_SIZE: u32 = 500;
--- a/crates/foldhaven-core/src/opaque/demand_exchange.rs
+++ b/crates/foldhaven-core/src/opaque/demand_exchange.rs
@@ -34,7 +34,7 @@
     pub demand: f64,
 }
 
-/// What a VM knows about the VMs of its region.
+/// The VMs of its region that a VM shares limits with, as far as it knows them.
 #[derive(Debug, Clone, Copy)]
 pub struct LocalSharers {
     /// The number of VMs that may exist, including this one.
@@ -46,7 +46,8 @@
     pub is_informed: bool,
 }
 
-/// The demand that a VM knows of, and what it has reported of its own.
+/// The demand that other VMs and regions have reported to this VM, and the demand that it has
+/// reported to them.
 #[derive(Debug)]
 pub struct DemandExchange {
     vm: VmTag,
@@ -252,7 +253,7 @@
         })
     }
 
-    /// Drops pending relays and past demand while no account has a limit.
+    /// Drops pending relays and past demand, which are not needed while no account has a limit.
     pub fn clear_pending(&mut self) {
         self.pending_relays.clear();
         self.region_history.clear();
--- a/crates/foldhaven-core/src/opaque/directory.rs
+++ b/crates/foldhaven-core/src/opaque/directory.rs
@@ -42,16 +42,16 @@
     bound: impl Fn(&RegionName) -> usize,
     has_bound: bool,
 ) -> Vec<SocketAddr> {
-    let own = select(serving, local, |beat| beat.region == *region);
+    let own = select(serving, local, |heartbeat| heartbeat.region == *region);
     if !own.is_empty() {
         return own;
     }
-    let candidates = serving.iter().filter(|beat| beat.phase == PeerPhase::Serving);
-    let most = candidates.map(|beat| bound(&beat.region)).max().unwrap_or_default();
+    let candidates = serving.iter().filter(|heartbeat| heartbeat.phase == PeerPhase::Serving);
+    let most = candidates.map(|heartbeat| bound(&heartbeat.region)).max().unwrap_or_default();
     if most == 0 && has_bound {
         return Vec::new();
     }
-    select(serving, local, |beat| bound(&beat.region) == most)
+    select(serving, local, |heartbeat| bound(&heartbeat.region) == most)
 }
 
 fn select(
@@ -59,11 +59,15 @@
     local: &LocalService<'_>,
     passes: impl Fn(&PeerHeartbeat) -> bool,
 ) -> Vec<SocketAddr> {
-    let candidates = serving.iter().filter(|beat| beat.phase == PeerPhase::Serving && passes(beat));
+    let candidates = serving
+        .iter()
+        .filter(|heartbeat| heartbeat.phase == PeerPhase::Serving && passes(heartbeat));
     let candidates: Vec<&PeerHeartbeat> = candidates.collect();
-    let regions: BTreeSet<&RegionName> = candidates.iter().map(|beat| &beat.region).collect();
+    let regions: BTreeSet<&RegionName> =
+        candidates.iter().map(|heartbeat| &heartbeat.region).collect();
     let in_service = regions.into_iter().flat_map(|region| {
-        let in_region = candidates.iter().copied().filter(|beat| beat.region == *region).collect();
+        let in_region =
+            candidates.iter().copied().filter(|heartbeat| heartbeat.region == *region).collect();
         in_service(in_region, local, region)
     });
     sample_by_size(&in_service.collect::<Vec<_>>(), local.responder)
@@ -75,38 +79,45 @@
     local: &LocalService<'_>,
     region: &RegionName,
 ) -> Vec<&'a PeerHeartbeat> {
-    let responsive: Vec<&PeerHeartbeat> =
-        candidates.iter().copied().filter(|beat| !local.unresponsive.contains(&beat.vm)).collect();
+    let responsive: Vec<&PeerHeartbeat> = candidates
+        .iter()
+        .copied()
+        .filter(|heartbeat| !local.unresponsive.contains(&heartbeat.vm))
+        .collect();
     let candidates = if responsive.len() * MIN_RESPONSIVE_ONE_IN > candidates.len() {
         responsive
     } else {
         candidates
     };
-    let order = ServiceOrder::of(candidates.iter().map(|beat| ServiceCandidate::of(beat)));
+    let order =
+        ServiceOrder::of(candidates.iter().map(|heartbeat| ServiceCandidate::of(heartbeat)));
     let selected = match region == local.region {
         true => order.for_demand(local.demand),
         false => order.baseline(),
     };
     let names: BTreeSet<&VmName> = selected.iter().map(|candidate| candidate.vm).collect();
-    candidates.into_iter().filter(|beat| names.contains(&beat.vm)).collect()
+    candidates.into_iter().filter(|heartbeat| names.contains(&heartbeat.vm)).collect()
 }
 
 /// Returns the addresses for one answer. Callers use all addresses of an answer equally often, so
 /// smaller VMs are left out of more answers. The choice depends on a rank that includes the
 /// answering VM, so that its callers get the same addresses each time and keep their connections.
 fn sample_by_size(selected: &[&PeerHeartbeat], responder: &VmName) -> Vec<SocketAddr> {
-    let largest = selected.iter().map(|beat| beat.cores.as_cores()).fold(0.0, f64::max);
-    let weight =
-        |beat: &PeerHeartbeat| if largest > 0.0 { beat.cores.as_cores() / largest } else { 1.0 };
-    let total_weight: f64 = selected.iter().map(|beat| weight(beat)).sum();
+    let largest = selected.iter().map(|heartbeat| heartbeat.cores.as_cores()).fold(0.0, f64::max);
+    let weight = |heartbeat: &PeerHeartbeat| {
+        if largest > 0.0 { heartbeat.cores.as_cores() / largest } else { 1.0 }
+    };
+    let total_weight: f64 = selected.iter().map(|heartbeat| weight(heartbeat)).sum();
     let fit = (MAX_ADDRESSES as f64 / total_weight).min(1.0);
-    let rank = |beat: &PeerHeartbeat| rank_hash(&[responder.as_str(), beat.vm.as_str()]);
+    let rank = |heartbeat: &PeerHeartbeat| rank_hash(&[responder.as_str(), heartbeat.vm.as_str()]);
     let mut ranked: Vec<(f64, &PeerHeartbeat)> = selected
         .iter()
-        .map(|beat| (rank(beat) as f64 / u64::MAX as f64 / (weight(beat) * fit), *beat))
+        .map(|heartbeat| {
+            (rank(heartbeat) as f64 / u64::MAX as f64 / (weight(heartbeat) * fit), *heartbeat)
+        })
         .collect();
     ranked.sort_by(|left, right| left.0.total_cmp(&right.0));
     let count = ranked.iter().filter(|(rank, _)| *rank <= 1.0).count();
     let named = ranked.iter().take(count.clamp(1, MAX_ADDRESSES));
-    named.map(|(_, beat)| beat.caller).collect()
+    named.map(|(_, heartbeat)| heartbeat.caller).collect()
 }
--- a/crates/foldhaven-core/src/opaque/limit_share.rs
+++ b/crates/foldhaven-core/src/opaque/limit_share.rs
@@ -70,7 +70,7 @@
         Self { regions, silent_regions: regions - 1, vms: 1, silent_vms: 0, is_informed: false }
     }
 
-    /// The number of VMs in this region to divide by.
+    /// The number of VMs in this region that its share is divided by.
     fn assumed_vms(&self) -> usize {
         match self.is_informed {
             true => self.vms.max(1),
@@ -123,7 +123,7 @@
 pub struct LimitShare {
     /// The permitted rate per second.
     pub per_s: f64,
-    /// The permitted rate per second once the share has expired.
+    /// The maximum permitted rate per second once the share has expired.
     pub equal_per_s: f64,
     /// The maximum amount that is permitted at once after a pause.
     pub burst: f64,
@@ -224,7 +224,7 @@
         meter
     }
 
-    /// Puts a new share in force.
+    /// Replaces the share.
     pub fn renew(&mut self, share: LimitShare, now: MonoTime) {
         self.refill(now);
         self.share = share;
--- a/crates/foldhaven-core/src/opaque/peer_table/announcements.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/announcements.rs
@@ -61,7 +61,7 @@
         self.0 > known
     }
 
-    /// Drops the offer, because no VM that knows the revision is left.
+    /// Drops the offer. Called when no VM that knows the revision is left.
     pub fn forget(&mut self) {
         *self = Self::default();
     }
--- a/crates/foldhaven-core/src/opaque/peer_table/mod.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/mod.rs
@@ -282,7 +282,8 @@
         self.peers.get_mut(self.tags.get(&tag)?)
     }
 
-    /// Returns whether there are more VMs than heartbeats reach directly within two rounds.
+    /// Returns whether there are more VMs, over all regions, than heartbeats reach directly within
+    /// two rounds.
     fn is_large_fleet(&self) -> bool {
         self.peers.len() > 2 * FAN_OUT + 2
     }
--- a/crates/foldhaven-core/src/opaque/peer_table/requests.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/requests.rs
@@ -16,7 +16,7 @@
     }
 
     /// Makes the next round request all heartbeats again, because the known ones are too old.
-    pub fn ask_again(&mut self) {
+    pub fn request_all_again(&mut self) {
         self.has_requested_all = false;
     }
 
--- a/crates/foldhaven-core/src/opaque/peer_table/targets.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/targets.rs
@@ -129,10 +129,10 @@
         self.peers.values().map(|entry| entry.heartbeat.peer).collect()
     }
 
-    /// Returns the liveness updates that are relayed with this VM's heartbeat. There are none if
-    /// heartbeats reach every VM of the region directly within two rounds; otherwise those of live
-    /// VMs of the region that this VM hasn't relayed yet. VMs of other regions are reported by
-    /// their delegates.
+    /// Returns the liveness updates that are relayed with this VM's heartbeat: those of live VMs of
+    /// the region that this VM hasn't relayed yet. There are none if there are so few VMs that
+    /// heartbeats reach all of them directly within two rounds. VMs of other regions are reported
+    /// by their delegates.
     pub fn next_liveness_updates(&mut self, now: MonoTime) -> Vec<LivenessUpdate> {
         if !self.is_large_fleet() {
             return Vec::new();
--- a/crates/foldhaven-core/src/opaque/rate_share.rs
+++ b/crates/foldhaven-core/src/opaque/rate_share.rs
@@ -143,7 +143,7 @@
         self.next_slot = self.next_slot.max(moment);
     }
 
-    /// Applies a higher rate from now on.
+    /// Applies a higher rate from now on: the next slot comes at most one interval of it later.
     pub fn raise_rate(&mut self, rate: f64, now: MonoTime) {
         if let Ok(interval) = Duration::try_from_secs_f64(1.0 / rate) {
             self.next_slot = self.next_slot.min(now + interval);
--- a/crates/foldhaven-core/src/opaque/region_reports.rs
+++ b/crates/foldhaven-core/src/opaque/region_reports.rs
@@ -36,8 +36,8 @@
     pub sequence: u32,
     /// The waits at the upstreams of the region.
     pub waits: Vec<ServiceWait>,
-    /// The VMs that serve in the region, as the delegate heard from each of them. Empty in most
-    /// reports.
+    /// The VMs that serve in the region and from which the delegate recently received messages.
+    /// Empty in most reports.
     #[serde(rename = "lives")]
     pub live_vms: Vec<VmIncarnation>,
 }
--- a/crates/foldhaven-core/src/opaque/report_planner.rs
+++ b/crates/foldhaven-core/src/opaque/report_planner.rs
@@ -68,9 +68,9 @@
 }
 
 impl ReportPlanner {
-    /// Plans the report of this VM while it has no requests. The `baseline` VMs receive it as a sign
-    /// of life. If there are updates, all `targets` receive it, along with updates that some of
-    /// them have yet to receive.
+    /// Plans the report of this VM while it has no requests. The `baseline` VMs receive it as a
+    /// sign of life. If there are updates, all `targets` receive it, along with updates that some
+    /// of them have yet to receive.
     pub fn plan_idle(
         &mut self,
         targets: &[ReportTarget],
--- a/crates/foldhaven-core/src/opaque/sender_agreement.rs
+++ b/crates/foldhaven-core/src/opaque/sender_agreement.rs
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Returns the list that this VM confirms.
+    /// Returns the list that this VM confirms; `None` until it has held it for [`SETTLE_TIME`].
     fn settled_list(&self, now: MonoTime) -> Option<ListDigest> {
         self.list.filter(|_| now.since(self.changed_at) >= SETTLE_TIME)
     }
@@ -169,7 +169,7 @@
         (now < until).then_some(until)
     }
 
-    /// Forgets VMs that are no longer known.
+    /// Drops the confirmations of VMs that are no longer known.
     pub fn retain(&mut self, known: impl Fn(VmTag) -> bool) {
         self.peers.retain(|vm, _| known(*vm));
     }
--- a/crates/foldhaven-core/src/opaque/service_order.rs
+++ b/crates/foldhaven-core/src/opaque/service_order.rs
@@ -46,8 +46,8 @@
 
 impl<'a> ServiceCandidate<'a> {
     /// Returns the candidate for a heartbeat.
-    pub fn of(beat: &'a PeerHeartbeat) -> Self {
-        Self { vm: &beat.vm, data_centre: &beat.data_centre, cores: beat.cores }
+    pub fn of(heartbeat: &'a PeerHeartbeat) -> Self {
+        Self { vm: &heartbeat.vm, data_centre: &heartbeat.data_centre, cores: heartbeat.cores }
     }
 }
 
--- a/crates/foldhaven-core/src/opaque/suspects/table.rs
+++ b/crates/foldhaven-core/src/opaque/suspects/table.rs
@@ -41,9 +41,9 @@
 /// Maximum number of recently answered requests that are remembered.
 const MAX_RECENT_SUCCESSES: NonZeroUsize = NonZeroUsize::new(4_096).expect("not zero");
 /// From this number of cleared exits on, a request is inconclusive: from then on only a probe
-/// exonerates it, and each time two exits are enough to refuse it. A harmless request gets there if
-/// it was at that many upstreams that exited within half an hour; it is then held back for 10 to 20
-/// s.
+/// exonerates it, and each time two exits are enough to refuse it. A harmless request becomes
+/// inconclusive if it was at that many upstreams that exited within half an hour; it is then
+/// refused for 10 to 20 s.
 const INCONCLUSIVE_CLEARED_EXITS: u8 = 8;
 /// How long a complete answer counts in favour of its request.
 const SUCCESS_MAX_AGE: Duration = Duration::from_secs(300);
@@ -103,8 +103,8 @@
 #[derive(Debug, Clone, Copy)]
 struct PendingUpdate {
     scope: UpdateScope,
-    /// Whether several VMs may have reached the same conclusion at the same time; the first one
-    /// that sends the update spares the others doing so.
+    /// Whether several VMs may have made the same update at the same time. Once one of them has
+    /// sent it, the others need not.
     is_shared: bool,
 }
 
--- a/crates/foldhaven-core/src/opaque/upstream_signals.rs
+++ b/crates/foldhaven-core/src/opaque/upstream_signals.rs
@@ -13,7 +13,7 @@
 /// How long the end of a limit is remembered, so that a VM that has not received it does not
 /// restore the limit.
 const ENDED_RETENTION: Duration = Duration::from_secs(10);
-/// How long the signals of an upstream are remembered while it is not listed.
+/// How long after its last signal an upstream is remembered although it is not listed.
 const UNLISTED_RETENTION: Duration = Duration::from_secs(60);
 
 /// When an answer was received, and when its request was sent.
@@ -116,7 +116,8 @@
         self.entries.iter().map(|(upstream, entry)| entry.notice(*upstream, now)).collect()
     }
 
-    /// Removes upstreams that are gone. One that is listed again soon is the same process.
+    /// Removes upstreams that are not listed and whose last signal is old. Until then an upstream
+    /// may be listed again, and is still the same process.
     pub fn remove_expired(&mut self, is_listed: impl Fn(UpstreamTag) -> bool, now: MonoTime) {
         self.entries.retain(|upstream, entry| {
             is_listed(*upstream) || now.since(entry.signalled_at) < UNLISTED_RETENTION
@@ -235,7 +236,7 @@
         self.entries.iter().map(|(upstream, entry)| entry.notice(*upstream, now)).collect()
     }
 
-    /// Removes limits that have ended, and those of upstreams that are gone.
+    /// Removes old limits that have ended or whose upstreams are not listed.
     pub fn remove_expired(&mut self, is_listed: impl Fn(UpstreamTag) -> bool, now: MonoTime) {
         self.entries.retain(|upstream, entry| {
             let retention = match (entry.limit, is_listed(*upstream)) {
--- a/crates/foldhaven-core/src/opaque/upstream_table.rs
+++ b/crates/foldhaven-core/src/opaque/upstream_table.rs
@@ -49,7 +49,8 @@
 }
 
 impl UpstreamEntry {
-    /// Returns whether a record differs from this entry, apart from the passing of time.
+    /// Returns whether a record differs from this entry. A remaining cold time that only became
+    /// shorter is no difference.
     fn differs_from(&self, record: &UpstreamRecord, now: MonoTime) -> bool {
         let is_cold = self.cold_until.since(now) > Duration::ZERO;
         let known = UpstreamRecord { cold_for: record.cold_for, ..self.record.clone() };
@@ -98,8 +99,8 @@
         }
     }
 
-    /// Removes an upstream whose record no longer describes one. It is not used any longer, even
-    /// where a removal would be taken for a lapsed entry.
+    /// Removes an upstream whose record has become invalid. Unlike after
+    /// [`UpstreamTable::remove`], it is never used for some time longer.
     pub fn withdraw(&mut self, name: &UpstreamName) {
         self.entries.remove(name);
     }
@@ -130,7 +131,7 @@
         self.list_failed_at = Some(now);
     }
 
-    /// Sets the evacuated data centres.
+    /// Sets the evacuated data centres, whose upstreams get no requests.
     pub fn set_evacuated(&mut self, evacuated: BTreeSet<DataCentreName>) {
         self.evacuated = evacuated;
     }
--- a/crates/foldhaven-core/src/opaque/view_staleness.rs
+++ b/crates/foldhaven-core/src/opaque/view_staleness.rs
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Applies that this VM's state is now complete up to revision `held`.
+    /// Records that this VM's state is now complete up to revision `held`.
     pub fn advance_to(&mut self, held: u64) {
         if let Some(confirmation) = self.pending.take_if(|pending| pending.revision <= held) {
             self.apply(confirmation, held);
--- a/crates/foldhaven-gateway/src/control/suspension.rs
+++ b/crates/foldhaven-gateway/src/control/suspension.rs
@@ -14,7 +14,7 @@
         tracing::warn!(still_ms, revision, version, "the process was suspended");
         self.shared.metrics.count_event("stood_still");
         self.shared.suspects.mark_uninformed();
-        self.peers.ask_again();
+        self.peers.request_all_again();
         self.upstreams.values().for_each(|upstream| upstream.pool.clear());
         self.links.values().for_each(|link| link.pool.clear());
     }
--- a/crates/foldhaven-testkit/src/membership/world.rs
+++ b/crates/foldhaven-testkit/src/membership/world.rs
@@ -195,7 +195,7 @@
             self.seeds.iter().copied().filter(|seed| *seed != own.peer).collect();
         let table = self.vms[vm].table.as_mut().expect("it is up");
         if self.way == TellingWay::AskingAgain && own.sequence.is_multiple_of(ASKING_ROUNDS) {
-            table.ask_again();
+            table.request_all_again();
         }
         let call = RoundInput { own: own.clone(), seeds, is_to_all: false };
         let beats = table.plan_round(call, now);
