--- a/crates/foldhaven-core/src/opaque/account_demand.rs
+++ b/crates/foldhaven-core/src/opaque/account_demand.rs
@@ -122,7 +122,8 @@
         self.regions.len() + 1
     }
 
-    /// Applies the report of a VM of this region. Returns whether it is newer than the one held.
+    /// Applies the report of a VM of this region. Returns whether it is valid and newer than the one
+    /// held.
     pub fn apply_vm(&mut self, demand: &VmDemand) -> bool {
         let order = (demand.incarnation, demand.sequence);
         if self.vms.get(&demand.vm).is_some_and(|newest| order <= newest.order) {
@@ -133,8 +134,8 @@
         true
     }
 
-    /// Applies the report of a delegate of another region. Returns whether it is newer than the
-    /// last one from this delegate.
+    /// Applies the report of a delegate of another region. Returns whether it is valid and newer
+    /// than the last one from this delegate.
     pub fn apply_region(&mut self, demand: &RegionDemand, now: MonoTime) -> bool {
         if !self.regions.contains(&demand.region)
             || demand.heard_regions.len() > self.region_count()
@@ -176,7 +177,8 @@
         self.regions.len() - self.mutual(now).count()
     }
 
-    /// Returns the reported demand of an account, where `own` is what this VM reported.
+    /// Returns the reported demand of an account, where `own` is what this VM reported. It assumes
+    /// that other regions already know the current demand of this one.
     pub fn reported_demand(&self, account: AccountTag, own: f64, now: MonoTime) -> ReportedDemand {
         let local_peers = self.local_peers_demand(account);
         let other_regions =
--- a/crates/foldhaven-core/src/opaque/admission.rs
+++ b/crates/foldhaven-core/src/opaque/admission.rs
@@ -41,8 +41,8 @@
     TooMuchInterference,
     /// The queues of all destinations are full.
     Full,
-    /// The request cannot be answered within its target, and the destination already has as many
-    /// waiting deferred requests as slots.
+    /// The request cannot be answered within its target, and the destination already has at least
+    /// as many unanswered deferred requests as slots.
     TooManyDeferred,
 }
 
--- a/crates/foldhaven-core/src/opaque/event_interval.rs
+++ b/crates/foldhaven-core/src/opaque/event_interval.rs
@@ -45,7 +45,7 @@
     }
 
     /// Returns by how many seconds one more request lengthens the event interval of the others. It
-    /// is at least 0, and at most the slope of a line through the origin.
+    /// is at least 0, and at most the slope at which the interval would be 0 without requests.
     pub fn slope(&self) -> f64 {
         if self.weight <= 0.0 || self.load <= 0.0 {
             return 0.0;
--- a/crates/foldhaven-core/src/opaque/peer_table/readers.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/readers.rs
@@ -30,9 +30,10 @@
     /// would be saved, and a VM that reads learns of a change within milliseconds.
     pub const ALL_READ_BELOW: usize = 4;
 
-    /// Returns whether this VM is one of the readers of its region, which pass changes on to the
-    /// others. VMs that fail to read the platform don't count as readers, unless all of them fail.
-    /// The older the platform state is, by `age`, the more readers there are.
+    /// Returns whether this VM reads the platform: as one of the readers of its region, which pass
+    /// changes on to the others, or because the region is small. The older the platform state is,
+    /// by `age`, the more readers there are. VMs that fail to read the platform (`is_turned_away`)
+    /// keep trying but don't count as readers.
     pub fn is_reader(&self, is_turned_away: bool, age: Duration, now: MonoTime) -> bool {
         let local: Vec<&PeerHeartbeat> = self.live_local(now).collect();
         if local.len() < Self::ALL_READ_BELOW {
--- a/crates/foldhaven-core/src/opaque/suspects/in_flight.rs
+++ b/crates/foldhaven-core/src/opaque/suspects/in_flight.rs
@@ -38,7 +38,7 @@
         id
     }
 
-    /// Removes a request that can't have harmed the upstream: it was answered completely, declined
+    /// Removes a request that can't make the upstream exit: it was answered completely, declined
     /// or never sent.
     pub fn remove_harmless(&mut self, id: InFlightId) {
         self.take(id);
