--- a/crates/foldhaven-core/src/opaque/account_demand.rs
+++ b/crates/foldhaven-core/src/opaque/account_demand.rs
@@ -122,8 +122,8 @@
         self.regions.len() + 1
     }
 
-    /// Applies the report of a VM of this region. Returns whether it is valid and newer than the one
-    /// held.
+    /// Applies the report of a VM of this region. Returns whether it is valid and newer than the
+    /// one held.
     pub fn apply_vm(&mut self, demand: &VmDemand) -> bool {
         let order = (demand.incarnation, demand.sequence);
         if self.vms.get(&demand.vm).is_some_and(|newest| order <= newest.order) {
@@ -212,7 +212,7 @@
     }
 }
 
-/// Parses the demands of a message; `None` if no VM would send them.
+/// Parses the demands of a message; `None` if one is negative, not a number or too large.
 fn parse_demands(demands: &[AccountDemand]) -> Option<BTreeMap<AccountTag, f64>> {
     let is_valid = |demand: f32| (0.0..=MAX_DEMAND_PER_S).contains(&demand);
     if demands.len() > MAX_ACCOUNTS_PER_MESSAGE
--- a/crates/foldhaven-core/src/opaque/load_reports.rs
+++ b/crates/foldhaven-core/src/opaque/load_reports.rs
@@ -169,13 +169,13 @@
         self.sums.get(&upstream).map_or(UpstreamShare::default(), ShareSum::share)
     }
 
-    /// Returns the VMs that had requests at an upstream according to their newest reports.
+    /// Returns the VMs that had requests at any upstream according to their newest reports.
     pub fn active_vms(&self) -> impl Iterator<Item = VmTag> {
         let active = self.reports.iter().filter(|(_, report)| !report.shares.is_empty());
         active.map(|(vm, _)| *vm)
     }
 
-    /// Returns the CPU time that the other VMs use for their requests, in total.
+    /// Returns the total CPU time that the other VMs use for their requests.
     pub fn busy(&self) -> CoreShare {
         let reports = self.reports.values();
         reports.fold(CoreShare::default(), |sum, report| sum.saturating_add(report.busy))
--- a/crates/foldhaven-core/src/opaque/peer_table/mod.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/mod.rs
@@ -212,7 +212,7 @@
         self.incarnation
     }
 
-    /// Adopts an incarnation after one that other VMs still know for this VM. Incarnations are
+    /// Adopts an incarnation later than one that other VMs still know for this VM. Incarnations are
     /// numbered by the wall clock, which may have been set back between two starts, and other VMs
     /// ignore an earlier incarnation.
     fn supersede_incarnation(&mut self, known: IncarnationId) {
--- a/crates/foldhaven-core/src/opaque/region_reports.rs
+++ b/crates/foldhaven-core/src/opaque/region_reports.rs
@@ -85,8 +85,8 @@
         self.newest(region, now)?.waits.iter().find(|wait| wait.service == tag).copied()
     }
 
-    /// Whether a region reports, but reports no wait for a service: none of its upstreams accepts
-    /// requests.
+    /// Whether the newest report of a region is fresh but lacks a wait for a service, which means
+    /// that none of the service's upstreams there accepts requests.
     pub fn is_closed(&self, region: &RegionName, service: &ServiceName, now: MonoTime) -> bool {
         self.newest(region, now).is_some() && self.wait(region, service, now).is_none()
     }
--- a/crates/foldhaven-core/src/opaque/suspects/table.rs
+++ b/crates/foldhaven-core/src/opaque/suspects/table.rs
@@ -191,8 +191,7 @@
     fn backoff(&self) -> Duration {
         let SuspectRecord { exits, probes, cleared_exits, .. } = &self.record;
         if self.is_inconclusive() && self.is_quarantined() {
-            // Each time that the request was cleared again lengthens the next delay, as a probe
-            // does.
+            // Each further exoneration lengthens the next delay, as a probe does.
             let recurrences =
                 u32::from(cleared_exits - INCONCLUSIVE_CLEARED_EXITS) / PROBE_EXITS as u32;
             return grow_backoff(FIRST_REFUSAL_DELAY, u32::from(*probes) + recurrences);
