--- a/crates/foldhaven-core/src/opaque/account_demand.rs
+++ b/crates/foldhaven-core/src/opaque/account_demand.rs
@@ -212,7 +212,7 @@
     }
 }
 
-/// Parses the demands of a message; `None` if one is negative, not a number or too large.
+/// Parses the demands of a message; `None` if there are too many or one is out of range.
 fn parse_demands(demands: &[AccountDemand]) -> Option<BTreeMap<AccountTag, f64>> {
     let is_valid = |demand: f32| (0.0..=MAX_DEMAND_PER_S).contains(&demand);
     if demands.len() > MAX_ACCOUNTS_PER_MESSAGE
--- a/crates/foldhaven-core/src/opaque/choice/sample.rs
+++ b/crates/foldhaven-core/src/opaque/choice/sample.rs
@@ -20,7 +20,7 @@
 /// as prefilling the tokens again takes longer than waiting in a queue.
 const LONG_PREFIX_TOKENS: u32 = 512;
 
-/// The staleness of load reports relative to how fast queues of a service change.
+/// How old the load reports are, and how fast the queues of the service change.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ReportStaleness {
     /// The age of the load reports of other VMs.
--- a/crates/foldhaven-core/src/opaque/directory.rs
+++ b/crates/foldhaven-core/src/opaque/directory.rs
@@ -12,7 +12,8 @@
 /// The maximum number of addresses in one answer; callers use no more.
 pub const MAX_ADDRESSES: usize = 64;
 /// Unresponsive VMs are left out if more than one in this many VMs is responsive, as when one of
-/// two data centres is lost. If fewer are, the connection of this VM is the more likely fault.
+/// two data centres is lost. If fewer are responsive, a faulty connection of this VM is the more
+/// likely cause.
 const MIN_RESPONSIVE_ONE_IN: usize = 3;
 
 /// What the directory knows about its own region.
@@ -28,30 +29,31 @@
 }
 
 /// Returns the addresses for a caller of a region: those of the region's VMs in service or, if none
-/// serves, those of the regions to which most routes of the host are bound. Returns none if the
-/// host has bound routes and none of their regions serves, as while the few VMs of a small
-/// deployment restart: the requests must not go elsewhere, and callers keep the addresses that they
-/// have.
+/// serves, those of the regions to which most routes of the host are bound. Returns no addresses if
+/// the host has bound routes and no VM serves in any of their regions, for example while the few
+/// VMs of a small deployment restart: the requests must not go elsewhere, and callers keep the
+/// addresses that they have.
 ///
-/// `bound` returns how many routes of the host are bound to a region; `has_bound` is whether any
-/// route is bound to a region.
+/// `bound_routes_in` returns how many routes of the host are bound to a region; `has_bound_routes`
+/// is whether any route is bound to a region.
 pub fn select_vms(
     serving: &[PeerHeartbeat],
     region: &RegionName,
     local: &LocalService<'_>,
-    bound: impl Fn(&RegionName) -> usize,
-    has_bound: bool,
+    bound_routes_in: impl Fn(&RegionName) -> usize,
+    has_bound_routes: bool,
 ) -> Vec<SocketAddr> {
     let own = select(serving, local, |heartbeat| heartbeat.region == *region);
     if !own.is_empty() {
         return own;
     }
     let candidates = serving.iter().filter(|heartbeat| heartbeat.phase == PeerPhase::Serving);
-    let most = candidates.map(|heartbeat| bound(&heartbeat.region)).max().unwrap_or_default();
-    if most == 0 && has_bound {
+    let most =
+        candidates.map(|heartbeat| bound_routes_in(&heartbeat.region)).max().unwrap_or_default();
+    if most == 0 && has_bound_routes {
         return Vec::new();
     }
-    select(serving, local, |heartbeat| bound(&heartbeat.region) == most)
+    select(serving, local, |heartbeat| bound_routes_in(&heartbeat.region) == most)
 }
 
 fn select(
--- a/crates/foldhaven-core/src/opaque/peer_table/announcements.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/announcements.rs
@@ -50,7 +50,7 @@
 
 impl OfferedRevision {
     /// Records the revision of an announcement that is an offer.
-    pub fn note(&mut self, announcement: &RevisionAnnouncement) {
+    pub fn record(&mut self, announcement: &RevisionAnnouncement) {
         if announcement.is_offer {
             self.0 = self.0.max(announcement.revision);
         }
--- a/crates/foldhaven-core/src/opaque/upstream_table.rs
+++ b/crates/foldhaven-core/src/opaque/upstream_table.rs
@@ -84,9 +84,9 @@
         self.entries.insert(entry.record.name.clone(), entry);
     }
 
-    /// Applies the removal of a record. If the list was unavailable recently, the entry may have
-    /// lapsed only because it was not renewed, so the upstream is used for some time longer unless
-    /// it is leaving.
+    /// Removes an upstream that is no longer listed. If the list was unavailable recently, the entry
+    /// may have lapsed only because it was not renewed, so the upstream is used for some time
+    /// longer unless it is leaving.
     pub fn remove(&mut self, name: &UpstreamName, now: MonoTime) {
         let may_have_lapsed =
             self.list_failed_at.is_some_and(|at| now.since(at) < LIST_FAILURE_WINDOW);
--- a/crates/foldhaven-core/tests/testsuite/opaque_news.rs
+++ b/crates/foldhaven-core/tests/testsuite/opaque_news.rs
@@ -191,9 +191,9 @@
 fn an_offer_remains_until_its_revision_is_known() {
     let mut offered = OfferedRevision::default();
     assert!(!offered.is_beyond(0));
-    offered.note(&RevisionAnnouncement { is_offer: true, ..announcement("vm-1", 100) });
-    offered.note(&RevisionAnnouncement { is_offer: true, ..announcement("vm-2", 98) });
-    offered.note(&announcement("vm-3", 200));
+    offered.record(&RevisionAnnouncement { is_offer: true, ..announcement("vm-1", 100) });
+    offered.record(&RevisionAnnouncement { is_offer: true, ..announcement("vm-2", 98) });
+    offered.record(&announcement("vm-3", 200));
     assert!(offered.is_beyond(98), "changes up to 98 do not satisfy the offer of 100");
     assert!(!offered.is_beyond(100));
     offered.forget();
--- a/crates/foldhaven-gateway/src/control/announcements.rs
+++ b/crates/foldhaven-gateway/src/control/announcements.rs
@@ -65,7 +65,7 @@
             self.staleness.apply(proof, self.platform.revision());
         }
         if notice.revision > self.platform.revision() {
-            self.offered.note(&notice);
+            self.offered.record(&notice);
             self.shared.newer_revision_notify.notify_one();
         }
     }
