--- a/crates/foldhaven-core/src/opaque/account_demand.rs
+++ b/crates/foldhaven-core/src/opaque/account_demand.rs
@@ -205,7 +205,7 @@
             .map(|(tag, received)| (*tag, received))
     }
 
-    /// The regions that are heard from and hear from this one.
+    /// The regions whose report is fresh and says that they receive reports of this one.
     fn mutual(&self, now: MonoTime) -> impl Iterator<Item = &RegionEntry> {
         let fresh = self.fresh(now).map(|(_, received)| received);
         fresh.filter(|received| received.heard_regions.contains(&self.own_region))
--- a/crates/foldhaven-core/src/opaque/upstream_table.rs
+++ b/crates/foldhaven-core/src/opaque/upstream_table.rs
@@ -84,8 +84,8 @@
         self.entries.insert(entry.record.name.clone(), entry);
     }
 
-    /// Removes an upstream that is no longer listed. If the list was unavailable recently, the entry
-    /// may have lapsed only because it was not renewed, so the upstream is used for some time
+    /// Removes an upstream that is no longer listed. If the list was unavailable recently, the
+    /// entry may have lapsed only because it was not renewed, so the upstream is used for some time
     /// longer unless it is leaving.
     pub fn remove(&mut self, name: &UpstreamName, now: MonoTime) {
         let may_have_lapsed =
