--- a/crates/foldhaven-core/src/opaque/account_demand.rs
+++ b/crates/foldhaven-core/src/opaque/account_demand.rs
@@ -38,7 +38,7 @@
 /// The demand of the callers of one account, in units of its limit per second.
 pub type AccountDemand = (AccountTag, f32);
 
-/// The demand at one VM. Accounts that are missing have almost no demand.
+/// The demand at one VM. Accounts with almost no demand are left out.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct VmDemand {
     /// The VM.
@@ -122,7 +122,8 @@
         self.regions.len() + 1
     }
 
-    /// Applies the report of a VM of this region. Returns whether it is newer than the one held.
+    /// Applies the report of a VM of this region. Returns whether it is valid and newer than the
+    /// one held.
     pub fn apply_vm(&mut self, demand: &VmDemand) -> bool {
         let order = (demand.incarnation, demand.sequence);
         if self.vms.get(&demand.vm).is_some_and(|newest| order <= newest.order) {
@@ -133,8 +134,8 @@
         true
     }
 
-    /// Applies the report of a delegate of another region. Returns whether it is newer than the
-    /// last one from this delegate.
+    /// Applies the report of a delegate of another region. Returns whether it is valid and newer
+    /// than the last one from this delegate.
     pub fn apply_region(&mut self, demand: &RegionDemand, now: MonoTime) -> bool {
         if !self.regions.contains(&demand.region)
             || demand.heard_regions.len() > self.region_count()
@@ -154,8 +155,8 @@
         true
     }
 
-    /// Drops the reports of VMs that are no longer heard from. A share is reserved for them
-    /// instead.
+    /// Drops the reports of VMs that are no longer heard from. Instead of a share by demand, an
+    /// equal share is reserved for each of them.
     pub fn retain_vms(&mut self, is_heard: impl Fn(VmTag) -> bool) {
         self.vms.retain(|vm, _| is_heard(*vm));
     }
@@ -176,7 +177,8 @@
         self.regions.len() - self.mutual(now).count()
     }
 
-    /// Returns the reported demand of an account, where `own` is what this VM reported.
+    /// Returns the reported demand of an account, where `own` is what this VM reported. It assumes
+    /// that other regions already know the current demand of this one.
     pub fn reported_demand(&self, account: AccountTag, own: f64, now: MonoTime) -> ReportedDemand {
         let local_peers = self.local_peers_demand(account);
         let other_regions =
@@ -203,14 +205,14 @@
             .map(|(tag, received)| (*tag, received))
     }
 
-    /// The regions that are heard from and hear from this one.
+    /// The regions whose report is fresh and says that they receive reports of this one.
     fn mutual(&self, now: MonoTime) -> impl Iterator<Item = &RegionEntry> {
         let fresh = self.fresh(now).map(|(_, received)| received);
         fresh.filter(|received| received.heard_regions.contains(&self.own_region))
     }
 }
 
-/// Parses the demands of a message; `None` if no VM would send them.
+/// Parses the demands of a message; `None` if there are too many or one is out of range.
 fn parse_demands(demands: &[AccountDemand]) -> Option<BTreeMap<AccountTag, f64>> {
     let is_valid = |demand: f32| (0.0..=MAX_DEMAND_PER_S).contains(&demand);
     if demands.len() > MAX_ACCOUNTS_PER_MESSAGE
--- a/crates/foldhaven-core/src/opaque/demand_exchange.rs
+++ b/crates/foldhaven-core/src/opaque/demand_exchange.rs
@@ -34,19 +34,20 @@
     pub demand: f64,
 }
 
-/// What a VM knows about the VMs of its region.
+/// The VMs of its region that a VM shares limits with, as far as it knows them.
 #[derive(Debug, Clone, Copy)]
 pub struct LocalSharers {
     /// The number of VMs that may exist, including this one.
     pub vms: usize,
     /// The number of other VMs that were heard from recently.
     pub responsive: usize,
-    /// Whether this process has run long enough to hear from the others, and has heard from a VM
-    /// that every starting process asks first.
+    /// Whether this process has run long enough to hear from the others, and has heard from a seed,
+    /// one of the VMs that every starting process contacts first.
     pub is_informed: bool,
 }
 
-/// The demand that a VM knows of, and what it has reported of its own.
+/// The demand that other VMs and regions have reported to this VM, and the demand that it has
+/// reported to them.
 #[derive(Debug)]
 pub struct DemandExchange {
     vm: VmTag,
@@ -161,14 +162,13 @@
         })
     }
 
-    /// Whether the demand differs so much from what was reported that the others should divide by
-    /// it.
+    /// Whether the demand differs so much from the last report that it is reported at once.
     fn has_changed(&self, demand: &LimitedDemand, view: &SharerView, now: MonoTime) -> bool {
         let change = (demand.demand - self.announced_demand(demand.account)).abs();
         change > self.current_share(demand, view, now).per_s * ANNOUNCED_CHANGE_SHARE
     }
 
-    /// The share of this VM by what is known now, without the demand of earlier rounds.
+    /// The share of this VM by the demand known now, without the demand of earlier rounds.
     fn current_share(
         &self,
         demand: &LimitedDemand,
@@ -253,7 +253,7 @@
         })
     }
 
-    /// Drops pending relays and past demand while no account has a limit.
+    /// Drops pending relays and past demand, which are not needed while no account has a limit.
     pub fn clear_pending(&mut self) {
         self.pending_relays.clear();
         self.region_history.clear();
--- a/crates/foldhaven-core/src/opaque/load_reports.rs
+++ b/crates/foldhaven-core/src/opaque/load_reports.rs
@@ -31,7 +31,7 @@
     /// Requests that can still be answered within their target.
     #[serde(rename = "whole")]
     pub on_track: u16,
-    /// Unanswered requests that are queued behind all others.
+    /// Unanswered deferred requests, which run after all timely ones.
     #[serde(rename = "behind")]
     pub deferred: u16,
     /// Prompt tokens of requests that have not been answered yet.
@@ -164,18 +164,18 @@
         }
     }
 
-    /// Returns the sum over the other VMs for an upstream.
+    /// Returns the requests of all other VMs together at an upstream.
     pub fn total(&self, upstream: UpstreamTag) -> UpstreamShare {
         self.sums.get(&upstream).map_or(UpstreamShare::default(), ShareSum::share)
     }
 
-    /// Returns the VMs that had requests at an upstream according to their newest reports.
+    /// Returns the VMs that had requests at any upstream according to their newest reports.
     pub fn active_vms(&self) -> impl Iterator<Item = VmTag> {
         let active = self.reports.iter().filter(|(_, report)| !report.shares.is_empty());
         active.map(|(vm, _)| *vm)
     }
 
-    /// Returns the CPU time that the other VMs use for their requests, in total.
+    /// Returns the total CPU time that the other VMs use for their requests.
     pub fn busy(&self) -> CoreShare {
         let reports = self.reports.values();
         reports.fold(CoreShare::default(), |sum, report| sum.saturating_add(report.busy))
--- a/crates/foldhaven-core/src/opaque/peer_table/announcements.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/announcements.rs
@@ -16,7 +16,7 @@
 
 /// Number of VMs of each other region that receive an announcement, so that one lost message
 /// doesn't delay a change.
-const REMOTE_ANNOUNCEMENTS: usize = 2;
+const REMOTE_ANNOUNCEMENT_FAN_OUT: usize = 2;
 
 /// Announces the revision up to which a VM knows the platform's changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -50,7 +50,7 @@
 
 impl OfferedRevision {
     /// Records the revision of an announcement that is an offer.
-    pub fn note(&mut self, announcement: &RevisionAnnouncement) {
+    pub fn record(&mut self, announcement: &RevisionAnnouncement) {
         if announcement.is_offer {
             self.0 = self.0.max(announcement.revision);
         }
@@ -61,7 +61,7 @@
         self.0 > known
     }
 
-    /// Drops the offer, because no VM that knows the revision is left.
+    /// Drops the offer. Called when no VM that knows the revision is left.
     pub fn forget(&mut self) {
         *self = Self::default();
     }
@@ -81,8 +81,8 @@
         entry.heartbeat.incarnation == announcement.incarnation
     }
 
-    /// Records the revision up to which a VM delivered all it knows when asked. A VM that claimed a
-    /// later one isn't asked for that again.
+    /// Records the revision up to which a VM delivered its changes on request. If it had announced
+    /// a later one, that is lowered, so that the VM isn't asked for it again.
     pub fn record_delivered_revision(&mut self, peer: SocketAddr, revision: u64) {
         let entry = self.peers.values_mut().find(|entry| entry.heartbeat.peer == peer);
         if let Some(entry) = entry {
@@ -93,7 +93,7 @@
     /// Returns a few VMs of each other region, for announcements that don't wait for a round.
     pub fn remote_announcement_targets(&mut self, now: MonoTime) -> Vec<SocketAddr> {
         let mut targets = BTreeSet::new();
-        for _ in 0..REMOTE_ANNOUNCEMENTS {
+        for _ in 0..REMOTE_ANNOUNCEMENT_FAN_OUT {
             targets.extend(self.one_serving_per_remote_region(now));
         }
         targets.into_iter().collect()
--- a/crates/foldhaven-core/src/opaque/peer_table/mod.rs
+++ b/crates/foldhaven-core/src/opaque/peer_table/mod.rs
@@ -62,8 +62,8 @@
 /// are responsive ones. A VM that takes requests is seen several times a second, so half of the
 /// callers of one that died are redirected a second sooner than with the liveness timeout alone.
 const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(1_500);
-/// A VM that was last seen this long ago is removed from the table. Until then it counts where
-/// limits are divided.
+/// A VM that was last seen this long ago is removed from the table. Until then it is one of the VMs
+/// that limits are divided by.
 const EXPIRE_AFTER: Duration = Duration::from_secs(30);
 
 /// Describes the VM that a table belongs to.
@@ -212,7 +212,7 @@
         self.incarnation
     }
 
-    /// Adopts an incarnation after one that other VMs still know for this VM. Incarnations are
+    /// Adopts an incarnation later than one that other VMs still know for this VM. Incarnations are
     /// numbered by the wall clock, which may have been set back between two starts, and other VMs
     /// ignore an earlier incarnation.
     fn supersede_incarnation(&mut self, known: IncarnationId) {
@@ -250,7 +250,7 @@
     }
 
     /// Removes VMs that were last seen longer than `EXPIRE_AFTER` ago.
-    pub fn forget(&mut self, now: MonoTime) {
+    pub fn remove_expired(&mut self, now: MonoTime) {
         self.peers.retain(|_, entry| now.since(entry.last_seen) < EXPIRE_AFTER);
         let peers = &self.peers;
         self.tags.retain(|_, name| peers.contains_key(name));
@@ -282,7 +282,8 @@
         self.peers.get_mut(self.tags.get(&tag)?)
     }
 
-    /// Returns whether there are more VMs than heartbeats reach directly within two rounds.
+    /// Returns whether there are more VMs, over all regions, than heartbeats reach directly within
+    /// two rounds.
     fn is_large_fleet(&self) -> bool {
         self.peers.len() > 2 * FAN_OUT + 2
     }
--- a/crates/foldhaven-core/src/opaque/region_reports.rs
+++ b/crates/foldhaven-core/src/opaque/region_reports.rs
@@ -36,8 +36,8 @@
     pub sequence: u32,
     /// The waits at the upstreams of the region.
     pub waits: Vec<ServiceWait>,
-    /// The VMs that serve in the region, as the delegate heard from each of them. Empty in most
-    /// reports.
+    /// The VMs that serve in the region and from which the delegate recently received messages.
+    /// Empty in most reports.
     #[serde(rename = "lives")]
     pub live_vms: Vec<VmIncarnation>,
 }
@@ -85,8 +85,8 @@
         self.newest(region, now)?.waits.iter().find(|wait| wait.service == tag).copied()
     }
 
-    /// Whether a region reports, but reports no wait for a service: none of its upstreams accepts
-    /// requests.
+    /// Whether the newest report of a region is fresh but lacks a wait for a service, which means
+    /// that none of the service's upstreams there accepts requests.
     pub fn is_closed(&self, region: &RegionName, service: &ServiceName, now: MonoTime) -> bool {
         self.newest(region, now).is_some() && self.wait(region, service, now).is_none()
     }
--- a/crates/foldhaven-core/src/opaque/suspects/table.rs
+++ b/crates/foldhaven-core/src/opaque/suspects/table.rs
@@ -12,8 +12,8 @@
 use crate::time::MonoTime;
 use lru::LruCache;
 
-/// From this number of exits on, a request is probed by one VM at a time. Few requests that aren't
-/// the cause are at two upstreams that exit before they are answered once.
+/// From this number of exits on, a request is probed by one VM at a time. A harmless request is
+/// rarely at two upstreams that exit before it was answered once.
 pub const PROBE_EXITS: usize = 2;
 /// From this number of exits on, a request is refused and probed only after long delays.
 pub const REFUSE_EXITS: usize = 3;
@@ -41,9 +41,9 @@
 /// Maximum number of recently answered requests that are remembered.
 const MAX_RECENT_SUCCESSES: NonZeroUsize = NonZeroUsize::new(4_096).expect("not zero");
 /// From this number of cleared exits on, a request is inconclusive: from then on only a probe
-/// exonerates it, and each time two exits are enough to refuse it. A harmless request gets there if
-/// it was at that many upstreams that exited within half an hour; it is then held back for 10 to 20
-/// s.
+/// exonerates it, and each time two exits are enough to refuse it. A harmless request becomes
+/// inconclusive if it was at that many upstreams that exited within half an hour; it is then
+/// refused for 10 to 20 s.
 const INCONCLUSIVE_CLEARED_EXITS: u8 = 8;
 /// How long a complete answer counts in favour of its request.
 const SUCCESS_MAX_AGE: Duration = Duration::from_secs(300);
@@ -61,7 +61,7 @@
 pub enum SuspectVerdict {
     /// It is forwarded like any other.
     Allowed,
-    /// It may be forwarded once, to one upstream, while other VMs hold it back.
+    /// It may be forwarded once, to one upstream, while other VMs refuse it.
     Probe,
     /// It is not forwarded.
     Refused {
@@ -103,8 +103,8 @@
 #[derive(Debug, Clone, Copy)]
 struct PendingUpdate {
     scope: UpdateScope,
-    /// Whether several VMs may have reached the same conclusion at the same time; the first one
-    /// that sends the update spares the others doing so.
+    /// Whether several VMs may have made the same update at the same time. Once one of them has
+    /// sent it, the others need not.
     is_shared: bool,
 }
 
@@ -156,10 +156,10 @@
         }
     }
 
-    /// Returns the time until a VM may probe the request. After the delay each VM waits for a
-    /// random part of it until its slot, so that the later ones learn of the first probe before
-    /// their own. A slot is a tenth of the delay and comes again after each delay: if no VM
-    /// received the request for a long time and then all do at one moment, only a few probe it.
+    /// Returns the time until a VM may probe the request. After the delay, each VM waits for a
+    /// random fraction of the delay until its slot begins, so that later VMs learn of the first
+    /// probe before their own. A slot lasts a tenth of the delay and recurs once per delay: if all
+    /// VMs receive the request at one moment after a long pause, only a few of them probe it.
     fn wait(&self, vm: VmTag, now: MonoTime) -> Duration {
         let backoff = self.backoff();
         if self.is_probe_unsent || backoff.is_zero() {
@@ -191,8 +191,7 @@
     fn backoff(&self) -> Duration {
         let SuspectRecord { exits, probes, cleared_exits, .. } = &self.record;
         if self.is_inconclusive() && self.is_quarantined() {
-            // Each time that the request was cleared again lengthens the next delay, as a probe
-            // does.
+            // Each further exoneration lengthens the next delay, as a probe does.
             let recurrences =
                 u32::from(cleared_exits - INCONCLUSIVE_CLEARED_EXITS) / PROBE_EXITS as u32;
             return grow_backoff(FIRST_REFUSAL_DELAY, u32::from(*probes) + recurrences);
@@ -334,7 +333,8 @@
             return None;
         }
         self.exonerate(fingerprint, now);
-        // A single exit holds nothing back at other VMs, and their records of it expire.
+        // A single exit does not quarantine the request at other VMs, and their records of it
+        // expire.
         if self.entries.get(&fingerprint).is_some_and(|entry| entry.is_global) {
             self.queue_update(fingerprint, UpdateScope::Global);
         }
@@ -416,9 +416,9 @@
     }
 
     /// Returns the records that are resent in a round, at most [`MAX_RECORDS_PER_MESSAGE`]: those
-    /// that hold requests back, and exonerations from that. Recently changed ones are resent in
-    /// every round, because datagrams get lost; older ones only in a few rounds, for VMs that were
-    /// partitioned.
+    /// of requests that are or were quarantined. Recently changed ones are resent in every round,
+    /// because datagrams get lost; older ones that still have exits only in every
+    /// [`FULL_ROUND_INTERVAL`]-th round, for VMs that were partitioned.
     pub fn next_resent(&mut self, now: MonoTime) -> Vec<SuspectRecord> {
         self.rounds = self.rounds.wrapping_add(1);
         let is_full = self.rounds.is_multiple_of(FULL_ROUND_INTERVAL);
@@ -464,7 +464,7 @@
     }
 
     /// Removes expired records.
-    pub fn forget(&mut self, now: MonoTime) {
+    pub fn remove_expired(&mut self, now: MonoTime) {
         self.entries.retain(|_, entry| !entry.is_expired(now));
     }
 
@@ -483,7 +483,7 @@
             return None;
         }
         if record.exonerations > previous.exonerations {
-            // An answer counts once, wherever it was given.
+            // Each complete answer counts once, also if another VM counted it.
             self.recent_successes.pop(&fingerprint);
         }
         self.evict_if_full();
