--- a/crates/foldhaven-gateway/src/attempts/outcomes.rs
+++ b/crates/foldhaven-gateway/src/attempts/outcomes.rs
@@ -22,235 +22,235 @@
 const MIN_EVENTS: u32 = 4;
 
 impl RequestDriver {
-/// Records which upstream will cache the segments of the prompt, and queues this for other VMs.
-pub(super) fn record_placement(&self, destination: &RequestDestination) {
-let (RequestDestination::Upstream(upstream), Some(outline)) =
-(destination, &self.job.outline)
-else {
-return;
-};
-let placement = PromptPlacement {
-upstream: upstream.tag,
-shared: outline.shared.clone(),
-unshared_tokens: outline.unshared_tokens,
-};
-self.shared.prefix_caches.lock().record(&placement);
-if outline.shared_tokens() >= MIN_ANNOUNCED_TOKENS {
-self.shared.placements.lock().push(placement);
-}
-}
+    /// Records which upstream will cache the segments of the prompt, and queues this for other VMs.
+    pub(super) fn record_placement(&self, destination: &RequestDestination) {
+        let (RequestDestination::Upstream(upstream), Some(outline)) =
+            (destination, &self.job.outline)
+        else {
+            return;
+        };
+        let placement = PromptPlacement {
+            upstream: upstream.tag,
+            shared: outline.shared.clone(),
+            unshared_tokens: outline.unshared_tokens,
+        };
+        self.shared.prefix_caches.lock().record(&placement);
+        if outline.shared_tokens() >= MIN_ANNOUNCED_TOKENS {
+            self.shared.placements.lock().push(placement);
+        }
+    }
 
-/// Records whether an upstream with the given queue accepted the request.
-pub(super) fn update_queue_capacity(
-&self,
-upstream: &Upstream,
-queue: QueueState,
-opened: &Result<OpenAnswer, CallFault>,
-) {
-let service = &self.job.service;
-match opened {
-Ok(_) => {
-self.shared
-.update_queue_capacity(service, |capacity| capacity.record_accepted(queue));
-}
-Err(fault) if fault.is_full() => {
-let capacity = self
-.shared
-.update_queue_capacity(service, |capacity| capacity.record_refused(queue));
-upstream
-.performance
-.lock()
-.record_queue_full(capacity.full_queue_load(queue), self.shared.now());
-}
-Err(_) => {}
-}
-}
+    /// Records whether an upstream with the given queue accepted the request.
+    pub(super) fn update_queue_capacity(
+        &self,
+        upstream: &Upstream,
+        queue: QueueState,
+        opened: &Result<OpenAnswer, CallFault>,
+    ) {
+        let service = &self.job.service;
+        match opened {
+            Ok(_) => {
+                self.shared
+                    .update_queue_capacity(service, |capacity| capacity.record_accepted(queue));
+            }
+            Err(fault) if fault.is_full() => {
+                let capacity = self
+                    .shared
+                    .update_queue_capacity(service, |capacity| capacity.record_refused(queue));
+                upstream
+                    .performance
+                    .lock()
+                    .record_queue_full(capacity.full_queue_load(queue), self.shared.now());
+            }
+            Err(_) => {}
+        }
+    }
 
-/// Records the time to the first response of a destination.
-pub fn record_time_to_first(
-&self,
-destination: &RequestDestination,
-expected: FirstResponseEstimate,
-sent: BootInstant,
-) {
-if let RequestDestination::Upstream(upstream) = destination
-&& expected.rank == QueueRank::Timely
-{
-let took = sent.elapsed();
-upstream.performance.lock().record_time_to_first(
-expected.time,
-took,
-self.shared.now(),
-);
-if let Some(tokens) = expected.prefill_before_answer {
-self.shared.record_prefill(&self.job.service, tokens, took);
-}
-}
-}
+    /// Records the time to the first response of a destination.
+    pub fn record_time_to_first(
+        &self,
+        destination: &RequestDestination,
+        expected: FirstResponseEstimate,
+        sent: BootInstant,
+    ) {
+        if let RequestDestination::Upstream(upstream) = destination
+            && expected.rank == QueueRank::Timely
+        {
+            let took = sent.elapsed();
+            upstream.performance.lock().record_time_to_first(
+                expected.time,
+                took,
+                self.shared.now(),
+            );
+            if let Some(tokens) = expected.prefill_before_answer {
+                self.shared.record_prefill(&self.job.service, tokens, took);
+            }
+        }
+    }
 
-/// Records that a destination answered completely.
-pub fn record_success(&self, destination: &RequestDestination, sent: BootInstant) {
-if let RequestDestination::Upstream(upstream) = destination {
-let usual = self.record_route_end(false);
-upstream.performance.lock().record_end(false, usual, self.shared.now());
-upstream.health.lock().record_success();
-self.shared.record_slot_time(&self.job.service, sent.elapsed());
-}
-}
+    /// Records that a destination answered completely.
+    pub fn record_success(&self, destination: &RequestDestination, sent: BootInstant) {
+        if let RequestDestination::Upstream(upstream) = destination {
+            let usual = self.record_route_end(false);
+            upstream.performance.lock().record_end(false, usual, self.shared.now());
+            upstream.health.lock().record_success();
+            self.shared.record_slot_time(&self.job.service, sent.elapsed());
+        }
+    }
 
-/// Records that a destination answered with a failure status.
-pub(super) fn record_failed_answer(
-&mut self,
-destination: &RequestDestination,
-status: StatusCode,
-) {
-self.last_fault = Some(format!("the upstream answered {status}"));
-if let RequestDestination::Upstream(upstream) = destination {
-self.record_failure(upstream);
-}
-}
+    /// Records that a destination answered with a failure status.
+    pub(super) fn record_failed_answer(
+        &mut self,
+        destination: &RequestDestination,
+        status: StatusCode,
+    ) {
+        self.last_fault = Some(format!("the upstream answered {status}"));
+        if let RequestDestination::Upstream(upstream) = destination {
+            self.record_failure(upstream);
+        }
+    }
 
-/// Records that a request failed at an upstream after it may have run.
-pub fn record_failure(&self, upstream: &Upstream) {
-upstream.record_failure(self.record_route_end(true), self.shared.now());
-}
+    /// Records that a request failed at an upstream after it may have run.
+    pub fn record_failure(&self, upstream: &Upstream) {
+        upstream.record_failure(self.record_route_end(true), self.shared.now());
+    }
 
-/// Records that the connection to an upstream broke while the request was in flight.
-pub fn record_broken(&self, upstream: &Arc<Upstream>, cause: &str) {
-self.record_failure(upstream);
-start_exit_check(&self.shared, upstream);
-self.shared.metrics.count_event("connection_broke");
-if self.shared.quota.take(false) {
-tracing::info!(
-upstream = %upstream.name(),
-request = self.job.id(),
-print = %self.job.fingerprint,
-cause,
-tries = self.delivered_attempts,
-others = upstream.load.share().in_flight,
-ms = self.job.started.elapsed().as_millis() as u64,
-"connection to an upstream broke during a request"
-);
-}
-}
+    /// Records that the connection to an upstream broke while the request was in flight.
+    pub fn record_broken(&self, upstream: &Arc<Upstream>, cause: &str) {
+        self.record_failure(upstream);
+        start_exit_check(&self.shared, upstream);
+        self.shared.metrics.count_event("connection_broke");
+        if self.shared.quota.take(false) {
+            tracing::info!(
+                upstream = %upstream.name(),
+                request = self.job.id(),
+                print = %self.job.fingerprint,
+                cause,
+                tries = self.delivered_attempts,
+                others = upstream.load.share().in_flight,
+                ms = self.job.started.elapsed().as_millis() as u64,
+                "connection to an upstream broke during a request"
+            );
+        }
+    }
 
-/// Records whether a request of this route failed at an upstream. Returns the usual failure
-/// share of the route.
-fn record_route_end(&self, has_failed: bool) -> f64 {
-let route = &self.job.route.name;
-self.shared
-.update_route_history(route, |history| history.record_outcome(has_failed))
-.failure_share()
-}
+    /// Records whether a request of this route failed at an upstream. Returns the usual failure
+    /// share of the route.
+    fn record_route_end(&self, has_failed: bool) -> f64 {
+        let route = &self.job.route.name;
+        self.shared
+            .update_route_history(route, |history| history.record_outcome(has_failed))
+            .failure_share()
+    }
 
-/// Records a complete stream: its number of events, the time from the first to the last one,
-/// and the mean number of requests at its upstream meanwhile.
-pub fn record_complete_stream(&self, events: u32, time: Duration, load: f64) {
-self.shared.update_route_history(&self.job.route.name, |history| {
-history.record_event_count(events)
-});
-if events >= MIN_EVENTS {
-self.shared.record_event_interval(&self.job.service, time / (events - 1), load);
-}
-}
+    /// Records a complete stream: its number of events, the time from the first to the last one,
+    /// and the mean number of requests at its upstream meanwhile.
+    pub fn record_complete_stream(&self, events: u32, time: Duration, load: f64) {
+        self.shared.update_route_history(&self.job.route.name, |history| {
+            history.record_event_count(events)
+        });
+        if events >= MIN_EVENTS {
+            self.shared.record_event_interval(&self.job.service, time / (events - 1), load);
+        }
+    }
 
-/// Returns the checker for the event ids of this request.
-pub fn event_sequence_checker(&self) -> EventSequenceChecker {
-let usual = self.shared.route_history(&self.job.route.name).usual_numbering();
-let resumed_after = self.job.headers.get(&self.shared.names.last_event);
-EventSequenceChecker::new(usual, resumed_after.and_then(|id| id.to_str().ok()))
-}
+    /// Returns the checker for the event ids of this request.
+    pub fn event_sequence_checker(&self) -> EventSequenceChecker {
+        let usual = self.shared.route_history(&self.job.route.name).usual_numbering();
+        let resumed_after = self.job.headers.get(&self.shared.names.last_event);
+        EventSequenceChecker::new(usual, resumed_after.and_then(|id| id.to_str().ok()))
+    }
 
-/// Records how the events of a complete stream were numbered.
-pub fn record_event_numbering(&self, checker: &EventSequenceChecker) {
-if checker.is_informative() {
-let name = &self.job.route.name;
-self.shared.update_route_history(name, |history| {
-history.numbering_mut().record_stream(checker.numbering())
-});
-}
-}
+    /// Records how the events of a complete stream were numbered.
+    pub fn record_event_numbering(&self, checker: &EventSequenceChecker) {
+        if checker.is_informative() {
+            let name = &self.job.route.name;
+            self.shared.update_route_history(name, |history| {
+                history.numbering_mut().record_stream(checker.numbering())
+            });
+        }
+    }
 
-/// Records that an event of a stream was missing.
-pub fn record_event_gap(&self) {
-self.shared.metrics.count_event("event_gaps");
-let name = &self.job.route.name;
-self.shared.update_route_history(name, |history| history.numbering_mut().reset());
-}
+    /// Records that an event of a stream was missing.
+    pub fn record_event_gap(&self) {
+        self.shared.metrics.count_event("event_gaps");
+        let name = &self.job.route.name;
+        self.shared.update_route_history(name, |history| history.numbering_mut().reset());
+    }
 
-/// Records a fault of a destination.
-pub(super) fn record_fault(&mut self, destination: &RequestDestination, fault: &CallFault) {
-self.last_fault = Some(fault.to_string());
-self.may_have_run |= fault.may_have_run();
-self.broken_connections += u32::from(matches!(fault, CallFault::Broken(_)));
-let RequestDestination::Upstream(upstream) = destination else { return };
-let now = self.shared.now();
-match fault {
-CallFault::NotSent(_) => upstream.record_unreachable(now),
-// Another process has the address now.
-CallFault::Declined { .. } if fault.is_misdirected() => {
-upstream.record_unreachable(now)
-}
-CallFault::Broken(cause) => self.record_broken(upstream, cause),
-CallFault::Unresponsive | CallFault::TimedOut => self.record_failure(upstream),
-// The upstream is not at fault.
-CallFault::Withdrawn => self.shared.metrics.count_event("suspect_called_back"),
-// A refusal by a full upstream is no evidence about the failures of the route.
-CallFault::Declined { .. } => upstream.performance.lock().record_end(true, 0.0, now),
-}
-}
+    /// Records a fault of a destination.
+    pub(super) fn record_fault(&mut self, destination: &RequestDestination, fault: &CallFault) {
+        self.last_fault = Some(fault.to_string());
+        self.may_have_run |= fault.may_have_run();
+        self.broken_connections += u32::from(matches!(fault, CallFault::Broken(_)));
+        let RequestDestination::Upstream(upstream) = destination else { return };
+        let now = self.shared.now();
+        match fault {
+            CallFault::NotSent(_) => upstream.record_unreachable(now),
+            // Another process has the address now.
+            CallFault::Declined { .. } if fault.is_misdirected() => {
+                upstream.record_unreachable(now)
+            }
+            CallFault::Broken(cause) => self.record_broken(upstream, cause),
+            CallFault::Unresponsive | CallFault::TimedOut => self.record_failure(upstream),
+            // The upstream is not at fault.
+            CallFault::Withdrawn => self.shared.metrics.count_event("suspect_called_back"),
+            // A refusal by a full upstream is no evidence about the failures of the route.
+            CallFault::Declined { .. } => upstream.performance.lock().record_end(true, 0.0, now),
+        }
+    }
 
-/// Returns how the request counts for the error budget of its route.
-fn burn_event(&self, end: RequestEnd) -> BurnEvent {
-let is_timely = self.job.time_to_first.is_some_and(|first| first <= self.job.route.target);
-match end {
-RequestEnd::Served if is_timely => BurnEvent::Good,
-RequestEnd::Refused(_) if !self.may_have_run => BurnEvent::Refused,
-_ => BurnEvent::Bad,
-}
-}
+    /// Returns how the request counts for the error budget of its route.
+    fn burn_event(&self, end: RequestEnd) -> BurnEvent {
+        let is_timely = self.job.time_to_first.is_some_and(|first| first <= self.job.route.target);
+        match end {
+            RequestEnd::Served if is_timely => BurnEvent::Good,
+            RequestEnd::Refused(_) if !self.may_have_run => BurnEvent::Refused,
+            _ => BurnEvent::Bad,
+        }
+    }
 
-/// Counts and logs the end of the request.
-pub fn record_end(&self, end: RequestEnd) {
-let job = &self.job;
-let shared = &self.shared;
-if !job.is_forwarded {
-let burn = RequestBurn {
-event: self.burn_event(end),
-worth: f64::from(job.size()),
-now: shared.now(),
-};
-shared.metrics.count_end(&job.route.name, end, burn);
-}
-let is_plain = end == RequestEnd::Served && self.last_fault.is_none();
-if !shared.quota.take(is_plain) {
-return;
-}
-let expected = self.last_choice;
-let view = shared.view();
-tracing::info!(
-request = job.id(),
-print = %job.fingerprint,
-route = %job.route.name,
-account = job.account_label(),
-priority = job.priority(),
-service = %job.service,
-end = end.label(),
-tries = self.delivered_attempts,
-place = self.last_destination.as_deref().unwrap_or("-"),
-expected_ms = expected.map_or(0, |it| it.time_to_first_ms),
-first_ms = job.time_to_first.map_or(0, |first| first.as_millis() as u64),
-read_tokens = expected.map_or(0, |it| it.prefill_tokens),
-load = expected.map_or(0, |it| it.load),
-rank = expected.map_or("-", |it| it.rank.label()),
-weighed = self.candidates_summary.as_deref().unwrap_or("-"),
-fault = self.last_fault.as_deref().unwrap_or("-"),
-forwarded = job.is_forwarded,
-version = view.as_ref().map_or(0, |view| view.routes.version().0),
-news_ms = view.as_ref().map_or(0, |view| view.report_age().as_millis() as u64),
-ms = job.started.elapsed().as_millis() as u64,
-left_ms = job.deadline.saturating_duration_since(BootInstant::now()).as_millis() as u64,
-"request ended"
-);
-}
+    /// Counts and logs the end of the request.
+    pub fn record_end(&self, end: RequestEnd) {
+        let job = &self.job;
+        let shared = &self.shared;
+        if !job.is_forwarded {
+            let burn = RequestBurn {
+                event: self.burn_event(end),
+                worth: f64::from(job.size()),
+                now: shared.now(),
+            };
+            shared.metrics.count_end(&job.route.name, end, burn);
+        }
+        let is_plain = end == RequestEnd::Served && self.last_fault.is_none();
+        if !shared.quota.take(is_plain) {
+            return;
+        }
+        let expected = self.last_choice;
+        let view = shared.view();
+        tracing::info!(
+            request = job.id(),
+            print = %job.fingerprint,
+            route = %job.route.name,
+            account = job.account_label(),
+            priority = job.priority(),
+            service = %job.service,
+            end = end.label(),
+            tries = self.delivered_attempts,
+            place = self.last_destination.as_deref().unwrap_or("-"),
+            expected_ms = expected.map_or(0, |it| it.time_to_first_ms),
+            first_ms = job.time_to_first.map_or(0, |first| first.as_millis() as u64),
+            read_tokens = expected.map_or(0, |it| it.prefill_tokens),
+            load = expected.map_or(0, |it| it.load),
+            rank = expected.map_or("-", |it| it.rank.label()),
+            weighed = self.candidates_summary.as_deref().unwrap_or("-"),
+            fault = self.last_fault.as_deref().unwrap_or("-"),
+            forwarded = job.is_forwarded,
+            version = view.as_ref().map_or(0, |view| view.routes.version().0),
+            news_ms = view.as_ref().map_or(0, |view| view.report_age().as_millis() as u64),
+            ms = job.started.elapsed().as_millis() as u64,
+            left_ms = job.deadline.saturating_duration_since(BootInstant::now()).as_millis() as u64,
+            "request ended"
+        );
+    }
 }
--- a/crates/foldhaven-gateway/src/control/mod.rs
+++ b/crates/foldhaven-gateway/src/control/mod.rs
@@ -26,7 +26,7 @@
 use foldhaven_core::opaque::demand_exchange::DemandExchange;
 use foldhaven_core::opaque::load_reports::LoadTable;
 use foldhaven_core::opaque::peer_table::{
-LEARNING_TIME, OfferedRevision, OwnVm, PeerPhase, PeerTable, RegionTag, SenderView, VmTag,
+    LEARNING_TIME, OfferedRevision, OwnVm, PeerPhase, PeerTable, RegionTag, SenderView, VmTag,
 };
 use foldhaven_core::opaque::region_reports::{RegionReport, RegionReportTable};
 use foldhaven_core::opaque::report_planner::ReportPlanner;
@@ -44,14 +44,14 @@
 pub use self::catch_up::{CatchUpStep, FindNewerPeer, NewerPeer};
 pub use self::heartbeats::{PlanHeartbeats, ReceiveHeartbeat, ReceiveView, ReceiveViewList};
 pub use self::load_reports::{
-PlanLoadReport, PlannedLoadReport, ReceiveLoadReport, ReceivePlacements, ReceiveRegionReport,
+    PlanLoadReport, PlannedLoadReport, ReceiveLoadReport, ReceivePlacements, ReceiveRegionReport,
 };
 use self::members::LoggedMembers;
 pub use self::peer_changes::{ApplyChanges, ApplySnapshot, ReceiveChanges, ReceiveEarlyChanges};
 pub use self::rate_shares::{PlanAgreementRound, ReceiveAgreement};
 pub use self::suspect_targets::{PlanSuspectTargets, SendReason, SuspectTargets};
 pub use self::upstream_signals::{
-PlanSignalTargets, ReceiveLeavingNotices, ReceiveUpstreamRateLimits,
+    PlanSignalTargets, ReceiveLeavingNotices, ReceiveUpstreamRateLimits,
 };
 use crate::demand_meter::DemandMeter;
 use crate::feed::ReadAssignment;
@@ -76,275 +76,275 @@
 /// The VMs of the region that get callers, as last logged.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 struct InService {
-vms: usize,
-/// Whether this VM is one of them.
-is_own: bool,
+    vms: usize,
+    /// Whether this VM is one of them.
+    is_own: bool,
 }
 
 /// The actor that holds the control state.
 #[derive(xtra::Actor)]
 pub struct ControlActor {
-shared: Arc<GatewayShared>,
-/// The current settings. `shared.settings` are those read at startup.
-settings: GatewaySettings,
-/// The state of the platform: routes, upstreams and evacuations.
-platform: PlatformState,
-/// The platform state that other VMs can fetch, as last published.
-offer: Option<Arc<StateOffer>>,
-/// Whether there are changes that are not yet in the published view.
-needs_publish: bool,
-/// The upstreams that are in the published view.
-upstreams: HashMap<UpstreamName, Arc<Upstream>>,
-/// The same upstreams by the tags that messages use.
-by_tag: HashMap<UpstreamTag, Arc<Upstream>>,
-/// The other VMs.
-peers: PeerTable,
-/// Connections to the other VMs that serve requests.
-links: HashMap<VmName, Arc<PeerLink>>,
-/// The load reports of other VMs.
-loads: LoadTable,
-/// Chooses the targets of this VM's load reports.
-report_plan: ReportPlanner,
-/// Estimates the processor time used by this VM's requests.
-meter: DemandMeter,
-/// The peak processor time that the region's requests used in the last few seconds.
-demand: PeakCpuDemand,
-/// The VMs of the region that are needed for this demand and so get callers, as last logged.
-in_service: InService,
-/// The VMs of the region that are known, as last logged.
-members: LoggedMembers,
-/// The VMs that share the region's rate limits, as of the last check.
-senders: SenderView,
-/// Tracks whether the VMs that share the region's rate limits agree on the list of senders.
-agreement: SenderAgreement,
-/// The demand of callers with account limits, here and on other VMs.
-account_demands: DemandExchange,
-/// Whether an upstream of the region is cold or has announced a rate limit.
-rate_watch: watch::Sender<bool>,
-/// The reports received from delegates of other regions.
-regions: RegionReportTable,
-/// Received reports of other regions that are still to be relayed to the VMs of this region.
-relayed_regions: Vec<RegionReport>,
-/// When this region was last reported to other regions. `None` if never.
-last_region_report: Option<MonoTime>,
-/// The number of those reports.
-region_report_count: u32,
-/// Prompt placements received from other regions that are still to be relayed to the VMs of
-/// this region.
-relayed_placements: Vec<PromptPlacement>,
-/// The number of known VMs at the last check, and the time at which it last grew.
-known_vms: usize,
-last_growth: MonoTime,
-/// The number of heartbeat rounds sent.
-heartbeat_rounds: u32,
-/// The number of load report rounds planned.
-load_report_rounds: u32,
-/// Set while another VM knows a newer revision of the platform than this one.
-lag: Option<LagState>,
-/// The number of requests for newer platform state sent to other VMs.
-catch_up_attempts: u32,
-/// How long ago the platform state was last confirmed as current.
-staleness: ViewStaleness,
-/// Whether the state is stale and this was logged.
-is_staleness_logged: bool,
-/// The revisions announced to other VMs outside of heartbeats.
-announced: AnnouncedRevisions,
-/// The revision up to which other VMs offer changes that do not fit into a datagram.
-offered: OfferedRevision,
-/// Whether the last attempt to read the platform failed.
-is_platform_unreachable: bool,
-/// Whether other VMs of the region report a platform outage.
-is_outage_reported: bool,
-/// Tells the feed whether to read the platform, and from which revision.
-assignment: watch::Sender<ReadAssignment>,
-/// Queues updates for sending to other VMs.
-outgoing: mpsc::UnboundedSender<OutgoingUpdate>,
+    shared: Arc<GatewayShared>,
+    /// The current settings. `shared.settings` are those read at startup.
+    settings: GatewaySettings,
+    /// The state of the platform: routes, upstreams and evacuations.
+    platform: PlatformState,
+    /// The platform state that other VMs can fetch, as last published.
+    offer: Option<Arc<StateOffer>>,
+    /// Whether there are changes that are not yet in the published view.
+    needs_publish: bool,
+    /// The upstreams that are in the published view.
+    upstreams: HashMap<UpstreamName, Arc<Upstream>>,
+    /// The same upstreams by the tags that messages use.
+    by_tag: HashMap<UpstreamTag, Arc<Upstream>>,
+    /// The other VMs.
+    peers: PeerTable,
+    /// Connections to the other VMs that serve requests.
+    links: HashMap<VmName, Arc<PeerLink>>,
+    /// The load reports of other VMs.
+    loads: LoadTable,
+    /// Chooses the targets of this VM's load reports.
+    report_plan: ReportPlanner,
+    /// Estimates the processor time used by this VM's requests.
+    meter: DemandMeter,
+    /// The peak processor time that the region's requests used in the last few seconds.
+    demand: PeakCpuDemand,
+    /// The VMs of the region that are needed for this demand and so get callers, as last logged.
+    in_service: InService,
+    /// The VMs of the region that are known, as last logged.
+    members: LoggedMembers,
+    /// The VMs that share the region's rate limits, as of the last check.
+    senders: SenderView,
+    /// Tracks whether the VMs that share the region's rate limits agree on the list of senders.
+    agreement: SenderAgreement,
+    /// The demand of callers with account limits, here and on other VMs.
+    account_demands: DemandExchange,
+    /// Whether an upstream of the region is cold or has announced a rate limit.
+    rate_watch: watch::Sender<bool>,
+    /// The reports received from delegates of other regions.
+    regions: RegionReportTable,
+    /// Received reports of other regions that are still to be relayed to the VMs of this region.
+    relayed_regions: Vec<RegionReport>,
+    /// When this region was last reported to other regions. `None` if never.
+    last_region_report: Option<MonoTime>,
+    /// The number of those reports.
+    region_report_count: u32,
+    /// Prompt placements received from other regions that are still to be relayed to the VMs of
+    /// this region.
+    relayed_placements: Vec<PromptPlacement>,
+    /// The number of known VMs at the last check, and the time at which it last grew.
+    known_vms: usize,
+    last_growth: MonoTime,
+    /// The number of heartbeat rounds sent.
+    heartbeat_rounds: u32,
+    /// The number of load report rounds planned.
+    load_report_rounds: u32,
+    /// Set while another VM knows a newer revision of the platform than this one.
+    lag: Option<LagState>,
+    /// The number of requests for newer platform state sent to other VMs.
+    catch_up_attempts: u32,
+    /// How long ago the platform state was last confirmed as current.
+    staleness: ViewStaleness,
+    /// Whether the state is stale and this was logged.
+    is_staleness_logged: bool,
+    /// The revisions announced to other VMs outside of heartbeats.
+    announced: AnnouncedRevisions,
+    /// The revision up to which other VMs offer changes that do not fit into a datagram.
+    offered: OfferedRevision,
+    /// Whether the last attempt to read the platform failed.
+    is_platform_unreachable: bool,
+    /// Whether other VMs of the region report a platform outage.
+    is_outage_reported: bool,
+    /// Tells the feed whether to read the platform, and from which revision.
+    assignment: watch::Sender<ReadAssignment>,
+    /// Queues updates for sending to other VMs.
+    outgoing: mpsc::UnboundedSender<OutgoingUpdate>,
 }
 
 impl ControlActor {
-pub fn new(
-shared: Arc<GatewayShared>,
-incarnation: IncarnationId,
-outgoing: mpsc::UnboundedSender<OutgoingUpdate>,
-) -> Self {
-let settings = shared.settings.clone();
-let own = OwnVm {
-vm: settings.vm.clone(),
-data_centre: settings.data_centre.clone(),
-region: settings.region().clone(),
-cores: settings.cores,
-};
-let agreement = SenderAgreement::new(VmTag::of(&settings.vm), incarnation, shared.now());
-let peers = PeerTable::new(own, incarnation);
-let regions = settings.regions.values().map(RegionTag::of);
-let account_demands =
-DemandExchange::new(VmTag::of(&settings.vm), RegionTag::of(settings.region()), regions);
-Self {
-shared,
-settings,
-platform: PlatformState::default(),
-offer: None,
-needs_publish: false,
-upstreams: HashMap::new(),
-by_tag: HashMap::new(),
-peers,
-links: HashMap::new(),
-loads: LoadTable::default(),
-report_plan: ReportPlanner::default(),
-meter: DemandMeter::default(),
-demand: PeakCpuDemand::default(),
-in_service: InService::default(),
-members: LoggedMembers::default(),
-senders: SenderView::default(),
-agreement,
-account_demands,
-rate_watch: watch::Sender::new(false),
-regions: RegionReportTable::default(),
-relayed_regions: Vec::new(),
-last_region_report: None,
-region_report_count: 0,
-relayed_placements: Vec::new(),
-known_vms: 0,
-last_growth: MonoTime::default(),
-heartbeat_rounds: 0,
-load_report_rounds: 0,
-lag: None,
-catch_up_attempts: 0,
-staleness: ViewStaleness::default(),
-is_staleness_logged: false,
-announced: AnnouncedRevisions::default(),
-offered: OfferedRevision::default(),
-is_platform_unreachable: false,
-is_outage_reported: false,
-assignment: watch::Sender::new(ReadAssignment {
-is_reader: true,
-known_revision: None,
-is_superseded: false,
-}),
-outgoing,
-}
-}
+    pub fn new(
+        shared: Arc<GatewayShared>,
+        incarnation: IncarnationId,
+        outgoing: mpsc::UnboundedSender<OutgoingUpdate>,
+    ) -> Self {
+        let settings = shared.settings.clone();
+        let own = OwnVm {
+            vm: settings.vm.clone(),
+            data_centre: settings.data_centre.clone(),
+            region: settings.region().clone(),
+            cores: settings.cores,
+        };
+        let agreement = SenderAgreement::new(VmTag::of(&settings.vm), incarnation, shared.now());
+        let peers = PeerTable::new(own, incarnation);
+        let regions = settings.regions.values().map(RegionTag::of);
+        let account_demands =
+            DemandExchange::new(VmTag::of(&settings.vm), RegionTag::of(settings.region()), regions);
+        Self {
+            shared,
+            settings,
+            platform: PlatformState::default(),
+            offer: None,
+            needs_publish: false,
+            upstreams: HashMap::new(),
+            by_tag: HashMap::new(),
+            peers,
+            links: HashMap::new(),
+            loads: LoadTable::default(),
+            report_plan: ReportPlanner::default(),
+            meter: DemandMeter::default(),
+            demand: PeakCpuDemand::default(),
+            in_service: InService::default(),
+            members: LoggedMembers::default(),
+            senders: SenderView::default(),
+            agreement,
+            account_demands,
+            rate_watch: watch::Sender::new(false),
+            regions: RegionReportTable::default(),
+            relayed_regions: Vec::new(),
+            last_region_report: None,
+            region_report_count: 0,
+            relayed_placements: Vec::new(),
+            known_vms: 0,
+            last_growth: MonoTime::default(),
+            heartbeat_rounds: 0,
+            load_report_rounds: 0,
+            lag: None,
+            catch_up_attempts: 0,
+            staleness: ViewStaleness::default(),
+            is_staleness_logged: false,
+            announced: AnnouncedRevisions::default(),
+            offered: OfferedRevision::default(),
+            is_platform_unreachable: false,
+            is_outage_reported: false,
+            assignment: watch::Sender::new(ReadAssignment {
+                is_reader: true,
+                known_revision: None,
+                is_superseded: false,
+            }),
+            outgoing,
+        }
+    }
 
-/// Returns the receiver that tells the feed whether to read the platform, and from which
-/// revision.
-pub fn read_assignments(&self) -> watch::Receiver<ReadAssignment> {
-self.assignment.subscribe()
-}
+    /// Returns the receiver that tells the feed whether to read the platform, and from which
+    /// revision.
+    pub fn read_assignments(&self) -> watch::Receiver<ReadAssignment> {
+        self.assignment.subscribe()
+    }
 
-/// Returns a receiver that holds whether an upstream of the region has a rate that its VMs have
-/// to share.
-pub fn rate_watch(&self) -> watch::Receiver<bool> {
-self.rate_watch.subscribe()
-}
+    /// Returns a receiver that holds whether an upstream of the region has a rate that its VMs have
+    /// to share.
+    pub fn rate_watch(&self) -> watch::Receiver<bool> {
+        self.rate_watch.subscribe()
+    }
 
-fn update_read_assignment(&self) {
-let is_reader = match self.has_learnt_peers() {
-true => {
-self.peers.is_reader(self.is_platform_unreachable, self.staleness(), self.now())
-}
-false => self.is_seed(),
-};
-let assignment = ReadAssignment {
-is_reader: !self.platform.has_state() || is_reader,
-known_revision: self.platform.has_state().then_some(self.platform.revision()),
-is_superseded: self.lag_time() >= SUPERSEDED_AFTER,
-};
-self.assignment.send_if_modified(|held| std::mem::replace(held, assignment) != assignment);
-}
+    fn update_read_assignment(&self) {
+        let is_reader = match self.has_learnt_peers() {
+            true => {
+                self.peers.is_reader(self.is_platform_unreachable, self.staleness(), self.now())
+            }
+            false => self.is_seed(),
+        };
+        let assignment = ReadAssignment {
+            is_reader: !self.platform.has_state() || is_reader,
+            known_revision: self.platform.has_state().then_some(self.platform.revision()),
+            is_superseded: self.lag_time() >= SUPERSEDED_AFTER,
+        };
+        self.assignment.send_if_modified(|held| std::mem::replace(held, assignment) != assignment);
+    }
 
-/// Returns whether this process knows its peers. A process that has just started knows few VMs
-/// and would appoint itself as one of the readers of its region: with 295 VMs that start
-/// together, all of them would, and make 2,100 calls in two seconds.
-fn has_learnt_peers(&self) -> bool {
-let uptime = self.shared.uptime();
-let is_calm = self.now().since(self.last_growth) >= LEARNING_QUIET_TIME;
-uptime >= LEARNING_TIME && (is_calm || uptime >= MAX_LEARNING_TIME)
-}
+    /// Returns whether this process knows its peers. A process that has just started knows few VMs
+    /// and would appoint itself as one of the readers of its region: with 295 VMs that start
+    /// together, all of them would, and make 2,100 calls in two seconds.
+    fn has_learnt_peers(&self) -> bool {
+        let uptime = self.shared.uptime();
+        let is_calm = self.now().since(self.last_growth) >= LEARNING_QUIET_TIME;
+        uptime >= LEARNING_TIME && (is_calm || uptime >= MAX_LEARNING_TIME)
+    }
 
-/// Returns whether this VM is a seed, which other VMs contact first when they start. The seeds
-/// read the platform until the readers are known.
-fn is_seed(&self) -> bool {
-let own = self.settings.addresses.peer.ip();
-self.settings.seeds.iter().any(|seed| seed.ip() == own)
-}
+    /// Returns whether this VM is a seed, which other VMs contact first when they start. The seeds
+    /// read the platform until the readers are known.
+    fn is_seed(&self) -> bool {
+        let own = self.settings.addresses.peer.ip();
+        self.settings.seeds.iter().any(|seed| seed.ip() == own)
+    }
 
-/// Records the time when the number of known VMs grows.
-fn record_growth(&mut self) {
-let known = self.peers.vm_count();
-if known > self.known_vms {
-self.last_growth = self.now();
-}
-self.known_vms = known;
-}
+    /// Records the time when the number of known VMs grows.
+    fn record_growth(&mut self) {
+        let known = self.peers.vm_count();
+        if known > self.known_vms {
+            self.last_growth = self.now();
+        }
+        self.known_vms = known;
+    }
 
-fn now(&self) -> MonoTime {
-self.shared.now()
-}
+    fn now(&self) -> MonoTime {
+        self.shared.now()
+    }
 
-fn version(&self) -> RouteVersion {
-self.platform.version()
-}
+    fn version(&self) -> RouteVersion {
+        self.platform.version()
+    }
 
-fn phase(&self) -> PeerPhase {
-match (self.shared.is_leaving(), self.platform.routes()) {
-(true, _) => PeerPhase::Leaving,
-(false, None) => PeerPhase::Starting,
-(false, Some(_)) if self.shared.is_too_far_behind() => PeerPhase::Starting,
-(false, Some(_)) if !self.shared.is_ready() => PeerPhase::Starting,
-(false, Some(_)) => PeerPhase::Serving,
-}
-}
+    fn phase(&self) -> PeerPhase {
+        match (self.shared.is_leaving(), self.platform.routes()) {
+            (true, _) => PeerPhase::Leaving,
+            (false, None) => PeerPhase::Starting,
+            (false, Some(_)) if self.shared.is_too_far_behind() => PeerPhase::Starting,
+            (false, Some(_)) if !self.shared.is_ready() => PeerPhase::Starting,
+            (false, Some(_)) => PeerPhase::Serving,
+        }
+    }
 
-/// Returns the addresses of the other VMs of this region.
-fn local_peers(&self) -> Vec<SocketAddr> {
-self.peers.live_local(self.now()).map(|heartbeat| heartbeat.peer).collect()
-}
+    /// Returns the addresses of the other VMs of this region.
+    fn local_peers(&self) -> Vec<SocketAddr> {
+        self.peers.live_local(self.now()).map(|heartbeat| heartbeat.peer).collect()
+    }
 
-/// Returns the number of VMs by which limits are divided. `None` while this process is still
-/// learning its peers.
-fn assumed_vms(&self) -> Option<usize> {
-let assumed = || usize::from(self.peers.assumed_counts(self.now()).all);
-(self.shared.uptime() >= LEARNING_TIME).then(assumed)
-}
+    /// Returns the number of VMs by which limits are divided. `None` while this process is still
+    /// learning its peers.
+    fn assumed_vms(&self) -> Option<usize> {
+        let assumed = || usize::from(self.peers.assumed_counts(self.now()).all);
+        (self.shared.uptime() >= LEARNING_TIME).then(assumed)
+    }
 }
 
 /// Runs the periodic checks of the control state, such as expiry and staleness.
 pub struct TickControl;
 
 impl Handler<TickControl> for ControlActor {
-type Return = ();
+    type Return = ();
 
-async fn handle(&mut self, _: TickControl, _: &mut Context<Self>) {
-self.check_suspension();
-let now = self.now();
-self.peers.remove_expired(now);
-self.regions.remove_stale(now);
-let peers = &self.peers;
-self.agreement.retain(|vm| peers.address_of(vm).is_some());
-self.shared.suspects.remove_expired(&self.shared.change_context());
-self.forget_signals();
-self.record_growth();
-self.check_reported_outage();
-self.check_caught_up();
-self.report_staleness();
-self.check_resumed();
-if self.platform.table.expire(now) {
-tracing::info!("dropped upstreams that were not listed again");
-}
-self.publish();
-}
+    async fn handle(&mut self, _: TickControl, _: &mut Context<Self>) {
+        self.check_suspension();
+        let now = self.now();
+        self.peers.remove_expired(now);
+        self.regions.remove_stale(now);
+        let peers = &self.peers;
+        self.agreement.retain(|vm| peers.address_of(vm).is_some());
+        self.shared.suspects.remove_expired(&self.shared.change_context());
+        self.forget_signals();
+        self.record_growth();
+        self.check_reported_outage();
+        self.check_caught_up();
+        self.report_staleness();
+        self.check_resumed();
+        if self.platform.table.expire(now) {
+            tracing::info!("dropped upstreams that were not listed again");
+        }
+        self.publish();
+    }
 }
 
 /// Replaces the settings after they were reloaded.
 pub struct ReplaceSettings {
-pub settings: GatewaySettings,
+    pub settings: GatewaySettings,
 }
 
 impl Handler<ReplaceSettings> for ControlActor {
-type Return = ();
+    type Return = ();
 
-async fn handle(&mut self, change: ReplaceSettings, _: &mut Context<Self>) {
-self.settings = change.settings;
-self.publish();
-}
+    async fn handle(&mut self, change: ReplaceSettings, _: &mut Context<Self>) {
+        self.settings = change.settings;
+        self.publish();
+    }
 }
--- a/crates/foldhaven-gateway/src/destinations/mod.rs
+++ b/crates/foldhaven-gateway/src/destinations/mod.rs
@@ -41,194 +41,194 @@
 /// The destination of one attempt.
 #[derive(Clone)]
 pub enum RequestDestination {
-/// An upstream that this VM can reach itself.
-Upstream(Arc<Upstream>),
-/// A VM of another region, which chooses among the upstreams there.
-Peer(Arc<PeerLink>),
+    /// An upstream that this VM can reach itself.
+    Upstream(Arc<Upstream>),
+    /// A VM of another region, which chooses among the upstreams there.
+    Peer(Arc<PeerLink>),
 }
 
 impl RequestDestination {
-/// Returns the name for log lines.
-pub fn name(&self) -> &str {
-match self {
-Self::Upstream(upstream) => upstream.name().as_str(),
-Self::Peer(peer) => peer.vm.as_str(),
-}
-}
-
-/// Returns the connection pool of the destination.
-pub fn pool(&self) -> &ConnectionPool {
-match self {
-Self::Upstream(upstream) => &upstream.pool,
-Self::Peer(peer) => &peer.pool,
-}
-}
-
-/// Returns the target of calls. Connecting to another region may take longer.
-pub fn call_target<'a>(&'a self, listener: &'a dyn HeadListener) -> CallTarget<'a> {
-let (address, connect_limit) = match self {
-Self::Upstream(upstream) => (upstream.identity.address, LOCAL_CONNECT_TIMEOUT),
-Self::Peer(peer) => (peer.address, REMOTE_CONNECT_TIMEOUT),
-};
-CallTarget { address, pool: self.pool(), connect_limit, listener }
-}
-
-/// Counts a request of a service at the destination until the returned guard is dropped.
-pub fn enter(&self, service: &ServiceName, tokens: u32, rank: QueueRank) -> LoadGuard {
-match self {
-Self::Upstream(upstream) => upstream.load.enter(tokens, rank),
-Self::Peer(peer) => peer.enter(service, tokens, rank),
-}
-}
+    /// Returns the name for log lines.
+    pub fn name(&self) -> &str {
+        match self {
+            Self::Upstream(upstream) => upstream.name().as_str(),
+            Self::Peer(peer) => peer.vm.as_str(),
+        }
+    }
+
+    /// Returns the connection pool of the destination.
+    pub fn pool(&self) -> &ConnectionPool {
+        match self {
+            Self::Upstream(upstream) => &upstream.pool,
+            Self::Peer(peer) => &peer.pool,
+        }
+    }
+
+    /// Returns the target of calls. Connecting to another region may take longer.
+    pub fn call_target<'a>(&'a self, listener: &'a dyn HeadListener) -> CallTarget<'a> {
+        let (address, connect_limit) = match self {
+            Self::Upstream(upstream) => (upstream.identity.address, LOCAL_CONNECT_TIMEOUT),
+            Self::Peer(peer) => (peer.address, REMOTE_CONNECT_TIMEOUT),
+        };
+        CallTarget { address, pool: self.pool(), connect_limit, listener }
+    }
+
+    /// Counts a request of a service at the destination until the returned guard is dropped.
+    pub fn enter(&self, service: &ServiceName, tokens: u32, rank: QueueRank) -> LoadGuard {
+        match self {
+            Self::Upstream(upstream) => upstream.load.enter(tokens, rank),
+            Self::Peer(peer) => peer.enter(service, tokens, rank),
+        }
+    }
 }
 
 /// A chosen destination, with the estimates for the request there.
 pub struct DestinationChoice {
-pub destination: RequestDestination,
-/// The expected time to the answer, or to its first event.
-pub time_to_first: Duration,
-/// The prompt tokens that the destination has to prefill.
-pub prefill_tokens: u32,
-/// The requests that the destination already has.
-pub queue: QueueState,
-/// The rank of the request in the queue of the destination.
-pub rank: QueueRank,
-/// The prompt tokens that the destination has to prefill before it can answer. `None` if other
-/// work takes time as well.
-pub prefill_before_answer: Option<u32>,
-/// The upstream from which the destination fetches the part of the prompt that it has not
-/// cached.
-pub fetch_from: Option<SocketAddr>,
+    pub destination: RequestDestination,
+    /// The expected time to the answer, or to its first event.
+    pub time_to_first: Duration,
+    /// The prompt tokens that the destination has to prefill.
+    pub prefill_tokens: u32,
+    /// The requests that the destination already has.
+    pub queue: QueueState,
+    /// The rank of the request in the queue of the destination.
+    pub rank: QueueRank,
+    /// The prompt tokens that the destination has to prefill before it can answer. `None` if other
+    /// work takes time as well.
+    pub prefill_before_answer: Option<u32>,
+    /// The upstream from which the destination fetches the part of the prompt that it has not
+    /// cached.
+    pub fetch_from: Option<SocketAddr>,
 }
 
 /// The destinations already tried for a request.
 #[derive(Debug, Default)]
 pub struct TriedDestinations {
-pub upstreams: Vec<UpstreamName>,
-pub peers: Vec<VmName>,
+    pub upstreams: Vec<UpstreamName>,
+    pub peers: Vec<VmName>,
 }
 
 impl TriedDestinations {
-pub fn record(&mut self, destination: &RequestDestination) {
-match destination {
-RequestDestination::Upstream(upstream) => self.upstreams.push(upstream.name().clone()),
-RequestDestination::Peer(peer) => self.peers.push(peer.vm.clone()),
-}
-}
+    pub fn record(&mut self, destination: &RequestDestination) {
+        match destination {
+            RequestDestination::Upstream(upstream) => self.upstreams.push(upstream.name().clone()),
+            RequestDestination::Peer(peer) => self.peers.push(peer.vm.clone()),
+        }
+    }
 
-/// Returns the number of tried destinations, including those that could not be reached.
-pub fn count(&self) -> usize {
-self.upstreams.len() + self.peers.len()
-}
+    /// Returns the number of tried destinations, including those that could not be reached.
+    pub fn count(&self) -> usize {
+        self.upstreams.len() + self.peers.len()
+    }
 }
 
 /// Chooses a destination. Prefers the best upstream of this region, unless another region is
 /// cheaper by more than [`REGION_MARGIN`], or has free capacity while this one has none.
 pub fn choose_destination(
-shared: &GatewayShared,
-view: &GatewayView,
-job: &GatewayJob,
-tried: &TriedDestinations,
+    shared: &GatewayShared,
+    view: &GatewayView,
+    job: &GatewayJob,
+    tried: &TriedDestinations,
 ) -> Result<DestinationChoice, Refusal> {
-let is_here = job.permits(shared.settings.region());
-let local = if is_here { choose_local(shared, view, job, tried) } else { None };
-if job.is_forwarded {
-let local = local.ok_or_else(|| match is_here {
-true => no_destination_refusal(shared, view, job),
-false => Refusal::NotPermitted,
-})?;
-admit_choice(job, &local.estimate())?;
-return local.reserve(shared);
-}
-let remote = choose_remote(shared, view, job, tried);
-match (local, remote) {
-(Some(local), Some(remote)) if prefers_remote(&local, &remote, tried) => {
-admit_choice(job, &remote.estimate())?;
-Ok(remote.choice)
-}
-(Some(local), remote) => match (admit_choice(job, &local.estimate()), remote) {
-(Ok(()), _) => local.reserve(shared),
-(Err(_), Some(remote)) if has_free_capacity(job, &remote) => Ok(remote.choice),
-(Err(refusal), _) => Err(refusal),
-},
-(None, Some(remote)) => Ok(remote.choice),
-(None, None) if has_no_permitted_region(shared, job) => Err(Refusal::NoPermittedRegion),
-(None, None) => Err(no_destination_refusal(shared, view, job)),
-}
+    let is_here = job.permits(shared.settings.region());
+    let local = if is_here { choose_local(shared, view, job, tried) } else { None };
+    if job.is_forwarded {
+        let local = local.ok_or_else(|| match is_here {
+            true => no_destination_refusal(shared, view, job),
+            false => Refusal::NotPermitted,
+        })?;
+        admit_choice(job, &local.estimate())?;
+        return local.reserve(shared);
+    }
+    let remote = choose_remote(shared, view, job, tried);
+    match (local, remote) {
+        (Some(local), Some(remote)) if prefers_remote(&local, &remote, tried) => {
+            admit_choice(job, &remote.estimate())?;
+            Ok(remote.choice)
+        }
+        (Some(local), remote) => match (admit_choice(job, &local.estimate()), remote) {
+            (Ok(()), _) => local.reserve(shared),
+            (Err(_), Some(remote)) if has_free_capacity(job, &remote) => Ok(remote.choice),
+            (Err(refusal), _) => Err(refusal),
+        },
+        (None, Some(remote)) => Ok(remote.choice),
+        (None, None) if has_no_permitted_region(shared, job) => Err(Refusal::NoPermittedRegion),
+        (None, None) => Err(no_destination_refusal(shared, view, job)),
+    }
 }
 
 /// Returns how long a request has to wait while all local upstreams that may run it are throttled.
 /// `None` if one of them is available, if another region offers the service, or if no upstream
 /// asked to back off or announced a limit.
 pub fn throttled_wait(
-shared: &GatewayShared,
-view: &GatewayView,
-job: &GatewayJob,
+    shared: &GatewayShared,
+    view: &GatewayView,
+    job: &GatewayJob,
 ) -> Option<Duration> {
-let own_region = shared.settings.region();
-let is_elsewhere = view.expected_waits.keys().any(|(region, service)| {
-*service == job.service && region != own_region && job.permits(region)
-});
-let is_open = is_elsewhere || has_available(shared, view, job);
-if is_open { None } else { signalled_wait(shared, view, job) }
+    let own_region = shared.settings.region();
+    let is_elsewhere = view.expected_waits.keys().any(|(region, service)| {
+        *service == job.service && region != own_region && job.permits(region)
+    });
+    let is_open = is_elsewhere || has_available(shared, view, job);
+    if is_open { None } else { signalled_wait(shared, view, job) }
 }
 
 /// Returns the reason why a request has no destination.
 fn no_destination_refusal(shared: &GatewayShared, view: &GatewayView, job: &GatewayJob) -> Refusal {
-match signalled_wait(shared, view, job).filter(|_| job.permits(shared.settings.region())) {
-Some(wait) => Refusal::Throttled { wait },
-None => Refusal::NoUpstream,
-}
+    match signalled_wait(shared, view, job).filter(|_| job.permits(shared.settings.region())) {
+        Some(wait) => Refusal::Throttled { wait },
+        None => Refusal::NoUpstream,
+    }
 }
 
 /// Returns whether no existing region is permitted by the homes of both the route and the account.
 fn has_no_permitted_region(shared: &GatewayShared, job: &GatewayJob) -> bool {
-!shared.settings.regions.values().any(|region| job.permits(region))
+    !shared.settings.regions.values().any(|region| job.permits(region))
 }
 
 /// Returns whether a remote region is better than the local choice: it is cheaper by more than the
 /// margin, or the local upstreams cannot be trusted.
 fn prefers_remote(local: &LocalChoice, remote: &RemoteChoice, tried: &TriedDestinations) -> bool {
-let is_local_trusted = local.choice.is_trusted && tried.upstreams.len() < MAX_LOCAL_FAULTS;
-!is_local_trusted || remote.cost + REGION_MARGIN < local.choice.cost
+    let is_local_trusted = local.choice.is_trusted && tried.upstreams.len() < MAX_LOCAL_FAULTS;
+    !is_local_trusted || remote.cost + REGION_MARGIN < local.choice.cost
 }
 
 /// Returns whether a remote region can answer in time a request that was not admitted locally. Its
 /// last report has to show free slots.
 fn has_free_capacity(job: &GatewayJob, remote: &RemoteChoice) -> bool {
-let DestinationEstimate { rank, queue, .. } = remote.estimate();
-let is_free = rank == QueueRank::Timely && queue.in_flight < queue.slots;
-is_free && admit_choice(job, &remote.estimate()).is_ok()
+    let DestinationEstimate { rank, queue, .. } = remote.estimate();
+    let is_free = rank == QueueRank::Timely && queue.in_flight < queue.slots;
+    is_free && admit_choice(job, &remote.estimate()).is_ok()
 }
 
 /// Refuses a request that should not be sent even to its best destination. A request whose answer
 /// has begun is always admitted.
 fn admit_choice(job: &GatewayJob, estimate: &DestinationEstimate) -> Result<(), Refusal> {
-if job.has_partial_answer {
-return Ok(());
-}
-let limits = TimeLimits {
-target: job.route.target,
-waited: job.waited(),
-remaining: job.deadline.saturating_duration_since(BootInstant::now()),
-};
-admit(estimate, limits)
-.map_err(|cause| Refusal::Overloaded { cause, wait: retry_after(estimate, limits) })
+    if job.has_partial_answer {
+        return Ok(());
+    }
+    let limits = TimeLimits {
+        target: job.route.target,
+        waited: job.waited(),
+        remaining: job.deadline.saturating_duration_since(BootInstant::now()),
+    };
+    admit(estimate, limits)
+        .map_err(|cause| Refusal::Overloaded { cause, wait: retry_after(estimate, limits) })
 }
 
 /// Returns the properties of a request that the choice depends on.
 fn choice_query(shared: &GatewayShared, view: &GatewayView, job: &GatewayJob) -> ChoiceQuery {
-let outline = job.outline.as_ref();
-ChoiceQuery {
-target: job.route.target,
-waited: job.waited(),
-event_gap: job.route.event_gap,
-events: shared.route_history(&job.route.name).usual_event_count(),
-size: job.size(),
-shared_tokens: outline.map_or(0, |outline| outline.shared_tokens()),
-unshared_tokens: outline.map_or(0, |outline| outline.unshared_tokens),
-affinity_key: outline.and_then(|outline| outline.affinity_key()),
-report_age: view.report_age(),
-draw: rand::random(),
-}
+    let outline = job.outline.as_ref();
+    ChoiceQuery {
+        target: job.route.target,
+        waited: job.waited(),
+        event_gap: job.route.event_gap,
+        events: shared.route_history(&job.route.name).usual_event_count(),
+        size: job.size(),
+        shared_tokens: outline.map_or(0, |outline| outline.shared_tokens()),
+        unshared_tokens: outline.map_or(0, |outline| outline.unshared_tokens),
+        affinity_key: outline.and_then(|outline| outline.affinity_key()),
+        report_age: view.report_age(),
+        draw: rand::random(),
+    }
 }
--- a/crates/foldhaven-gateway/src/destinations/remote.rs
+++ b/crates/foldhaven-gateway/src/destinations/remote.rs
@@ -6,7 +6,7 @@
 use foldhaven_core::ids::RegionName;
 use foldhaven_core::opaque::admission::DestinationEstimate;
 use foldhaven_core::opaque::choice::{
-CostBreakdown, RequestCost, decode_slowdown_cost, pause_cost, streaming_cost,
+    CostBreakdown, RequestCost, decode_slowdown_cost, pause_cost, streaming_cost,
 };
 use foldhaven_core::opaque::load_reports::UpstreamShare;
 use foldhaven_core::opaque::performance::QueueState;
@@ -14,7 +14,7 @@
 use foldhaven_core::opaque::remote_queue::RemoteService;
 
 use super::{
-DestinationChoice, MIN_ANNOUNCED_TOKENS, RequestDestination, TriedDestinations, choice_query,
+    DestinationChoice, MIN_ANNOUNCED_TOKENS, RequestDestination, TriedDestinations, choice_query,
 };
 use crate::job::GatewayJob;
 use crate::shared::GatewayShared;
@@ -31,157 +31,157 @@
 
 /// A VM of another region, with the price of the request there.
 pub(super) struct RemoteChoice {
-pub(super) choice: DestinationChoice,
-pub(super) cost: RequestCost,
-pub(super) breakdown: CostBreakdown,
-pub(super) region: RegionName,
+    pub(super) choice: DestinationChoice,
+    pub(super) cost: RequestCost,
+    pub(super) breakdown: CostBreakdown,
+    pub(super) region: RegionName,
 }
 
 impl RemoteChoice {
-/// Returns the estimate for deciding whether the request is admitted.
-pub(super) fn estimate(&self) -> DestinationEstimate {
-let DestinationChoice { time_to_first: first, rank, queue, .. } = self.choice;
-DestinationEstimate {
-time_to_first: first,
-breakdown: self.breakdown,
-rank,
-queue,
-is_full: false,
-}
-}
+    /// Returns the estimate for deciding whether the request is admitted.
+    pub(super) fn estimate(&self) -> DestinationEstimate {
+        let DestinationChoice { time_to_first: first, rank, queue, .. } = self.choice;
+        DestinationEstimate {
+            time_to_first: first,
+            breakdown: self.breakdown,
+            rank,
+            queue,
+            is_full: false,
+        }
+    }
 }
 
 /// Chooses the cheapest of the other regions where the request may run and its service exists.
 pub(super) fn choose_remote(
-shared: &GatewayShared,
-view: &GatewayView,
-job: &GatewayJob,
-tried: &TriedDestinations,
+    shared: &GatewayShared,
+    view: &GatewayView,
+    job: &GatewayJob,
+    tried: &TriedDestinations,
 ) -> Option<RemoteChoice> {
-let priced = price_remote(shared, view, job, tried).into_iter();
-priced.min_by(|left, right| left.cost.0.total_cmp(&right.cost.0))
+    let priced = price_remote(shared, view, job, tried).into_iter();
+    priced.min_by(|left, right| left.cost.0.total_cmp(&right.cost.0))
 }
 
 /// Prices the other regions that can take a request, with one VM of each.
 pub(super) fn price_remote(
-shared: &GatewayShared,
-view: &GatewayView,
-job: &GatewayJob,
-tried: &TriedDestinations,
+    shared: &GatewayShared,
+    view: &GatewayView,
+    job: &GatewayJob,
+    tried: &TriedDestinations,
 ) -> Vec<RemoteChoice> {
-let own_region = shared.settings.region();
-let regions = view.expected_waits.iter().filter(|((region, service), _)| {
-*service == job.service && region != own_region && job.permits(region)
-});
-let priced = regions.filter_map(|((region, _), wait)| {
-let peer = pick_peer(view, region, tried)?;
-Some(RemotePricer { shared, view, job, region, wait: *wait }.price(peer))
-});
-priced.collect()
+    let own_region = shared.settings.region();
+    let regions = view.expected_waits.iter().filter(|((region, service), _)| {
+        *service == job.service && region != own_region && job.permits(region)
+    });
+    let priced = regions.filter_map(|((region, _), wait)| {
+        let peer = pick_peer(view, region, tried)?;
+        Some(RemotePricer { shared, view, job, region, wait: *wait }.price(peer))
+    });
+    priced.collect()
 }
 
 /// Prices one remote region for a request.
 struct RemotePricer<'a> {
-shared: &'a GatewayShared,
-view: &'a GatewayView,
-job: &'a GatewayJob,
-region: &'a RegionName,
-wait: RegionWait,
+    shared: &'a GatewayShared,
+    view: &'a GatewayView,
+    job: &'a GatewayJob,
+    region: &'a RegionName,
+    wait: RegionWait,
 }
 
 impl RemotePricer<'_> {
-/// Returns the expected time and cost of the request if it is forwarded to a VM of the region.
-fn price(&self, peer: Arc<PeerLink>) -> RemoteChoice {
-let job = self.job;
-let query = choice_query(self.shared, self.view, job);
-let missing = self.missing_tokens(query.shared_tokens);
-let prefill_tokens = query.unshared_tokens + missing;
-let performance = self.shared.measured_performance(&job.service);
-let network_time = self.network_time(&peer);
-let sent = self.sent_since(performance.slot_time, network_time);
-let there = performance.time_to_first(sent, QueueRank::Timely, prefill_tokens);
-let time_to_first = network_time + self.wait.wait + there;
-// The reported load already contains most of the requests sent since.
-let queue = QueueState { in_flight: sent.in_flight.max(self.wait.load), ..sent };
-let breakdown = CostBreakdown {
-time: RequestCost::of_time(query.waited + time_to_first, query.target).0,
-repeated_prefill: RequestCost::of_repeated_prefill(missing, query.size).0,
-transfer: RequestCost::of_bytes(job.body.len(), REGION_BYTE_PRICE, query.size).0,
-long_pauses: pause_cost(&query, self.wait.long_pauses).0,
-streaming: streaming_cost(&query, &performance, queue).0,
-decode_slowdown: decode_slowdown_cost(&query, &performance, queue, prefill_tokens).0,
-..CostBreakdown::default()
-};
-let destination = RequestDestination::Peer(peer);
-let choice = DestinationChoice {
-destination,
-time_to_first,
-prefill_tokens,
-queue,
-rank: query.rank(time_to_first),
-prefill_before_answer: None,
-fetch_from: None,
-};
-RemoteChoice { choice, cost: breakdown.total(), breakdown, region: self.region.clone() }
-}
+    /// Returns the expected time and cost of the request if it is forwarded to a VM of the region.
+    fn price(&self, peer: Arc<PeerLink>) -> RemoteChoice {
+        let job = self.job;
+        let query = choice_query(self.shared, self.view, job);
+        let missing = self.missing_tokens(query.shared_tokens);
+        let prefill_tokens = query.unshared_tokens + missing;
+        let performance = self.shared.measured_performance(&job.service);
+        let network_time = self.network_time(&peer);
+        let sent = self.sent_since(performance.slot_time, network_time);
+        let there = performance.time_to_first(sent, QueueRank::Timely, prefill_tokens);
+        let time_to_first = network_time + self.wait.wait + there;
+        // The reported load already contains most of the requests sent since.
+        let queue = QueueState { in_flight: sent.in_flight.max(self.wait.load), ..sent };
+        let breakdown = CostBreakdown {
+            time: RequestCost::of_time(query.waited + time_to_first, query.target).0,
+            repeated_prefill: RequestCost::of_repeated_prefill(missing, query.size).0,
+            transfer: RequestCost::of_bytes(job.body.len(), REGION_BYTE_PRICE, query.size).0,
+            long_pauses: pause_cost(&query, self.wait.long_pauses).0,
+            streaming: streaming_cost(&query, &performance, queue).0,
+            decode_slowdown: decode_slowdown_cost(&query, &performance, queue, prefill_tokens).0,
+            ..CostBreakdown::default()
+        };
+        let destination = RequestDestination::Peer(peer);
+        let choice = DestinationChoice {
+            destination,
+            time_to_first,
+            prefill_tokens,
+            queue,
+            rank: query.rank(time_to_first),
+            prefill_before_answer: None,
+            fetch_from: None,
+        };
+        RemoteChoice { choice, cost: breakdown.total(), breakdown, region: self.region.clone() }
+    }
 
-/// Returns the round trip to the region, doubled if a connection has to be opened first.
-fn network_time(&self, peer: &PeerLink) -> Duration {
-let round_trip = self.view.round_trip(self.region).unwrap_or(DEFAULT_ROUND_TRIP);
-match peer.pool.has_usable_connection() {
-true => round_trip,
-false => round_trip * 2,
-}
-}
+    /// Returns the round trip to the region, doubled if a connection has to be opened first.
+    fn network_time(&self, peer: &PeerLink) -> Duration {
+        let round_trip = self.view.round_trip(self.region).unwrap_or(DEFAULT_ROUND_TRIP);
+        match peer.pool.has_usable_connection() {
+            true => round_trip,
+            false => round_trip * 2,
+        }
+    }
 
-/// Estimates the requests that the VMs of this region have sent there since the last report,
-/// from those that this VM has sent.
-fn sent_since(&self, slot_time: Duration, network_time: Duration) -> QueueState {
-let links = self.view.peers.iter().filter(|peer| peer.region == *self.region);
-let sent = links.map(|peer| peer.share(&self.job.service));
-let own = sent.fold(UpstreamShare::default(), |sum, share| UpstreamShare {
-in_flight: sum.in_flight.saturating_add(share.in_flight),
-prefill_backlog: sum.prefill_backlog.plus(share.prefill_backlog),
-..sum
-});
-let RegionWait { upstreams, slots, .. } = self.wait;
-RemoteService { upstreams, slots, slot_time, round_trip: network_time }
-.queue(own, self.view.senders)
-}
+    /// Estimates the requests that the VMs of this region have sent there since the last report,
+    /// from those that this VM has sent.
+    fn sent_since(&self, slot_time: Duration, network_time: Duration) -> QueueState {
+        let links = self.view.peers.iter().filter(|peer| peer.region == *self.region);
+        let sent = links.map(|peer| peer.share(&self.job.service));
+        let own = sent.fold(UpstreamShare::default(), |sum, share| UpstreamShare {
+            in_flight: sum.in_flight.saturating_add(share.in_flight),
+            prefill_backlog: sum.prefill_backlog.plus(share.prefill_backlog),
+            ..sum
+        });
+        let RegionWait { upstreams, slots, .. } = self.wait;
+        RemoteService { upstreams, slots, slot_time, round_trip: network_time }
+            .queue(own, self.view.senders)
+    }
 
-/// Returns the tokens of the shared segments that would have to be prefilled in the region.
-fn missing_tokens(&self, shared_tokens: u32) -> u32 {
-if shared_tokens < MIN_ANNOUNCED_TOKENS {
-return (f64::from(shared_tokens) * REMOTE_MISSING_SHARE) as u32;
-}
-let segments = self.job.shared_segments();
-let prefix_caches = self.shared.prefix_caches.lock();
-let upstreams = self.view.upstreams_of(&self.job.service).iter();
-let there = upstreams.filter(|upstream| upstream.identity.region == *self.region);
-let held = there.map(|upstream| {
-prefix_caches.cached_tokens(upstream.tag, segments, upstream.identity.prompt_memory)
-});
-shared_tokens - held.max().unwrap_or_default().min(shared_tokens)
-}
+    /// Returns the tokens of the shared segments that would have to be prefilled in the region.
+    fn missing_tokens(&self, shared_tokens: u32) -> u32 {
+        if shared_tokens < MIN_ANNOUNCED_TOKENS {
+            return (f64::from(shared_tokens) * REMOTE_MISSING_SHARE) as u32;
+        }
+        let segments = self.job.shared_segments();
+        let prefix_caches = self.shared.prefix_caches.lock();
+        let upstreams = self.view.upstreams_of(&self.job.service).iter();
+        let there = upstreams.filter(|upstream| upstream.identity.region == *self.region);
+        let held = there.map(|upstream| {
+            prefix_caches.cached_tokens(upstream.tag, segments, upstream.identity.prompt_memory)
+        });
+        shared_tokens - held.max().unwrap_or_default().min(shared_tokens)
+    }
 }
 
 /// Returns a random VM of a region that the request was not sent to yet. VMs in service there and
 /// VMs with an open connection are preferred.
 fn pick_peer(
-view: &GatewayView,
-region: &RegionName,
-tried: &TriedDestinations,
+    view: &GatewayView,
+    region: &RegionName,
+    tried: &TriedDestinations,
 ) -> Option<Arc<PeerLink>> {
-let is_untried = |peer: &&Arc<PeerLink>| !tried.peers.contains(&peer.vm);
-let in_service = view.remote_in_service.get(region).into_iter().flatten();
-let mut open: Vec<&Arc<PeerLink>> = in_service.filter(is_untried).collect();
-if open.is_empty() {
-let there = view.peers.iter().filter(|peer| peer.region == *region);
-open = there.filter(is_untried).collect();
-}
-let warm: Vec<&Arc<PeerLink>> =
-open.iter().copied().filter(|peer| peer.pool.has_usable_connection()).collect();
-let open = if warm.is_empty() { open } else { warm };
-let at = (rand::random::<f64>() * open.len() as f64) as usize;
-open.get(at).map(|peer| Arc::clone(peer))
+    let is_untried = |peer: &&Arc<PeerLink>| !tried.peers.contains(&peer.vm);
+    let in_service = view.remote_in_service.get(region).into_iter().flatten();
+    let mut open: Vec<&Arc<PeerLink>> = in_service.filter(is_untried).collect();
+    if open.is_empty() {
+        let there = view.peers.iter().filter(|peer| peer.region == *region);
+        open = there.filter(is_untried).collect();
+    }
+    let warm: Vec<&Arc<PeerLink>> =
+        open.iter().copied().filter(|peer| peer.pool.has_usable_connection()).collect();
+    let open = if warm.is_empty() { open } else { warm };
+    let at = (rand::random::<f64>() * open.len() as f64) as usize;
+    open.get(at).map(|peer| Arc::clone(peer))
 }
--- a/crates/foldhaven-gateway/src/job.rs
+++ b/crates/foldhaven-gateway/src/job.rs
@@ -10,8 +10,8 @@
 use foldhaven_core::opaque::request_fingerprint::{FingerprintParts, RequestFingerprint};
 use foldhaven_core::opaque::route_table::{CallerLimits, OpaqueRoute};
 use http::header::{
-CONNECTION, CONTENT_LENGTH, EXPECT, HOST, PROXY_AUTHENTICATE, PROXY_AUTHORIZATION, TE, TRAILER,
-TRANSFER_ENCODING, UPGRADE,
+    CONNECTION, CONTENT_LENGTH, EXPECT, HOST, PROXY_AUTHENTICATE, PROXY_AUTHORIZATION, TE, TRAILER,
+    TRANSFER_ENCODING, UPGRADE,
 };
 use http::request::Parts;
 use http::{HeaderMap, HeaderName, HeaderValue, Method, Uri};
@@ -34,284 +34,284 @@
 /// A request to run.
 #[derive(Clone)]
 pub struct GatewayJob {
-/// The id of the caller's attempt. Upstreams repeat it in their answers.
-pub attempt: HeaderValue,
-/// The fingerprint of the request, equal for all copies of the same request.
-pub fingerprint: RequestFingerprint,
-pub route: Arc<OpaqueRoute>,
-/// The account that sent the request. `None` if the route needs none and no known key was sent.
-pub account: Option<JobAccount>,
-pub service: ServiceName,
-pub method: Method,
-pub target: Uri,
-/// The headers for upstreams, without those that are specific to an attempt.
-pub headers: HeaderMap,
-pub body: Bytes,
-pub started: BootInstant,
-/// How long the caller had waited before this request, estimated from the remaining time it
-/// names.
-pub waited_before: Duration,
-/// How long the caller had waited when it got the answer or its first event. Further waiting
-/// does not count against the latency target. `None` until then.
-pub time_to_first: Option<Duration>,
-/// Whether the caller has received the beginning of an answer. The request then continues at
-/// any cost, since the answer would otherwise be truncated.
-pub has_partial_answer: bool,
-/// When the caller gives up or the timeout of the route ends, whichever is first.
-pub deadline: BootInstant,
-/// The segments of the prompt. `None` unless the caller names them and the route uses them.
-pub outline: Option<PromptOutline>,
-/// The maximum length of the answer in tokens. 0 if the caller names none.
-pub output_tokens: u32,
-/// Whether another VM forwarded the request. It then runs in this region or not at all.
-pub is_forwarded: bool,
+    /// The id of the caller's attempt. Upstreams repeat it in their answers.
+    pub attempt: HeaderValue,
+    /// The fingerprint of the request, equal for all copies of the same request.
+    pub fingerprint: RequestFingerprint,
+    pub route: Arc<OpaqueRoute>,
+    /// The account that sent the request. `None` if the route needs none and no known key was sent.
+    pub account: Option<JobAccount>,
+    pub service: ServiceName,
+    pub method: Method,
+    pub target: Uri,
+    /// The headers for upstreams, without those that are specific to an attempt.
+    pub headers: HeaderMap,
+    pub body: Bytes,
+    pub started: BootInstant,
+    /// How long the caller had waited before this request, estimated from the remaining time it
+    /// names.
+    pub waited_before: Duration,
+    /// How long the caller had waited when it got the answer or its first event. Further waiting
+    /// does not count against the latency target. `None` until then.
+    pub time_to_first: Option<Duration>,
+    /// Whether the caller has received the beginning of an answer. The request then continues at
+    /// any cost, since the answer would otherwise be truncated.
+    pub has_partial_answer: bool,
+    /// When the caller gives up or the timeout of the route ends, whichever is first.
+    pub deadline: BootInstant,
+    /// The segments of the prompt. `None` unless the caller names them and the route uses them.
+    pub outline: Option<PromptOutline>,
+    /// The maximum length of the answer in tokens. 0 if the caller names none.
+    pub output_tokens: u32,
+    /// Whether another VM forwarded the request. It then runs in this region or not at all.
+    pub is_forwarded: bool,
 }
 
 impl GatewayJob {
-/// Returns the remaining time as a header value for upstreams.
-pub fn remaining_ms(&self) -> HeaderValue {
-let left = self.deadline.saturating_duration_since(BootInstant::now()).as_millis();
-let left = u64::try_from(left.max(MIN_REMAINING_MS)).unwrap_or(u64::MAX);
-HeaderValue::from(left)
-}
+    /// Returns the remaining time as a header value for upstreams.
+    pub fn remaining_ms(&self) -> HeaderValue {
+        let left = self.deadline.saturating_duration_since(BootInstant::now()).as_millis();
+        let left = u64::try_from(left.max(MIN_REMAINING_MS)).unwrap_or(u64::MAX);
+        HeaderValue::from(left)
+    }
 
-/// Returns how long the caller has waited for a first response. Zero once it has got one.
-pub fn waited(&self) -> Duration {
-match self.time_to_first {
-Some(_) => Duration::ZERO,
-None => self.waited_before + self.started.elapsed(),
-}
-}
+    /// Returns how long the caller has waited for a first response. Zero once it has got one.
+    pub fn waited(&self) -> Duration {
+        match self.time_to_first {
+            Some(_) => Duration::ZERO,
+            None => self.waited_before + self.started.elapsed(),
+        }
+    }
 
-/// Records that the caller gets the answer or its first event now. Returns how long this VM
-/// took.
-pub fn record_time_to_first(&mut self) -> Duration {
-let took = self.started.elapsed();
-self.time_to_first = Some(self.waited_before + took);
-took
-}
+    /// Records that the caller gets the answer or its first event now. Returns how long this VM
+    /// took.
+    pub fn record_time_to_first(&mut self) -> Duration {
+        let took = self.started.elapsed();
+        self.time_to_first = Some(self.waited_before + took);
+        took
+    }
 
-/// Returns the segments of the prompt that other requests may share.
-pub fn shared_segments(&self) -> &[PromptSegment] {
-self.outline.as_ref().map_or(&[], |outline| &outline.shared)
-}
+    /// Returns the segments of the prompt that other requests may share.
+    pub fn shared_segments(&self) -> &[PromptSegment] {
+        self.outline.as_ref().map_or(&[], |outline| &outline.shared)
+    }
 
-/// Returns the work of the request in tokens. Its worth is proportional to this.
-pub fn size(&self) -> u32 {
-let Some(outline) = &self.outline else { return DEFAULT_SIZE };
-let prompt = outline.shared_tokens() + outline.unshared_tokens;
-prompt.saturating_add(self.output_tokens.saturating_mul(OUTPUT_WEIGHT)).max(1)
-}
+    /// Returns the work of the request in tokens. Its worth is proportional to this.
+    pub fn size(&self) -> u32 {
+        let Some(outline) = &self.outline else { return DEFAULT_SIZE };
+        let prompt = outline.shared_tokens() + outline.unshared_tokens;
+        prompt.saturating_add(self.output_tokens.saturating_mul(OUTPUT_WEIGHT)).max(1)
+    }
 
-/// Whether the request may run in a region, by the rules of its route and of its account.
-pub fn permits(&self, region: &RegionName) -> bool {
-let by_account = self.account.as_ref().is_none_or(|account| account.permits(region));
-by_account && self.route.permits(region)
-}
+    /// Whether the request may run in a region, by the rules of its route and of its account.
+    pub fn permits(&self, region: &RegionName) -> bool {
+        let by_account = self.account.as_ref().is_none_or(|account| account.permits(region));
+        by_account && self.route.permits(region)
+    }
 
-/// Returns the priority among the requests of its service. 0 goes first.
-pub fn priority(&self) -> u8 {
-let by_account = self.account.as_ref().and_then(|it| it.account.priority);
-by_account.unwrap_or(self.route.priority)
-}
+    /// Returns the priority among the requests of its service. 0 goes first.
+    pub fn priority(&self) -> u8 {
+        let by_account = self.account.as_ref().and_then(|it| it.account.priority);
+        by_account.unwrap_or(self.route.priority)
+    }
 
-/// Returns the name of the account for logs, `-` if there is none.
-pub fn account_label(&self) -> &str {
-self.account.as_ref().map_or("-", |it| it.account.name.as_str())
-}
+    /// Returns the name of the account for logs, `-` if there is none.
+    pub fn account_label(&self) -> &str {
+        self.account.as_ref().map_or("-", |it| it.account.name.as_str())
+    }
 
-/// Returns the attempt id for logs.
-pub fn id(&self) -> &str {
-self.attempt.to_str().unwrap_or("unreadable")
-}
+    /// Returns the attempt id for logs.
+    pub fn id(&self) -> &str {
+        self.attempt.to_str().unwrap_or("unreadable")
+    }
 }
 
 /// The route, service and account of a request.
 pub struct RouteMatch {
-pub route: Arc<OpaqueRoute>,
-pub service: ServiceName,
-pub account: Option<JobAccount>,
+    pub route: Arc<OpaqueRoute>,
+    pub service: ServiceName,
+    pub account: Option<JobAccount>,
 }
 
 /// A request with its complete body.
 pub struct ReadRequest {
-pub head: Parts,
-pub body: Bytes,
-pub started: BootInstant,
+    pub head: Parts,
+    pub body: Bytes,
+    pub started: BootInstant,
 }
 
 impl ReadRequest {
-/// Creates the job for a request of a caller.
-pub fn into_job(
-self,
-route_match: RouteMatch,
-terms: CallerTerms,
-names: &HeaderNames,
-) -> GatewayJob {
-let Self { head, body, started } = self;
-let RouteMatch { route, service, account } = route_match;
-GatewayJob {
-attempt: terms.attempt,
-fingerprint: fingerprint_of(&head, &body),
-outline: read_outline(&head, &route, names),
-output_tokens: read_output_tokens(&head, names),
-route,
-service,
-method: head.method,
-target: head.uri,
-headers: forwarded_headers(head.headers, account.as_ref(), names),
-account,
-body,
-started,
-waited_before: terms.waited,
-time_to_first: None,
-has_partial_answer: false,
-deadline: started + terms.remaining,
-is_forwarded: false,
-}
-}
+    /// Creates the job for a request of a caller.
+    pub fn into_job(
+        self,
+        route_match: RouteMatch,
+        terms: CallerTerms,
+        names: &HeaderNames,
+    ) -> GatewayJob {
+        let Self { head, body, started } = self;
+        let RouteMatch { route, service, account } = route_match;
+        GatewayJob {
+            attempt: terms.attempt,
+            fingerprint: fingerprint_of(&head, &body),
+            outline: read_outline(&head, &route, names),
+            output_tokens: read_output_tokens(&head, names),
+            route,
+            service,
+            method: head.method,
+            target: head.uri,
+            headers: forwarded_headers(head.headers, account.as_ref(), names),
+            account,
+            body,
+            started,
+            waited_before: terms.waited,
+            time_to_first: None,
+            has_partial_answer: false,
+            deadline: started + terms.remaining,
+            is_forwarded: false,
+        }
+    }
 }
 
 /// Returns the fingerprint of a request.
 fn fingerprint_of(head: &Parts, body: &[u8]) -> RequestFingerprint {
-RequestFingerprint::of(&FingerprintParts {
-host: host_of(head).unwrap_or_default(),
-method: head.method.as_str(),
-target: head.uri.path_and_query().map_or("/", |target| target.as_str()),
-body,
-})
+    RequestFingerprint::of(&FingerprintParts {
+        host: host_of(head).unwrap_or_default(),
+        method: head.method.as_str(),
+        target: head.uri.path_and_query().map_or("/", |target| target.as_str()),
+        body,
+    })
 }
 
 /// Returns the host of a request, from its URI or its `Host` header.
 pub fn host_of(head: &Parts) -> Option<&str> {
-if let Some(host) = head.uri.host() {
-return Some(host);
-}
-head.headers.get(HOST)?.to_str().ok()
+    if let Some(host) = head.uri.host() {
+        return Some(host);
+    }
+    head.headers.get(HOST)?.to_str().ok()
 }
 
 /// Checks the head of a request before its body is read.
 pub fn check_head(head: &Parts, limits: &CallerLimits) -> Result<(), Refusal> {
-let size: usize =
-head.headers.iter().map(|(name, value)| name.as_str().len() + value.len() + 4).sum();
-if size > limits.header_bytes {
-return Err(Refusal::HeadTooLarge);
-}
-if head.headers.get_all(HOST).iter().count() > 1 {
-return Err(Refusal::Malformed);
-}
-let length = head.headers.get(CONTENT_LENGTH).and_then(|value| value.to_str().ok());
-match length.and_then(|text| text.parse::<usize>().ok()) {
-Some(length) if length > limits.body_bytes => Err(Refusal::BodyTooLarge),
-_ => Ok(()),
-}
+    let size: usize =
+        head.headers.iter().map(|(name, value)| name.as_str().len() + value.len() + 4).sum();
+    if size > limits.header_bytes {
+        return Err(Refusal::HeadTooLarge);
+    }
+    if head.headers.get_all(HOST).iter().count() > 1 {
+        return Err(Refusal::Malformed);
+    }
+    let length = head.headers.get(CONTENT_LENGTH).and_then(|value| value.to_str().ok());
+    match length.and_then(|text| text.parse::<usize>().ok()) {
+        Some(length) if length > limits.body_bytes => Err(Refusal::BodyTooLarge),
+        _ => Ok(()),
+    }
 }
 
 /// Reads the complete body.
 pub async fn read_body(body: Incoming, limits: &CallerLimits) -> Result<Bytes, Refusal> {
-match Limited::new(body, limits.body_bytes).collect().await {
-Ok(collected) => Ok(collected.to_bytes()),
-Err(error) if error.is::<LengthLimitError>() => Err(Refusal::BodyTooLarge),
-Err(_) => Err(Refusal::Malformed),
-}
+    match Limited::new(body, limits.body_bytes).collect().await {
+        Ok(collected) => Ok(collected.to_bytes()),
+        Err(error) if error.is::<LengthLimitError>() => Err(Refusal::BodyTooLarge),
+        Err(_) => Err(Refusal::Malformed),
+    }
 }
 
 /// The attempt id of a request and the waiting time of its caller.
 pub struct CallerTerms {
-pub attempt: HeaderValue,
-pub remaining: Duration,
-/// How long the caller has waited already.
-pub waited: Duration,
+    pub attempt: HeaderValue,
+    pub remaining: Duration,
+    /// How long the caller has waited already.
+    pub waited: Duration,
 }
 
 /// Reads the attempt id and the remaining time of a request. Leaves `waited` at zero, for the
 /// caller of this function to set.
 pub fn read_terms(head: &Parts, names: &HeaderNames) -> Result<CallerTerms, Refusal> {
-let attempt = head.headers.get(&names.attempt).ok_or(Refusal::Malformed)?.clone();
-let remaining = match head.headers.get(&names.remaining_ms) {
-None => DEFAULT_REMAINING,
-Some(value) => {
-let millis = value.to_str().ok().and_then(|text| text.trim().parse().ok());
-Duration::from_millis(millis.ok_or(Refusal::Malformed)?)
-}
-};
-let waited = Duration::ZERO;
-Ok(CallerTerms { attempt, remaining: remaining.min(MAX_REMAINING), waited })
+    let attempt = head.headers.get(&names.attempt).ok_or(Refusal::Malformed)?.clone();
+    let remaining = match head.headers.get(&names.remaining_ms) {
+        None => DEFAULT_REMAINING,
+        Some(value) => {
+            let millis = value.to_str().ok().and_then(|text| text.trim().parse().ok());
+            Duration::from_millis(millis.ok_or(Refusal::Malformed)?)
+        }
+    };
+    let waited = Duration::ZERO;
+    Ok(CallerTerms { attempt, remaining: remaining.min(MAX_REMAINING), waited })
 }
 
 /// Reads the outline of the prompt, if the route sends requests with a shared prompt to the same
 /// upstream.
 fn read_outline(head: &Parts, route: &OpaqueRoute, names: &HeaderNames) -> Option<PromptOutline> {
-if !route.affinity {
-return None;
-}
-PromptOutline::parse(head.headers.get(&names.prompt_outline)?.to_str().ok()?)
+    if !route.affinity {
+        return None;
+    }
+    PromptOutline::parse(head.headers.get(&names.prompt_outline)?.to_str().ok()?)
 }
 
 /// Reads the sum of the prompt tokens and the maximum answer tokens that a caller names. `None` if
 /// it names none.
 pub fn read_total_tokens(head: &Parts, names: &HeaderNames) -> Option<u64> {
-let named = head.headers.get(&names.token_counts)?.to_str().ok()?;
-let (prompt, output) = named.split_once(',')?;
-let prompt: u32 = prompt.trim().parse().ok()?;
-let output: u32 = output.trim().parse().ok()?;
-Some(u64::from(prompt) + u64::from(output))
+    let named = head.headers.get(&names.token_counts)?.to_str().ok()?;
+    let (prompt, output) = named.split_once(',')?;
+    let prompt: u32 = prompt.trim().parse().ok()?;
+    let output: u32 = output.trim().parse().ok()?;
+    Some(u64::from(prompt) + u64::from(output))
 }
 
 /// Reads the maximum answer tokens from the header that names the prompt tokens and the maximum
 /// answer tokens. Only the choice of a destination depends on it. 0 if the caller names none.
 fn read_output_tokens(head: &Parts, names: &HeaderNames) -> u32 {
-let named = head.headers.get(&names.token_counts).and_then(|value| value.to_str().ok());
-let output = named.and_then(|text| text.split_once(',')).map(|(_, output)| output.trim());
-output.and_then(|output| output.parse().ok()).unwrap_or_default()
+    let named = head.headers.get(&names.token_counts).and_then(|value| value.to_str().ok());
+    let output = named.and_then(|text| text.split_once(',')).map(|(_, output)| output.trim());
+    output.and_then(|output| output.parse().ok()).unwrap_or_default()
 }
 
 /// Returns the headers to pass to an upstream: all except connection headers and reserved ones.
 fn forwarded_headers(
-mut headers: HeaderMap,
-account: Option<&JobAccount>,
-names: &HeaderNames,
+    mut headers: HeaderMap,
+    account: Option<&JobAccount>,
+    names: &HeaderNames,
 ) -> HeaderMap {
-remove_connection_headers(&mut headers);
-headers.remove(CONTENT_LENGTH);
-headers.remove(EXPECT);
-headers.remove(&names.remaining_ms);
-headers.remove(&names.expected_upstream);
-for name in &names.reserved {
-headers.remove(name);
-}
-headers.remove(&names.account);
-if let Some(account) = account {
-let name = HeaderValue::from_str(account.account.name.as_str());
-headers.insert(&names.account, name.expect("names are plain text"));
-}
-headers
+    remove_connection_headers(&mut headers);
+    headers.remove(CONTENT_LENGTH);
+    headers.remove(EXPECT);
+    headers.remove(&names.remaining_ms);
+    headers.remove(&names.expected_upstream);
+    for name in &names.reserved {
+        headers.remove(name);
+    }
+    headers.remove(&names.account);
+    if let Some(account) = account {
+        let name = HeaderValue::from_str(account.account.name.as_str());
+        headers.insert(&names.account, name.expect("names are plain text"));
+    }
+    headers
 }
 
 /// Removes the headers that apply to one connection only.
 pub fn remove_connection_headers(headers: &mut HeaderMap) {
-let named: Vec<HeaderName> = headers
-.get_all(CONNECTION)
-.iter()
-.filter_map(|value| value.to_str().ok())
-.flat_map(|text| text.split(','))
-.filter_map(|name| name.trim().parse().ok())
-.collect();
-for name in named {
-headers.remove(name);
-}
-const CONNECTION_HEADERS: [HeaderName; 7] = [
-CONNECTION,
-PROXY_AUTHENTICATE,
-PROXY_AUTHORIZATION,
-TE,
-TRAILER,
-TRANSFER_ENCODING,
-UPGRADE,
-];
-for name in CONNECTION_HEADERS {
-headers.remove(name);
-}
-headers.remove("keep-alive");
-headers.remove("proxy-connection");
+    let named: Vec<HeaderName> = headers
+        .get_all(CONNECTION)
+        .iter()
+        .filter_map(|value| value.to_str().ok())
+        .flat_map(|text| text.split(','))
+        .filter_map(|name| name.trim().parse().ok())
+        .collect();
+    for name in named {
+        headers.remove(name);
+    }
+    const CONNECTION_HEADERS: [HeaderName; 7] = [
+        CONNECTION,
+        PROXY_AUTHENTICATE,
+        PROXY_AUTHORIZATION,
+        TE,
+        TRAILER,
+        TRANSFER_ENCODING,
+        UPGRADE,
+    ];
+    for name in CONNECTION_HEADERS {
+        headers.remove(name);
+    }
+    headers.remove("keep-alive");
+    headers.remove("proxy-connection");
 }
