--- a/crates/foldhaven-core/src/opaque/suspects/table.rs
+++ b/crates/foldhaven-core/src/opaque/suspects/table.rs
@@ -418,7 +418,7 @@
     /// Returns the records that are resent in a round, at most [`MAX_RECORDS_PER_MESSAGE`]: those
     /// of requests that are or were quarantined. Recently changed ones are resent in every round,
     /// because datagrams get lost; older ones that still have exits only in every
-    /// [`FULL_ROUND_INTERVAL`]-th round, for VMs that were partitioned.
+    /// `FULL_ROUND_INTERVAL`-th round, for VMs that were partitioned.
     pub fn next_resent(&mut self, now: MonoTime) -> Vec<SuspectRecord> {
         self.rounds = self.rounds.wrapping_add(1);
         let is_full = self.rounds.is_multiple_of(FULL_ROUND_INTERVAL);
