--- a/crates/foldhaven-testkit/src/scenario/runner/awaits.rs
+++ b/crates/foldhaven-testkit/src/scenario/runner/awaits.rs
@@ -41,7 +41,7 @@
         let elapsed_ms = started.elapsed().as_millis();
         self.record(format!("in force on {} VMs after {elapsed_ms}ms", members.len()));
         if result.is_err() {
-            for text in ["\"description ", "this process slept", "compared with peers"] {
+            for text in ["\"description ", "the process was suspended", "compared with peers"] {
                 self.log_lines_with(text).into_iter().for_each(|line| self.record(line));
             }
         }
