--- a/crates/foldhaven-testkit/tests/testsuite/scenarios.rs
+++ b/crates/foldhaven-testkit/tests/testsuite/scenarios.rs
@@ -22,8 +22,13 @@
 }
 
 /// Scenarios with their own tests, so that their failures are reported under their own names.
-const SEPARATE_SCENARIOS: [&str; 3] =
-    ["residency-tightened", "stop-each-vm", "residency-newer-sender"];
+const SEPARATE_SCENARIOS: [&str; 5] = [
+    "residency-tightened",
+    "stop-each-vm",
+    "residency-newer-sender",
+    "capacity-lost-at-home",
+    "configuration-platform-faults",
+];
 
 fn has_stem(file: &Path, name: &str) -> bool {
     file.file_stem().is_some_and(|stem| stem == name)
@@ -52,6 +57,16 @@
     assert_scenario_passes(SEPARATE_SCENARIOS[2]);
 }
 
+#[test]
+fn capacity_lost_at_home_is_served_elsewhere() {
+    assert_scenario_passes(SEPARATE_SCENARIOS[3]);
+}
+
+#[test]
+fn configuration_is_in_force_despite_platform_faults() {
+    assert_scenario_passes(SEPARATE_SCENARIOS[4]);
+}
+
 #[test]
 fn every_scenario_holds_its_promises() {
     let files = scenario_files(&scenario_folder()).unwrap();
